--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod members;
 pub mod platform;
 pub mod plugins;
+mod remembered_file;
 pub mod settings;
 pub mod shell;
 mod turns;
--- a/crates/gateway/src/members/mod.rs
+++ b/crates/gateway/src/members/mod.rs
@@ -5,7 +5,6 @@
 mod replay;
 mod starts;
 
-pub(crate) use registry::keeper;
 pub use registry::{MemberSettings, RegistrySource};
 pub use replay::{Recorder, ReplaySource};
 pub use starts::Starts;
--- a/crates/gateway/src/members/registry.rs
+++ b/crates/gateway/src/members/registry.rs
@@ -2,6 +2,7 @@
 //! census, and what the next process is to begin with.
 
 use super::{News, Source};
+use crate::remembered_file::RememberedFile;
 use slatevalve::Micros;
 use slatevalve_reactor::{Happening, Reactor};
 use slatevalve_registry::{
@@ -10,11 +11,9 @@
 use slatevalve_registry_link::Link;
 use std::collections::BTreeMap;
 use std::fs;
-use std::io::{self, Write};
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::sync::mpsc::{self, Sender};
-use std::thread;
 use tracing::{error, info, warn};
 
 /// The `members` form.
@@ -43,7 +42,7 @@
     /// The module was told the whole list since it was last told that nothing is heard.
     told_full: bool,
     told_refused: bool,
-    keeper: Option<Sender<Vec<u8>>>,
+    remembered_file: Option<RememberedFile>,
     leaving: Option<u64>,
     left: bool,
 }
@@ -63,13 +62,13 @@
             news: Vec::new(),
             told_full: false,
             told_refused: false,
-            keeper: None,
+            remembered_file: None,
             leaving: None,
             left: false,
         };
         if let Some(path) = settings.remember {
             source.remember(&path, settings.census);
-            source.keeper = Some(keeper(path, "list"));
+            source.remembered_file = Some(RememberedFile::open(path, "list"));
         }
         source
     }
@@ -160,7 +159,9 @@
         }
         if changed || counted.is_some() {
             let kept = self.link.client().follower().keep(self.census.routers());
-            self.keeper.iter().for_each(|k| drop(k.send(kept.clone())));
+            if let Some(file) = &self.remembered_file {
+                file.write(kept);
+            }
         }
     }
 }
@@ -204,28 +205,3 @@
         self.left
     }
 }
-
-/// A thread that writes the last of something to a file: beside it, synced, renamed. Of several that wait the last counts.
-pub(crate) fn keeper(path: PathBuf, what: &'static str) -> Sender<Vec<u8>> {
-    let (send, receive) = mpsc::channel::<Vec<u8>>();
-    let write = move || {
-        while let Ok(first) = receive.recv() {
-            let content = receive.try_iter().last().unwrap_or(first);
-            if let Err(error) = write_beside(&path, &content) {
-                warn!(path = %path.display(), %error, what, "not kept for the next start");
-            }
-        }
-    };
-    let _ = thread::Builder::new().name(what.into()).spawn(write);
-    send
-}
-
-fn write_beside(path: &Path, content: &[u8]) -> io::Result<()> {
-    let mut name = path.as_os_str().to_os_string();
-    name.push(".new");
-    let beside = PathBuf::from(name);
-    let mut file = fs::File::create(&beside)?;
-    file.write_all(content)?;
-    file.sync_all()?;
-    fs::rename(&beside, path)
-}
--- a/crates/gateway/src/shell/agreement.rs
+++ b/crates/gateway/src/shell/agreement.rs
@@ -8,7 +8,7 @@
 use super::{Shell, ShellError};
 use crate::clock::Clock;
 use crate::documents::{self, Conductor};
-use crate::members::keeper;
+use crate::remembered_file::RememberedFile;
 use crate::settings::{Agreed, AgreedSettings, Site};
 use slatevalve::{ClassId, Micros, Scope};
 use slatevalve_agreement::{
@@ -23,7 +23,6 @@
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, Write};
 use std::path::Path;
-use std::sync::mpsc::Sender;
 use std::time::Duration;
 use tracing::{error, info, warn};
 
@@ -58,7 +57,7 @@
     documents: BTreeMap<u64, Document>,
     questions: BTreeMap<u64, For>,
     /// Writes what is acted by to a file, where it is to be remembered.
-    keeper: Option<Sender<Vec<u8>>>,
+    remembered_file: Option<RememberedFile>,
     /// A state that is known and not yet acted by.
     news: Option<Entry<State>>,
     /// The state is to be read, from then on; and the holder waits for it and its own entry.
@@ -104,7 +103,7 @@
             holder,
             agreed,
             documents: known.documents,
-            keeper: remember.map(|path| keeper(path, "settings")),
+            remembered_file: remember.map(|path| RememberedFile::open(path, "settings")),
             questions: BTreeMap::new(),
             news: known.state,
             read_at: Some(i64::MIN),
@@ -134,6 +133,8 @@
             }
             if self.may(now) == May::All || until.is_some_and(|at| at <= now) {
                 if let Some(site) = site.take() {
+                    // A gateway that was ready once can start again without the registry, also when it is killed at once.
+                    self.remembered_file.iter().for_each(RememberedFile::flush);
                     return Ok(site);
                 }
             }
@@ -381,9 +382,8 @@
         self.patrol.heard(now.0, prepared, HEAD_START.max(2 * right_us));
         (self.holder, self.refused) = (holder, None);
         self.documents.retain(|number, _| numbers.contains(number));
-        if let Some(keeper) = &self.keeper {
-            // Where its thread has ended it has said so.
-            let _ = keeper.send(Reading::keep(&self.keys, &state, self.documents.values()));
+        if let Some(file) = &self.remembered_file {
+            file.write(Reading::keep(&self.keys, &state, self.documents.values()));
         }
         Some(site)
     }
