--- /dev/null
+++ b/crates/registry/tests/stored_forms.rs
@@ -0,0 +1,146 @@
+//! Examples of the forms that are stored or sent, byte for byte: the entries of workers, routers (gateways) and relays in the
+//! registry, and the list that a gateway remembers on its disk. Other versions wrote them and will read them, so a change of
+//! names in the code must not change them. The literals are what the program wrote; they are not to be made from code.
+
+use slatevalve_registry::wire::{Bytes, Header, KeyValue, RangeResponse};
+use slatevalve_registry::*;
+
+const PREFIX: &str = "/slatevalve/";
+
+const WORKER_KEY: &str = "/slatevalve/workers/worker-1";
+const WORKER: &str = r#"{"address":"10.1.2.3:7001","zone":"zone-a","kind":"large","cell":18446744073709551615,"weight":2.5,"state":"ready","up-since-unix-ms":1764684181123.5}"#;
+const DRAINING_WORKER: &str = r#"{"address":"[2001:db8::1]:7001","zone":"default","kind":"default","cell":0,"weight":1.0,"state":"draining"}"#;
+
+const ROUTER_KEY: &str = "/slatevalve/routers/gateway-1";
+const ROUTER: &str = r#"{"zone":"zone-a","up-since-unix-ms":1764684181123}"#;
+
+const RELAY_KEY: &str = "/slatevalve/relays/relay-1";
+const RELAY: &str = r#"{"routers":17}"#;
+
+/// Two keys, `/s/workers/a` and `/s/workers/b`, with the values `{"cell":1}` and nothing.
+const REMEMBERED: &str = r#"{"keys":[[[47,115,47,119,111,114,107,101,114,115,47,97],[123,34,99,101,108,108,34,58,49,125]],[[47,115,47,119,111,114,107,101,114,115,47,98],[]]],"revisions":[[5,40],[6,6]],"revision":42,"cluster":-77,"askers":9}"#;
+
+fn worker() -> WorkerRecord {
+    WorkerRecord {
+        address: "10.1.2.3:7001".parse().unwrap(),
+        zone: "zone-a".into(),
+        kind: "large".into(),
+        cell: 18_446_744_073_709_551_615,
+        weight: 2.5,
+        state: MemberState::Ready,
+        up_since_unix_ms: Some(1_764_684_181_123.5),
+    }
+}
+
+fn draining_worker() -> WorkerRecord {
+    WorkerRecord {
+        address: "[2001:db8::1]:7001".parse().unwrap(),
+        zone: "default".into(),
+        kind: "default".into(),
+        cell: 0,
+        weight: 1.0,
+        state: MemberState::Draining,
+        up_since_unix_ms: None,
+    }
+}
+
+fn router() -> RouterRecord {
+    RouterRecord { zone: "zone-a".into(), up_since_unix_ms: 1_764_684_181_123 }
+}
+
+fn read(key: &str, value: &str) -> Option<Member> {
+    read_member(PREFIX, key.as_bytes(), value.as_bytes()).unwrap()
+}
+
+#[test]
+fn the_keys_of_workers_routers_and_relays_stand() {
+    assert_eq!(worker_key(PREFIX, "worker-1"), WORKER_KEY);
+    assert_eq!(router_key(PREFIX, "gateway-1"), ROUTER_KEY);
+    assert_eq!([PREFIX, RELAYS, "relay-1"].concat(), RELAY_KEY);
+}
+
+#[test]
+fn a_workers_entry_with_all_fields_stands() {
+    assert_eq!(serde_json::to_string(&worker()).unwrap(), WORKER);
+    assert_eq!(read(WORKER_KEY, WORKER), Some(Member::Worker("worker-1".into(), worker())));
+}
+
+#[test]
+fn a_draining_workers_entry_without_a_start_stands() {
+    assert_eq!(serde_json::to_string(&draining_worker()).unwrap(), DRAINING_WORKER);
+    let expected = Member::Worker("worker-1".into(), draining_worker());
+    assert_eq!(read(WORKER_KEY, DRAINING_WORKER), Some(expected));
+}
+
+/// Not written by us: what others may leave out.
+#[test]
+fn a_workers_entry_with_an_address_alone_is_read_with_its_defaults() {
+    let expected = WorkerRecord { state: MemberState::Ready, ..draining_worker() };
+    let least = r#"{"address":"[2001:db8::1]:7001"}"#;
+    assert_eq!(read(WORKER_KEY, least), Some(Member::Worker("worker-1".into(), expected)));
+}
+
+#[test]
+fn a_routers_entry_stands() {
+    assert_eq!(serde_json::to_string(&router()).unwrap(), ROUTER);
+    assert_eq!(read(ROUTER_KEY, ROUTER), Some(Member::Router("gateway-1".into(), router())));
+}
+
+/// Not written by us: what others may leave out.
+#[test]
+fn an_empty_routers_entry_is_read_with_its_defaults() {
+    let expected = RouterRecord { zone: String::new(), up_since_unix_ms: 0 };
+    assert_eq!(read(ROUTER_KEY, "{}"), Some(Member::Router("gateway-1".into(), expected)));
+}
+
+#[test]
+fn a_relays_entry_stands() {
+    assert_eq!(serde_json::to_string(&RelayRecord { routers: 17 }).unwrap(), RELAY);
+    assert_eq!(serde_json::from_str::<RelayRecord>(RELAY).unwrap(), RelayRecord { routers: 17 });
+}
+
+fn changes_of_remembered() -> Vec<Change> {
+    let put = |key: &str, value: &str| Change::Put { key: key.into(), value: value.into(), made: true };
+    vec![put("/s/workers/a", r#"{"cell":1}"#), put("/s/workers/b", "")]
+}
+
+#[test]
+fn the_remembered_list_is_written_as_it_stands() {
+    let pair = |key: &str, value: &str, create_revision: i64, mod_revision: i64| KeyValue {
+        key: Bytes::of(key),
+        value: Bytes::of(value),
+        create_revision,
+        mod_revision,
+        ..KeyValue::default()
+    };
+    let page = RangeResponse {
+        header: Header { cluster_id: -77, member_id: 3, revision: 42 },
+        kvs: vec![pair("/s/workers/a", r#"{"cell":1}"#, 5, 40), pair("/s/workers/b", "", 6, 6)],
+        more: false,
+        count: 2,
+    };
+    let mut follower = Follower::new(FollowerSettings::default());
+    assert_eq!(follower.listed(0, page), changes_of_remembered());
+    assert_eq!(String::from_utf8(follower.keep(9)).unwrap(), REMEMBERED);
+}
+
+#[test]
+fn the_remembered_list_is_read_and_written_again_as_it_stands() {
+    let mut follower = Follower::new(FollowerSettings::default());
+    let told = follower.remember(REMEMBERED.as_bytes()).unwrap();
+    assert_eq!(told, (changes_of_remembered(), 9));
+    assert_eq!((follower.cluster(), follower.want()), (-77, Want::Watch(43)));
+    let held: Vec<(i64, i64)> = follower.held().values().map(|held| (held.made, held.changed)).collect();
+    assert_eq!(held, [(5, 40), (6, 6)]);
+    assert_eq!(String::from_utf8(follower.keep(9)).unwrap(), REMEMBERED);
+}
+
+/// Written by earlier versions only.
+#[test]
+fn a_remembered_list_without_revisions_is_read_and_everything_is_listed() {
+    let mut follower = Follower::new(FollowerSettings::default());
+    let old = br#"{"keys":[[[47,115,47,119,111,114,107,101,114,115,47,98],[]]]}"#;
+    let told = follower.remember(old).unwrap();
+    assert_eq!(told, (changes_of_remembered().split_off(1), 0));
+    assert!(matches!(follower.want(), Want::List(_)));
+}
