--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use serde_json::{json, Value};
 use slatevalve::*;
-use slatevalve_site::object::*;
-use slatevalve_site::{Names, Site};
+use slatevalve_site_config::object::*;
+use slatevalve_site_config::{Names, Site};
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
--- a/adapter/tests/platform.rs
+++ b/adapter/tests/platform.rs
@@ -10,7 +10,7 @@
 };
 use slatevalve_engine::{function_id, worker_id, AttemptEnd, AttemptRef, Engine, EngineSettings, Output};
 use slatevalve_platform::front::{Front, FrontOutput, FrontSettings, LinkId};
-use slatevalve_site::Site;
+use slatevalve_site_config::Site;
 use std::collections::HashMap;
 use std::io::Write;
 use std::process::{Command, Stdio};
--- a/crates/agreement/src/lib.rs
+++ b/crates/config-versioning/src/lib.rs
@@ -4,7 +4,7 @@
 //! document that can contradict, with their *meet*; [`Document`], [`State`] and [`Right`] are what stands in the key-value
 //! registry; a [`Holder`] is one router's right to act and the [`Stance`] it acts on; a [`Driver`] carries a change from
 //! prepared to committed, and any number of drivers may do so at once. Commands call the driver's side, routers the holder's.
-//! The protocol, its assumptions and why the bound holds: `docs/design-agreement.md`.
+//! The protocol, its assumptions and why the bound holds: `docs/design-config-versioning.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/agreement/tests/model.rs
+++ b/crates/config-versioning/tests/model.rs
@@ -1,7 +1,7 @@
 //! All that can happen to a small fleet, up to a size: routers, drivers, registry, links and clocks that drift. The decision
 //! modules themselves run here; the model adds a registry of entries with versions, and moves.
 
-use slatevalve_agreement::*;
+use slatevalve_config_versioning::*;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 
--- a/crates/agreement/tests/records.rs
+++ b/crates/config-versioning/tests/records.rs
@@ -1,6 +1,6 @@
 //! Documents, state and rights as entries of a registry: what is published, what is refused, what went back.
 
-use slatevalve_agreement::*;
+use slatevalve_config_versioning::*;
 use std::collections::BTreeMap;
 
 type Store = BTreeMap<String, (Vec<u8>, i64)>;
--- a/crates/agreement/tests/relations.rs
+++ b/crates/config-versioning/tests/relations.rs
@@ -2,7 +2,7 @@
 
 use proptest::collection::{btree_map, vec};
 use proptest::prelude::*;
-use slatevalve_agreement::{contradictions, Bound, Class, Need, Repeat, Route, Terms};
+use slatevalve_config_versioning::{contradictions, Bound, Class, Need, Repeat, Route, Terms};
 use std::collections::BTreeSet;
 
 fn repeat() -> impl Strategy<Value = Repeat> {
--- a/crates/agreement/tests/stored_forms.rs
+++ b/crates/config-versioning/tests/stored_forms.rs
@@ -3,7 +3,7 @@
 //! them, so a change of names in the code must not change them. The literals are what the program wrote; they are not to be
 //! made from code.
 
-use slatevalve_agreement::*;
+use slatevalve_config_versioning::*;
 
 const FIRST_KEY: &str = "/slatevalve/agreement/documents/0000000001";
 const FIRST: &str = r#"{"number":1,"parent":0,"digest":"2bb7b15e4801d1e41c5adce64ea58cecd0cacc0b0df217eeb927cce3b7a3aff7","text":"[class.booking]\neffect = \"keyed\"\n","who":"operator","why":"the first one, für alle","doubt":"go-on","right_us":3000000}"#;
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/fleet-test/src/lib.rs
@@ -2,7 +2,7 @@
 //! and reset by script, and a report of what passed and of what each router knew when.
 //!
 //! It starts the program's binary and knows none of the gateway's insides: what it sees are the bytes on the links and the
-//! lines of the logs. The command `slatevalve rehearsal` calls it; `slatevalve link` is one link.
+//! lines of the logs. The command `slatevalve fleet-test` calls it; `slatevalve link` is one link.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -17,7 +17,7 @@
 
 pub use link::{run_link, Direction, LinkFault, LinkFaultKind, LinkPlan};
 pub use page::page;
-pub use play::{play, Options, RehearsalError};
+pub use play::{play, Options, FleetTestError};
 pub use process::{end_with_parent, Process};
 pub use report::{Finding, Report, Router};
 pub use script::{Expectations, Group, Happens, Kind, Script};
--- a/crates/rehearsal/src/play.rs
+++ b/crates/fleet-test/src/play.rs
@@ -12,7 +12,7 @@
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
 use serde_json::json;
-use slatevalve_forms::FormError;
+use slatevalve_sexpr::FormError;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::fs::{self, File};
@@ -31,7 +31,7 @@
 
 /// Why a rehearsal could not be played.
 #[derive(Debug)]
-pub enum RehearsalError {
+pub enum FleetTestError {
     /// The script.
     Script(FormError),
     /// A process or a file.
@@ -44,23 +44,23 @@
     NotEmpty(PathBuf),
 }
 
-impl fmt::Display for RehearsalError {
+impl fmt::Display for FleetTestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RehearsalError::Script(e) => e.fmt(f),
-            RehearsalError::Io(what, e) => write!(f, "{what}: {e}"),
-            RehearsalError::Late(what) => write!(f, "the machine is too slow: {what}"),
-            RehearsalError::Other(name) => write!(f, "{name} is a router"),
-            RehearsalError::NotEmpty(path) => write!(f, "{} is not empty", path.display()),
+            FleetTestError::Script(e) => e.fmt(f),
+            FleetTestError::Io(what, e) => write!(f, "{what}: {e}"),
+            FleetTestError::Late(what) => write!(f, "the machine is too slow: {what}"),
+            FleetTestError::Other(name) => write!(f, "{name} is a router"),
+            FleetTestError::NotEmpty(path) => write!(f, "{} is not empty", path.display()),
         }
     }
 }
 
-impl std::error::Error for RehearsalError {}
+impl std::error::Error for FleetTestError {}
 
-impl From<FormError> for RehearsalError {
+impl From<FormError> for FleetTestError {
     fn from(e: FormError) -> Self {
-        RehearsalError::Script(e)
+        FleetTestError::Script(e)
     }
 }
 
@@ -77,10 +77,10 @@
     pub keep: Option<PathBuf>,
 }
 
-type Res<T> = Result<T, RehearsalError>;
+type Res<T> = Result<T, FleetTestError>;
 
 fn of<T>(what: &str, result: io::Result<T>) -> Res<T> {
-    result.map_err(|e| RehearsalError::Io(what.into(), e))
+    result.map_err(|e| FleetTestError::Io(what.into(), e))
 }
 
 /// One life of a router's process.
@@ -125,7 +125,7 @@
         Some(directory) => {
             of("the directory", fs::create_dir_all(directory))?;
             if of("the directory", fs::read_dir(directory))?.next().is_some() {
-                return Err(RehearsalError::NotEmpty(directory.clone()));
+                return Err(FleetTestError::NotEmpty(directory.clone()));
             }
             directory
         }
@@ -172,7 +172,7 @@
             }
         }
         if now_us() > self.start_us {
-            return Err(RehearsalError::Late("the services took too long to start"));
+            return Err(FleetTestError::Late("the services took too long to start"));
         }
         steps.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (at, step) in steps {
@@ -253,7 +253,7 @@
                 let address = self.address(by);
                 self.program(&["worker", "--name", name, "--listen", &listen, "--registry", &address], &log)?
             }
-            Kind::Routers { .. } => return Err(RehearsalError::Other(name.into())),
+            Kind::Routers { .. } => return Err(FleetTestError::Other(name.into())),
         };
         of(name, Process::start(command))
     }
--- a/crates/rehearsal/src/script.rs
+++ b/crates/fleet-test/src/script.rs
@@ -2,7 +2,7 @@
 //! Everything that can be wrong with a script is found here, with file, line and form, before a process is started.
 
 use crate::link::{Direction, LinkFaultKind};
-use slatevalve_forms::{Fields, File, Form, FormError};
+use slatevalve_sexpr::{Fields, File, Form, FormError};
 
 type Res<T> = Result<T, FormError>;
 
--- a/crates/gateway/benches/drains.rs
+++ b/crates/gateway/benches/drains.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 use slatevalve_registry::wire::Bytes;
-use slatevalve_standins::{unix_micros, Arrival, ClientPlan, Driver, ServicePlan, WorkerPlan};
+use slatevalve_test_servers::{unix_micros, Arrival, ClientPlan, Driver, ServicePlan, WorkerPlan};
 use std::collections::BTreeMap;
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/gateway/src/badday/calls.rs
+++ b/crates/gateway/src/chaos_test/calls.rs
@@ -4,7 +4,7 @@
 use super::script::{Load, Script};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use slatevalve_standins::Arrival;
+use slatevalve_test_servers::Arrival;
 
 /// What a class needs of its calls.
 pub(super) struct ClassNeeds {
--- a/crates/gateway/src/badday/day.rs
+++ b/crates/gateway/src/chaos_test/day.rs
@@ -4,17 +4,17 @@
 use super::script::{Happens, Script};
 use super::BadDayError;
 use crate::clock::Clock;
-use crate::fleet;
+use crate::child_processes;
 use crate::plugins::folder::{unix_ms, PluginFolder};
 use crate::settings::{Named, Site};
 use rustix::process::Signal;
 use slatevalve::{Effect, Group};
-use slatevalve_forms::File;
+use slatevalve_sexpr::File;
 use slatevalve_plugins::{Digest, CURRENT};
-use slatevalve_rehearsal::Process;
-use slatevalve_rules::trace::{self, Line, Seen};
-use slatevalve_rules::{ClassTerms, EffectTerms, GroupTerms, Terms, WorkerTerms};
-use slatevalve_standins::{unix_micros, ClientPlan, ClientReport, Driver, Fault, Tap, WorkerPlan};
+use slatevalve_fleet_test::Process;
+use slatevalve_trace_checker::trace::{self, Line, Seen};
+use slatevalve_trace_checker::{ClassTerms, EffectTerms, GroupTerms, Terms, WorkerTerms};
+use slatevalve_test_servers::{unix_micros, ClientPlan, ClientReport, Driver, Fault, Tap, WorkerPlan};
 use std::collections::BTreeMap;
 use std::fs;
 use std::net::SocketAddr;
@@ -163,7 +163,7 @@
             seed: self.seed.wrapping_mul(1_000) + n as u64,
             ..WorkerPlan::default()
         };
-        let process = fleet::worker(&plan)?;
+        let process = child_processes::worker(&plan)?;
         let address = process.address;
         let (state, up_since_ms) = ("ready", None);
         self.workers.push(Worker { process: Some(process), plan, address, state, up_since_ms });
@@ -183,7 +183,7 @@
         fs::write(&self.gateways[n].file, self.settings_of(n))?;
         let log = self.directory.join(format!("gateway-{n}.log"));
         let log = fs::OpenOptions::new().create(true).append(true).open(log)?;
-        let process = fleet::gateway(&self.gateways[n].file, Stdio::from(log), &self.log_level)?;
+        let process = child_processes::gateway(&self.gateways[n].file, Stdio::from(log), &self.log_level)?;
         self.gateways[n].address = process.address;
         self.gateways[n].process = Some(process);
         Ok(())
@@ -342,7 +342,7 @@
                 worker.plan.listen = worker.address;
                 worker.plan.cold = true;
                 worker.up_since_ms = Some(unix_micros() / 1_000);
-                worker.process = Some(fleet::worker(&worker.plan)?);
+                worker.process = Some(child_processes::worker(&worker.plan)?);
             }
             Step::KillGateway(n) => {
                 if let Some(mut process) = self.gateways[n].process.take() {
--- a/crates/gateway/src/badday/report.rs
+++ b/crates/gateway/src/chaos_test/report.rs
@@ -3,8 +3,8 @@
 use super::day::Record;
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use slatevalve_rules::trace::Seen;
-use slatevalve_rules::{check, EffectTerms, Rule, Violation};
+use slatevalve_trace_checker::trace::Seen;
+use slatevalve_trace_checker::{check, EffectTerms, Rule, Violation};
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/crates/gateway/src/badday/script.rs
+++ b/crates/gateway/src/chaos_test/script.rs
@@ -1,8 +1,8 @@
 //! The script of a bad day, as S-expressions: fleet, load, and what goes wrong when. The forms are listed in
-//! `docs/operators/badday.md`.
+//! `docs/operators/chaos-test.md`.
 
-use slatevalve_forms::{Fields, File, Form, FormError};
-use slatevalve_standins::{FaultKind, ServicePlan};
+use slatevalve_sexpr::{Fields, File, Form, FormError};
+use slatevalve_test_servers::{FaultKind, ServicePlan};
 
 type Res<T> = Result<T, FormError>;
 
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/child_processes.rs
@@ -1,7 +1,7 @@
 //! Child processes of our own binary: workers and gateways for the demo and the bad day.
 
-use slatevalve_rehearsal::Process;
-use slatevalve_standins::WorkerPlan;
+use slatevalve_fleet_test::Process;
+use slatevalve_test_servers::WorkerPlan;
 use std::io;
 use std::path::Path;
 use std::process::{Command, Stdio};
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -1,9 +1,9 @@
 //! The demo: a gateway and three stand-in workers as processes of our own, a few calls, and a line to try.
 
 use super::Outcome;
-use crate::fleet;
+use crate::child_processes;
 use serde_json::json;
-use slatevalve_standins::{unix_micros, Arrival, ClientPlan, Driver, ServicePlan, WorkerPlan};
+use slatevalve_test_servers::{unix_micros, Arrival, ClientPlan, Driver, ServicePlan, WorkerPlan};
 use std::fs;
 use std::net::SocketAddr;
 use std::process::{ExitCode, Stdio};
@@ -30,13 +30,13 @@
     for n in 0..WORKERS {
         let service = ServicePlan { load_us: 50_000, ..ServicePlan::default() };
         let plan = WorkerPlan { name: format!("worker-{n}"), service, ..WorkerPlan::default() };
-        let worker = fleet::worker(&plan)?;
+        let worker = child_processes::worker(&plan)?;
         settings += &format!("(worker \"worker-{n}\" (address \"{}\") (cell {n}))\n", worker.address);
         workers.push(worker);
     }
     let file = directory.path().join("demo.scm");
     fs::write(&file, settings)?;
-    let mut gateway = fleet::gateway(&file, Stdio::inherit(), "warn").map_err(|e| {
+    let mut gateway = child_processes::gateway(&file, Stdio::inherit(), "warn").map_err(|e| {
         format!("the gateway did not start: {e}; is {listen} taken? (--listen 127.0.0.1:0 takes a free port)")
     })?;
     let address = gateway.address;
--- a/crates/gateway/src/commands/rehearsal.rs
+++ b/crates/gateway/src/commands/fleet_test.rs
@@ -1,16 +1,16 @@
-//! `slatevalve rehearsal`: many processes of this program under a script of faults, and `slatevalve link`, one link of it.
+//! `slatevalve fleet-test`: many processes of this program under a script of faults, and `slatevalve link`, one link of it.
 
 use super::{say_ready, Outcome};
 use clap::Args;
 use serde_json::json;
-use slatevalve_rehearsal::{page, play, run_link, Kind, LinkPlan, Options, Report, Script};
+use slatevalve_fleet_test::{page, play, run_link, Kind, LinkPlan, Options, Report, Script};
 use std::error::Error;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 #[derive(Args)]
-pub(super) struct RehearsalArguments {
+pub(super) struct FleetTestArguments {
     /// The script
     script: PathBuf,
     /// Another seed than the script's
@@ -30,8 +30,8 @@
     json: bool,
 }
 
-pub(super) fn rehearsal(arguments: RehearsalArguments) -> Outcome {
-    let RehearsalArguments { script, seed, beside, keep, page: to, json } = arguments;
+pub(super) fn run(arguments: FleetTestArguments) -> Outcome {
+    let FleetTestArguments { script, seed, beside, keep, page: to, json } = arguments;
     let text = fs::read_to_string(&script).map_err(|e| format!("{}: {e}", script.display()))?;
     let script = Script::parse(&script.display().to_string(), &text)?;
     let program = std::env::current_exe()?;
--- a/crates/gateway/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -1,24 +1,24 @@
 //! The command line: one sub-command each for running, checking, rehearsing and the stand-ins.
 
 mod demo;
+mod fleet_test;
 mod login;
 mod members;
 mod plugin;
 mod registry;
-mod rehearsal;
 mod relay;
 mod session;
 mod settings;
 
-use crate::badday::{self, script::Script};
+use crate::chaos_test::{self, script::Script};
 use crate::clock::Clock;
 use crate::platform::{PlatformError, Router};
 use crate::settings::{Agreed, Named, Site};
-use crate::shell::Shell;
+use crate::server::Shell;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use serde_json::json;
-use slatevalve_rules::{check, trace, Terms};
-use slatevalve_standins::{
+use slatevalve_trace_checker::{check, trace, Terms};
+use slatevalve_test_servers::{
     run_broker, run_kv, run_worker, BrokerPlan, KvPlan, RegisterPlan, ServicePlan, WorkerPlan,
 };
 use std::error::Error;
@@ -74,7 +74,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Run a stand-in worker, for trying things out and for rehearsals
+    /// Run a stand-in worker, for trying things out and for fleet tests
     ///
     /// Prints "ready ADDRESS" on standard output. Its calls do nothing but take time: a payload like
     /// "call=NAME work-us=5000" says how much.
@@ -103,10 +103,11 @@
         #[arg(long)]
         json: bool,
     },
-    /// Live through a scripted bad day on this machine and check the rules from what passed on the sockets
+    /// Run a scripted chaos test on this machine and check the rules from what passed on the sockets
     ///
     /// Exits with 1 where a rule was broken or a call had no answer, with 2 where the day could not be run.
-    Badday {
+    #[command(alias = "badday")]
+    ChaosTest {
         /// The script
         script: PathBuf,
         /// Seed of calls, workers and gateways
@@ -155,15 +156,16 @@
     /// Rehearse with many processes of this program: routers, list service, links between them that fail by script
     ///
     /// Exits with 1 where an expectation of the script is not met, with 2 where it could not be played.
-    Rehearsal(rehearsal::RehearsalArguments),
-    /// Run one link of a rehearsal; prints "ready ADDRESS" on standard output
+    #[command(alias = "rehearsal")]
+    FleetTest(fleet_test::FleetTestArguments),
+    /// Run one link of a fleet test; prints "ready ADDRESS" on standard output
     #[command(hide = true)]
     Link {
         /// Everything as JSON
         #[arg(long)]
         plan: String,
     },
-    /// Check the rules in a trace that `badday --keep` left (all.jsonl beside terms.json)
+    /// Check the rules in a trace that `chaos-test --keep` left (all.jsonl beside terms.json)
     Rules {
         /// The directory that was kept
         directory: PathBuf,
@@ -218,7 +220,7 @@
 
 /// Runs the command line of this process.
 pub fn run() -> ExitCode {
-    slatevalve_rehearsal::end_with_parent();
+    slatevalve_fleet_test::end_with_parent();
     let cli = Cli::parse();
     if let Err(words) = start_log(&cli.log_level, cli.log_format) {
         eprintln!("slatevalve: {words}");
@@ -292,7 +294,7 @@
             Ok(ExitCode::SUCCESS)
         }
         Command::Demo { seconds, listen, json } => demo::demo(seconds, listen, json),
-        Command::Badday { script, seed, keep, json } => bad_day(script, seed, keep, json, cli.log_level),
+        Command::ChaosTest { script, seed, keep, json } => chaos_test_command(script, seed, keep, json, cli.log_level),
         Command::Plugin(arguments) => plugin::plugin(arguments),
         Command::Members(arguments) => members::members(arguments),
         Command::Settings(arguments) => settings::settings(arguments),
@@ -312,8 +314,8 @@
         }
         Command::Registry(arguments) => registry::registry(arguments),
         Command::Relay(arguments) => relay::relay(arguments),
-        Command::Rehearsal(arguments) => rehearsal::rehearsal(arguments),
-        Command::Link { plan } => rehearsal::link(&plan),
+        Command::FleetTest(arguments) => fleet_test::run(arguments),
+        Command::Link { plan } => fleet_test::link(&plan),
         Command::Rules { directory, json } => rules(directory, json),
     }
 }
@@ -356,7 +358,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn bad_day(script: PathBuf, seed: u64, keep: Option<PathBuf>, json: bool, log_level: String) -> Outcome {
+fn chaos_test_command(script: PathBuf, seed: u64, keep: Option<PathBuf>, json: bool, log_level: String) -> Outcome {
     let text = fs::read_to_string(&script).map_err(|e| format!("{}: {e}", script.display()))?;
     let script = Script::parse(&script.display().to_string(), &text)?;
     let mut told = 0;
@@ -368,7 +370,7 @@
             eprintln!("  {seconds:.1} of {:.1} s, {open} calls open", script.seconds);
         }
     };
-    let report = badday::run(&script, &badday::Options { seed, keep, log_level }, progress)?;
+    let report = chaos_test::run(&script, &chaos_test::Options { seed, keep, log_level }, progress)?;
     match json {
         true => println!("{}", serde_json::to_string(&report)?),
         false => print!("{report}"),
--- a/crates/gateway/src/commands/registry.rs
+++ b/crates/gateway/src/commands/registry.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use slatevalve_blobs::{BlobStore, Disk};
 use slatevalve_oci::{Access, Registry};
-use slatevalve_standins::{run_registry, RegistryPlan};
+use slatevalve_test_servers::{run_registry, RegistryPlan};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/gateway/src/commands/session.rs
+++ b/crates/gateway/src/commands/session.rs
@@ -7,7 +7,7 @@
 use slatevalve_pacing::Limits;
 use slatevalve_reactor::Reactor;
 use slatevalve_registry::{ClientSettings, Follow, FollowerSettings, Heard, Login, RegistrationSettings};
-use slatevalve_registry_link::Link;
+use slatevalve_registry_transport::Link;
 use std::error::Error;
 use std::net::ToSocketAddrs;
 use std::time::Duration;
--- a/crates/gateway/src/commands/settings.rs
+++ b/crates/gateway/src/commands/settings.rs
@@ -1,6 +1,6 @@
 //! The `settings` sub-commands: check and compare documents, publish one and drive its change, take it back, see who said yes.
 //!
-//! They decide nothing: what contradicts, what is published and when a change is committed is `slatevalve-agreement`'s. A
+//! They decide nothing: what contradicts, what is published and when a change is committed is `slatevalve-config-versioning`'s. A
 //! command may be killed at any step; `settings drive` goes on with the change.
 
 use super::session::{RegistryArguments, Res, Session};
@@ -10,7 +10,7 @@
 use crate::settings::{self, SharedSettings};
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
-use slatevalve_agreement::{
+use slatevalve_config_versioning::{
     contradictions, Awaited, Document, Edition, Entry, Keys, Next, Reading, Right, State, Terms, Txn, Wait,
 };
 use slatevalve_registry::wire::{
--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::Clock;
 use crate::settings::SharedSettings;
-use slatevalve_agreement::{Document, Driver, Edition, Keys, Next, Reading, Terms, Txn};
+use slatevalve_config_versioning::{Document, Driver, Edition, Keys, Next, Reading, Terms, Txn};
 use slatevalve_registry::wire::{Bytes, Compare, DeleteRequest, KeyValue, PutRequest, RequestOp, TxnRequest};
 use std::collections::BTreeMap;
 
@@ -81,7 +81,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use slatevalve_agreement::{Ask, Doubt, Holder, HolderSettings, Wait};
+    use slatevalve_config_versioning::{Ask, Doubt, Holder, HolderSettings, Wait};
 
     const RIGHT_US: i64 = 3_600_000_000;
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,15 +5,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod badday;
+pub mod chaos_test;
 pub mod clock;
 pub mod commands;
 pub mod documents;
-mod fleet;
+mod child_processes;
 pub mod members;
 pub mod platform;
 pub mod plugins;
 mod remembered_file;
 pub mod settings;
-pub mod shell;
-mod turns;
+pub mod server;
+mod loop_timer;
--- a/crates/gateway/src/members/registry.rs
+++ b/crates/gateway/src/members/registry.rs
@@ -8,7 +8,7 @@
 use slatevalve_registry::{
     Census, CensusSettings, ClientSettings, Heard, MemberChange, Members, RouterRecord, View, WorkerRecord,
 };
-use slatevalve_registry_link::Link;
+use slatevalve_registry_transport::Link;
 use std::collections::BTreeMap;
 use std::fs;
 use std::io;
--- a/crates/gateway/src/shell/agreement.rs
+++ b/crates/gateway/src/server/agreement.rs
@@ -11,14 +11,14 @@
 use crate::remembered_file::RememberedFile;
 use crate::settings::{Agreed, AgreedSettings, Site};
 use slatevalve::{ClassId, Micros, Scope};
-use slatevalve_agreement::{
+use slatevalve_config_versioning::{
     Ask, Document, Edition, Entry, Holder, HolderSettings, Keys, May, Next, Patrol, Reading, State, Txn,
     TxnEnd,
 };
 use slatevalve_reactor::{Happening, Reactor};
 use slatevalve_registry::wire::{prefix_end, Bytes, PlainResponse, RangeRequest, RangeResponse, RANGE, TXN};
 use slatevalve_registry::Heard;
-use slatevalve_registry_link::Link;
+use slatevalve_registry_transport::Link;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, Write};
--- a/crates/gateway/src/shell/plugins.rs
+++ b/crates/gateway/src/server/plugins.rs
@@ -4,7 +4,7 @@
 //! itself. A call's version is fixed when it is taken; what it came to is told to the roll-out that it was part of.
 
 use crate::clock::Clock;
-use crate::plugins::aside::{Aside, AsideSettings, Asker, Task, Told};
+use crate::plugins::background::{Aside, AsideSettings, Asker, Task, Told};
 use crate::plugins::command::{Command, CommandError};
 use crate::plugins::folder::{unix_ms, verify, FolderError, PluginFolder};
 use crate::settings::{PluginSettings, Site};
@@ -54,9 +54,9 @@
 /// See the module's documentation.
 pub(super) struct PluginHost {
     settings: PluginSettings,
-    aside: Aside,
+    background: Aside,
     catalogue: Catalogue,
-    /// What `current` of each function means for calls, moves under way aside.
+    /// What `current` of each function means for calls, moves under way left out.
     settled: BTreeMap<String, Resolved>,
     moves: BTreeMap<String, Moving>,
     /// The version that a move went back from and the alias's revision then: it is not begun again until somebody moves
@@ -112,7 +112,7 @@
         let mut host = PluginHost {
             classes: classes.map(|(name, class)| (name.clone(), class.aim)).collect(),
             order_timeout: site.engine.module.loading.order_timeout,
-            aside: Aside::start(&settings.folder, of_thread, waker)?,
+            background: Aside::start(&settings.folder, of_thread, waker)?,
             settings,
             catalogue,
             settled: BTreeMap::new(),
@@ -158,7 +158,7 @@
     fn submit(&self, asker: Asker, command: Command) -> bool {
         // Content of calls that are open stays, whatever was deleted since.
         let keep = if command == Command::Gc { self.catalogue.reachable() } else { BTreeSet::new() };
-        self.aside.submit(Task { asker, command, keep })
+        self.background.submit(Task { asker, command, keep })
     }
 
     /// Asks for the folder to be read again.
@@ -178,7 +178,7 @@
     /// same answer follows.
     pub(super) fn hear(&mut self, now: Micros, engine: &Engine) -> Vec<(Id, Value, bool)> {
         let mut replies = Vec::new();
-        for told in self.aside.told() {
+        for told in self.background.told() {
             match told {
                 Told::Progress(Asker::Admin(id), done, of) => {
                     replies.push((id, json!({"progress": [done, of]}), true));
--- a/crates/gateway/src/settings/agreed.rs
+++ b/crates/gateway/src/settings/agreed.rs
@@ -2,15 +2,15 @@
 //!
 //! It guards open calls and keys through changes: a class keeps its place while its rules stay or become stricter, gets another
 //! one where they become looser, and keeps the keys that are known of it. While a change is prepared the settings are those of
-//! both documents' meet ([`slatevalve_agreement::Terms`]). Called by the shell's `agreement`, at the start and with each change.
+//! both documents' meet ([`slatevalve_config_versioning::Terms`]). Called by the shell's `agreement`, at the start and with each change.
 
 use super::document::repeat;
 use super::{members, Named, Res, SharedSettings, Site};
 use crate::clock::Clock;
 use slatevalve::{Class, ClassId, Effect, Group, Micros, TenantId, WorkerState};
-use slatevalve_agreement::{Document, Need, Repeat, Terms};
+use slatevalve_config_versioning::{Document, Need, Repeat, Terms};
 use slatevalve_engine::{ClassPolicy, EngineSettings};
-use slatevalve_forms::{File, FormError};
+use slatevalve_sexpr::{File, FormError};
 use slatevalve_mqtt::{Route, Routes};
 use slatevalve_registry::{ClientSettings, Follow};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/gateway/src/settings/classes.rs
+++ b/crates/gateway/src/settings/classes.rs
@@ -1,7 +1,7 @@
 //! Classes, tenants and routes.
 
 use slatevalve::{Class, ClassId, Effect, Group, Micros, Tenant, TenantId};
-use slatevalve_forms::{Fields, Form, FormError};
+use slatevalve_sexpr::{Fields, Form, FormError};
 use slatevalve_mqtt::{Route, Template, TopicFilter};
 use std::collections::BTreeSet;
 
--- a/crates/gateway/src/settings/document.rs
+++ b/crates/gateway/src/settings/document.rs
@@ -1,13 +1,13 @@
 //! A settings document: the part of a settings file that a whole fleet shares, and its rules for the agreement.
 //!
 //! It guards what is published: a document is read by the same text as a router's own file, whole, or it is an error with its
-//! place. Called by the `settings` commands. Source: `docs/design-agreement.md`.
+//! place. Called by the `settings` commands. Source: `docs/design-config-versioning.md`.
 
 use super::{Named, Res, Site};
 use crate::clock::Clock;
 use slatevalve::{Effect, Group, Micros};
-use slatevalve_agreement::{Bound, Class, Doubt, Need, Repeat, Route, Terms};
-use slatevalve_forms::{Fields, File, Form};
+use slatevalve_config_versioning::{Bound, Class, Doubt, Need, Repeat, Route, Terms};
+use slatevalve_sexpr::{Fields, File, Form};
 use std::collections::BTreeMap;
 
 /// Forms that are one router's own and stand in no document.
--- a/crates/gateway/src/settings/members.rs
+++ b/crates/gateway/src/settings/members.rs
@@ -2,7 +2,7 @@
 
 use crate::members::MemberSettings;
 use slatevalve::Micros;
-use slatevalve_forms::{Fields, Form, FormError};
+use slatevalve_sexpr::{Fields, Form, FormError};
 use slatevalve_pacing::{seed_of, Limits};
 use slatevalve_registry::{
     CensusSettings, ClientSettings, Follow, FollowerSettings, Login, RegistrationSettings,
--- a/crates/gateway/src/settings/mod.rs
+++ b/crates/gateway/src/settings/mod.rs
@@ -19,7 +19,7 @@
 use crate::clock::Clock;
 use slatevalve::{Effect, Limits, Loading, Micros, Reports, Rules, Settings, Weights, ZoneId};
 use slatevalve_engine::{ClassPolicy, DuplicateLimits, EngineSettings, FunctionTraits};
-use slatevalve_forms::{Fields, File, Form, FormError};
+use slatevalve_sexpr::{Fields, File, Form, FormError};
 use slatevalve_mqtt::{BridgeSettings, FrontSettings, Routes};
 use slatevalve_plugins::ClassRights;
 use std::collections::HashMap;
--- a/crates/gateway/src/settings/plugins.rs
+++ b/crates/gateway/src/settings/plugins.rs
@@ -2,7 +2,7 @@
 
 use super::sub;
 use slatevalve::Micros;
-use slatevalve_forms::{Fields, Form, FormError};
+use slatevalve_sexpr::{Fields, Form, FormError};
 use slatevalve_oci::{Credentials, Location, Policy, PullSettings};
 use slatevalve_plugins::{ClassRights, KeyList, RolloutSettings, Terms};
 use std::path::PathBuf;
--- a/crates/gateway/tests/agreed.rs
+++ b/crates/gateway/tests/agreed.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use serde_json::{json, Value};
-use slatevalve_worker_wire::Reply;
+use slatevalve_worker_protocol::Reply;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::Child;
@@ -314,7 +314,7 @@
     let reading = fleet.status();
     assert_eq!(reading["committed"]["number"], 1);
     let text = format!("{KEYED}{COMMON}(of-a-later-program 1)");
-    let digest = slatevalve_agreement::Document::digest_of(&text);
+    let digest = slatevalve_config_versioning::Document::digest_of(&text);
     let document = json!({"number": 2, "parent": 1, "digest": digest, "text": text, "who": "op", "why": "later",
         "doubt": "go-on", "right_us": 600_000});
     let edition = |n: u64, digest: &Value| json!({"number": n, "digest": digest});
@@ -335,8 +335,8 @@
 }
 
 /// Terms by which charges are checked, all documents up to `last` contradicting each other.
-fn terms(last: u64) -> slatevalve_rules::Terms {
-    use slatevalve_rules::*;
+fn terms(last: u64) -> slatevalve_trace_checker::Terms {
+    use slatevalve_trace_checker::*;
     let class = |effect| ClassTerms { effect, aim_us: 1, worth: 1.0, late_worth: 1.0 };
     let classes = [("quote", EffectTerms::Safe), ("charge", EffectTerms::Unsafe)];
     let contradict = (1..=last).flat_map(|a| (a + 1..=last).map(move |b| (a, b))).collect();
@@ -406,10 +406,10 @@
     }
     assert!(refused > 0, "what came while the router stood still was refused");
     let text: String = ["w1", "w2"].iter().map(|n| std::fs::read_to_string(trace(n)).unwrap()).collect();
-    let lines = slatevalve_rules::trace::read(&text).unwrap();
-    let found = slatevalve_rules::check(&terms(7), &lines);
+    let lines = slatevalve_trace_checker::trace::read(&text).unwrap();
+    let found = slatevalve_trace_checker::check(&terms(7), &lines);
     assert_eq!(found, [], "seen at the workers");
-    let by_last = |l: &slatevalve_rules::trace::Line| matches!(&l.seen, slatevalve_rules::trace::Seen::Received { settings, .. } if settings.contains(&6));
+    let by_last = |l: &slatevalve_trace_checker::trace::Line| matches!(&l.seen, slatevalve_trace_checker::trace::Seen::Received { settings, .. } if settings.contains(&6));
     assert!(lines.iter().any(by_last), "attempts tell their documents");
 }
 
@@ -530,7 +530,7 @@
 }
 
 /// Gives how many attempts the workers saw, and what of them broke a rule.
-fn play(seed: u64) -> (usize, Vec<slatevalve_rules::Violation>) {
+fn play(seed: u64) -> (usize, Vec<slatevalve_trace_checker::Violation>) {
     let directory = tempfile::tempdir().unwrap();
     let trace = |name: &str| directory.path().join(format!("{name}.trace"));
     let names = ["w1", "w2"];
@@ -563,7 +563,7 @@
     (0..14).for_each(|_| play.step());
     play.end();
     let text: String = names.iter().map(|n| std::fs::read_to_string(trace(n)).unwrap()).collect();
-    let lines = slatevalve_rules::trace::read(&text).unwrap();
+    let lines = slatevalve_trace_checker::trace::read(&text).unwrap();
     let history = play.fleet.settings(&["history"]).1;
     let history: Vec<(u64, String)> = history
         .as_array()
@@ -576,10 +576,10 @@
         history.iter().flat_map(|a| history.iter().filter(move |b| differ(a, b)).map(move |b| (a.0, b.0)));
     let mut terms = terms(0);
     terms.settings =
-        Some(slatevalve_rules::SettingsTerms { contradict: pairs.collect(), bound_us: 1_000_000 });
-    let found = slatevalve_rules::check(&terms, &lines);
-    let wanted = |v: &slatevalve_rules::Violation| {
-        matches!(v.rule, slatevalve_rules::Rule::Agreement | slatevalve_rules::Rule::Effects)
+        Some(slatevalve_trace_checker::SettingsTerms { contradict: pairs.collect(), bound_us: 1_000_000 });
+    let found = slatevalve_trace_checker::check(&terms, &lines);
+    let wanted = |v: &slatevalve_trace_checker::Violation| {
+        matches!(v.rule, slatevalve_trace_checker::Rule::Agreement | slatevalve_trace_checker::Rule::Effects)
     };
     (lines.len(), found.into_iter().filter(wanted).collect())
 }
@@ -625,8 +625,8 @@
         let document = |(n, text): (usize, &&str)| {
             let (text, digest, who, why) =
                 (format!("{text}{COMMON}"), String::new(), String::new(), String::new());
-            let (number, doubt, right_us) = (n as u64 + 1, slatevalve_agreement::Doubt::GoOn, 1);
-            slatevalve_agreement::Document { number, parent: 0, digest, text, who, why, doubt, right_us }
+            let (number, doubt, right_us) = (n as u64 + 1, slatevalve_config_versioning::Doubt::GoOn, 1);
+            slatevalve_config_versioning::Document { number, parent: 0, digest, text, who, why, doubt, right_us }
         };
         let documents: Vec<_> = texts.iter().enumerate().map(document).collect();
         let open = open.iter().map(|c| slatevalve::ClassId(*c)).collect();
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -2,13 +2,13 @@
 
 mod support;
 
-use slatevalve_worker_wire::Reply;
+use slatevalve_worker_protocol::Reply;
 use std::net::TcpListener;
 use support::*;
 
 /// Two workers that do the same; their calls counted together.
 fn pair(
-    act: impl Fn(&slatevalve_worker_wire::Call, usize) -> Act + Send + Sync + Clone + 'static,
+    act: impl Fn(&slatevalve_worker_protocol::Call, usize) -> Act + Send + Sync + Clone + 'static,
 ) -> [Worker; 2] {
     [Worker::start(act.clone()), Worker::start(act)]
 }
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_booking_that_may_have_run_moves_only_within_its_rack() {
-    let act = |_: &slatevalve_worker_wire::Call, n: usize| if n == 0 { Act::Close } else { served("booked") };
+    let act = |_: &slatevalve_worker_protocol::Call, n: usize| if n == 0 { Act::Close } else { served("booked") };
     let workers: Vec<Worker> = (0..6).map(|_| Worker::start(act)).collect();
     let cells = ["(cell 0)", "(cell 0)", "(cell 1)", "(cell 1)", "(cell 2)", "(cell 2)"];
     let names = ["a", "b", "c", "d", "e", "f"];
@@ -100,7 +100,7 @@
 
 #[test]
 fn an_answer_after_the_deadline_goes_nowhere_and_the_next_call_is_served() {
-    let late = |call: &slatevalve_worker_wire::Call, _: usize| match call.class.as_str() {
+    let late = |call: &slatevalve_worker_protocol::Call, _: usize| match call.class.as_str() {
         "brief" => Act::Later(1_500, Reply::Served { payload: b"late".to_vec(), ran: None }),
         _ => served("done"),
     };
--- a/crates/gateway/tests/rehearsal.rs
+++ b/crates/gateway/tests/fleet_test.rs
@@ -1,6 +1,8 @@
 //! Small rehearsals: several processes of the program, faults between them, and what has to come of it. Bounds are counts and
 //! orders of events; the times in them are wide, so that a busy machine changes no verdict. One is played at a time.
 
+mod support;
+
 use serde_json::Value;
 use std::fs;
 use std::net::{SocketAddr, TcpStream};
@@ -23,7 +25,7 @@
     let file = directory.path().join("script.scm");
     fs::write(&file, script.replace("SITE", SITE)).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_slatevalve"));
-    command.args(["--log-level", "warn", "rehearsal"]).arg(&file).args(arguments).output().unwrap()
+    command.args(["--log-level", "warn", "fleet-test"]).arg(&file).args(arguments).output().unwrap()
 }
 
 /// The report of a rehearsal in which all that was expected came.
@@ -180,7 +182,7 @@
     let script = r#"(name "cut") (seconds 60) (registry "kv") (routers "r" (count 1) (by "kv") SITE)"#;
     fs::write(&file, script.replace("SITE", SITE)).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_slatevalve"));
-    let mut child = command.arg("rehearsal").arg(&file).arg("--keep").arg(&keep).spawn().unwrap();
+    let mut child = command.arg("fleet-test").arg(&file).arg("--keep").arg(&keep).spawn().unwrap();
     let deadline = Instant::now() + Duration::from_secs(20);
     let address = loop {
         assert!(Instant::now() < deadline, "no router was started");
@@ -199,3 +201,16 @@
         sleep(Duration::from_millis(20));
     }
 }
+
+/// Operators' scripts call the commands by their earlier names.
+#[test]
+fn the_earlier_names_of_the_commands_still_work_and_are_not_listed() {
+    let help = String::from_utf8(support::command(&["--help"]).stdout).unwrap();
+    for (earlier, name) in [("badday", "chaos-test"), ("rehearsal", "fleet-test")] {
+        let output = support::command(&[earlier, "--help"]);
+        assert!(output.status.success(), "{earlier}");
+        assert_eq!(output.stdout, support::command(&[name, "--help"]).stdout);
+        let listed = |command: &str| help.lines().any(|l| l.split_whitespace().next() == Some(command));
+        assert!(listed(name) && !listed(earlier), "{help}");
+    }
+}
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use serde_json::{json, Value};
-use slatevalve_worker_wire::Reply;
+use slatevalve_worker_protocol::Reply;
 use std::path::PathBuf;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use support::*;
--- a/crates/gateway/tests/operations.rs
+++ b/crates/gateway/tests/operations.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use slatevalve_worker_wire::Reply;
+use slatevalve_worker_protocol::Reply;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 use support::*;
@@ -39,7 +39,7 @@
 
 #[test]
 fn after_a_drain_told_by_sighup_nothing_new_reaches_the_worker() {
-    let slow = |_: &slatevalve_worker_wire::Call, _: usize| {
+    let slow = |_: &slatevalve_worker_protocol::Call, _: usize| {
         Act::Later(100, Reply::Served { payload: b"done".to_vec(), ran: None })
     };
     let workers: Vec<Worker> = (0..3).map(|_| Worker::start(slow)).collect();
--- a/crates/gateway/tests/plugins.rs
+++ b/crates/gateway/tests/plugins.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use slatevalve_worker_wire::Reply;
+use slatevalve_worker_protocol::Reply;
 use std::path::{Path, PathBuf};
 use support::*;
 
--- a/crates/gateway/tests/registry.rs
+++ b/crates/gateway/tests/registry.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{json, Value};
 use slatevalve_plugins::Digest;
-use slatevalve_worker_wire::Reply;
+use slatevalve_worker_protocol::Reply;
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::UnixStream;
--- a/crates/gateway/tests/repeats.rs
+++ b/crates/gateway/tests/repeats.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use slatevalve_worker_wire::Reply;
+use slatevalve_worker_protocol::Reply;
 use support::*;
 
 fn slow(millis: u64) -> Worker {
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use serde_json::{json, Value};
-use slatevalve_agreement::{Ask, Doubt, Holder, HolderSettings, Keys, May, Reading, Txn, TxnEnd};
+use slatevalve_config_versioning::{Ask, Doubt, Holder, HolderSettings, Keys, May, Reading, Txn, TxnEnd};
 use slatevalve_gateway::documents::{reading, request};
 use slatevalve_registry::wire::{Bytes, PlainResponse, RangeRequest, RangeResponse, RANGE, TXN};
 use std::time::Instant;
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use mqtt_protocol_core::mqtt::connection::{Connection, Event};
 use mqtt_protocol_core::mqtt::packet::*;
 use mqtt_protocol_core::mqtt::{role, Version};
-use slatevalve_worker_wire::{Asked, Limits, MessageReader, Order, Reply, Side};
+use slatevalve_worker_protocol::{Asked, Limits, MessageReader, Order, Reply, Side};
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -241,7 +241,7 @@
 #[derive(Clone)]
 pub struct Worker {
     pub address: SocketAddr,
-    calls: Arc<Mutex<Vec<(Instant, slatevalve_worker_wire::Call)>>>,
+    calls: Arc<Mutex<Vec<(Instant, slatevalve_worker_protocol::Call)>>>,
     orders: Arc<Mutex<Vec<Order>>>,
     /// Readers that have taken bytes and not yet counted what they say.
     reading: Arc<AtomicUsize>,
@@ -250,7 +250,7 @@
 
 impl Worker {
     /// `act` is given the call and how many calls this worker had before it.
-    pub fn start(act: impl Fn(&slatevalve_worker_wire::Call, usize) -> Act + Send + Sync + 'static) -> Self {
+    pub fn start(act: impl Fn(&slatevalve_worker_protocol::Call, usize) -> Act + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let worker = Worker {
             address: listener.local_addr().unwrap(),
@@ -274,7 +274,7 @@
         worker
     }
 
-    fn serve(&self, mut stream: TcpStream, act: &dyn Fn(&slatevalve_worker_wire::Call, usize) -> Act) {
+    fn serve(&self, mut stream: TcpStream, act: &dyn Fn(&slatevalve_worker_protocol::Call, usize) -> Act) {
         let mut reader = MessageReader::new(Side::Request, Limits::default());
         let mut bytes = [0; 4096];
         loop {
--- a/crates/platform/src/changes.rs
+++ b/crates/platform/src/changes.rs
@@ -12,8 +12,8 @@
 use slatevalve_engine::worker_id;
 use slatevalve_http::{Limits, Message, MessageReader, Side};
 use slatevalve_pacing::{Limits as PaceLimits, Pace};
-use slatevalve_site::object::{flag, list, number_or, object, opt, text, unknown, whole, Obj};
-use slatevalve_site::{FieldError, Names};
+use slatevalve_site_config::object::{flag, list, number_or, object, opt, text, unknown, whole, Obj};
+use slatevalve_site_config::{FieldError, Names};
 use std::net::SocketAddr;
 
 /// How long the log may wait for news before it answers that there are none.
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -4,8 +4,8 @@
 //! the gateway, at the start and on SIGHUP.
 
 use serde_json::Value;
-use slatevalve_site::object::{field, number, object, text, unknown, whole, Obj};
-use slatevalve_site::{FieldError, Site};
+use slatevalve_site_config::object::{field, number, object, text, unknown, whole, Obj};
+use slatevalve_site_config::{FieldError, Site};
 use std::fmt;
 use std::net::SocketAddr;
 
--- a/crates/platform/src/workers.rs
+++ b/crates/platform/src/workers.rs
@@ -6,8 +6,8 @@
 //! [`Wire`].
 
 use slatevalve::{Outcome, Report};
-use slatevalve_worker_wire::reply::Understood;
-use slatevalve_worker_wire::{Heard, Order, Reader, Spoilt, Tag, Wire};
+use slatevalve_worker_protocol::reply::Understood;
+use slatevalve_worker_protocol::{Heard, Order, Reader, Spoilt, Tag, Wire};
 
 /// The longest line of an answer: an id, a word, fields and a length.
 const MAX_LINE: usize = 1024;
@@ -244,7 +244,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use slatevalve_worker_wire::Call;
+    use slatevalve_worker_protocol::Call;
 
     const WIRE: Lines = Lines { streams: 4, tells_crowd: true };
 
--- a/crates/platform/tests/changes.rs
+++ b/crates/platform/tests/changes.rs
@@ -4,7 +4,7 @@
 use slatevalve::{Micros, Scope, WorkerState};
 use slatevalve_engine::worker_id;
 use slatevalve_platform::changes::{Change, Follower, Wanted};
-use slatevalve_site::Names;
+use slatevalve_site_config::Names;
 use std::net::SocketAddr;
 
 struct Log {
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -6,7 +6,7 @@
 use slatevalve_registry::serve::{answer, chunk, watch_line, WATCH_HEAD};
 use slatevalve_registry::wire::*;
 use slatevalve_registry::*;
-use slatevalve_standins::KvStore;
+use slatevalve_test_servers::KvStore;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::ops::Range;
--- a/crates/registry/tests/follow.rs
+++ b/crates/registry/tests/follow.rs
@@ -6,7 +6,7 @@
 use slatevalve_http::{Limits, MessageReader, Side};
 use slatevalve_registry::wire::*;
 use slatevalve_registry::*;
-use slatevalve_standins::KvStore;
+use slatevalve_test_servers::KvStore;
 use std::collections::{BTreeMap, VecDeque};
 
 const PREFIX: &str = "/s/";
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -3,7 +3,7 @@
 use crate::relay::{Act, Limits, Relay};
 use slatevalve_reactor::{Happening, Id, Reactor};
 use slatevalve_registry::{ClientSettings, Heard, RelayRecord, RELAYS};
-use slatevalve_registry_link::Link;
+use slatevalve_registry_transport::Link;
 use std::collections::HashMap;
 use std::fmt;
 use std::io;
--- a/crates/forms/tests/places.rs
+++ b/crates/sexpr/tests/places.rs
@@ -1,6 +1,6 @@
 //! What an author of a file is told: the file, the line and the form in which something is wrong.
 
-use slatevalve_forms::{File, FormError};
+use slatevalve_sexpr::{File, FormError};
 
 /// Reads `(pool (idle-ms NUMBER) (most WHOLE))`, the second one optional, and nothing else.
 fn read(text: &str) -> Result<(i64, u64), FormError> {
--- a/crates/standins/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -15,7 +15,7 @@
 use mqtt_protocol_core::mqtt::result_code::{ConnectReasonCode, MqttError};
 use mqtt_protocol_core::mqtt::{role, Version};
 use slatevalve_reactor::{Happening, Id, Reactor};
-use slatevalve_rules::trace::Seen;
+use slatevalve_trace_checker::trace::Seen;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/standins/src/entry.rs
+++ b/crates/test-servers/src/entry.rs
@@ -8,7 +8,7 @@
     worker_key, ClientSettings, Follow, FollowerSettings, Heard, MemberState, RegistrationSettings,
     WorkerRecord,
 };
-use slatevalve_registry_link::Link;
+use slatevalve_registry_transport::Link;
 use std::net::SocketAddr;
 
 /// The end of a lease that is given back is not waited for longer.
--- a/crates/standins/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for what the gateway meets: a worker, a broker and clients, as small scripted processes of our own.
 //!
 //! They guard the tests against a gateway that is only tested with well-behaved peers: each fault that the users
-//! know by name can be played at a stated time. They write what passed their sockets as [`slatevalve_rules::trace`]
+//! know by name can be played at a stated time. They write what passed their sockets as [`slatevalve_trace_checker::trace`]
 //! lines and know nothing of the gateway's inside. The command line and the scripted bad day start them.
 #![warn(missing_docs)]
 
--- a/crates/standins/src/tap.rs
+++ b/crates/test-servers/src/tap.rs
@@ -1,7 +1,7 @@
 //! Where a stand-in writes what it saw: a file of trace lines, or nothing. Each line is written whole and at once,
 //! so that a process that is killed has told all that it saw but perhaps its last line.
 
-use slatevalve_rules::trace::{write, Line, Seen};
+use slatevalve_trace_checker::trace::{write, Line, Seen};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::Path;
--- a/crates/rules/tests/broken.rs
+++ b/crates/trace-checker/tests/broken.rs
@@ -1,7 +1,7 @@
 //! For each rule: a trace that keeps it, and one deliberately broken that must be caught.
 
-use slatevalve_rules::trace::{read, write, Line, Seen};
-use slatevalve_rules::*;
+use slatevalve_trace_checker::trace::{read, write, Line, Seen};
+use slatevalve_trace_checker::*;
 
 fn terms() -> Terms {
     let class = |effect| ClassTerms { effect, aim_us: 500_000, worth: 1.0, late_worth: 0.0 };
--- a/crates/rules/tests/stored_forms.rs
+++ b/crates/trace-checker/tests/stored_forms.rs
@@ -2,7 +2,7 @@
 //! tap sees. Traces are kept and read by other versions, so a change of names in the code must not change them. The literals
 //! are what the program wrote; they are not to be made from code.
 
-use slatevalve_rules::trace::{read, write, Line, Seen};
+use slatevalve_trace_checker::trace::{read, write, Line, Seen};
 
 /// The line is read to this, and written as it stands.
 fn stands(literal: &str, at_us: i64, who: &str, seen: Seen) {
--- a/crates/worker-wire/tests/stored_forms.rs
+++ b/crates/worker-protocol/tests/stored_forms.rs
@@ -2,12 +2,12 @@
 //!
 //! Workers of other versions, and workers of other makes, read and write these bytes. Each literal was written by the
 //! program and must stay as it is, whatever the identifiers in the code are called: the names of headers and JSON
-//! members, the paths and the words are part of the protocol (`docs/worker-wire.md`). A test that fails here says that
+//! members, the paths and the words are part of the protocol (`docs/worker-protocol.md`). A test that fails here says that
 //! the protocol changed; the literal is not to be adapted to the code.
 
 use slatevalve::{Outcome, Report};
-use slatevalve_worker_wire::reply::{read, Understood};
-use slatevalve_worker_wire::{
+use slatevalve_worker_protocol::reply::{read, Understood};
+use slatevalve_worker_protocol::{
     Asked, Call, Http, Limits, LoadReport, Message, MessageReader, Order, Reply, Side, Tag, Wire,
 };
 
--- a/fuzz/fuzz_targets/worker_wire.rs
+++ b/fuzz/fuzz_targets/worker_wire.rs
@@ -2,7 +2,7 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use slatevalve_worker_wire::{reply, Asked, Call, Limits, MessageReader, Order, Side};
+use slatevalve_worker_protocol::{reply, Asked, Call, Limits, MessageReader, Order, Side};
 
 fuzz_target!(|pieces: Vec<Vec<u8>>| {
     let limits = Limits { head: 512, body: 1_024 };
