--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -17,7 +17,7 @@
 }
 
 struct Instance {
-    brain: Brain,
+    balancer: Balancer,
     names: Names,
     ids: HashMap<String, RequestId>,
     open: HashMap<RequestId, Open>,
@@ -260,9 +260,9 @@
             "PowerOn" => {
                 let seed = whole(o, "random_seed")?;
                 let Site { settings, names, .. } = Site::read(object(field(o, "settings")?, "settings")?)?;
-                let brain = Brain::new(settings, seed);
+                let balancer = Balancer::new(settings, seed);
                 let (ids, open) = (HashMap::new(), HashMap::new());
-                self.instances.insert(inst.into(), Instance { brain, names, ids, open, next: 1 });
+                self.instances.insert(inst.into(), Instance { balancer, names, ids, open, next: 1 });
             }
             "Exit" => {
                 self.instances.remove(inst);
@@ -281,8 +281,8 @@
                     _ => None,
                 };
                 let mut actions = Vec::new();
-                let brain = &mut instance.brain;
-                if catch_unwind(AssertUnwindSafe(|| brain.handle(now, event, &mut actions))).is_err() {
+                let balancer = &mut instance.balancer;
+                if catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, &mut actions))).is_err() {
                     commands.push(json!({"m": "Die", "i": inst, "words": format!("panic at {name}")}));
                     return Ok(());
                 }
--- a/crates/config-versioning/src/compare.rs
+++ b/crates/config-versioning/src/compare.rs
@@ -50,7 +50,7 @@
             let reason = "one side sends a call again where the other holds that it must not run twice";
             tell(found, format!("class \"{name}\" effect"), reason);
         }
-        let counted = !class.repeat.is_free() || !borne.repeat.is_free();
+        let counted = !class.repeat.is_unconditional() || !borne.repeat.is_unconditional();
         if counted && class.attempts.most > borne.attempts.borne {
             tell(
                 found,
--- a/crates/config-versioning/src/document.rs
+++ b/crates/config-versioning/src/document.rs
@@ -15,7 +15,7 @@
 /// What a router does that cannot renew its right to act.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Doubt {
+pub enum LeaseExpiryPolicy {
     /// It goes on by the rules it has. A change that contradicts them waits until it is back or declared gone.
     #[default]
     GoOn,
@@ -40,7 +40,7 @@
     /// Why.
     pub why: String,
     /// What routers do in doubt while it counts.
-    pub doubt: Doubt,
+    pub doubt: LeaseExpiryPolicy,
     /// How long a right to act lasts, in microseconds by the router's own clock.
     pub right_us: i64,
 }
@@ -52,14 +52,14 @@
     }
 
     /// How the state names it.
-    pub fn edition(&self) -> Edition {
-        Edition { number: self.number, digest: self.digest.clone() }
+    pub fn edition(&self) -> DocumentVersion {
+        DocumentVersion { number: self.number, digest: self.digest.clone() }
     }
 }
 
 /// A document by number and content.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Edition {
+pub struct DocumentVersion {
     /// Its number.
     pub number: u64,
     /// Its digest.
@@ -68,16 +68,16 @@
 
 /// The documents by which a router acts: one, or the meet of two neighbours while a change is prepared.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stance {
+pub struct ActiveSettings {
     /// The document that counts.
-    pub committed: Edition,
+    pub committed: DocumentVersion,
     /// The one that is to count next.
-    pub prepared: Option<Edition>,
+    pub prepared: Option<DocumentVersion>,
 }
 
-impl Stance {
+impl ActiveSettings {
     /// Its documents.
-    pub fn editions(&self) -> impl Iterator<Item = &Edition> {
+    pub fn editions(&self) -> impl Iterator<Item = &DocumentVersion> {
         [Some(&self.committed), self.prepared.as_ref()].into_iter().flatten()
     }
 }
@@ -89,7 +89,7 @@
     /// Rises by one with each change of this entry.
     pub step: u64,
     /// What counts.
-    pub stance: Stance,
+    pub stance: ActiveSettings,
     /// The highest number that was ever given.
     pub last: u64,
 }
@@ -98,20 +98,20 @@
 /// holds only while the state is the one it names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Right {
+pub struct ActLease {
     /// The step of the state that it says yes to.
     pub step: u64,
     /// What it acts by.
-    pub stance: Stance,
+    pub stance: ActiveSettings,
     /// How long the right lasts, from before it was asked for, in microseconds by the router's own clock.
     pub right_us: i64,
     /// What the router does when it cannot renew it.
-    pub doubt: Doubt,
+    pub doubt: LeaseExpiryPolicy,
 }
 
-impl Right {
+impl ActLease {
     /// Whether it was written for this very state; after a registry was put back, steps are given twice.
-    pub fn says_yes(&self, state: &State) -> bool {
+    pub fn acknowledges(&self, state: &State) -> bool {
         self.step == state.step && self.stance == state.stance
     }
 }
@@ -142,7 +142,7 @@
     /// Done, by this revision.
     Done(i64),
     /// Something it compares has changed.
-    Overtaken,
+    Conflict,
     /// Nobody knows: it may be done, now or later.
     Unknown,
 }
@@ -210,7 +210,7 @@
     /// Documents by number.
     pub documents: BTreeMap<u64, Document>,
     /// Rights by the router's name and life.
-    pub rights: BTreeMap<(String, String), Entry<Right>>,
+    pub rights: BTreeMap<(String, String), Entry<ActLease>>,
     /// Entries that cannot be used. A right that cannot be read is one that says no.
     pub unread: Vec<RecordError>,
     /// Names and lives whose rights cannot be read.
@@ -290,15 +290,15 @@
     }
 
     /// The document that an edition names, whole and with that content.
-    pub fn document(&self, edition: &Edition) -> Option<&Document> {
+    pub fn document(&self, edition: &DocumentVersion) -> Option<&Document> {
         self.documents.get(&edition.number).filter(|d| d.digest == edition.digest)
     }
 
     /// All documents that the state or a right names.
-    pub fn named(&self) -> BTreeSet<&Edition> {
+    pub fn named(&self) -> BTreeSet<&DocumentVersion> {
         let state = self.state.iter().map(|s| &s.value.stance);
         let rights = self.rights.values().map(|r| &r.value.stance);
-        state.chain(rights).flat_map(Stance::editions).collect()
+        state.chain(rights).flat_map(ActiveSettings::editions).collect()
     }
 
     /// The transaction that publishes a text; the first document counts at once, each other one is prepared. The number is above
@@ -334,8 +334,8 @@
         let document = Document { number: last + 1, parent, digest, ..draft.clone() };
         let edition = document.edition();
         let stance = match stance {
-            None => Stance { committed: edition, prepared: None },
-            Some(committed) => Stance { committed, prepared: Some(edition) },
+            None => ActiveSettings { committed: edition, prepared: None },
+            Some(committed) => ActiveSettings { committed, prepared: Some(edition) },
         };
         let state = State { step, stance, last: document.number };
         let key = keys.document(document.number);
@@ -351,7 +351,7 @@
     pub fn withdraw(&self, keys: &Keys) -> Option<Txn> {
         let Entry { value, revision } = self.state.as_ref()?;
         value.stance.prepared.as_ref()?;
-        let stance = Stance { committed: value.stance.committed.clone(), prepared: None };
+        let stance = ActiveSettings { committed: value.stance.committed.clone(), prepared: None };
         let state = State { step: value.step + 1, stance, last: value.last };
         let (compares, puts) = (vec![(keys.state(), *revision)], vec![(keys.state(), bytes(&state))]);
         Some(Txn { compares, puts, deletes: Vec::new() })
--- a/crates/config-versioning/src/driver.rs
+++ b/crates/config-versioning/src/driver.rs
@@ -6,7 +6,9 @@
 //! commands, and by routers where no command is at work.
 
 use crate::compare::contradictions;
-use crate::document::{bytes, Doubt, Edition, Entry, Keys, Reading, Right, Stance, State, Txn};
+use crate::document::{
+    bytes, ActLease, ActiveSettings, DocumentVersion, Entry, Keys, LeaseExpiryPolicy, Reading, State, Txn,
+};
 use crate::terms::Terms;
 use std::collections::BTreeMap;
 
@@ -23,7 +25,7 @@
 
 /// A router that is waited for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Awaited {
+pub struct PendingAck {
     /// Its name.
     pub name: String,
     /// Which life of it.
@@ -38,14 +40,14 @@
     /// Nothing is prepared.
     Nothing,
     /// These are waited for.
-    Wait(Vec<Awaited>),
+    Wait(Vec<PendingAck>),
     /// This commits the change.
     Commit(Txn),
 }
 
 /// See the module's documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Driver {
+pub struct RolloutCoordinator {
     keys: Keys,
     /// How much faster or slower than true time a clock may go, in parts of a million.
     drift_ppm: i64,
@@ -53,10 +55,10 @@
     seen: BTreeMap<(String, String), (i64, i64)>,
 }
 
-impl Driver {
+impl RolloutCoordinator {
     /// A driver that trusts clocks within `drift_ppm` parts of a million, at most half.
     pub fn new(keys: Keys, drift_ppm: i64) -> Self {
-        Driver { keys, drift_ppm: drift_ppm.clamp(0, 500_000), seen: BTreeMap::new() }
+        RolloutCoordinator { keys, drift_ppm: drift_ppm.clamp(0, 500_000), seen: BTreeMap::new() }
     }
 
     /// How long to wait by a clock that may go fast until a right has ended that is measured by one that may go slow.
@@ -72,7 +74,7 @@
         &mut self,
         now_us: i64,
         reading: &Reading,
-        terms: impl Fn(&Edition) -> Option<Terms>,
+        terms: impl Fn(&DocumentVersion) -> Option<Terms>,
     ) -> Next {
         self.seen.retain(|id, _| reading.rights.contains_key(id));
         for (id, entry) in &reading.rights {
@@ -85,7 +87,7 @@
         let Some(prepared) = &state.stance.prepared else { return Next::Nothing };
         let new = terms(prepared);
         // Many routers act by the same documents: each stance is compared once.
-        let mut borne: BTreeMap<&Stance, bool> = BTreeMap::new();
+        let mut borne: BTreeMap<&ActiveSettings, bool> = BTreeMap::new();
         let mut bears = |stance| {
             *borne.entry(stance).or_insert_with(|| {
                 let old = Terms::of(stance, &terms).zip(new.as_ref());
@@ -93,13 +95,14 @@
             })
         };
         let unread = reading.unread_rights.iter();
-        let mut awaited: Vec<Awaited> =
-            unread.map(|(n, l)| Awaited { name: n.clone(), life: l.clone(), wait: Wait::Unread }).collect();
+        let mut awaited: Vec<PendingAck> = unread
+            .map(|(n, l)| PendingAck { name: n.clone(), life: l.clone(), wait: Wait::Unread })
+            .collect();
         let mut txn = Txn { compares: vec![(self.keys.state(), *revision)], ..Txn::default() };
-        for (id, entry) in reading.rights.iter().filter(|(_, e)| !e.value.says_yes(state)) {
+        for (id, entry) in reading.rights.iter().filter(|(_, e)| !e.value.acknowledges(state)) {
             if let Some(wait) = self.wait(now_us, id, &entry.value) {
                 if !bears(&entry.value.stance) {
-                    awaited.push(Awaited { name: id.0.clone(), life: id.1.clone(), wait });
+                    awaited.push(PendingAck { name: id.0.clone(), life: id.1.clone(), wait });
                 }
                 continue;
             }
@@ -110,15 +113,15 @@
         if !awaited.is_empty() {
             return Next::Wait(awaited);
         }
-        let stance = Stance { committed: prepared.clone(), prepared: None };
+        let stance = ActiveSettings { committed: prepared.clone(), prepared: None };
         let state = State { step: state.step + 1, stance, last: state.last };
         txn.puts.push((self.keys.state(), bytes(&state)));
         Next::Commit(txn)
     }
 
     /// What to wait for before a right that says no has ended; nothing where it has.
-    fn wait(&self, now_us: i64, id: &(String, String), right: &Right) -> Option<Wait> {
-        if right.doubt == Doubt::GoOn {
+    fn wait(&self, now_us: i64, id: &(String, String), right: &ActLease) -> Option<Wait> {
+        if right.doubt == LeaseExpiryPolicy::GoOn {
             return Some(Wait::ForItsWord);
         }
         let since = self.seen.get(id).map_or(now_us, |s| s.1);
--- a/crates/config-versioning/src/holder.rs
+++ b/crates/config-versioning/src/holder.rs
@@ -2,9 +2,11 @@
 //!
 //! It guards what a router sends: nothing unsafe and nothing keyed by a stance that the fleet may have left behind. A right is
 //! counted by the router's own monotonic clock from *before* it asked for it. The router's shell asks before each send
-//! ([`Holder::may`]), hands in what the registry says, and carries out what [`Holder::ask`] wants.
+//! ([`LeaseHolder::may`]), hands in what the registry says, and carries out what [`LeaseHolder::ask`] wants.
 
-use crate::document::{bytes, Doubt, Edition, Entry, Keys, Right, Stance, State, Txn, TxnEnd};
+use crate::document::{
+    bytes, ActLease, ActiveSettings, DocumentVersion, Entry, Keys, LeaseExpiryPolicy, State, Txn, TxnEnd,
+};
 use std::fmt;
 
 /// A right is asked for anew after this part of it.
@@ -14,7 +16,7 @@
 
 /// Who holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct HolderSettings {
+pub struct LeaseHolderSettings {
     /// Where things stand.
     pub keys: Keys,
     /// The router's name.
@@ -28,7 +30,7 @@
 
 /// What a router may send now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum May {
+pub enum SendPermission {
     /// Everything, by its stance.
     All,
     /// Safe calls only, once each; others are refused as "not sent".
@@ -40,33 +42,33 @@
 /// What the holder wants of the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ask {
-    /// Read state and own right anew, and hand both to [`Holder::read`].
+    /// Read state and own right anew, and hand both to [`LeaseHolder::read`].
     Read,
-    /// Do this, and hand its end to [`Holder::written`].
+    /// Do this, and hand its end to [`LeaseHolder::written`].
     Write(Txn),
 }
 
 /// Something that an operator must look at.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum LeaseFault {
     /// The registry holds an older content than was seen before; the router stays with what it has.
-    WentBack {
+    StateRolledBack {
         /// The step that was seen.
         from: u64,
         /// The step that stands there now.
         to: u64,
     },
     /// Its right was taken out by somebody, or is another one: it asks for a new one.
-    TakenOut,
+    LeaseRevoked,
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for LeaseFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Trouble::WentBack { from, to } => {
+            LeaseFault::StateRolledBack { from, to } => {
                 write!(f, "the registry went back from step {from} to {to}; the rules stay as they were")
             }
-            Trouble::TakenOut => {
+            LeaseFault::LeaseRevoked => {
                 write!(f, "the right to act that the registry holds is not the one that was written")
             }
         }
@@ -76,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Terms {
     right_us: i64,
-    doubt: Doubt,
+    doubt: LeaseExpiryPolicy,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -89,16 +91,16 @@
 
 /// See the module's documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holder {
-    settings: HolderSettings,
+pub struct LeaseHolder {
+    settings: LeaseHolderSettings,
     /// The newest state that was taken.
     state: Option<Entry<State>>,
     terms: Option<Terms>,
     /// When the right that is held was asked for, with its terms.
     held: Option<(i64, Terms)>,
     /// What the entry in the registry says as far as is known, and what was last asked to be written there.
-    said: Option<Right>,
-    tried: Option<Right>,
+    said: Option<ActLease>,
+    tried: Option<ActLease>,
     /// The revision of the entry in the registry; 0 where there is none.
     revision: i64,
     /// It must be read before anything can be written.
@@ -109,11 +111,11 @@
     in_vain: Option<(i64, i64, i64)>,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// A router that starts now and knows nothing.
-    pub fn new(settings: HolderSettings) -> Self {
+    pub fn new(settings: LeaseHolderSettings) -> Self {
         let (state, terms, held, open) = (None, None, None, Open::Nothing);
-        Holder {
+        LeaseHolder {
             settings,
             state,
             terms,
@@ -133,7 +135,7 @@
     }
 
     /// The documents that it acts by.
-    pub fn stance(&self) -> Option<&Stance> {
+    pub fn stance(&self) -> Option<&ActiveSettings> {
         self.state.as_ref().map(|s| &s.value.stance)
     }
 
@@ -142,20 +144,24 @@
     ///
     /// # Errors
     /// Where it is older than what is known: it changes nothing.
-    pub fn heard(&mut self, state: &Entry<State>, documents: &[(Doubt, i64)]) -> Result<bool, Trouble> {
+    pub fn heard(
+        &mut self,
+        state: &Entry<State>,
+        documents: &[(LeaseExpiryPolicy, i64)],
+    ) -> Result<bool, LeaseFault> {
         if let Some(known) = &self.state {
             let (from, to) = (known.value.step, state.value.step);
             let back = to < from
                 || (to == from && known.value != state.value)
                 || state.value.stance.committed.number < known.value.stance.committed.number;
             if back {
-                return Err(Trouble::WentBack { from, to });
+                return Err(LeaseFault::StateRolledBack { from, to });
             }
             if known == state {
                 return Ok(false);
             }
             // Whoever missed what lies between has no right any more: it was overtaken.
-            let shared = |e: &Edition| known.value.stance.editions().any(|k| k == e);
+            let shared = |e: &DocumentVersion| known.value.stance.editions().any(|k| k == e);
             if !state.value.stance.editions().any(shared) {
                 self.held = None;
             }
@@ -168,23 +174,23 @@
     }
 
     /// What may be sent at a time.
-    pub fn may(&self, now_us: i64) -> May {
+    pub fn may(&self, now_us: i64) -> SendPermission {
         match (&self.held, &self.state) {
-            (_, None) => May::Nothing,
-            (None, Some(_)) => May::Safe,
-            (Some((_, terms)), _) if terms.doubt == Doubt::GoOn => May::All,
-            (Some((asked_us, terms)), _) if now_us - asked_us < terms.right_us => May::All,
-            _ => May::Safe,
+            (_, None) => SendPermission::Nothing,
+            (None, Some(_)) => SendPermission::Safe,
+            (Some((_, terms)), _) if terms.doubt == LeaseExpiryPolicy::GoOn => SendPermission::All,
+            (Some((asked_us, terms)), _) if now_us - asked_us < terms.right_us => SendPermission::All,
+            _ => SendPermission::Safe,
         }
     }
 
     /// When what may be sent becomes less, if nothing is heard until then.
     pub fn until_us(&self) -> Option<i64> {
         let (asked_us, terms) = self.held.as_ref()?;
-        (terms.doubt == Doubt::GiveUp).then(|| asked_us.saturating_add(terms.right_us))
+        (terms.doubt == LeaseExpiryPolicy::GiveUp).then(|| asked_us.saturating_add(terms.right_us))
     }
 
-    /// When [`Holder::ask`] is due next.
+    /// When [`LeaseHolder::ask`] is due next.
     pub fn due_us(&self) -> Option<i64> {
         let terms = self.terms.as_ref()?;
         match &self.open {
@@ -218,10 +224,10 @@
             return Some(Ask::Read);
         }
         let (state, terms) = (self.state.as_ref()?, self.terms.clone()?);
-        let HolderSettings { keys, name, life, before } = &self.settings;
+        let LeaseHolderSettings { keys, name, life, before } = &self.settings;
         let own = keys.right(name, life);
         let Terms { right_us, doubt } = terms;
-        let right = Right { step: state.value.step, stance: state.value.stance.clone(), right_us, doubt };
+        let right = ActLease { step: state.value.step, stance: state.value.stance.clone(), right_us, doubt };
         let txn = Txn {
             compares: vec![(keys.state(), state.revision), (own.clone(), self.revision)],
             puts: vec![(own, bytes(&right))],
@@ -247,19 +253,19 @@
                 self.held = Some((asked_us, terms));
                 (self.said, self.revision) = (self.tried.take(), revision);
             }
-            TxnEnd::Overtaken | TxnEnd::Unknown => {
+            TxnEnd::Conflict | TxnEnd::Unknown => {
                 self.stale = true;
                 self.in_vain = Some((by.0, by.1, asked_us));
             }
         }
     }
 
-    /// What it wanted read: its own entry, where one stands. The state goes to [`Holder::heard`] before.
+    /// What it wanted read: its own entry, where one stands. The state goes to [`LeaseHolder::heard`] before.
     ///
     /// # Errors
     /// Where its right is not there any more, or the entry says what this life did not write last: a registry that was put
     /// back to an older content does not know by what it acts, and a commit would not wait for it.
-    pub fn read(&mut self, own: Option<&Entry<Right>>) -> Result<(), Trouble> {
+    pub fn read(&mut self, own: Option<&Entry<ActLease>>) -> Result<(), LeaseFault> {
         if !matches!(self.open, Open::Read(_)) {
             return Ok(());
         }
@@ -269,7 +275,7 @@
         let ours = [&self.said, &self.tried].into_iter().any(|r| r.as_ref() == stands);
         self.said = stands.filter(|_| ours).cloned();
         if self.said.is_none() && self.held.take().is_some() {
-            return Err(Trouble::TakenOut);
+            return Err(LeaseFault::LeaseRevoked);
         }
         Ok(())
     }
--- a/crates/config-versioning/src/patrol.rs
+++ b/crates/config-versioning/src/patrol.rs
@@ -1,7 +1,7 @@
 //! When a router looks whether a change that somebody else began still waits for a driver.
 //!
 //! It guards the registry against routers that drive all at once: together they look some times a second, however many they are.
-//! Whoever began the change has a head start. Asked by a router's shell; what is read is judged by [`crate::Driver`].
+//! Whoever began the change has a head start. Asked by a router's shell; what is read is judged by [`crate::RolloutCoordinator`].
 
 /// All routers together look so often, in microseconds between two looks.
 const TOGETHER_US: i64 = 200_000;
@@ -10,16 +10,16 @@
 
 /// See the module's documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Patrol {
+pub struct TakeoverTimer {
     random: u64,
     /// The step that is prepared, and when the next look is due.
     open: Option<(u64, i64)>,
 }
 
-impl Patrol {
+impl TakeoverTimer {
     /// One whose times follow from a seed of its own.
     pub fn new(seed: u64) -> Self {
-        Patrol { random: seed, open: None }
+        TakeoverTimer { random: seed, open: None }
     }
 
     /// A part of a span, drawn evenly (splitmix64).
@@ -67,7 +67,8 @@
     #[test]
     fn many_routers_look_as_often_together_as_few_and_none_within_the_head_start() {
         for routers in [5, 50, 400] {
-            let mut all: Vec<Patrol> = (0..routers).map(|n| Patrol::new(n as u64 * 7_919)).collect();
+            let mut all: Vec<TakeoverTimer> =
+                (0..routers).map(|n| TakeoverTimer::new(n as u64 * 7_919)).collect();
             all.iter_mut().for_each(|p| p.heard(0, Some(3), 2_000_000));
             assert!(all.iter().all(|p| p.due_us().is_some_and(|at| at >= 2_000_000)));
             let mut looks = 0;
@@ -84,7 +85,7 @@
 
     #[test]
     fn nobody_looks_where_nothing_is_prepared_and_hearing_twice_changes_nothing() {
-        let mut patrol = Patrol::new(1);
+        let mut patrol = TakeoverTimer::new(1);
         patrol.heard(0, Some(1), 0);
         let due = patrol.due_us();
         patrol.heard(5, Some(1), 0);
--- a/crates/config-versioning/src/terms.rs
+++ b/crates/config-versioning/src/terms.rs
@@ -4,12 +4,12 @@
 //! what it *bears* of others. In one document they are the same; in a meet, what is done is what both documents allow, and what
 //! is borne is what either does. Called by [`crate::contradictions`] and by whoever makes a router's rules of a stance.
 
-use crate::document::{Edition, Stance};
+use crate::document::{ActiveSettings, DocumentVersion};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What must hold where a call is repeated that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Need {
+pub enum RetryCondition {
     /// It carries a key.
     Key,
     /// The worker is in the zone of the first one.
@@ -20,38 +20,41 @@
 
 /// When a call that may have run may be sent again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Repeat {
-    needs: BTreeSet<Need>,
+pub struct RetryRule {
+    needs: BTreeSet<RetryCondition>,
     within_us: i64,
 }
 
-impl Repeat {
+impl RetryRule {
     /// Always: the effect is safe.
-    pub fn freely() -> Self {
-        Repeat { needs: BTreeSet::new(), within_us: i64::MAX }
+    pub fn always() -> Self {
+        RetryRule { needs: BTreeSet::new(), within_us: i64::MAX }
     }
 
     /// Not at all: the effect is unsafe.
     pub fn never() -> Self {
-        Repeat { needs: [Need::Key, Need::Zone, Need::Cell].into(), within_us: 0 }
+        RetryRule {
+            needs: [RetryCondition::Key, RetryCondition::Zone, RetryCondition::Cell].into(),
+            within_us: 0,
+        }
     }
 
     /// With its key, where `group` holds (nothing for all workers), for so many microseconds after the first sending.
-    pub fn keyed(group: Option<Need>, within_us: i64) -> Self {
-        let needs: BTreeSet<Need> = group.into_iter().chain([Need::Key]).collect();
+    pub fn keyed(group: Option<RetryCondition>, within_us: i64) -> Self {
+        let needs: BTreeSet<RetryCondition> = group.into_iter().chain([RetryCondition::Key]).collect();
         if within_us <= 0 {
-            return Repeat::never();
+            return RetryRule::never();
         }
-        Repeat { needs, within_us }
+        RetryRule { needs, within_us }
     }
 
-    /// Whether it is [`Repeat::freely`].
-    pub fn is_free(&self) -> bool {
+    /// Whether it is [`RetryRule::always`].
+    pub fn is_unconditional(&self) -> bool {
         self.needs.is_empty() && self.within_us == i64::MAX
     }
 
     /// What must hold.
-    pub fn needs(&self) -> &BTreeSet<Need> {
+    pub fn needs(&self) -> &BTreeSet<RetryCondition> {
         &self.needs
     }
 
@@ -61,17 +64,17 @@
     }
 
     /// Whether whatever this allows is allowed by the other as well.
-    pub fn is_inside(&self, other: &Repeat) -> bool {
+    pub fn is_inside(&self, other: &RetryRule) -> bool {
         other.needs.is_subset(&self.needs) && self.within_us <= other.within_us
     }
 
     /// What both allow.
-    pub fn meet(&self, other: &Repeat) -> Repeat {
+    pub fn meet(&self, other: &RetryRule) -> RetryRule {
         let within_us = self.within_us.min(other.within_us);
         if within_us == 0 {
-            return Repeat::never();
+            return RetryRule::never();
         }
-        Repeat { needs: self.needs.union(&other.needs).copied().collect(), within_us }
+        RetryRule { needs: self.needs.union(&other.needs).copied().collect(), within_us }
     }
 }
 
@@ -104,9 +107,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Class {
     /// How its calls are repeated.
-    pub repeat: Repeat,
+    pub repeat: RetryRule,
     /// How others may repeat them: each alternative by itself.
-    pub borne: BTreeSet<Repeat>,
+    pub borne: BTreeSet<RetryRule>,
     /// Attempts of a call, at most; counts where the class is not safe.
     pub attempts: Bound,
     /// For how long a key is remembered, in microseconds. More is stricter, and contradicts nothing.
@@ -115,16 +118,16 @@
 
 impl Class {
     /// The class of one document.
-    pub fn of(repeat: Repeat, attempts: i64, remember_us: i64) -> Self {
+    pub fn of(repeat: RetryRule, attempts: i64, remember_us: i64) -> Self {
         Class { borne: [repeat.clone()].into(), repeat, attempts: Bound::of(attempts), remember_us }
     }
 
     /// Beside terms that do not know it: nothing of it is done, and everything is borne.
     fn alone(&self) -> Class {
         let mut borne = self.borne.clone();
-        borne.insert(Repeat::freely());
+        borne.insert(RetryRule::always());
         let attempts = Bound { most: 0, borne: i64::MAX };
-        Class { repeat: Repeat::never(), borne, attempts, remember_us: self.remember_us }
+        Class { repeat: RetryRule::never(), borne, attempts, remember_us: self.remember_us }
     }
 
     fn meet(&self, other: &Class) -> Class {
@@ -165,7 +168,7 @@
 
 impl Terms {
     /// The rules by a stance, from those of its documents; nothing where one of them is not known.
-    pub fn of(stance: &Stance, terms: impl Fn(&Edition) -> Option<Terms>) -> Option<Terms> {
+    pub fn of(stance: &ActiveSettings, terms: impl Fn(&DocumentVersion) -> Option<Terms>) -> Option<Terms> {
         let prepared = stance.prepared.as_ref().map(&terms);
         let committed = terms(&stance.committed)?;
         match prepared {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine itself: open calls, attempts and final answers around one [`Brain`].
+//! The engine itself: open calls, attempts and final answers around one [`Balancer`].
 //!
 //! Invariants, each with a test: a ticket gets one answer, or is superseded by the same client's repeat, or was
 //! said to have left; a deadline always ends a call, should the module stay silent too; an attempt that ended is
@@ -10,7 +10,7 @@
 use crate::names::{function_id, Names};
 use crate::timers::Timers;
 use slatevalve::{
-    Action, Answer as AttemptAnswer, Brain, ClassId, Effect, Event, FunctionId, Listing, Micros, Outcome,
+    Action, Answer as AttemptAnswer, Balancer, ClassId, Effect, Event, FunctionId, Listing, Micros, Outcome,
     Report, Request, RequestId, Settings, WorkerId,
 };
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -224,7 +224,7 @@
 /// See the module's documentation.
 pub struct Engine {
     pub(crate) settings: EngineSettings,
-    pub(crate) brain: Brain,
+    pub(crate) balancer: Balancer,
     now: Micros,
     pub(crate) next: u64,
     pub(crate) open: BTreeMap<RequestId, Open>,
@@ -246,7 +246,7 @@
     /// An engine that knows its settings and no worker yet.
     pub fn new(settings: EngineSettings) -> Self {
         Engine {
-            brain: Brain::new(settings.module.clone(), settings.seed),
+            balancer: Balancer::new(settings.module.clone(), settings.seed),
             now: Micros(0),
             next: 1,
             open: BTreeMap::new(),
@@ -528,12 +528,12 @@
 
     /// On how many workers copies of a function are known to stand.
     pub fn copies_standing(&self, name: &str) -> usize {
-        self.brain.copies_standing(function_id(name))
+        self.balancer.copies_standing(function_id(name))
     }
 
     /// How many workers serve a function; 0 for one without calls.
     pub fn workers_serving(&self, name: &str) -> usize {
-        self.brain.workers_serving(function_id(name))
+        self.balancer.workers_serving(function_id(name))
     }
 
     /// When [`Engine::advance`] is due next.
@@ -670,7 +670,7 @@
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
-            self.brain.handle(self.now, event, &mut actions);
+            self.balancer.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
                 events.extend(self.perform(action, out));
             }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -4,7 +4,7 @@
 //! clients do; and a key that was seen never starts a second run, be it still running, answered or forgotten. Both
 //! fronts hand it [`Call`]s and get [`Answer`]s; the shell carries out its [`Output`]s and tells what came of them.
 //! Where a call runs, whether it is tried again or refused for want of capacity is the module's to decide
-//! ([`slatevalve::Brain`]); the engine tells it every event once and passes every action on.
+//! ([`slatevalve::Balancer`]); the engine tells it every event once and passes every action on.
 //!
 //! Same inputs and times give the same outputs: the clock is an argument, the seed a setting.
 #![forbid(unsafe_code)]
--- a/crates/engine/src/settle.rs
+++ b/crates/engine/src/settle.rs
@@ -20,7 +20,7 @@
             module.limits.max_attempts = allowed;
             self.looser = Some((RequestId(self.next), wanted));
         }
-        self.brain.settle(module.clone());
+        self.balancer.settle(module.clone());
         let own = &mut self.settings;
         (own.module, own.classes, own.key_spaces) = (module, classes, key_spaces);
         (own.functions, own.other_functions, own.margin) = (functions, other_functions, margin);
@@ -32,7 +32,7 @@
         if self.open.keys().next().is_none_or(|id| *id >= first) {
             self.looser = None;
             self.settings.module.limits.max_attempts = most;
-            self.brain.settle(self.settings.module.clone());
+            self.balancer.settle(self.settings.module.clone());
         }
     }
 
--- a/crates/fleet-test/src/lib.rs
+++ b/crates/fleet-test/src/lib.rs
@@ -17,8 +17,8 @@
 
 pub use link::{run_link, Direction, LinkFault, LinkFaultKind, LinkPlan};
 pub use page::page;
-pub use play::{play, Options, FleetTestError};
+pub use play::{play, FleetTestError, Options};
 pub use process::{end_with_parent, Process};
 pub use report::{Finding, Report, Router};
-pub use script::{Expectations, Group, Happens, Kind, Script};
+pub use script::{Expectations, Group, Kind, Script, ScriptedEvent};
 pub use tally::{Bucket, Tally, BUCKET_US};
--- a/crates/fleet-test/src/script.rs
+++ b/crates/fleet-test/src/script.rs
@@ -70,7 +70,7 @@
 
 /// What is done to processes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happens {
+pub enum ScriptedEvent {
     /// SIGKILL to a drawn part of a group.
     Kill(String, f64),
     /// SIGTERM to a drawn part.
@@ -112,7 +112,7 @@
     /// In the order of their start.
     pub groups: Vec<Group>,
     /// Seconds, and what happens then; in order.
-    pub events: Vec<(f64, Happens)>,
+    pub events: Vec<(f64, ScriptedEvent)>,
     /// What has to come of it.
     pub expect: Expectations,
 }
@@ -307,13 +307,13 @@
     Ok(())
 }
 
-fn event(form: &Form<'_>, groups: &[Group]) -> Res<(f64, Happens)> {
+fn event(form: &Form<'_>, groups: &[Group]) -> Res<(f64, ScriptedEvent)> {
     let mut fields = form.fields()?;
     let at = fields.need("at-s")?.number()?;
     let rest = fields.take_rest();
     let [what] = rest.as_slice() else { return Err(form.error("expected one thing that happens")) };
     if what.name() == "drain" {
-        return Ok((at, Happens::Drain(what.text()?)));
+        return Ok((at, ScriptedEvent::Drain(what.text()?)));
     }
     let (name, mut of) = what.named_fields()?;
     let name = known(what, name, groups, |_| true)?;
@@ -323,11 +323,11 @@
         good.then_some(part).ok_or_else(|| what.error("a part lies between 0 and 1"))
     };
     let happens = match what.name() {
-        "kill" => Happens::Kill(name, part()?),
-        "terminate" => Happens::Terminate(name, part()?),
-        "pause" => Happens::Pause(name, part()?),
-        "go-on" => Happens::GoOn(name),
-        "start" => Happens::Start(name),
+        "kill" => ScriptedEvent::Kill(name, part()?),
+        "terminate" => ScriptedEvent::Terminate(name, part()?),
+        "pause" => ScriptedEvent::Pause(name, part()?),
+        "go-on" => ScriptedEvent::GoOn(name),
+        "start" => ScriptedEvent::Start(name),
         other => return Err(what.error(format!("({other} ...) does not happen here"))),
     };
     of.finish()?;
--- a/crates/gateway/src/chaos_test/calls.rs
+++ b/crates/gateway/src/chaos_test/calls.rs
@@ -7,7 +7,7 @@
 use slatevalve_test_servers::Arrival;
 
 /// What a class needs of its calls.
-pub(super) struct ClassNeeds {
+pub(super) struct ClassRequirements {
     pub(super) name: String,
     /// Whether its calls carry a key.
     pub(super) keyed: bool,
@@ -18,7 +18,7 @@
 /// All calls of a day that begins at `start_us`, in the order of time.
 pub(super) fn arrivals(
     script: &Script,
-    classes: &[ClassNeeds],
+    classes: &[ClassRequirements],
     tenants: &[String],
     seed: u64,
     start_us: i64,
--- a/crates/gateway/src/chaos_test/script.rs
+++ b/crates/gateway/src/chaos_test/script.rs
@@ -31,7 +31,7 @@
     /// What goes wrong in workers.
     pub faults: Vec<WorkerFault>,
     /// What the operators, the network and the gateways themselves do.
-    pub events: Vec<(f64, Happens)>,
+    pub events: Vec<(f64, ScriptedEvent)>,
 }
 
 /// The calls that are made.
@@ -105,7 +105,7 @@
 
 /// What happens from outside the workers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happens {
+pub enum ScriptedEvent {
     /// The list says that a worker drains.
     Drain(usize),
     /// The list says that a worker is gone.
@@ -187,7 +187,7 @@
         if !(0.1..=3_600.0).contains(&seconds) {
             return Err(file.error("(seconds ...) lies between 0.1 and 3,600"));
         }
-        events.sort_by(|a: &(f64, Happens), b| a.0.total_cmp(&b.0));
+        events.sort_by(|a: &(f64, ScriptedEvent), b| a.0.total_cmp(&b.0));
         Ok(Script {
             name,
             seconds,
@@ -326,7 +326,7 @@
     })
 }
 
-fn event(form: &Form<'_>, workers: usize, gateways: usize) -> Res<(f64, Happens)> {
+fn event(form: &Form<'_>, workers: usize, gateways: usize) -> Res<(f64, ScriptedEvent)> {
     let mut fields = form.fields()?;
     let at = fields.need("at-s")?.number()?;
     let mut rest = fields.take_rest();
@@ -335,37 +335,37 @@
     }
     let kind = rest.remove(0);
     let happens = match kind.name() {
-        "drain" => Happens::Drain(which(&kind, workers)?),
-        "gone" => Happens::Gone(which(&kind, workers)?),
-        "ready" => Happens::Ready(which(&kind, workers)?),
-        "move-aliases" => Happens::MoveAliases,
-        "drop-connections" => Happens::DropConnections(kind.whole(1_000)?.max(1) as usize),
+        "drain" => ScriptedEvent::Drain(which(&kind, workers)?),
+        "gone" => ScriptedEvent::Gone(which(&kind, workers)?),
+        "ready" => ScriptedEvent::Ready(which(&kind, workers)?),
+        "move-aliases" => ScriptedEvent::MoveAliases,
+        "drop-connections" => ScriptedEvent::DropConnections(kind.whole(1_000)?.max(1) as usize),
         _ => composed(&kind, workers, gateways)?,
     };
     Ok((at, happens))
 }
 
-fn composed(kind: &Form<'_>, workers: usize, gateways: usize) -> Res<Happens> {
+fn composed(kind: &Form<'_>, workers: usize, gateways: usize) -> Res<ScriptedEvent> {
     let mut fields = kind.fields()?;
     let seconds = |fields: &mut Fields<'_>, name: &str, other: f64| {
         fields.or(name, other * 1_000.0, Form::number).map(|ms| ms / 1_000.0)
     };
     let happens = match kind.name() {
-        "crash" => Happens::Crash {
+        "crash" => ScriptedEvent::Crash {
             worker: which(&fields.need("worker")?, workers)?,
             down: seconds(&mut fields, "down-ms", 0.5)?,
             told: seconds(&mut fields, "told-ms", 0.2)?,
         },
-        "deploy" => Happens::Deploy {
+        "deploy" => ScriptedEvent::Deploy {
             part: fields.or("part", 0.95, Form::number)?,
             each: seconds(&mut fields, "each-ms", 0.3)?,
             drain: seconds(&mut fields, "drain-ms", 0.5)?,
         },
-        "crash-gateway" => Happens::CrashGateway {
+        "crash-gateway" => ScriptedEvent::CrashGateway {
             gateway: fields.take("gateway")?.map_or(Ok(0), |f| which(&f, gateways))?,
             down: seconds(&mut fields, "down-ms", 0.3)?,
         },
-        "stall-gateway" => Happens::StallGateway {
+        "stall-gateway" => ScriptedEvent::StallGateway {
             gateway: fields.take("gateway")?.map_or(Ok(0), |f| which(&f, gateways))?,
             lasts: seconds(&mut fields, "for-ms", 1.0)?,
         },
--- a/crates/gateway/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -13,14 +13,14 @@
 use crate::chaos_test::{self, script::Script};
 use crate::clock::Clock;
 use crate::platform::{PlatformError, Router};
+use crate::server::GatewayServer;
 use crate::settings::{Agreed, Named, Site};
-use crate::server::Shell;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use serde_json::json;
-use slatevalve_trace_checker::{check, trace, Terms};
 use slatevalve_test_servers::{
     run_broker, run_kv, run_worker, BrokerPlan, KvPlan, RegisterPlan, ServicePlan, WorkerPlan,
 };
+use slatevalve_trace_checker::{check, trace, Terms};
 use std::error::Error;
 use std::fs;
 use std::io::{self, IsTerminal, Write};
@@ -252,8 +252,12 @@
         Command::Run { settings } => {
             let clock = Clock::start();
             let mut shell = match Agreed::read(&settings)? {
-                Some((agreed_by, agreed)) => Shell::agreed(agreed_by, agreed, clock)?,
-                None => Shell::new(Site::load(&settings, &clock, Named::default())?, Some(settings), clock)?,
+                Some((agreed_by, agreed)) => GatewayServer::agreed(agreed_by, agreed, clock)?,
+                None => GatewayServer::new(
+                    Site::load(&settings, &clock, Named::default())?,
+                    Some(settings),
+                    clock,
+                )?,
             };
             say_ready(shell.address())?;
             shell.run()?;
@@ -294,7 +298,9 @@
             Ok(ExitCode::SUCCESS)
         }
         Command::Demo { seconds, listen, json } => demo::demo(seconds, listen, json),
-        Command::ChaosTest { script, seed, keep, json } => chaos_test_command(script, seed, keep, json, cli.log_level),
+        Command::ChaosTest { script, seed, keep, json } => {
+            chaos_test_command(script, seed, keep, json, cli.log_level)
+        }
         Command::Plugin(arguments) => plugin::plugin(arguments),
         Command::Members(arguments) => members::members(arguments),
         Command::Settings(arguments) => settings::settings(arguments),
@@ -358,7 +364,13 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn chaos_test_command(script: PathBuf, seed: u64, keep: Option<PathBuf>, json: bool, log_level: String) -> Outcome {
+fn chaos_test_command(
+    script: PathBuf,
+    seed: u64,
+    keep: Option<PathBuf>,
+    json: bool,
+    log_level: String,
+) -> Outcome {
     let text = fs::read_to_string(&script).map_err(|e| format!("{}: {e}", script.display()))?;
     let script = Script::parse(&script.display().to_string(), &text)?;
     let mut told = 0;
--- a/crates/gateway/src/commands/settings.rs
+++ b/crates/gateway/src/commands/settings.rs
@@ -11,7 +11,8 @@
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
 use slatevalve_config_versioning::{
-    contradictions, Awaited, Document, Edition, Entry, Keys, Next, Reading, Right, State, Terms, Txn, Wait,
+    contradictions, ActLease, Document, DocumentVersion, Entry, Keys, Next, PendingAck, Reading, State,
+    Terms, Txn, Wait,
 };
 use slatevalve_registry::wire::{
     prefix_end, Bytes, KeyValue, PlainResponse, RangeRequest, RangeResponse, RANGE, TXN,
@@ -117,19 +118,19 @@
         SettingsCommand::Diff { old, new } => return diff(registry, json, &old, &new),
         SettingsCommand::Publish { file, why, who, above, wait_s } => {
             let (text, shared) = read_file(&file)?;
-            let mut desk = Desk::new(registry, json)?;
+            let mut desk = SettingsClient::new(registry, json)?;
             let number = desk.publish(&text, &shared, (who, why), above)?;
             return desk.drive(Some(number), wait_s);
         }
-        SettingsCommand::Drive { wait_s } => return Desk::new(registry, json)?.drive(None, wait_s),
+        SettingsCommand::Drive { wait_s } => return SettingsClient::new(registry, json)?.drive(None, wait_s),
         SettingsCommand::Status => {
-            let mut desk = Desk::new(registry, json)?;
+            let mut desk = SettingsClient::new(registry, json)?;
             let reading = desk.read()?;
             let rows = desk.status(&reading);
             print(rows.clone(), status_words(&rows));
         }
         SettingsCommand::History => {
-            let all = Desk::new(registry, json)?.history()?;
+            let all = SettingsClient::new(registry, json)?.history()?;
             let row = |d: &Document| {
                 let (number, parent, digest) = (d.number, d.parent, &d.digest);
                 json!({"number": number, "parent": parent, "digest": digest, "who": d.who, "why": d.why})
@@ -141,7 +142,7 @@
             print(all.iter().map(row).collect(), words.join("\n"));
         }
         SettingsCommand::Rollback { number, wait_s } => {
-            let mut desk = Desk::new(registry, json)?;
+            let mut desk = SettingsClient::new(registry, json)?;
             let reading = desk.read()?;
             if let (Some(txn), None) = (reading.withdraw(&desk.keys), number) {
                 desk.must(&txn)?;
@@ -158,7 +159,7 @@
             return desk.drive(Some(number), wait_s);
         }
         SettingsCommand::DeclareGone { name, life } => {
-            let mut desk = Desk::new(registry, json)?;
+            let mut desk = SettingsClient::new(registry, json)?;
             let reading = desk.read()?;
             let txn = reading.declare_gone(&desk.keys, &name, life.as_deref());
             let txn = txn.ok_or_else(|| format!("{name} has no right to act in the registry"))?;
@@ -187,7 +188,7 @@
     let mut desk = None;
     let published = |name: &str| name.parse::<u64>().ok().filter(|_| !Path::new(name).exists());
     if published(old).or(published(new)).is_some() {
-        desk = Some(Desk::new(registry, json)?);
+        desk = Some(SettingsClient::new(registry, json)?);
     }
     let mut terms = |name: &str| -> Res<Terms> {
         match (published(name), desk.as_mut()) {
@@ -222,18 +223,18 @@
 }
 
 /// A session with what was read of documents, which never change.
-struct Desk {
+struct SettingsClient {
     session: Session,
     keys: Keys,
     json: bool,
     documents: BTreeMap<u64, Document>,
 }
 
-impl Desk {
+impl SettingsClient {
     fn new(registry: RegistryArguments, json: bool) -> Res<Self> {
         let keys = Keys::new(&registry.prefix);
         let session = Session::new(registry, Follow::Nothing)?;
-        Ok(Desk { session, keys, json, documents: BTreeMap::new() })
+        Ok(SettingsClient { session, keys, json, documents: BTreeMap::new() })
     }
 
     fn range(&mut self, key: &str, prefix: bool, revision: i64) -> Res<(Vec<KeyValue>, i64)> {
@@ -364,7 +365,7 @@
     }
 
     /// Who is awaited, where that has changed; a bar on a terminal.
-    fn show(&self, (awaited, routers): &(Vec<Awaited>, usize), shown: &mut Vec<Awaited>) {
+    fn show(&self, (awaited, routers): &(Vec<PendingAck>, usize), shown: &mut Vec<PendingAck>) {
         if self.json || awaited == shown {
             return;
         }
@@ -385,15 +386,15 @@
     fn status(&mut self, reading: &Reading) -> Value {
         let Some(state) = &reading.state else { return json!({"published": false}) };
         let stance = &state.value.stance;
-        let known = |e: &Edition| {
+        let known = |e: &DocumentVersion| {
             let document = reading.document(e);
             let words = |f: fn(&Document) -> String| document.map(f);
             json!({"number": e.number, "digest": e.digest, "who": words(|d| d.who.clone()),
                 "why": words(|d| d.why.clone()), "in-doubt": document.map(|d| d.doubt)})
         };
-        let right = |((name, life), entry): (&(String, String), &Entry<Right>)| {
+        let right = |((name, life), entry): (&(String, String), &Entry<ActLease>)| {
             let right = &entry.value;
-            let yes = right.says_yes(&state.value);
+            let yes = right.acknowledges(&state.value);
             let numbers: Vec<u64> = right.stance.editions().map(|e| e.number).collect();
             json!({"router": name, "life": life, "acts-by": numbers, "said-yes": yes, "in-doubt": right.doubt})
         };
@@ -404,7 +405,7 @@
     }
 }
 
-fn awaited_words(awaited: &Awaited) -> String {
+fn awaited_words(awaited: &PendingAck) -> String {
     let why = match awaited.wait {
         Wait::ForItsWord => "goes on by the rules it has",
         Wait::UntilItsRightEnds(_) => "until its right ends",
--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -4,7 +4,9 @@
 
 use crate::clock::Clock;
 use crate::settings::SharedSettings;
-use slatevalve_config_versioning::{Document, Driver, Edition, Keys, Next, Reading, Terms, Txn};
+use slatevalve_config_versioning::{
+    Document, DocumentVersion, Keys, Next, Reading, RolloutCoordinator, Terms, Txn,
+};
 use slatevalve_registry::wire::{Bytes, Compare, DeleteRequest, KeyValue, PutRequest, RequestOp, TxnRequest};
 use std::collections::BTreeMap;
 
@@ -39,9 +41,9 @@
 pub(crate) struct Conductor {
     keys: Keys,
     /// The step that is driven, and its driver.
-    driver: Option<(u64, Driver)>,
+    driver: Option<(u64, RolloutCoordinator)>,
     /// Rules and clock's error of documents; nothing for one that cannot be read here.
-    rules: BTreeMap<Edition, Option<(Terms, i64)>>,
+    rules: BTreeMap<DocumentVersion, Option<(Terms, i64)>>,
 }
 
 impl Conductor {
@@ -49,7 +51,7 @@
         Conductor { keys, driver: None, rules: BTreeMap::new() }
     }
 
-    /// Looks at a reading, with the documents that are known of those it names, as [`Driver::look`] does.
+    /// Looks at a reading, with the documents that are known of those it names, as [`RolloutCoordinator::look`] does.
     pub(crate) fn look(&mut self, clock: &Clock, reading: &Reading) -> Next {
         let Some(state) = &reading.state else { return Next::Nothing };
         let named = reading.named();
@@ -59,14 +61,14 @@
                 self.rules.entry(edition.clone()).or_insert_with(|| rules(document, clock));
             }
         }
-        let known = |e: &Edition| self.rules.get(e).and_then(Option::as_ref);
+        let known = |e: &DocumentVersion| self.rules.get(e).and_then(Option::as_ref);
         let step = state.value.step;
         if self.driver.as_ref().is_none_or(|d| d.0 != step) {
             let errors = state.value.stance.editions().map(|e| known(e).map_or(UNKNOWN_ERROR_PPM, |r| r.1));
             let error = errors.max().unwrap_or(UNKNOWN_ERROR_PPM);
-            self.driver = Some((step, Driver::new(self.keys.clone(), error)));
+            self.driver = Some((step, RolloutCoordinator::new(self.keys.clone(), error)));
         }
-        let terms = |e: &Edition| known(e).map(|r| r.0.clone());
+        let terms = |e: &DocumentVersion| known(e).map(|r| r.0.clone());
         let driver = self.driver.as_mut();
         driver.map_or(Next::Nothing, |(_, driver)| driver.look(clock.now().0, reading, terms))
     }
@@ -81,7 +83,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use slatevalve_config_versioning::{Ask, Doubt, Holder, HolderSettings, Wait};
+    use slatevalve_config_versioning::{Ask, LeaseExpiryPolicy, LeaseHolder, LeaseHolderSettings, Wait};
 
     const RIGHT_US: i64 = 3_600_000_000;
 
@@ -92,7 +94,7 @@
              (route \"charge/+\" (class \"charge\") (function \"{{2}}\"))
              (agreement (in-doubt give-up) (clock-error-ppm {clock_error_ppm}))"
         );
-        let (digest, who, why, doubt) = (String::new(), "op".into(), "why".into(), Doubt::GiveUp);
+        let (digest, who, why, doubt) = (String::new(), "op".into(), "why".into(), LeaseExpiryPolicy::GiveUp);
         let draft = Document { number: 0, parent: 0, digest, text, who, why, doubt, right_us: RIGHT_US };
         let (_, txn) = reading(keys, entries).publish(keys, &draft, 0).unwrap();
         put(entries, &txn);
@@ -110,10 +112,16 @@
         for (old, new) in [(400_000, 1), (1, 400_000)] {
             let (keys, clock, mut entries) = (Keys::new("/t/"), Clock::start(), Vec::new());
             publish(&keys, &mut entries, old);
-            let settings =
-                HolderSettings { keys: keys.clone(), name: "r".into(), life: "1".into(), before: vec![] };
-            let mut still = Holder::new(settings);
-            still.heard(&reading(&keys, &entries).state.unwrap(), &[(Doubt::GiveUp, RIGHT_US)]).unwrap();
+            let settings = LeaseHolderSettings {
+                keys: keys.clone(),
+                name: "r".into(),
+                life: "1".into(),
+                before: vec![],
+            };
+            let mut still = LeaseHolder::new(settings);
+            still
+                .heard(&reading(&keys, &entries).state.unwrap(), &[(LeaseExpiryPolicy::GiveUp, RIGHT_US)])
+                .unwrap();
             let Some(Ask::Write(txn)) = still.ask(0) else { panic!("it asks for its right") };
             put(&mut entries, &txn);
             publish(&keys, &mut entries, new);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,14 +6,14 @@
 #![warn(missing_docs)]
 
 pub mod chaos_test;
+mod child_processes;
 pub mod clock;
 pub mod commands;
 pub mod documents;
-mod child_processes;
+mod loop_timer;
 pub mod members;
 pub mod platform;
 pub mod plugins;
 mod remembered_file;
-pub mod settings;
 pub mod server;
-mod loop_timer;
+pub mod settings;
--- a/crates/gateway/src/loop_timer.rs
+++ b/crates/gateway/src/loop_timer.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// The part of a drain's grace after which what was decided is old news, and the time where there is no grace.
-const OLD_NEWS: (i64, Micros) = (5, Micros(50_000));
+const STALE_AFTER: (i64, Micros) = (5, Micros(50_000));
 /// Looks after a standstill until nothing more comes, at most.
 const LOOKS: usize = 4;
 
@@ -27,7 +27,7 @@
 }
 
 /// See the module's documentation.
-pub(crate) struct Turns {
+pub(crate) struct LoopTimer {
     /// When the turn before began to decide what it left to be written, and after which time that is old news.
     decided: Micros,
     old_after: Micros,
@@ -35,17 +35,18 @@
     looked: bool,
 }
 
-impl Turns {
+impl LoopTimer {
     /// For a loop that starts now, before workers whose drains have this grace.
     pub(crate) fn new(now: Micros, drain_grace: Micros) -> Self {
-        let mut turns = Turns { decided: now, old_after: OLD_NEWS.1, looked: false };
+        let mut turns = LoopTimer { decided: now, old_after: STALE_AFTER.1, looked: false };
         turns.graced(drain_grace);
         turns
     }
 
     /// The drains of the workers have this grace from now on.
     pub(crate) fn graced(&mut self, drain_grace: Micros) {
-        self.old_after = if drain_grace.0 > 0 { Micros(drain_grace.0 / OLD_NEWS.0) } else { OLD_NEWS.1 };
+        self.old_after =
+            if drain_grace.0 > 0 { Micros(drain_grace.0 / STALE_AFTER.0) } else { STALE_AFTER.1 };
     }
 
     /// Writes what the turn before decided, unless that is old news or the time `until` has come, and waits at most for `wait`.
@@ -125,7 +126,7 @@
         let (worker, mut at_worker) = standing(&mut reactor);
         let (client, mut at_client) = standing(&mut reactor);
         let grace = Micros(100_000);
-        let mut turns = Turns::new(clock.now(), grace);
+        let mut turns = LoopTimer::new(clock.now(), grace);
         // Decided; then the process stands still, and a client comes and leaves.
         reactor.write(worker, b"decided");
         at_client.write_all(b"a request").unwrap();
@@ -150,7 +151,7 @@
         let (worker, _at_worker) = standing(&mut reactor);
         let (_, mut at_client) = standing(&mut reactor);
         // A grace of hours: no pause of a busy machine is a standstill beside it.
-        let mut turns = Turns::new(clock.now(), Micros(36_000_000_000));
+        let mut turns = LoopTimer::new(clock.now(), Micros(36_000_000_000));
         reactor.write(worker, b"decided");
         at_client.write_all(b"a request").unwrap();
         at_client.shutdown(std::net::Shutdown::Both).unwrap();
--- a/crates/gateway/src/members/registry.rs
+++ b/crates/gateway/src/members/registry.rs
@@ -6,7 +6,8 @@
 use slatevalve::Micros;
 use slatevalve_reactor::{Happening, Reactor};
 use slatevalve_registry::{
-    Census, CensusSettings, ClientSettings, Heard, MemberChange, Members, RouterRecord, View, WorkerRecord,
+    ClientSettings, Heard, MemberChange, Members, RouterCount, RouterCountSettings, RouterRecord, View,
+    WorkerRecord,
 };
 use slatevalve_registry_transport::Link;
 use std::collections::BTreeMap;
@@ -24,7 +25,7 @@
     /// The endpoints' addresses, in the client's order.
     pub addresses: Vec<SocketAddr>,
     /// Of the census.
-    pub census: CensusSettings,
+    pub census: RouterCountSettings,
     /// The file that the next process begins with.
     pub remember: Option<PathBuf>,
     /// The file that news are recorded in.
@@ -35,7 +36,7 @@
 pub struct RegistrySource {
     link: Link,
     members: Members,
-    census: Census,
+    census: RouterCount,
     /// Routers that the registry lists, once it was asked.
     listed: Option<usize>,
     news: Vec<News>,
@@ -57,7 +58,7 @@
         let mut source = RegistrySource {
             link: Link::new(client, settings.addresses),
             members,
-            census: Census::new(settings.census, routers),
+            census: RouterCount::new(settings.census, routers),
             listed: None,
             news: Vec::new(),
             told_full: false,
@@ -74,7 +75,7 @@
     }
 
     /// Begins with what an earlier process kept, until the registry is heard.
-    fn remember(&mut self, path: &Path, census: CensusSettings) {
+    fn remember(&mut self, path: &Path, census: RouterCountSettings) {
         let kept = match fs::read(path) {
             Ok(kept) => kept,
             Err(e) if e.kind() == io::ErrorKind::NotFound => return,
@@ -86,7 +87,7 @@
             Ok((changes, routers)) => {
                 // So many there were, all the more where all start again together.
                 if routers > self.census.routers() {
-                    self.census = Census::new(census, routers);
+                    self.census = RouterCount::new(census, routers);
                     self.link.client_mut().askers(routers);
                     self.news.push(News::Routers(routers));
                 }
--- a/crates/gateway/src/platform/mod.rs
+++ b/crates/gateway/src/platform/mod.rs
@@ -8,16 +8,16 @@
 mod stop;
 
 use crate::clock::Clock;
+use crate::loop_timer::{LoopTimer, Turn};
+use crate::server::pool::{Pool, RequestEnd};
 use crate::settings::PoolSettings;
-use crate::server::pool::{Pool, TaskEnd};
-use crate::loop_timer::{Turn, Turns};
 use slatevalve::{Micros, WorkerId, WorkerState};
 use slatevalve_engine::{Engine, EngineSettings, FunctionTraits, Output};
 use slatevalve_platform::changes::{Change, Follower, Wanted};
 use slatevalve_platform::config::{Config, ConfigError};
 use slatevalve_platform::front::{Front, FrontOutput, FrontSettings, LinkId};
 use slatevalve_platform::workers::Lines;
-use slatevalve_reactor::{Happening, Id, Reactor, LINGERING};
+use slatevalve_reactor::{Happening, Id, Reactor, MAX_LINGERING};
 use slatevalve_site_config::FieldError;
 use std::collections::HashMap;
 use std::fmt;
@@ -36,7 +36,7 @@
 const ACCEPT_REST: Micros = Micros(20_000);
 /// Descriptors that are neither a client's nor a worker's: standard streams, listener, poller, signals, change log, and
 /// clients' connections that are over and read out.
-const OTHER_DESCRIPTORS: usize = 24 + LINGERING;
+const OTHER_DESCRIPTORS: usize = 24 + MAX_LINGERING;
 /// Time kept back from each budget for the answer's way to the client.
 const MARGIN: Micros = Micros(4_000);
 /// Functions whose names are held; one unused for longest makes room.
@@ -103,7 +103,7 @@
     /// Workers that the log told of and that are not gone.
     workers: HashMap<WorkerId, WorkerState>,
     age: Micros,
-    turns: Turns,
+    turns: LoopTimer,
     stop: Stop,
     resume_at: Option<Micros>,
     /// How often, and when, a configuration that could not be used is read again.
@@ -131,7 +131,7 @@
         let site = config.site;
         let module = site.settings;
         let stop = Stop::new(module.classes.iter().map(|c| c.deadline).max().unwrap_or_default());
-        let turns = Turns::new(clock.now(), module.rules.drain_grace);
+        let turns = LoopTimer::new(clock.now(), module.rules.drain_grace);
         let free = config.limits.sockets.saturating_sub(OTHER_DESCRIPTORS).max(8);
         // Usual clients hold a third of all descriptors at most; the rest of this share is for those who are not usual.
         let clients = free * 9 / 20;
@@ -398,7 +398,7 @@
         // The module first: what is taken back is decided anew with the drain known.
         self.engine.listed(now, change.listing(), &mut self.to_engine);
         for id in held_back {
-            for end in self.pool.hold_back(now, &mut self.reactor, id) {
+            for end in self.pool.cancel_unsent(now, &mut self.reactor, id) {
                 self.ended(now, end);
             }
         }
@@ -449,16 +449,16 @@
                 }
             }
             for output in std::mem::take(&mut self.to_engine) {
-                self.carry_out(now, output);
+                self.execute(now, output);
             }
         }
     }
 
-    fn carry_out(&mut self, now: Micros, output: Output) {
+    fn execute(&mut self, now: Micros, output: Output) {
         let (reactor, engine, out) = (&mut self.reactor, &mut self.engine, &mut self.to_engine);
         // What is not of workers is an answer: the list comes by itself, and neither versions nor keys are kept here.
         if let Some(Output::Answer(ticket, answer)) =
-            self.pool.carry_out(now, reactor, engine, output, &self.classes, out)
+            self.pool.execute(now, reactor, engine, output, &self.classes, out)
         {
             debug!(
                 now = now.0,
@@ -473,7 +473,7 @@
     }
 
     /// A request to a worker ended: the engine is told.
-    fn ended(&mut self, now: Micros, end: TaskEnd) {
+    fn ended(&mut self, now: Micros, end: RequestEnd) {
         self.pool.tell(now, end, &mut self.engine, &mut self.to_engine);
     }
 
--- a/crates/gateway/src/platform/stop.rs
+++ b/crates/gateway/src/platform/stop.rs
@@ -120,7 +120,7 @@
             unusable = self.unusable,
             "stopped"
         );
-        self.reactor.linger_at_most(usize::MAX);
+        self.reactor.set_max_lingering(usize::MAX);
         for (id, _) in self.links.drain() {
             self.reactor.finish(id);
         }
--- a/crates/gateway/src/plugins/background.rs
+++ b/crates/gateway/src/plugins/background.rs
@@ -26,7 +26,7 @@
 
 /// Who wants a task's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asker {
+pub enum Requester {
     /// A connection to the admin socket.
     Admin(Id),
     /// Calls that need a version.
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Task {
     /// Who wants its end.
-    pub asker: Asker,
+    pub asker: Requester,
     /// What is to be done.
     pub command: Command,
     /// Content that must stay whatever the catalogue says: calls that are open need it.
@@ -54,11 +54,11 @@
 #[derive(Debug)]
 pub enum Told {
     /// A task is at work: bytes or blobs done, and of how many.
-    Progress(Asker, u64, u64),
+    Progress(Requester, u64, u64),
     /// A task ended. Where the folder may have changed, the catalogue as it stands now.
     Ended {
         /// Who wanted it.
-        asker: Asker,
+        asker: Requester,
         /// What it was.
         command: Command,
         /// What came of it.
@@ -69,7 +69,7 @@
 }
 
 /// What the thread is told at its start.
-pub struct AsideSettings {
+pub struct BackgroundWorkerSettings {
     /// Where pulls come from.
     pub registry: Option<PullSettings>,
     /// Bytes of content that are looked at again in a second; 0 for none.
@@ -79,19 +79,23 @@
 }
 
 /// The loop's handle of the thread.
-pub struct Aside {
+pub struct BackgroundWorker {
     tasks: Option<SyncSender<Box<Task>>>,
     told: Receiver<Told>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Aside {
+impl BackgroundWorker {
     /// Starts the thread on a folder.
     ///
     /// # Errors
     /// When the folder cannot be opened or no thread is to be had.
-    pub fn start(folder: &Path, settings: AsideSettings, waker: Waker) -> Result<Self, FolderError> {
+    pub fn start(
+        folder: &Path,
+        settings: BackgroundWorkerSettings,
+        waker: Waker,
+    ) -> Result<Self, FolderError> {
         let folder_opened = PluginFolder::open(folder)?;
         let (tasks, to_do) = mpsc::sync_channel(QUEUE);
         let (tell, told) = mpsc::channel();
@@ -106,7 +110,7 @@
         };
         let thread = thread::Builder::new().name("plug-ins".into()).spawn(move || worker.run(&to_do));
         let thread = Some(thread.map_err(|e| FolderError::Io(folder.into(), e))?);
-        Ok(Aside { tasks: Some(tasks), told, stop, thread })
+        Ok(BackgroundWorker { tasks: Some(tasks), told, stop, thread })
     }
 
     /// Hands in a task; `false` where too many wait.
@@ -121,7 +125,7 @@
     }
 }
 
-impl Drop for Aside {
+impl Drop for BackgroundWorker {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         self.tasks = None;
@@ -133,7 +137,7 @@
 
 struct Worker {
     folder: PluginFolder,
-    settings: AsideSettings,
+    settings: BackgroundWorkerSettings,
     stop: Arc<AtomicBool>,
     tell: mpsc::Sender<Told>,
     waker: Waker,
@@ -227,6 +231,6 @@
         let command = Command::Quarantine { reference: version, reason: reason.into() };
         let outcome = changed.map(|()| Value::Null).map_err(CommandError::from);
         let catalogue = Some(self.folder.catalogue().map(Box::new));
-        self.say(Told::Ended { asker: Asker::Scrub, command, outcome, catalogue });
+        self.say(Told::Ended { asker: Requester::Scrub, command, outcome, catalogue });
     }
 }
--- a/crates/gateway/src/server/agreement.rs
+++ b/crates/gateway/src/server/agreement.rs
@@ -2,18 +2,18 @@
 //! may be sent is looked at before each turn writes.
 //!
 //! It guards the order of things: a state is said yes to only after it is acted by, and nothing unsafe or keyed is written
-//! after the right to act has ended. It decides nothing: [`Holder`] says what may be sent and what is asked, [`Agreed`] what a
+//! after the right to act has ended. It decides nothing: [`LeaseHolder`] says what may be sent and what is asked, [`Agreed`] what a
 //! document means here. Called by the loop once a turn, and by the start before clients can connect.
 
-use super::{Shell, ShellError};
+use super::{GatewayError, GatewayServer};
 use crate::clock::Clock;
 use crate::documents::{self, Conductor};
 use crate::remembered_file::RememberedFile;
 use crate::settings::{Agreed, AgreedSettings, Site};
 use slatevalve::{ClassId, Micros, Scope};
 use slatevalve_config_versioning::{
-    Ask, Document, Edition, Entry, Holder, HolderSettings, Keys, May, Next, Patrol, Reading, State, Txn,
-    TxnEnd,
+    Ask, Document, DocumentVersion, Entry, Keys, LeaseHolder, LeaseHolderSettings, Next, Reading,
+    SendPermission, State, TakeoverTimer, Txn, TxnEnd,
 };
 use slatevalve_reactor::{Happening, Reactor};
 use slatevalve_registry::wire::{prefix_end, Bytes, PlainResponse, RangeRequest, RangeResponse, RANGE, TXN};
@@ -52,7 +52,7 @@
     link: Link,
     keys: Keys,
     own_key: String,
-    holder: Holder,
+    holder: LeaseHolder,
     agreed: Agreed,
     documents: BTreeMap<u64, Document>,
     questions: BTreeMap<u64, For>,
@@ -65,9 +65,9 @@
     holder_reads: bool,
     /// The step that could not be carried out, so that it is said once.
     refused: Option<u64>,
-    may: May,
+    may: SendPermission,
     /// Drives changes whose driver has died.
-    patrol: Patrol,
+    patrol: TakeoverTimer,
     conductor: Conductor,
     left: bool,
     /// Held locked while this life lasts.
@@ -95,7 +95,7 @@
         let own_key = keys.right(&name, &life);
         let known = remember.as_deref().and_then(|path| remembered(path, &keys)).unwrap_or_default();
         let conductor = Conductor::new(keys.clone());
-        let holder = Holder::new(HolderSettings { keys: keys.clone(), name, life, before });
+        let holder = LeaseHolder::new(LeaseHolderSettings { keys: keys.clone(), name, life, before });
         Ok(Agreement {
             link: Link::new(client, addresses),
             keys,
@@ -109,8 +109,8 @@
             read_at: Some(i64::MIN),
             holder_reads: false,
             refused: None,
-            may: May::Nothing,
-            patrol: Patrol::new(u64::from_be_bytes(bytes)),
+            may: SendPermission::Nothing,
+            patrol: TakeoverTimer::new(u64::from_be_bytes(bytes)),
             conductor,
             left: false,
             _lives: lives,
@@ -131,7 +131,7 @@
                 until.get_or_insert(Micros(now.0 + FIRST_RIGHT));
                 site = Some(newer);
             }
-            if self.may(now) == May::All || until.is_some_and(|at| at <= now) {
+            if self.may(now) == SendPermission::All || until.is_some_and(|at| at <= now) {
                 if let Some(site) = site.take() {
                     // A gateway that was ready once can start again without the registry, also when it is killed at once.
                     self.remembered_file.iter().for_each(RememberedFile::flush);
@@ -149,13 +149,13 @@
     }
 
     /// What may be sent now.
-    pub(crate) fn may(&self, now: Micros) -> May {
+    pub(crate) fn may(&self, now: Micros) -> SendPermission {
         self.holder.may(now.0)
     }
 
     /// Until when all may be written that is buffered, where that ends; nothing is left to be kept back once it has ended.
     pub(crate) fn writes_until(&self) -> Option<Micros> {
-        self.holder.until_us().filter(|_| self.may == May::All).map(Micros)
+        self.holder.until_us().filter(|_| self.may == SendPermission::All).map(Micros)
     }
 
     /// When [`Agreement::advance`] is due.
@@ -284,7 +284,7 @@
                 let read = |body: Vec<u8>| serde_json::from_slice::<PlainResponse>(&body).ok();
                 self.holder.written(match body.and_then(read) {
                     Some(answer) if answer.succeeded => TxnEnd::Done(answer.header.revision),
-                    Some(_) => TxnEnd::Overtaken,
+                    Some(_) => TxnEnd::Conflict,
                     None => TxnEnd::Unknown,
                 });
             }
@@ -337,7 +337,7 @@
         if self.refused == Some(state.value.step) {
             return None;
         }
-        let known = |e: &Edition| self.documents.get(&e.number).filter(|d| d.digest == e.digest);
+        let known = |e: &DocumentVersion| self.documents.get(&e.number).filter(|d| d.digest == e.digest);
         let missing: Vec<u64> =
             state.value.stance.editions().filter(|e| known(e).is_none()).map(|e| e.number).collect();
         if !missing.is_empty() {
@@ -448,17 +448,17 @@
     Ok((file, before))
 }
 
-impl Shell {
+impl GatewayServer {
     /// A gateway that acts by documents: it waits for them first.
     ///
     /// # Errors
-    /// As [`Shell::new`], and where the file of lives cannot be had.
-    pub fn agreed(settings: AgreedSettings, agreed: Agreed, clock: Clock) -> Result<Self, ShellError> {
+    /// As [`GatewayServer::new`], and where the file of lives cannot be had.
+    pub fn agreed(settings: AgreedSettings, agreed: Agreed, clock: Clock) -> Result<Self, GatewayError> {
         let lives = settings.lives.clone().unwrap_or_default();
-        let mut agreement = Agreement::new(settings, agreed).map_err(|e| ShellError::Record(lives, e))?;
-        let mut reactor = Reactor::new(super::MAX_BUFFERED).map_err(ShellError::Loop)?;
-        let site = agreement.first_site(&clock, &mut reactor).map_err(ShellError::Loop)?;
-        let mut shell = Shell::with(site, None, clock, reactor)?;
+        let mut agreement = Agreement::new(settings, agreed).map_err(|e| GatewayError::Record(lives, e))?;
+        let mut reactor = Reactor::new(super::MAX_BUFFERED).map_err(GatewayError::Loop)?;
+        let site = agreement.first_site(&clock, &mut reactor).map_err(GatewayError::Loop)?;
+        let mut shell = GatewayServer::with(site, None, clock, reactor)?;
         shell.agreement = Some(agreement);
         Ok(shell)
     }
@@ -471,14 +471,14 @@
         if may == std::mem::replace(&mut agreement.may, may) {
             return;
         }
-        self.engine.withhold(may != May::All);
-        if may == May::All {
+        self.engine.withhold(may != SendPermission::All);
+        if may == SendPermission::All {
             info!("the right to act by the settings stands");
             return;
         }
         warn!("no right to act by the settings: keyed and unsafe calls are not sent");
         let engine = &self.engine;
-        let ends = self.pool.take_back_where(now, &mut self.reactor, |of| engine.is_withheld(of.request));
+        let ends = self.pool.cancel_unsent_where(now, &mut self.reactor, |of| engine.is_withheld(of.request));
         for end in ends {
             self.ended(now, end);
         }
--- a/crates/gateway/src/server/members.rs
+++ b/crates/gateway/src/server/members.rs
@@ -1,7 +1,7 @@
 //! The shell's part in membership: opening the source that the settings name, and carrying its news to the pool and the
 //! engine, in order, so that a drain is the module's before anything else of its batch.
 
-use super::{Shell, ShellError};
+use super::{GatewayError, GatewayServer};
 use crate::members::{News, Recorder, RegistrySource, ReplaySource, Source};
 use crate::settings::{MemberSource, Site, WorkerLine};
 use slatevalve::{Listing, Micros, Scope, WorkerEntry, WorkerId, WorkerState};
@@ -12,18 +12,18 @@
 
 type Opened = (Option<Box<dyn Source>>, Option<Recorder>);
 
-pub(super) fn open(site: &Site, up_since_unix_ms: i64) -> Result<Opened, ShellError> {
+pub(super) fn open(site: &Site, up_since_unix_ms: i64) -> Result<Opened, GatewayError> {
     Ok(match &site.members {
         None => (None, None),
         Some(MemberSource::Replay(path)) => {
-            let source = ReplaySource::open(path).map_err(|e| ShellError::Record(path.clone(), e))?;
+            let source = ReplaySource::open(path).map_err(|e| GatewayError::Record(path.clone(), e))?;
             (Some(Box::new(source)), None)
         }
         Some(MemberSource::Registry(settings)) => {
             let recorder = settings
                 .record
                 .as_ref()
-                .map(|path| Recorder::open(path).map_err(|e| ShellError::Record(path.clone(), e)));
+                .map(|path| Recorder::open(path).map_err(|e| GatewayError::Record(path.clone(), e)));
             let record = RouterRecord { zone: site.zone.clone(), up_since_unix_ms };
             let routers = site.engine.module.routers;
             let source = RegistrySource::new((**settings).clone(), &site.name, &record, routers);
@@ -32,7 +32,7 @@
     })
 }
 
-impl Shell {
+impl GatewayServer {
     /// Carries out what the source has told.
     pub(super) fn take_news(&mut self, now: Micros) {
         let news = self.source.as_mut().map(|s| s.take_news()).unwrap_or_default();
@@ -102,7 +102,7 @@
         }
         let listing = Listing { scope: Scope::Changes, entries };
         self.engine.listed(now, listing, &mut self.to_engine);
-        self.hold_back(now, held_back);
+        self.cancel_unsent(now, held_back);
     }
 
     fn gone(&mut self, name: &str) -> Option<WorkerEntry> {
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -10,19 +10,19 @@
 pub(crate) mod pool;
 
 use crate::clock::Clock;
+use crate::loop_timer::{LoopTimer, Turn};
 use crate::members::{Recorder, Source, Starts};
 use crate::plugins::folder::FolderError;
 use crate::settings::{Site, WorkerLine};
-use crate::loop_timer::{Turn, Turns};
 use admin::Admin;
 use agreement::Agreement;
 use plugins::PluginHost;
-use pool::{Pool, TaskEnd};
+use pool::{Pool, RequestEnd};
 use slatevalve::{Listing, Micros, Scope, WorkerId, WorkerState};
 use slatevalve_engine::{Call, Engine, Output, Ticket};
-use slatevalve_sexpr::FormError;
 use slatevalve_mqtt::{Bridge, BridgeOutput, Front, FrontOutput, LinkId, TicketSource};
 use slatevalve_reactor::{Happening, Id, Reactor};
+use slatevalve_sexpr::FormError;
 use slatevalve_worker_protocol::{Http, Limits};
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
@@ -43,7 +43,7 @@
 
 /// Why a gateway could not start or go on.
 #[derive(Debug)]
-pub enum ShellError {
+pub enum GatewayError {
     /// A socket could not be had.
     Listen(SocketAddr, io::Error),
     /// The admin socket could not be had.
@@ -56,22 +56,22 @@
     Loop(io::Error),
 }
 
-impl fmt::Display for ShellError {
+impl fmt::Display for GatewayError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ShellError::Listen(address, e) => write!(f, "cannot listen on {address}: {e}"),
-            ShellError::Admin(path, e) => write!(f, "admin socket {}: {e}", path.display()),
-            ShellError::Record(path, e) => write!(f, "{}: {e}", path.display()),
-            ShellError::Plugins(e) => write!(f, "plug-ins: {e}"),
-            ShellError::Loop(e) => write!(f, "the loop failed: {e}"),
+            GatewayError::Listen(address, e) => write!(f, "cannot listen on {address}: {e}"),
+            GatewayError::Admin(path, e) => write!(f, "admin socket {}: {e}", path.display()),
+            GatewayError::Record(path, e) => write!(f, "{}: {e}", path.display()),
+            GatewayError::Plugins(e) => write!(f, "plug-ins: {e}"),
+            GatewayError::Loop(e) => write!(f, "the loop failed: {e}"),
         }
     }
 }
 
-impl std::error::Error for ShellError {}
+impl std::error::Error for GatewayError {}
 
 /// A running gateway.
-pub struct Shell {
+pub struct GatewayServer {
     clock: Clock,
     site: Site,
     settings_file: Option<PathBuf>,
@@ -114,14 +114,14 @@
     socket: Option<Id>,
 }
 
-impl Shell {
+impl GatewayServer {
     /// Binds the listener and takes the worker list; `settings_file` is read again on SIGHUP.
     ///
     /// # Errors
     /// When a socket, the poller or a signal cannot be had.
-    pub fn new(site: Site, settings_file: Option<PathBuf>, clock: Clock) -> Result<Self, ShellError> {
-        let reactor = Reactor::new(MAX_BUFFERED).map_err(ShellError::Loop)?;
-        Shell::with(site, settings_file, clock, reactor)
+    pub fn new(site: Site, settings_file: Option<PathBuf>, clock: Clock) -> Result<Self, GatewayError> {
+        let reactor = Reactor::new(MAX_BUFFERED).map_err(GatewayError::Loop)?;
+        GatewayServer::with(site, settings_file, clock, reactor)
     }
 
     fn with(
@@ -129,13 +129,13 @@
         settings_file: Option<PathBuf>,
         clock: Clock,
         mut reactor: Reactor,
-    ) -> Result<Self, ShellError> {
+    ) -> Result<Self, GatewayError> {
         for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT, signal_hook::consts::SIGHUP]
         {
-            reactor.signal(signal).map_err(ShellError::Loop)?;
+            reactor.signal(signal).map_err(GatewayError::Loop)?;
         }
         let (listener, address) =
-            reactor.listen(site.listen).map_err(|e| ShellError::Listen(site.listen, e))?;
+            reactor.listen(site.listen).map_err(|e| GatewayError::Listen(site.listen, e))?;
         let order_timeout = site.engine.module.loading.order_timeout;
         let limits = Limits { body: site.max_response, ..Limits::default() };
         let http = Http { gateway: site.name.clone(), limits };
@@ -143,14 +143,14 @@
         if let Some(settings) = site.plugins.clone() {
             if let Some(path) = &settings.admin {
                 let opened = Admin::open(&mut reactor, path);
-                admin = Some(opened.map_err(|e| ShellError::Admin(path.clone(), e))?);
+                admin = Some(opened.map_err(|e| GatewayError::Admin(path.clone(), e))?);
             }
-            let waker = reactor.waker().map_err(ShellError::Loop)?;
+            let waker = reactor.waker().map_err(GatewayError::Loop)?;
             let host = PluginHost::open(settings, &site, clock, waker);
-            plugins = Some(host.map_err(ShellError::Plugins)?);
+            plugins = Some(host.map_err(GatewayError::Plugins)?);
         }
         let (source, recorder) = members::open(&site, clock.unix_ms())?;
-        let mut shell = Shell {
+        let mut shell = GatewayServer {
             clock,
             settings_file,
             reactor,
@@ -201,13 +201,13 @@
     ///
     /// # Errors
     /// When the poller fails.
-    pub fn run(&mut self) -> Result<(), ShellError> {
-        let mut turns = Turns::new(self.clock.now(), self.site.engine.module.rules.drain_grace);
+    pub fn run(&mut self) -> Result<(), GatewayError> {
+        let mut turns = LoopTimer::new(self.clock.now(), self.site.engine.module.rules.drain_grace);
         loop {
             self.look_at_right();
             let wait = self.wait_from(self.clock.now());
             let until = self.agreement.as_ref().and_then(Agreement::writes_until);
-            let turn = turns.wait(&self.clock, &mut self.reactor, wait, until).map_err(ShellError::Loop)?;
+            let turn = turns.wait(&self.clock, &mut self.reactor, wait, until).map_err(GatewayError::Loop)?;
             let Turn { now, age, happened } = turn;
             self.age = age;
             // The wait may have been long.
@@ -339,7 +339,7 @@
     fn settle(&mut self, now: Micros) {
         while !(self.to_front.is_empty() && self.to_engine.is_empty() && self.to_bridge.is_empty()) {
             for output in std::mem::take(&mut self.to_bridge) {
-                self.carry_out_bridge(now, output);
+                self.execute_bridge(now, output);
             }
             for output in std::mem::take(&mut self.to_front) {
                 match output {
@@ -362,12 +362,12 @@
                 }
             }
             for output in std::mem::take(&mut self.to_engine) {
-                self.carry_out(now, output);
+                self.execute(now, output);
             }
         }
     }
 
-    fn carry_out_bridge(&mut self, now: Micros, output: BridgeOutput) {
+    fn execute_bridge(&mut self, now: Micros, output: BridgeOutput) {
         let Some(link) = &mut self.bridge else { return };
         match output {
             BridgeOutput::Connect => match self.reactor.connect(link.broker) {
@@ -397,9 +397,9 @@
         self.engine.call(now, call, &mut self.to_engine);
     }
 
-    fn carry_out(&mut self, now: Micros, output: Output) {
+    fn execute(&mut self, now: Micros, output: Output) {
         let (reactor, engine, out) = (&mut self.reactor, &mut self.engine, &mut self.to_engine);
-        let Some(output) = self.pool.carry_out(now, reactor, engine, output, &self.site.classes, out) else {
+        let Some(output) = self.pool.execute(now, reactor, engine, output, &self.site.classes, out) else {
             return;
         };
         match output {
@@ -428,7 +428,7 @@
     }
 
     /// A request to a worker ended: the engine is told.
-    fn ended(&mut self, now: Micros, end: TaskEnd) {
+    fn ended(&mut self, now: Micros, end: RequestEnd) {
         self.pool.tell(now, end, &mut self.engine, &mut self.to_engine);
     }
 
@@ -451,14 +451,14 @@
         let entries = workers.iter().map(|w| w.entry.clone()).collect();
         let listing = Listing { scope, entries };
         self.engine.listed(now, listing, &mut self.to_engine);
-        self.hold_back(now, held_back);
+        self.cancel_unsent(now, held_back);
         self.settle(now);
     }
 
     /// What waits to be sent to workers that take nothing new is taken back; the module knows of them already.
-    fn hold_back(&mut self, now: Micros, workers: Vec<WorkerId>) {
+    fn cancel_unsent(&mut self, now: Micros, workers: Vec<WorkerId>) {
         for worker in workers {
-            for end in self.pool.hold_back(now, &mut self.reactor, worker) {
+            for end in self.pool.cancel_unsent(now, &mut self.reactor, worker) {
                 self.ended(now, end);
             }
         }
@@ -501,7 +501,7 @@
     }
 
     /// All is answered: says goodbye to the clients and writes out what waits, for a bounded time.
-    fn leave(&mut self, now: Micros) -> Result<(), ShellError> {
+    fn leave(&mut self, now: Micros) -> Result<(), GatewayError> {
         self.agreement.iter_mut().for_each(Agreement::leave);
         self.front.stop(now, &mut self.to_front);
         self.settle(now);
@@ -513,7 +513,7 @@
         };
         let unsent = |s: &Self| s.bridge.as_ref().is_some_and(|l| l.bridge.is_up() && l.bridge.unsent() > 0);
         while (self.reactor.has_pending() || unsent(self) || staying(self)) && self.clock.now() < until {
-            self.reactor.turn(Some(Duration::from_millis(10)), &mut happened).map_err(ShellError::Loop)?;
+            self.reactor.turn(Some(Duration::from_millis(10)), &mut happened).map_err(GatewayError::Loop)?;
             let now = self.clock.now();
             for happening in happened.drain(..) {
                 self.happened(now, happening);
--- a/crates/gateway/src/server/plugins.rs
+++ b/crates/gateway/src/server/plugins.rs
@@ -4,7 +4,7 @@
 //! itself. A call's version is fixed when it is taken; what it came to is told to the roll-out that it was part of.
 
 use crate::clock::Clock;
-use crate::plugins::background::{Aside, AsideSettings, Asker, Task, Told};
+use crate::plugins::background::{BackgroundWorker, BackgroundWorkerSettings, Requester, Task, Told};
 use crate::plugins::command::{Command, CommandError};
 use crate::plugins::folder::{unix_ms, verify, FolderError, PluginFolder};
 use crate::settings::{PluginSettings, Site};
@@ -54,7 +54,7 @@
 /// See the module's documentation.
 pub(super) struct PluginHost {
     settings: PluginSettings,
-    background: Aside,
+    background: BackgroundWorker,
     catalogue: Catalogue,
     /// What `current` of each function means for calls, moves under way left out.
     settled: BTreeMap<String, Resolved>,
@@ -106,13 +106,16 @@
         for (digest, reason) in catalogue.barred() {
             warn!(%digest, %reason, "a version does not run here");
         }
-        let of_thread =
-            AsideSettings { registry: settings.registry.clone(), scrub_per_s: settings.scrub_per_s, clock };
+        let of_thread = BackgroundWorkerSettings {
+            registry: settings.registry.clone(),
+            scrub_per_s: settings.scrub_per_s,
+            clock,
+        };
         let classes = site.classes.iter().zip(&site.engine.module.classes);
         let mut host = PluginHost {
             classes: classes.map(|(name, class)| (name.clone(), class.aim)).collect(),
             order_timeout: site.engine.module.loading.order_timeout,
-            background: Aside::start(&settings.folder, of_thread, waker)?,
+            background: BackgroundWorker::start(&settings.folder, of_thread, waker)?,
             settings,
             catalogue,
             settled: BTreeMap::new(),
@@ -155,7 +158,7 @@
         }
     }
 
-    fn submit(&self, asker: Asker, command: Command) -> bool {
+    fn submit(&self, asker: Requester, command: Command) -> bool {
         // Content of calls that are open stays, whatever was deleted since.
         let keep = if command == Command::Gc { self.catalogue.reachable() } else { BTreeSet::new() };
         self.background.submit(Task { asker, command, keep })
@@ -163,7 +166,7 @@
 
     /// Asks for the folder to be read again.
     pub(super) fn reload(&self) {
-        if !self.submit(Asker::Signal, Command::Reload) {
+        if !self.submit(Requester::Signal, Command::Reload) {
             warn!("too much waits to be done on the folder of plug-ins; it is not read again now");
         }
     }
@@ -180,7 +183,7 @@
         let mut replies = Vec::new();
         for told in self.background.told() {
             match told {
-                Told::Progress(Asker::Admin(id), done, of) => {
+                Told::Progress(Requester::Admin(id), done, of) => {
                     replies.push((id, json!({"progress": [done, of]}), true));
                 }
                 Told::Progress(..) => {}
@@ -202,7 +205,7 @@
     fn ended(
         &mut self,
         now: Micros,
-        asker: Asker,
+        asker: Requester,
         command: &Command,
         outcome: Result<Value, CommandError>,
     ) -> Option<(Id, Value, bool)> {
@@ -222,22 +225,22 @@
             }
         }
         match asker {
-            Asker::Admin(id) => {
+            Requester::Admin(id) => {
                 let answer = match outcome {
                     Ok(value) => json!({"done": value}),
                     Err(error) => json!({"error": error.to_string()}),
                 };
                 return Some((id, answer, false));
             }
-            Asker::Calls => self.wanted.ended(now.0, outcome.is_ok()),
-            Asker::Rollout => match outcome {
+            Requester::Calls => self.wanted.ended(now.0, outcome.is_ok()),
+            Requester::Rollout => match outcome {
                 Ok(done) => {
                     info!(name = %done["name"], version = %done["version"], "the alias points back");
                 }
                 Err(error) => warn!(%error, "the alias was not pointed back"),
             },
-            Asker::Signal => info!("plug-ins read again"),
-            Asker::Scrub => {
+            Requester::Signal => info!("plug-ins read again"),
+            Requester::Scrub => {
                 if let Command::Quarantine { reference, reason } = command {
                     error!(
                         version = reference,
@@ -261,7 +264,7 @@
                 if matches!(command, Command::Pull { .. }) {
                     self.wanted.forgive();
                 }
-                let taken = self.submit(Asker::Admin(id), command);
+                let taken = self.submit(Requester::Admin(id), command);
                 (!taken).then(|| json!({"error": "too much waits to be done; try again"}))
             }
         }
@@ -435,7 +438,7 @@
             .begin()
             .and_then(|w| w.split_once('@').map(|(name, version)| (name.to_string(), version.to_string())))
         {
-            if !self.submit(Asker::Calls, Command::Pull { name, version }) {
+            if !self.submit(Requester::Calls, Command::Pull { name, version }) {
                 self.wanted.ended(now.0, false);
             }
         }
@@ -494,7 +497,7 @@
             expect: new.revision,
             who: "roll-out".into(),
         };
-        if !self.submit(Asker::Rollout, command) {
+        if !self.submit(Requester::Rollout, command) {
             warn!(name, "the alias was not pointed back: too much waits to be done on the folder");
         }
     }
--- a/crates/gateway/src/settings/agreed.rs
+++ b/crates/gateway/src/settings/agreed.rs
@@ -8,11 +8,11 @@
 use super::{members, Named, Res, SharedSettings, Site};
 use crate::clock::Clock;
 use slatevalve::{Class, ClassId, Effect, Group, Micros, TenantId, WorkerState};
-use slatevalve_config_versioning::{Document, Need, Repeat, Terms};
+use slatevalve_config_versioning::{Document, RetryCondition, RetryRule, Terms};
 use slatevalve_engine::{ClassPolicy, EngineSettings};
-use slatevalve_sexpr::{File, FormError};
 use slatevalve_mqtt::{Route, Routes};
 use slatevalve_registry::{ClientSettings, Follow};
+use slatevalve_sexpr::{File, FormError};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::SocketAddr;
@@ -244,15 +244,18 @@
 }
 
 /// The effect that allows no more than this; unsafe where the module knows no nearer one.
-fn effect(repeat: &Repeat) -> Effect {
-    let group = match (repeat.needs().contains(&Need::Zone), repeat.needs().contains(&Need::Cell)) {
+fn effect(repeat: &RetryRule) -> Effect {
+    let group = match (
+        repeat.needs().contains(&RetryCondition::Zone),
+        repeat.needs().contains(&RetryCondition::Cell),
+    ) {
         (false, false) => Group::All,
         (true, false) => Group::Zone,
         (false, true) => Group::Cell,
         (true, true) => return Effect::Unsafe,
     };
     match repeat.within_us() {
-        _ if repeat.is_free() => Effect::Safe,
+        _ if repeat.is_unconditional() => Effect::Safe,
         0 => Effect::Unsafe,
         within => Effect::Keyed { group, memory: Micros(within) },
     }
--- a/crates/gateway/src/settings/classes.rs
+++ b/crates/gateway/src/settings/classes.rs
@@ -1,8 +1,8 @@
 //! Classes, tenants and routes.
 
 use slatevalve::{Class, ClassId, Effect, Group, Micros, Tenant, TenantId};
-use slatevalve_sexpr::{Fields, Form, FormError};
 use slatevalve_mqtt::{Route, Template, TopicFilter};
+use slatevalve_sexpr::{Fields, Form, FormError};
 use std::collections::BTreeSet;
 
 type Res<T> = Result<T, FormError>;
--- a/crates/gateway/src/settings/document.rs
+++ b/crates/gateway/src/settings/document.rs
@@ -6,7 +6,9 @@
 use super::{Named, Res, Site};
 use crate::clock::Clock;
 use slatevalve::{Effect, Group, Micros};
-use slatevalve_config_versioning::{Bound, Class, Doubt, Need, Repeat, Route, Terms};
+use slatevalve_config_versioning::{
+    Bound, Class, LeaseExpiryPolicy, RetryCondition, RetryRule, Route, Terms,
+};
 use slatevalve_sexpr::{Fields, File, Form};
 use std::collections::BTreeMap;
 
@@ -21,7 +23,7 @@
     /// The settings, with nobody's own.
     pub site: Site,
     /// What routers do that cannot renew their right to act.
-    pub doubt: Doubt,
+    pub doubt: LeaseExpiryPolicy,
     /// How long such a right lasts.
     pub right: Micros,
     /// How far off a clock's rate may be, in parts of a million.
@@ -50,7 +52,8 @@
         let whole = File::parse(name, &format!("{text}\n{own}"))?;
         let mut top = whole.forms()?;
         top.take("agreed")?;
-        let (mut doubt, mut right, mut clock_error_ppm) = (Doubt::GoOn, Micros(3_000_000), 20_000_u64);
+        let (mut doubt, mut right, mut clock_error_ppm) =
+            (LeaseExpiryPolicy::GoOn, Micros(3_000_000), 20_000_u64);
         if let Some(form) = top.take("agreement")? {
             let mut fields = form.fields()?;
             doubt = fields.or("in-doubt", doubt, read_doubt)?;
@@ -117,25 +120,25 @@
     }
 }
 
-fn read_doubt(form: &Form<'_>) -> Res<Doubt> {
+fn read_doubt(form: &Form<'_>) -> Res<LeaseExpiryPolicy> {
     match form.text()?.as_str() {
-        "go-on" => Ok(Doubt::GoOn),
-        "give-up" => Ok(Doubt::GiveUp),
+        "go-on" => Ok(LeaseExpiryPolicy::GoOn),
+        "give-up" => Ok(LeaseExpiryPolicy::GiveUp),
         other => Err(form.error(format!("expected go-on or give-up, found {other}"))),
     }
 }
 
-pub(super) fn repeat(effect: Effect) -> Repeat {
+pub(super) fn repeat(effect: Effect) -> RetryRule {
     match effect {
-        Effect::Safe => Repeat::freely(),
-        Effect::Unsafe => Repeat::never(),
+        Effect::Safe => RetryRule::always(),
+        Effect::Unsafe => RetryRule::never(),
         Effect::Keyed { group, memory } => {
             let need = match group {
                 Group::All => None,
-                Group::Zone => Some(Need::Zone),
-                Group::Cell => Some(Need::Cell),
+                Group::Zone => Some(RetryCondition::Zone),
+                Group::Cell => Some(RetryCondition::Cell),
             };
-            Repeat::keyed(need, memory.0)
+            RetryRule::keyed(need, memory.0)
         }
     }
 }
--- a/crates/gateway/src/settings/members.rs
+++ b/crates/gateway/src/settings/members.rs
@@ -2,11 +2,11 @@
 
 use crate::members::MemberSettings;
 use slatevalve::Micros;
-use slatevalve_sexpr::{Fields, Form, FormError};
 use slatevalve_pacing::{seed_of, Limits};
 use slatevalve_registry::{
-    CensusSettings, ClientSettings, Follow, FollowerSettings, Login, RegistrationSettings,
+    ClientSettings, Follow, FollowerSettings, Login, RegistrationSettings, RouterCountSettings,
 };
+use slatevalve_sexpr::{Fields, Form, FormError};
 use std::net::{SocketAddr, ToSocketAddrs};
 use std::path::PathBuf;
 
@@ -36,8 +36,8 @@
         return Ok(Some(MemberSource::Replay(path)));
     }
     let (client, addresses) = client(&mut fields, &form, seed, name, routers)?;
-    let census_base = CensusSettings::default();
-    let census = CensusSettings {
+    let census_base = RouterCountSettings::default();
+    let census = RouterCountSettings {
         least: fields.or("least-routers", 1, |f| f.whole(1_000_000))?.max(1) as usize,
         hold_us: fields.or("fewer-routers-after-ms", Micros(census_base.hold_us), Form::millis)?.0,
         ..census_base
--- a/crates/gateway/src/settings/mod.rs
+++ b/crates/gateway/src/settings/mod.rs
@@ -17,11 +17,11 @@
 pub use workers::WorkerLine;
 
 use crate::clock::Clock;
-use slatevalve::{Effect, Limits, Loading, Micros, Reports, Rules, Settings, Weights, ZoneId};
+use slatevalve::{Effect, Limits, LoadReportSource, Loading, Micros, Rules, Settings, Weights, ZoneId};
 use slatevalve_engine::{ClassPolicy, DuplicateLimits, EngineSettings, FunctionTraits};
-use slatevalve_sexpr::{Fields, File, Form, FormError};
 use slatevalve_mqtt::{BridgeSettings, FrontSettings, Routes};
 use slatevalve_plugins::ClassRights;
+use slatevalve_sexpr::{Fields, File, Form, FormError};
 use std::collections::HashMap;
 use std::fs;
 use std::net::SocketAddr;
@@ -148,7 +148,7 @@
             classes: classes.iter().map(|c| c.class.clone()).collect(),
             tenants: tenants.iter().map(|t| t.tenant.clone()).collect(),
             weights: if uneven { Weights::Size } else { Weights::None },
-            reports: Reports::Answers,
+            reports: LoadReportSource::Answers,
             loading,
             limits,
             rules,
--- a/crates/gateway/src/settings/plugins.rs
+++ b/crates/gateway/src/settings/plugins.rs
@@ -2,9 +2,9 @@
 
 use super::sub;
 use slatevalve::Micros;
-use slatevalve_sexpr::{Fields, Form, FormError};
 use slatevalve_oci::{Credentials, Location, Policy, PullSettings};
 use slatevalve_plugins::{ClassRights, KeyList, RolloutSettings, Terms};
+use slatevalve_sexpr::{Fields, Form, FormError};
 use std::path::PathBuf;
 
 type Res<T> = Result<T, FormError>;
--- a/crates/gateway/src/settings/workers.rs
+++ b/crates/gateway/src/settings/workers.rs
@@ -4,8 +4,8 @@
 use crate::clock::Clock;
 use slatevalve::{CellId, KindId, WorkerEntry, WorkerState, ZoneId};
 use slatevalve_engine::worker_id;
-use slatevalve_sexpr::{Fields, Form, FormError};
 use slatevalve_registry::{MemberState, WorkerRecord};
+use slatevalve_sexpr::{Fields, Form, FormError};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
--- a/crates/platform/src/changes.rs
+++ b/crates/platform/src/changes.rs
@@ -11,7 +11,7 @@
 use slatevalve::{CellId, KindId, Listing, Micros, Scope, WorkerEntry, WorkerState, ZoneId};
 use slatevalve_engine::worker_id;
 use slatevalve_http::{Limits, Message, MessageReader, Side};
-use slatevalve_pacing::{Limits as PaceLimits, Pace};
+use slatevalve_pacing::{Limits as PaceLimits, PollSchedule};
 use slatevalve_site_config::object::{flag, list, number_or, object, opt, text, unknown, whole, Obj};
 use slatevalve_site_config::{FieldError, Names};
 use std::net::SocketAddr;
@@ -109,7 +109,7 @@
     seq: u64,
     state: State,
     reader: MessageReader,
-    pace: Pace,
+    pace: PollSchedule,
     /// Answers in a row that left out numbers.
     gaps: u32,
 }
@@ -132,7 +132,7 @@
     ) -> Result<(Self, Told), FieldError> {
         let state = State::Apart(Micros(0));
         // The list of routers is not told here: the draw after the first failure is over none but this one.
-        let pace = Pace::new(AGAIN, 1, seed);
+        let pace = PollSchedule::new(AGAIN, 1, seed);
         let mut follower =
             Follower { names, at_unix_ms, address, seq: 0, state, reader: reader(), pace, gaps: 0 };
         // Numbers begin where the events of the start do, whatever these are.
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -7,7 +7,7 @@
 //! closed connection can never be taken for that of a later one.
 //!
 //! Three things hold whatever comes between two lines. Bytes leave at the beginning of a turn and never while its news are
-//! being gathered, so that what a turn brings can still take them back ([`Reactor::take_back`]). What a peer said before its
+//! being gathered, so that what a turn brings can still take them back ([`Reactor::discard_unsent`]). What a peer said before its
 //! end is told before that end, also where the end shows itself in a failing write. A connection that is closed from here in
 //! order is half-closed and read out first, as a close over unread bytes makes the kernel destroy what the peer has not read.
 #![warn(missing_docs)]
@@ -36,7 +36,7 @@
 /// A connection that is to be closed once all is written is closed without it after this: its peer may never read.
 const FINISH: Duration = Duration::from_secs(5);
 /// Connections read out at a time; beyond, the one that is read out for longest is closed.
-pub const LINGERING: usize = 16;
+pub const MAX_LINGERING: usize = 16;
 
 /// A listener, connection or signal source; never used twice within one loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -160,7 +160,7 @@
             ended: Vec::new(),
             unflushed: Vec::new(),
             lingering: VecDeque::new(),
-            most_lingering: LINGERING,
+            most_lingering: MAX_LINGERING,
             finishing: VecDeque::new(),
         })
     }
@@ -290,7 +290,7 @@
     /// Takes back bytes that were handed in and of which the kernel has none yet: those from the `from`th to before the
     /// `to`th of the connection's life, counted as [`Reactor::written`] does. What was handed in behind them moves up. Gives
     /// whether it did; it does all or nothing.
-    pub fn take_back(&mut self, id: Id, from: u64, to: u64) -> bool {
+    pub fn discard_unsent(&mut self, id: Id, from: u64, to: u64) -> bool {
         let Some(Source::Connection(c)) = self.sources.get_mut(&id.0) else { return false };
         let offered = c.written + c.pending() as u64;
         if from < c.written || from > to || to > offered {
@@ -376,8 +376,8 @@
         matches!(self.sources.get(&id.0), Some(Source::Connection(c)) if c.finishing)
     }
 
-    /// How many connections may be read out at a time; [`LINGERING`] if nothing is said.
-    pub fn linger_at_most(&mut self, most: usize) {
+    /// How many connections may be read out at a time; [`MAX_LINGERING`] if nothing is said.
+    pub fn set_max_lingering(&mut self, most: usize) {
         self.most_lingering = most;
     }
 
--- a/crates/registry/src/census.rs
+++ b/crates/registry/src/census.rs
@@ -4,9 +4,9 @@
 //! too small, all routers together push one over. So a rise counts at once and a fall slowly: a registry that is cut
 //! off from half the routers, or loses their leases at once, must not make the other half believe that it is alone.
 
-/// Limits of a [`Census`]. Times in microseconds.
+/// Limits of a [`RouterCount`]. Times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CensusSettings {
+pub struct RouterCountSettings {
     /// Routers that there are at least, whatever the registry lists.
     pub least: usize,
     /// A fall is believed after it held for so long without a break, and then once more after each such time.
@@ -15,26 +15,26 @@
     pub step: usize,
 }
 
-impl Default for CensusSettings {
+impl Default for RouterCountSettings {
     fn default() -> Self {
-        CensusSettings { least: 1, hold_us: 30_000_000, step: 4 }
+        RouterCountSettings { least: 1, hold_us: 30_000_000, step: 4 }
     }
 }
 
 /// See the module's documentation.
 #[derive(Debug)]
-pub struct Census {
-    settings: CensusSettings,
+pub struct RouterCount {
+    settings: RouterCountSettings,
     believed: usize,
     /// Since when fewer are listed than believed.
     fewer_since_us: Option<i64>,
 }
 
-impl Census {
+impl RouterCount {
     /// So many routers are believed in before anything is heard.
-    pub fn new(settings: CensusSettings, believed: usize) -> Self {
+    pub fn new(settings: RouterCountSettings, believed: usize) -> Self {
         let believed = believed.max(settings.least).max(1);
-        Census { settings, believed, fewer_since_us: None }
+        RouterCount { settings, believed, fewer_since_us: None }
     }
 
     /// The number of routers.
@@ -78,8 +78,8 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn census() -> Census {
-        Census::new(CensusSettings { least: 1, hold_us: 100, step: 4 }, 1)
+    fn census() -> RouterCount {
+        RouterCount::new(RouterCountSettings { least: 1, hold_us: 100, step: 4 }, 1)
     }
 
     #[test]
--- a/crates/registry/src/client.rs
+++ b/crates/registry/src/client.rs
@@ -4,20 +4,20 @@
 //!
 //! It guards against members that accept and never answer (each request has a time; the watch is checked by looks), that
 //! fail (the next one is asked, see [`Endpoints`]), and tokens that end (a login, and what was refused goes out again); and
-//! the registry against hundreds of askers: [`Pace`] says when each question goes out, a keep-alive serves as a look where
+//! the registry against hundreds of askers: [`PollSchedule`] says when each question goes out, a keep-alive serves as a look where
 //! nothing changed, and routers are counted, not heard of one by one.
 
 use crate::connection::{Connection, Link, Purpose};
 use crate::counting::Counting;
 use crate::endpoints::Endpoints;
-use crate::follower::{Change, Follower, FollowerSettings, Trouble, Want};
+use crate::follower::{Change, Follower, FollowerSettings, NextRequest, Trouble};
 use crate::members::{RelayRecord, RELAYS, ROUTERS, WORKERS};
 use crate::registration::{Registration, RegistrationSettings, Step};
 use crate::wire::*;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use slatevalve_http::Part;
-use slatevalve_pacing::{Limits as PaceLimits, Pace};
+use slatevalve_pacing::{Limits as PaceLimits, PollSchedule};
 use std::collections::VecDeque;
 
 /// Bytes of one answer, or of one line of a watch's.
@@ -124,7 +124,7 @@
     follower: Follower,
     registration: Option<Registration>,
     endpoints: Endpoints,
-    pace: Pace,
+    pace: PollSchedule,
     begun: bool,
     /// Nothing is asked before; short requests not before the second.
     not_before_us: i64,
@@ -158,7 +158,7 @@
             follower: Follower::new(settings.follower),
             registration: settings.own.is_some().then(|| Registration::new(settings.registration)),
             endpoints,
-            pace: Pace::new(limits, settings.askers, settings.seed),
+            pace: PollSchedule::new(limits, settings.askers, settings.seed),
             begun: false,
             not_before_us: 0,
             short_not_before_us: 0,
@@ -307,7 +307,7 @@
             self.leave_member(out);
         }
         // A list that begins anew ends the watch that stood.
-        if matches!(self.watch.link, Link::Busy(_)) && matches!(self.follower.want(), Want::List(_)) {
+        if matches!(self.watch.link, Link::Busy(_)) && matches!(self.follower.want(), NextRequest::List(_)) {
             self.close(Channel::Watch, out);
         }
         if self.short_is_free(now_us) {
@@ -331,7 +331,7 @@
     /// Whether a watch is to be begun and could be.
     fn wants_watch(&self) -> bool {
         let free = matches!(self.watch.link, Link::Closed | Link::Idle);
-        free && self.follows() && !self.needs_login() && matches!(self.follower.want(), Want::Watch(_))
+        free && self.follows() && !self.needs_login() && matches!(self.follower.want(), NextRequest::Watch(_))
     }
 
     fn follows(&self) -> bool {
@@ -349,7 +349,7 @@
 
     /// Whether [`Client::wanted`] would give something.
     fn wants_short(&self, now_us: i64) -> bool {
-        let list = !self.leaving && matches!(self.follower.want(), Want::List(_));
+        let list = !self.leaving && matches!(self.follower.want(), NextRequest::List(_));
         let follow = self.follows() && (list || self.follower.wants_look(now_us));
         let more = self.step(now_us).is_some() || self.wants_count(now_us) || self.counting.wants_relays();
         self.needs_login() || !self.asked.is_empty() || follow || more
@@ -365,7 +365,7 @@
             return Some(Purpose::Asked { ticket, path, body });
         }
         if self.follows() && !self.leaving {
-            if let Want::List(ask) = self.follower.want() {
+            if let NextRequest::List(ask) = self.follower.want() {
                 return Some(Purpose::List(ask));
             }
         }
@@ -420,7 +420,7 @@
         let (path, body) = match purpose {
             Purpose::Watch => {
                 let start_revision = match self.follower.want() {
-                    Want::Watch(revision) => revision,
+                    NextRequest::Watch(revision) => revision,
                     _ => 0,
                 };
                 let create =
--- a/crates/registry/src/connection.rs
+++ b/crates/registry/src/connection.rs
@@ -1,6 +1,6 @@
 //! One of the client's two connections: what it was opened or asked for, and how far its answer is. Called by [`crate::Client`].
 
-use crate::follower::ListAsk;
+use crate::follower::ListRequest;
 use crate::registration::Step;
 use slatevalve_http::{Limits, PartReader, Side};
 
@@ -9,7 +9,7 @@
 pub(crate) enum Purpose {
     Watch,
     Login,
-    List(ListAsk),
+    List(ListRequest),
     Look,
     /// How many routers registered themselves; then, with that number, what relays say of theirs.
     Count,
--- a/crates/registry/src/endpoints.rs
+++ b/crates/registry/src/endpoints.rs
@@ -1,5 +1,5 @@
 //! Which member of the registry is spoken to: relays of the list first, each asker in an order of its own, and the registry's
-//! own members as the last resort. A decision module; when the next one is asked says [`slatevalve_pacing::Pace`].
+//! own members as the last resort. A decision module; when the next one is asked says [`slatevalve_pacing::PollSchedule`].
 //!
 //! It guards a relay that died against all of its askers going to the same other one, and the registry against those that
 //! came to it when no relay was there and would stay for good.
--- a/crates/registry/src/follower.rs
+++ b/crates/registry/src/follower.rs
@@ -58,7 +58,7 @@
 
 /// What a list is asked with.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListAsk {
+pub struct ListRequest {
     /// The first key; empty for the prefix itself.
     pub from: Vec<u8>,
     /// As of this revision; 0 for now.
@@ -69,9 +69,9 @@
 
 /// What the follower wants asked now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum NextRequest {
     /// A list of keys.
-    List(ListAsk),
+    List(ListRequest),
     /// A watch from this revision.
     Watch(i64),
     /// Nothing but what is under way.
@@ -109,7 +109,7 @@
 
 /// A key that is held.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct CachedEntry {
     /// Its value.
     pub value: Vec<u8>,
     /// The revision that made it.
@@ -120,7 +120,7 @@
 
 enum State {
     /// A list is wanted, or under way from a key on.
-    Listing { revision: i64, from: Vec<u8>, found: BTreeMap<Vec<u8>, Held> },
+    Listing { revision: i64, from: Vec<u8>, found: BTreeMap<Vec<u8>, CachedEntry> },
     /// A watch is wanted.
     Resuming,
     /// A watch stands.
@@ -130,7 +130,7 @@
 /// See the module's documentation.
 pub struct Follower {
     settings: FollowerSettings,
-    held: BTreeMap<Vec<u8>, Held>,
+    held: BTreeMap<Vec<u8>, CachedEntry>,
     /// All changes up to this revision are told.
     revision: i64,
     /// What an earlier process kept is followed on, and no look has shown yet that it is of this life of the registry.
@@ -205,7 +205,7 @@
         for (n, (key, value)) in keys.iter().enumerate() {
             // Revisions of nobody knows which life of the registry mean nothing: any listed one counts as newer.
             let (made, changed) = if known { revisions[n] } else { (0, 0) };
-            self.held.insert(key.clone(), Held { value: value.clone(), made, changed });
+            self.held.insert(key.clone(), CachedEntry { value: value.clone(), made, changed });
         }
         if known {
             (self.revision, self.cluster, self.state) = (revision, cluster, State::Resuming);
@@ -273,7 +273,7 @@
     }
 
     /// The keys that are held.
-    pub fn held(&self) -> &BTreeMap<Vec<u8>, Held> {
+    pub fn held(&self) -> &BTreeMap<Vec<u8>, CachedEntry> {
         &self.held
     }
 
@@ -283,13 +283,15 @@
     }
 
     /// What is to be asked, where nothing of it is under way.
-    pub fn want(&self) -> Want {
+    pub fn want(&self) -> NextRequest {
         match &self.state {
-            State::Listing { revision, from, .. } => {
-                Want::List(ListAsk { from: from.clone(), revision: *revision, limit: self.settings.page })
-            }
-            State::Resuming => Want::Watch(self.revision + 1),
-            State::Watching => Want::Nothing,
+            State::Listing { revision, from, .. } => NextRequest::List(ListRequest {
+                from: from.clone(),
+                revision: *revision,
+                limit: self.settings.page,
+            }),
+            State::Resuming => NextRequest::Watch(self.revision + 1),
+            State::Watching => NextRequest::Nothing,
         }
     }
 
@@ -359,7 +361,7 @@
         let last = page.kvs.last().map(|kv| kv.key.0.clone());
         found.extend(page.kvs.into_iter().map(|kv| {
             let KeyValue { key, value, create_revision, mod_revision, .. } = kv;
-            (key.0, Held { value: value.0, made: create_revision, changed: mod_revision })
+            (key.0, CachedEntry { value: value.0, made: create_revision, changed: mod_revision })
         }));
         if let (true, Some(mut next)) = (page.more, last) {
             // The smallest key behind the last one.
@@ -385,7 +387,7 @@
     }
 
     /// Every difference between what is held and what was found, as changes.
-    fn compare(&self, found: &BTreeMap<Vec<u8>, Held>) -> Vec<Change> {
+    fn compare(&self, found: &BTreeMap<Vec<u8>, CachedEntry>) -> Vec<Change> {
         let gone = self.held.keys().filter(|key| !found.contains_key(*key));
         let mut told: Vec<Change> = gone.map(|key| Change::Gone { key: key.clone() }).collect();
         for (key, new) in found {
@@ -476,7 +478,7 @@
                     return None;
                 }
                 let made = old.is_none_or(|o| o.made != kv.create_revision);
-                let held = Held { value: kv.value.0.clone(), made: kv.create_revision, changed: at };
+                let held = CachedEntry { value: kv.value.0.clone(), made: kv.create_revision, changed: at };
                 self.held.insert(kv.key.0.clone(), held);
                 Some(Change::Put { key: kv.key.0, value: kv.value.0, made })
             }
