--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! It guards one thing above all: a drain is never missed, however long the break and whatever the registry forgot
 //! meanwhile. [`Follower`] keeps a copy of the keys below a prefix and tells every change, those that happened while
-//! nothing was heard included; [`Members`] makes workers and routers of them, drains before all else; [`Census`] keeps a
+//! nothing was heard included; [`Members`] makes workers and routers of them, drains before all else; [`RouterCount`] keeps a
 //! partition of the registry from making every router believe that it is alone; [`Registration`] keeps this router's own
 //! entry alive. [`Client`] joins them to HTTP messages; the gateway's shell owns the sockets.
 #![forbid(unsafe_code)]
@@ -19,10 +19,12 @@
 pub mod serve;
 pub mod wire;
 
-pub use census::{Census, CensusSettings};
+pub use census::{RouterCount, RouterCountSettings};
 pub use client::{Channel, Client, ClientSettings, Do, Follow, Heard, Login};
 pub use endpoints::Endpoints;
-pub use follower::{Change, Follower, FollowerSettings, Held, ListAsk, Trouble, View, Want};
+pub use follower::{
+    CachedEntry, Change, Follower, FollowerSettings, ListRequest, NextRequest, Trouble, View,
+};
 pub use members::{
     read_member, router_key, worker_key, Member, MemberChange, MemberState, Members, RecordError,
     RelayRecord, RouterRecord, WorkerRecord, RELAYS, ROUTERS, WORKERS,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -6,7 +6,7 @@
 //! its registry refuses all and ends its watches, so that routers leave it. No drain is lost: what cannot be told as an event in
 //! order ends the watches, and routers list anew. Revisions are the registry's own.
 //!
-//! [`Mirror`] holds the keys and their history, [`Relay`] speaks with routers; both are without I/O. [`run_relay`] is the thin
+//! [`WatchCache`] holds the keys and their history, [`Relay`] speaks with routers; both are without I/O. [`run_relay`] is the thin
 //! shell, called by the command `slatevalve relay`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -17,6 +17,6 @@
 mod run;
 
 pub use entries::Entries;
-pub use mirror::{Mirror, Taken};
+pub use mirror::{Taken, WatchCache};
 pub use relay::{Act, Limits, Peer, Relay};
 pub use run::{run_relay, RelayError, RelayPlan};
--- a/crates/relay/src/mirror.rs
+++ b/crates/relay/src/mirror.rs
@@ -1,13 +1,13 @@
 //! The keys that a relay follows, with enough of their history for routers that were away for a moment or list in pages.
 //!
-//! Invariant: `events` since any revision that is not older than [`Mirror::oldest`] lead from the keys of that revision to those
+//! Invariant: `events` since any revision that is not older than [`WatchCache::oldest`] lead from the keys of that revision to those
 //! of now; what breaks that is told as [`Taken::Anew`], and whoever followed has to list.
 
 use slatevalve_registry::serve::within;
 use slatevalve_registry::wire::{
     code, Bytes, EventType, Header, KeyValue, RangeRequest, RangeResponse, WatchEvent,
 };
-use slatevalve_registry::Held;
+use slatevalve_registry::CachedEntry;
 use std::collections::{BTreeMap, VecDeque};
 
 type Keys = BTreeMap<Vec<u8>, KeyValue>;
@@ -25,7 +25,7 @@
 
 /// See the module's documentation.
 #[derive(Debug, Default)]
-pub struct Mirror {
+pub struct WatchCache {
     cluster: i64,
     revision: i64,
     keys: Keys,
@@ -44,10 +44,10 @@
     };
 }
 
-impl Mirror {
+impl WatchCache {
     /// An empty mirror that keeps so many events.
     pub fn new(most: usize) -> Self {
-        Mirror { most: most.max(1), ..Mirror::default() }
+        WatchCache { most: most.max(1), ..WatchCache::default() }
     }
 
     /// What comes with each answer.
@@ -66,8 +66,8 @@
     }
 
     /// Takes what is followed now: the cluster, the revision that is sure, and the keys.
-    pub fn take(&mut self, cluster: i64, revision: i64, held: &BTreeMap<Vec<u8>, Held>) -> Taken {
-        let value = |(key, h): (&Vec<u8>, &Held)| KeyValue {
+    pub fn take(&mut self, cluster: i64, revision: i64, held: &BTreeMap<Vec<u8>, CachedEntry>) -> Taken {
+        let value = |(key, h): (&Vec<u8>, &CachedEntry)| KeyValue {
             key: Bytes(key.clone()),
             value: Bytes(h.value.clone()),
             create_revision: h.made,
@@ -177,13 +177,13 @@
         RangeRequest { range_end: Bytes(vec![0]), ..RangeRequest::default() }
     }
 
-    fn held(value: u8, made: i64, changed: i64) -> Held {
-        Held { value: vec![value], made, changed }
+    fn held(value: u8, made: i64, changed: i64) -> CachedEntry {
+        CachedEntry { value: vec![value], made, changed }
     }
 
     #[test]
     fn a_change_that_was_lost_before_one_that_was_told_makes_everybody_list() {
-        let mut mirror = Mirror::new(8);
+        let mut mirror = WatchCache::new(8);
         let mut keys = BTreeMap::from([(vec![1], held(1, 1, 1))]);
         assert_eq!(mirror.take(7, 5, &keys), Taken::Nothing);
         keys.insert(vec![2], held(1, 4, 4));
@@ -201,7 +201,7 @@
             most in 1usize..20,
         ) {
             let steps: Steps = steps;
-            let (mut mirror, mut now, mut revision) = (Mirror::new(most), BTreeMap::new(), 1);
+            let (mut mirror, mut now, mut revision) = (WatchCache::new(most), BTreeMap::new(), 1);
             mirror.take(7, 1, &now);
             let mut states: Vec<(i64, Keys)> = vec![(1, Keys::new())];
             for (key, value, seen) in steps {
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,7 +1,7 @@
 //! What routers ask a relay, and what they are answered. No I/O: bytes by connection and times in, bytes out.
 
 use crate::entries::Entries;
-use crate::mirror::{Mirror, Taken};
+use crate::mirror::{Taken, WatchCache};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use slatevalve_http::{Message, MessageReader, Side};
@@ -64,7 +64,7 @@
 pub struct Relay {
     limits: Limits,
     prefix: String,
-    mirror: Mirror,
+    mirror: WatchCache,
     entries: Entries,
     peers: BTreeMap<Peer, Connected>,
     /// Whether what is held may be served.
@@ -91,7 +91,7 @@
     pub fn new(limits: Limits, name: &str, prefix: &str) -> Self {
         Relay {
             prefix: prefix.into(),
-            mirror: Mirror::new(limits.events),
+            mirror: WatchCache::new(limits.events),
             entries: Entries::new(name, limits.peers),
             peers: BTreeMap::new(),
             fit: false,
--- a/crates/site-config/src/settings.rs
+++ b/crates/site-config/src/settings.rs
@@ -75,9 +75,9 @@
                 _ => Weights::None,
             },
             reports: match opt(telemetry, "via").and_then(Value::as_str) {
-                Some("answers") => Reports::Answers,
-                Some("probe") => Reports::Probes,
-                _ => Reports::None,
+                Some("answers") => LoadReportSource::Answers,
+                Some("probe") => LoadReportSource::Probes,
+                _ => LoadReportSource::None,
             },
             loading: loading(family)?,
             limits: Limits {
--- a/crates/worker-protocol/src/lib.rs
+++ b/crates/worker-protocol/src/lib.rs
@@ -17,8 +17,8 @@
 mod tensor;
 mod wire;
 
-pub use order::{Asked, AskedError, Call, Order};
+pub use order::{Asked, Call, Order, RequestError};
 pub use reply::{LoadReport, Reply};
 pub use slatevalve_http::{Head, Limits, Message, MessageError, MessageReader, Side};
 pub use tensor::TensorError;
-pub use wire::{Heard, Http, Reader, Spoilt, Tag, Wire};
+pub use wire::{Heard, Http, MalformedReply, Reader, Tag, Wire};
--- a/crates/worker-protocol/src/reply.rs
+++ b/crates/worker-protocol/src/reply.rs
@@ -47,7 +47,7 @@
 
 /// What the gateway understood of an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Understood {
+pub struct ParsedReply {
     /// In the module's terms.
     pub outcome: Outcome,
     /// The result, for [`Outcome::Ok`] of a call.
@@ -144,7 +144,7 @@
 
 /// What an answer to `order` means. A call that was answered without the profile's own header may have run, so it
 /// is an error, whatever its status: 404, 429, 502 and 503 may come from anything between.
-pub fn read(order: &Order, message: Message) -> Understood {
+pub fn read(order: &Order, message: Message) -> ParsedReply {
     let head = &message.head;
     let number = |name| head.header(name).and_then(|v| v.parse::<u64>().ok());
     let good = (200..300).contains(&head.status);
@@ -153,7 +153,7 @@
         headers::NEVER_RAN_MISS => Some(Outcome::Miss),
         _ => None,
     });
-    let mut understood = Understood {
+    let mut understood = ParsedReply {
         outcome: never_ran.unwrap_or(if good { Outcome::Ok } else { Outcome::Error }),
         payload: Vec::new(),
         copies: number(headers::COPIES).and_then(|n| u32::try_from(n).ok()).unwrap_or(0),
@@ -182,7 +182,7 @@
     use super::*;
     use crate::{Call, Limits, MessageReader, Side};
 
-    fn through(bytes: &[u8]) -> Understood {
+    fn through(bytes: &[u8]) -> ParsedReply {
         let message = MessageReader::new(Side::Response, Limits::default()).feed(bytes).unwrap();
         read(&Order::Infer(Call::default()), message.expect("whole"))
     }
--- a/crates/worker-protocol/src/wire.rs
+++ b/crates/worker-protocol/src/wire.rs
@@ -4,7 +4,7 @@
 //! a connection; the platform's lines are another. Called by the gateway's pool.
 
 use crate::order::Order;
-use crate::reply::{self, Understood};
+use crate::reply::{self, ParsedReply};
 use slatevalve_http::{Limits, MessageReader, Side};
 
 /// A request on one connection, as the pool numbers it; never used twice on a connection.
@@ -17,12 +17,12 @@
     /// Which request.
     pub tag: Tag,
     /// What came of it.
-    pub understood: Understood,
+    pub understood: ParsedReply,
 }
 
 /// The bytes are none of the protocol; the connection is of no use afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spoilt;
+pub struct MalformedReply;
 
 /// One protocol.
 pub trait Wire {
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// When the bytes are none of the protocol. What was appended before stands.
-    fn feed(&mut self, bytes: &[u8], out: &mut Vec<Heard>) -> Result<(), Spoilt>;
+    fn feed(&mut self, bytes: &[u8], out: &mut Vec<Heard>) -> Result<(), MalformedReply>;
     /// The connection ended: the request that only this end completes, if any.
     fn end(&mut self) -> Option<Heard>;
     /// Whether nothing of a further answer has come and the worker will take further requests.
@@ -102,10 +102,10 @@
         self.expected = None;
     }
 
-    fn feed(&mut self, bytes: &[u8], out: &mut Vec<Heard>) -> Result<(), Spoilt> {
+    fn feed(&mut self, bytes: &[u8], out: &mut Vec<Heard>) -> Result<(), MalformedReply> {
         // Nothing was asked: whatever this answers, it is nobody's.
-        let (tag, order) = self.expected.as_ref().ok_or(Spoilt)?;
-        if let Some(message) = self.reader.feed(bytes).map_err(|_| Spoilt)? {
+        let (tag, order) = self.expected.as_ref().ok_or(MalformedReply)?;
+        if let Some(message) = self.reader.feed(bytes).map_err(|_| MalformedReply)? {
             self.last = message.head.last;
             out.push(Heard { tag: *tag, understood: reply::read(order, message) });
             self.expected = None;
--- a/src/api.rs
+++ b/src/api.rs
@@ -228,7 +228,7 @@
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReportSource {
     /// Nowhere.
     #[default]
     None,
@@ -260,7 +260,7 @@
     /// What weights mean.
     pub weights: Weights,
     /// Where reports come from.
-    pub reports: Reports,
+    pub reports: LoadReportSource,
     /// How functions are loaded.
     pub loading: Loading,
     /// What is allowed.
@@ -283,7 +283,7 @@
             worth_by_work: false,
             must_ask: false,
             weights: Weights::None,
-            reports: Reports::None,
+            reports: LoadReportSource::None,
             loading: Loading { orders: true, keep: Micros(8_000_000), ..Loading::default() },
             limits: Limits::default(),
             rules: Rules::default(),
--- a/src/brain.rs
+++ b/src/balancer/mod.rs
@@ -6,7 +6,10 @@
 //! `docs/design.md`.
 
 use crate::api::*;
-use crate::state::*;
+mod state;
+
+pub use state::Balancer;
+use state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Ring points of a worker of middling weight: arcs even to a few parts in a hundred, a walk stays cheap.
@@ -82,7 +85,7 @@
 /// Functions remembered at most; the one unused longest goes first.
 const FUNCTIONS: usize = 4096;
 
-impl Record {
+impl FailureRecord {
     /// A worker that serves others meanwhile is doubted only from the second piece in a row on: one spoilt
     /// answer or reset says little of it, and each rest sends its functions to be loaded elsewhere.
     fn bad(&mut self, now: Micros, full: bool, lively: bool) {
@@ -98,7 +101,7 @@
 
     fn good(&mut self, now: Micros, sent: Micros) {
         if since(self.until, sent) < if self.full { FULL } else { SUSPECT } {
-            *self = Record { until: self.until.min(now), ..Record::default() };
+            *self = FailureRecord { until: self.until.min(now), ..FailureRecord::default() };
         }
     }
 }
@@ -111,11 +114,11 @@
 
     /// The evidence that keeps a call of the class away. Two classes in trouble are the worker's trouble; one
     /// alone is not, as a worker may fail or refuse one class and serve the rest.
-    fn record(&self, class: usize, now: Micros) -> Record {
+    fn record(&self, class: usize, now: Micros) -> FailureRecord {
         let own = self.classes.get(class).copied().unwrap_or_default();
-        let rests = |r: &&Record| r.times > 0 && (now < r.until || self.own > 0);
+        let rests = |r: &&FailureRecord| r.times > 0 && (now < r.until || self.own > 0);
         // The worst class and the next to it, the earlier one where they are even.
-        let (mut first, mut shared) = (Record::default(), Record::default());
+        let (mut first, mut shared) = (FailureRecord::default(), FailureRecord::default());
         for r in self.classes.iter().filter(rests) {
             if r.times > first.times {
                 (first, shared) = (*r, first);
@@ -128,7 +131,7 @@
     }
 }
 
-impl Brain {
+impl Balancer {
     /// A router that knows its settings and nothing else yet.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let class_work = settings.classes.iter().map(|c| secs(c.aim) / 6.0).collect();
@@ -136,8 +139,9 @@
         let (retries, probes) = (RETRIES.1, PROBES.1);
         // A router alone has nobody else to keep copies alive.
         let blind = BLIND * settings.routers.saturating_sub(1).min(1) as f64;
-        let start = Brain { salt: seed, blind, spread: 1.0, store: 1.0, retries, probes, ..Brain::default() };
-        Brain { class_work, tenants, s: settings, probe_gain: PROBE_GAIN.0, ..start }
+        let start =
+            Balancer { salt: seed, blind, spread: 1.0, store: 1.0, retries, probes, ..Balancer::default() };
+        Balancer { class_work, tenants, s: settings, probe_gain: PROBE_GAIN.0, ..start }
     }
 
     /// Takes one event and appends what is to be done about it.
@@ -148,7 +152,7 @@
             self.resume();
         }
         if self.all_warm.is_none() && self.now >= self.warm_at {
-            self.all_warm = Some(self.warm_weight());
+            self.all_warm = Some(self.effective_weight());
         }
         match event {
             Event::Request(r) => self.request(r, out),
@@ -158,7 +162,7 @@
             }
             Event::Left { id } => {
                 // Nothing is owed, and what still runs for it is work for nobody.
-                self.call_off(id, out);
+                self.cancel_attempts(id, out);
                 self.close(id);
             }
             Event::Listed(l) => self.listed(l),
@@ -198,7 +202,7 @@
     }
 
     /// Requests and attempts that the module still keeps track of; 0 once all is answered.
-    pub fn in_hand(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
@@ -302,7 +306,7 @@
     }
 
     /// The least share of its capacity that a started worker has by now.
-    fn warmth(&self, w: &Worker) -> f64 {
+    fn slow_start_factor(&self, w: &Worker) -> f64 {
         let Some(t) = w.started else { return 1.0 };
         let (r, age) = (&self.s.rules, since(self.now, t).0.max(0) as f64);
         let part = if r.warm_within.0 > 0 { (age / r.warm_within.0 as f64).min(1.0) } else { 1.0 };
@@ -318,7 +322,7 @@
             if order.len() >= most.min(self.workers.len()) {
                 break;
             }
-            if self.workers.get(&p.1).is_some_and(|w| p.2 < self.warmth(w)) && seen.insert(p.1) {
+            if self.workers.get(&p.1).is_some_and(|w| p.2 < self.slow_start_factor(w)) && seen.insert(p.1) {
                 order.push(p.1);
             }
         }
@@ -326,8 +330,10 @@
     }
 
     /// All weight, as warm as it is. Once all are warm it stays, and is not added up for each call any more.
-    fn warm_weight(&self) -> f64 {
-        self.all_warm.unwrap_or_else(|| self.workers.values().map(|w| self.weight(w) * self.warmth(w)).sum())
+    fn effective_weight(&self) -> f64 {
+        self.all_warm.unwrap_or_else(|| {
+            self.workers.values().map(|w| self.weight(w) * self.slow_start_factor(w)).sum()
+        })
     }
 
     /// The load that a function brings, in units of a mean worker's: its share of this router's calls, times
@@ -350,7 +356,7 @@
 
     /// The workers in the order in which this router tries them: of those that serve the function, one in its
     /// own zone or else one by a hash of its own, so that routers share them out; then on along the ring.
-    fn order_of(&self, o: &Open, width: usize) -> Vec<WorkerId> {
+    fn candidate_order(&self, o: &Open, width: usize) -> Vec<WorkerId> {
         let f = o.req.function;
         let most = if o.attempts.iter().any(Attempt::may_have_run) { usize::MAX } else { width + BEYOND };
         let mut order = self.walk(f, most);
@@ -368,7 +374,7 @@
     /// Adds up what the ring gives each worker of the functions this router knows.
     fn offer(&mut self) {
         let mut offered: BTreeMap<WorkerId, f64> = BTreeMap::new();
-        if self.workers.values().any(|w| self.warmth(w) < 1.0) {
+        if self.workers.values().any(|w| self.slow_start_factor(w) < 1.0) {
             for (id, f) in self.functions.iter().filter(|f| self.load_of(f.1) > 0.0) {
                 let width = self.width(f);
                 for w in self.walk(*id, width) {
@@ -411,25 +417,25 @@
     /// Whether a cold worker may be sent the request: within this router's own share of its budget, and by
     /// chance where that share is less than a call.
     fn cold_allows(&self, o: &Open, w: &Worker, reach: usize) -> bool {
-        let (r, warmth) = (&self.s.rules, self.warmth(w));
-        if warmth >= 1.0 {
+        let (r, slow_start_factor) = (&self.s.rules, self.slow_start_factor(w));
+        if slow_start_factor >= 1.0 {
             return true;
         }
         // Capacity is judged from the work this router sees served: both sides are in one unit, and each sees
         // its share. By all weight, warm or not: after a mass restart the rate lags behind.
         let total: f64 = self.workers.values().map(|w| self.weight(w)).sum();
         let rate = self.served.at(self.now, WORK_OVER) / WORK_OVER;
-        let capacity = rate * self.weight(w) / total.max(1e-9) * warmth;
+        let capacity = rate * self.weight(w) / total.max(1e-9) * slow_start_factor;
         let budget = COLD_USE * r.fall_multiple * capacity * secs(r.fall_window);
         let recent = |t: &&(Micros, f64)| since(self.now, t.0) <= r.fall_window;
         let sent: f64 = w.sent.iter().filter(recent).map(|t| t.1).sum();
         // What all routers together would send it is thinned to what it can take: more where most are cold or
         // attempts fail, and for calls that spill to `reach` workers, as an idle one draws them all.
-        let warm = self.warm_weight();
-        let offered = w.offered.max(warmth * total / warm.max(1e-9)) * reach.max(1) as f64;
-        let lately = |f: &Fading| f.at(self.now, SHARE_OVER) + 2.0;
+        let warm = self.effective_weight();
+        let offered = w.offered.max(slow_start_factor * total / warm.max(1e-9)) * reach.max(1) as f64;
+        let lately = |f: &DecayingCounter| f.at(self.now, SHARE_OVER) + 2.0;
         let served = (lately(&self.ok) / lately(&self.attempts)).min(1.0);
-        let chance = COLD_CHANCE * r.fall_multiple * warmth * served / offered.max(1e-9);
+        let chance = COLD_CHANCE * r.fall_multiple * slow_start_factor * served / offered.max(1e-9);
         let draw = part(mix(self.salt ^ mix(o.req.id.0) ^ w.entry.id.0));
         (sent == 0.0 || sent + self.work(o) <= budget) && draw < chance.max(budget / self.work(o).max(1e-9))
     }
@@ -479,7 +485,7 @@
         let mut left = most;
         for id in self.walk(f, width) {
             let place = self.functions.get(&f).and_then(|f| f.places.get(&id));
-            if left > 0 && !place.is_some_and(|p| self.stands(p)) && self.order(f, id, 1, out) {
+            if left > 0 && !place.is_some_and(|p| self.is_loaded(p)) && self.order(f, id, 1, out) {
                 left -= 1;
             }
         }
@@ -492,7 +498,7 @@
 
     /// On how many workers copies of a function stand, as far as this router has seen lately.
     pub fn copies_standing(&self, f: FunctionId) -> usize {
-        self.functions.get(&f).map_or(0, |f| f.places.values().filter(|p| self.stands(p)).count())
+        self.functions.get(&f).map_or(0, |f| f.places.values().filter(|p| self.is_loaded(p)).count())
     }
 
     // ---- what is believed ----
@@ -506,15 +512,15 @@
         self.class_work.get(o.req.class.0).copied().unwrap_or(0.1)
     }
 
-    fn stands(&self, p: &Place) -> bool {
+    fn is_loaded(&self, p: &Replica) -> bool {
         p.stood.is_some_and(|t| since(self.now, t) < self.s.loading.keep)
     }
 
     /// Whether a copy should be there: seen lately, or kept alive by the calls of other routers to the same
     /// workers. How often these found one is told by this router's own such calls, whatever the size.
-    fn believed(&self, p: &Place) -> bool {
+    fn likely_loaded(&self, p: &Replica) -> bool {
         let lately = |t: Micros| since(self.now, t) < self.s.loading.keep;
-        self.stands(p) || (self.blind >= BLIND && !p.missed.is_some_and(lately))
+        self.is_loaded(p) || (self.blind >= BLIND && !p.missed.is_some_and(lately))
     }
 
     /// Misses that show that others do not keep the function alive: one where its home serves it alone, two
@@ -525,7 +531,7 @@
 
     /// How far a worker is over its share of this router's requests; above 0 it is busy.
     fn excess(&self, w: &Worker, total: usize, weight: f64) -> f64 {
-        let fair = (total + 1) as f64 * self.weight(w) * self.warmth(w) / weight.max(1e-9);
+        let fair = (total + 1) as f64 * self.weight(w) * self.slow_start_factor(w) / weight.max(1e-9);
         let limit = (fair * MARGIN.0 + MARGIN.1).max(1.0) / w.slow.max(1.0);
         ((w.own + 1) as f64 - limit.max(1.0)).max(0.0)
     }
@@ -544,9 +550,9 @@
     fn pick(&self, o: &Open) -> Option<WorkerId> {
         let f = self.functions.get(&o.req.function)?;
         let (class, aim) = (o.req.class.0, secs(self.class(o).aim));
-        let (total, weight) = (self.own, self.warm_weight());
+        let (total, weight) = (self.own, self.effective_weight());
         let width = self.width(f);
-        let mut order = self.order_of(o, width);
+        let mut order = self.candidate_order(o, width);
         if !order.iter().any(|id| self.may_send(o, *id, order.len())) {
             order = self.walk(o.req.function, usize::MAX);
         }
@@ -560,7 +566,7 @@
             }
             let tried = o.attempts.iter().any(|a| a.worker == id && a.outcome != Some(Outcome::Miss));
             let p = f.places.get(&id).cloned().unwrap_or_default();
-            let there = if step < width && !missed { self.believed(&p) } else { self.stands(&p) };
+            let there = if step < width && !missed { self.likely_loaded(&p) } else { self.is_loaded(&p) };
             let load = match (there, p.due) {
                 (true, _) => 0.0,
                 // One that is overdue takes as long again, as far as anybody can tell.
@@ -622,10 +628,10 @@
         let until = after(self.now, r.budget);
         let (attempts, done, streaming, held, asks) = (Vec::new(), false, false, None, 0);
         let o = Open { req: r, until, attempts, done, streaming, held, asks };
-        let refuse = self.too_late(&o);
+        let refuse = self.should_shed(&o);
         self.open.insert(id, o);
         if refuse {
-            self.give_up(id, out);
+            self.finish_unserved(id, out);
         } else {
             self.dispatch(id, out);
         }
@@ -643,7 +649,7 @@
     }
 
     /// Counts the request against its tenant's share; true where it is beyond that.
-    fn over_share(&mut self, o: &Open) -> bool {
+    fn exceeds_quota(&mut self, o: &Open) -> bool {
         let tenant = o.req.tenant.and_then(|t| Some((self.tenants.get_mut(t.0)?, self.s.tenants.get(t.0)?)));
         let Some((left, tenant)) = tenant else { return false };
         let share = tenant.quota_per_s / self.s.routers.max(1) as f64;
@@ -655,8 +661,8 @@
     /// Whether the answer to a new request would come too late. Where this router has many calls out, by
     /// Little's law; where it has few, by the part of its answers that came late. Work of low worth goes
     /// first, and what a tenant sends beyond its share.
-    fn too_late(&mut self, o: &Open) -> bool {
-        let (over, rank, aim) = (self.over_share(o), self.rank(o), secs(self.class(o).aim));
+    fn should_shed(&mut self, o: &Open) -> bool {
+        let (over, rank, aim) = (self.exceeds_quota(o), self.rank(o), secs(self.class(o).aim));
         let shed = self.late * (LATE.3 - rank).max(0.0) * if over { 2.0 } else { 1.0 };
         if part(mix(self.salt ^ mix(!o.req.id.0))) < shed {
             return true;
@@ -693,7 +699,7 @@
         let Some(worker) = self.pick(o) else {
             // Nowhere to go for now: the next ticks try again. An answer must not wait for a tick too many.
             if o.out() == 0 && since(o.until, self.now).0 <= 2 * TICK.0 {
-                return self.give_up(id, out);
+                return self.finish_unserved(id, out);
             }
             return self.open.get_mut(&id).into_iter().for_each(|o| o.held = None);
         };
@@ -707,21 +713,22 @@
         let best = self.workers.get(&worker).filter(|w| w.heard.is_some() || w.asked.is_none());
         if let Some(w) = best.filter(|w| o.attempts.is_empty() && self.crowd(w) > most) {
             let at = w.asked.map_or(self.now, |t| after(t, tells));
-            return if at > self.now { self.hold(id, at, out) } else { self.give_up(id, out) };
+            return if at > self.now { self.hold(id, at, out) } else { self.finish_unserved(id, out) };
         }
         let Some(fun) = self.functions.get(&f) else { return };
         let (place, lanes) = (fun.places.get(&worker).cloned().unwrap_or_default(), fun.lanes);
-        let stands = self.stands(&place);
-        let (believed, copies) = (if missed { stands } else { self.believed(&place) }, place.copies.max(1));
+        let is_loaded = self.is_loaded(&place);
+        let (likely_loaded, copies) =
+            (if missed { is_loaded } else { self.likely_loaded(&place) }, place.copies.max(1));
         let mut ordered = place.ordered;
-        if !believed && place.due.is_none() {
+        if !likely_loaded && place.due.is_none() {
             if !self.s.loading.on_request && self.order(f, worker, 1, out) {
                 ordered = Some(self.now);
             }
-        } else if stands && place.own > lanes * copies as usize {
+        } else if is_loaded && place.own > lanes * copies as usize {
             self.order(f, worker, copies + 1, out);
         }
-        let fresh = ordered.filter(|t| since(self.now, *t) < BEHIND_ORDER && !believed);
+        let fresh = ordered.filter(|t| since(self.now, *t) < BEHIND_ORDER && !likely_loaded);
         match fresh.filter(|_| !self.s.loading.on_request) {
             Some(t) => self.hold(id, after(t, BEHIND_ORDER), out),
             None => self.send(id, worker, out),
@@ -742,7 +749,7 @@
         let known = w.heard.is_some_and(|t| since(self.now, t) < FRESH)
             || w.asked.is_some_and(|t| since(self.now, t) >= ASK_WAIT);
         // One in doubt is asked whatever others gained: a call that it swallows costs more than any probe.
-        let spared = self.probes < 1.0 && !w.in_doubt();
+        let spared = self.probes < 1.0 && !w.is_suspect();
         if !self.s.limits.probes || known || soon || o.asks >= ASKS || spared {
             return false;
         }
@@ -759,9 +766,9 @@
 
     fn send(&mut self, id: RequestId, worker: WorkerId, out: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id).filter(|o| self.may_send(o, worker, 1)) else { return };
-        let (work, empty) = (self.work(o), Place::default());
+        let (work, empty) = (self.work(o), Replica::default());
         let place = self.functions.get(&o.req.function).and_then(|f| f.places.get(&worker)).unwrap_or(&empty);
-        let (seen, loading) = (self.stands(place), !self.believed(place));
+        let (seen, loading) = (self.is_loaded(place), !self.likely_loaded(place));
         let blind = !seen && !loading && place.due.is_none();
         let (Some(o), Some(w)) = (self.open.get_mut(&id), self.workers.get_mut(&worker)) else { return };
         if let Some(f) = self.functions.get_mut(&o.req.function) {
@@ -788,7 +795,7 @@
         out.push(Action::Send { id, worker, timeout: None });
     }
 
-    fn call_off(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn cancel_attempts(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(o) = self.open.get_mut(&id).filter(|o| self.s.limits.cancel && !o.streaming) else { return };
         for (attempt, t) in o.attempts.iter_mut().enumerate().filter(|(_, t)| t.outcome.is_none()) {
             if !std::mem::replace(&mut t.cancelled, true) {
@@ -806,7 +813,7 @@
     }
 
     /// Ends a request that is not going to be served.
-    fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn finish_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id).filter(|o| o.undecided()) else { return };
         let refuse = self.may_refuse(o);
         out.push(if refuse { Action::Refuse { id, retry_after: None } } else { Action::Fail { id } });
@@ -851,10 +858,10 @@
         }
         let Some(o) = self.open.get(&a.id) else { return };
         if a.closed || o.done {
-            self.call_off(a.id, out);
+            self.cancel_attempts(a.id, out);
             self.close(a.id);
         } else if o.out() == 0 {
-            self.again(a.id, out);
+            self.retry_or_finish(a.id, out);
         }
     }
 
@@ -902,13 +909,13 @@
             // No room for a copy: that speaks of the function, not of the worker.
             Outcome::Full if loading => (p.due, p.rest) = (None, after(self.now, Micros(FULL.0 * 2))),
             // A reset alone need not be a crash, and a worker that did crash answers with a miss.
-            Outcome::ConnectFailed => *p = Place { own: p.own, ..Place::default() },
+            Outcome::ConnectFailed => *p = Replica { own: p.own, ..Replica::default() },
             _ => {}
         }
     }
 
     /// A further attempt where one is allowed, else the final answer.
-    fn again(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn retry_or_finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id).filter(|o| !o.done) else { return };
         let spent = o.attempts.len() >= self.s.limits.max_attempts;
         let possible = self.workers.values().any(|w| self.effect_allows(o, w));
@@ -918,7 +925,7 @@
             Some(_) => BROKEN_PRICE,
         };
         if spent || !possible || self.now >= o.until || self.retries < price {
-            return self.give_up(id, out);
+            return self.finish_unserved(id, out);
         }
         self.retries -= price;
         self.dispatch(id, out);
@@ -956,7 +963,7 @@
         let Some(w) = self.workers.get_mut(&id) else { return };
         let (asking, well) = (std::mem::take(&mut w.asking), matches!(outcome, Outcome::Ok | Outcome::Full));
         // Those in doubt are asked anyway and say nothing of what it gains to ask the others.
-        let learn = if w.in_doubt() { 0.0 } else { PROBE_GAIN.1 };
+        let learn = if w.is_suspect() { 0.0 } else { PROBE_GAIN.1 };
         (w.asked, w.heard) = (None, if well { Some(self.now) } else { w.heard });
         if !well {
             self.bad(id, None, false);
@@ -1022,13 +1029,13 @@
         }
         let mean = out_for.values().sum::<f64>() / out_for.len().max(STORE_ORDERS) as f64;
         self.store = self.store.max(mean.min(SLOWEST));
-        let (mut silent, mut again, mut over) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut silent, mut retry_or_finish, mut over) = (Vec::new(), Vec::new(), Vec::new());
         for (id, o) in self.open.iter().filter(|(_, o)| o.undecided()) {
             let Some(t) = o.attempts.iter().rfind(|t| t.outcome.is_none()) else {
                 if since(o.until, self.now).0 <= 2 * TICK.0 {
                     over.push(*id);
                 } else if o.held.is_none_or(|t| t <= self.now) {
-                    again.push(*id);
+                    retry_or_finish.push(*id);
                 }
                 continue;
             };
@@ -1040,16 +1047,16 @@
                 silent.push((*id, t.worker, o.req.class.0));
             }
         }
-        over.into_iter().for_each(|id| self.give_up(id, out));
-        again.into_iter().for_each(|id| self.dispatch(id, out));
+        over.into_iter().for_each(|id| self.finish_unserved(id, out));
+        retry_or_finish.into_iter().for_each(|id| self.dispatch(id, out));
         for (id, worker, class) in silent {
             self.bad(worker, Some(class), false);
-            self.rescue(id, worker, out);
+            self.retry_elsewhere(id, worker, out);
         }
     }
 
     /// A request whose worker has said nothing for too long goes to another, where its class allows that.
-    fn rescue(&mut self, id: RequestId, worker: WorkerId, out: &mut Vec<Action>) {
+    fn retry_elsewhere(&mut self, id: RequestId, worker: WorkerId, out: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id) else { return };
         let other = |(w, e): (&WorkerId, &Worker)| *w != worker && e.ready() && self.effect_allows(o, e);
         let spent = self.retries < 1.0 || o.attempts.len() >= self.s.limits.max_attempts || o.out() > 1;
@@ -1058,7 +1065,7 @@
         }
         // Where only one may be out, the end of the one called off leads to the next.
         if !self.s.limits.second_copies {
-            return self.call_off(id, out);
+            return self.cancel_attempts(id, out);
         }
         self.retries -= 1.0;
         self.dispatch(id, out);
--- a/src/state.rs
+++ b/src/balancer/state.rs
@@ -39,22 +39,22 @@
 
 /// A count that fades with time, so that it tells of the last so many seconds.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Fading(pub(crate) f64, pub(crate) Micros);
+pub(crate) struct DecayingCounter(pub(crate) f64, pub(crate) Micros);
 
-impl Fading {
+impl DecayingCounter {
     pub(crate) fn at(&self, now: Micros, over: f64) -> f64 {
         self.0 * (-secs(since(now, self.1)).max(0.0) / over).exp()
     }
 
     pub(crate) fn add(&mut self, now: Micros, over: f64, x: f64) {
-        *self = Fading(self.at(now, over) + x, now);
+        *self = DecayingCounter(self.at(now, over) + x, now);
     }
 }
 
 /// Bad evidence in a row about one worker's calls of one class, and until when it rests; then one trial call
 /// decides.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Record {
+pub(crate) struct FailureRecord {
     pub(crate) times: u32,
     pub(crate) until: Micros,
     pub(crate) full: bool,
@@ -70,8 +70,8 @@
     /// Own calls there that do not wait for a load.
     pub(crate) own: usize,
     /// Evidence on its connections, and on each class.
-    pub(crate) link: Record,
-    pub(crate) classes: Vec<Record>,
+    pub(crate) link: FailureRecord,
+    pub(crate) classes: Vec<FailureRecord>,
     pub(crate) last_good: Micros,
     /// Latency beside what its functions take elsewhere.
     pub(crate) slow: f64,
@@ -89,11 +89,11 @@
 
 impl Worker {
     pub(crate) fn new(entry: WorkerEntry, classes: usize) -> Self {
-        Worker { entry, slow: 1.0, classes: vec![Record::default(); classes], ..Worker::default() }
+        Worker { entry, slow: 1.0, classes: vec![FailureRecord::default(); classes], ..Worker::default() }
     }
 
     /// Whether bad evidence stands that no good answer has cleared yet, its rest over or not.
-    pub(crate) fn in_doubt(&self) -> bool {
+    pub(crate) fn is_suspect(&self) -> bool {
         self.link.times > 0 || self.classes.iter().any(|r| r.times > 0)
     }
 
@@ -103,7 +103,7 @@
 }
 
 #[derive(Clone, Default)]
-pub(crate) struct Place {
+pub(crate) struct Replica {
     pub(crate) own: usize,
     /// Last moments at which a copy is known to have stood, and to have been missing.
     pub(crate) stood: Option<Micros>,
@@ -122,10 +122,10 @@
     pub(crate) lanes: usize,
     pub(crate) load: f64,
     pub(crate) svc: f64,
-    pub(crate) calls: Fading,
+    pub(crate) calls: DecayingCounter,
     /// A worker served it once.
     pub(crate) served: bool,
-    pub(crate) places: BTreeMap<WorkerId, Place>,
+    pub(crate) places: BTreeMap<WorkerId, Replica>,
 }
 
 #[derive(Clone)]
@@ -171,9 +171,9 @@
     }
 }
 
-/// One router's decisions; they are made in `src/brain.rs`.
+/// One router's decisions; they are made in `src/balancer.rs`.
 #[derive(Default)]
-pub struct Brain {
+pub struct Balancer {
     pub(crate) s: Settings,
     pub(crate) now: Micros,
     /// This router's own seed.
@@ -193,12 +193,12 @@
     pub(crate) functions: BTreeMap<FunctionId, Function>,
     /// Mean work of each class, in seconds; work served to this router, and answers.
     pub(crate) class_work: Vec<f64>,
-    pub(crate) served: Fading,
-    pub(crate) answers: Fading,
+    pub(crate) served: DecayingCounter,
+    pub(crate) answers: DecayingCounter,
     /// All calls, attempts and those served, counted like the calls of each function.
-    pub(crate) calls: Fading,
-    pub(crate) attempts: Fading,
-    pub(crate) ok: Fading,
+    pub(crate) calls: DecayingCounter,
+    pub(crate) attempts: DecayingCounter,
+    pub(crate) ok: DecayingCounter,
     /// Loads begun for each request, smoothed.
     pub(crate) cold_rate: f64,
     /// How many times the usual loads take at present.
@@ -231,18 +231,18 @@
     pub(crate) unknown: Class,
 }
 
-impl Brain {
+impl Balancer {
     /// Takes other settings while calls are open. A class or tenant keeps its place, with what is known of it; new ones stand
     /// behind them. Calls that are open in a class go by what it says from now on. A list of workers is to follow where it
     /// changes their weights. The number of routers stays, as it is told by itself.
     pub fn settle(&mut self, settings: Settings) {
-        let fresh = Brain::new(settings, self.salt);
+        let fresh = Balancer::new(settings, self.salt);
         let (classes, tenants) = (fresh.s.classes.len(), fresh.s.tenants.len());
         self.class_work.extend(fresh.class_work.into_iter().skip(self.class_work.len()));
         self.tenants.extend(fresh.tenants.into_iter().skip(self.tenants.len()));
         self.class_work.truncate(classes);
         self.tenants.truncate(tenants);
-        self.workers.values_mut().for_each(|w| w.classes.resize(classes, Record::default()));
+        self.workers.values_mut().for_each(|w| w.classes.resize(classes, FailureRecord::default()));
         if fresh.s.weights != self.s.weights {
             self.ring_unit = 0.0;
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,22 +1,22 @@
 //! Routing decisions before workers that keep only some of many functions loaded.
 //!
 //! The library does no input or output. A router hands each thing that happened to
-//! [`Brain::handle`] and carries out the [`Action`]s that come back:
+//! [`Balancer::handle`] and carries out the [`Action`]s that come back:
 //!
 //! ```
-//! use slatevalve::{Action, Brain, Class, ClassId, Effect, Event, FunctionId, Listing, Micros, Request};
+//! use slatevalve::{Action, Balancer, Class, ClassId, Effect, Event, FunctionId, Listing, Micros, Request};
 //! use slatevalve::{RequestId, Scope, Settings, WorkerEntry, WorkerId, WorkerState, ZoneId};
 //!
 //! let settings = Settings {
 //!     classes: vec![Class { effect: Effect::Safe, ..Class::default() }],
 //!     ..Settings::default()
 //! };
-//! let mut brain = Brain::new(settings, 7);
+//! let mut balancer = Balancer::new(settings, 7);
 //! let mut actions = Vec::new();
 //! let worker = WorkerEntry { id: WorkerId(1), ..WorkerEntry::default() };
-//! brain.handle(Micros(0), Event::Listed(Listing { scope: Scope::Full, entries: vec![worker] }), &mut actions);
+//! balancer.handle(Micros(0), Event::Listed(Listing { scope: Scope::Full, entries: vec![worker] }), &mut actions);
 //! let request = Request { id: RequestId(1), function: FunctionId(9), ..Request::default() };
-//! brain.handle(Micros(1_000), Event::Request(request), &mut actions);
+//! balancer.handle(Micros(1_000), Event::Request(request), &mut actions);
 //! // The worker was not heard from yet and is asked first; then the function, not yet loaded, is ordered, and
 //! // the call follows it a moment later. Each step comes with the wake that was asked for.
 //! for ms in 1..15 {
@@ -30,7 +30,7 @@
 //!         .collect();
 //!     actions.retain(|a| !matches!(a, Action::Wake { at, .. } if at.0 <= now.0));
 //!     for token in due {
-//!         brain.handle(now, Event::Wake { token }, &mut actions);
+//!         balancer.handle(now, Event::Wake { token }, &mut actions);
 //!     }
 //! }
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { worker: WorkerId(1), .. })));
@@ -39,11 +39,10 @@
 #![warn(missing_docs)]
 
 mod api;
-mod brain;
-mod state;
+mod balancer;
 
 pub use api::*;
-pub use state::Brain;
+pub use balancer::Balancer;
 
 /// The README's examples are compiled and run with the tests.
 #[cfg(doctest)]
