--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -111,7 +111,7 @@
                     class: ClassId(place(&self.names.classes, o, "kind")?),
                     tenant,
                     function: FunctionId(whole(o, "app")?),
-                    lanes: if opt(o, "at_once").is_some() { whole(o, "at_once")? as usize } else { 1 },
+                    concurrency: if opt(o, "at_once").is_some() { whole(o, "at_once")? as usize } else { 1 },
                     work: if opt(o, "effort").is_some() { Some(time(o, "effort")?) } else { None },
                     load_time: if opt(o, "warm_ms").is_some() { Some(time(o, "warm_ms")?) } else { None },
                     memory_mb: number_or(o, "memory_mb", 0.0)?,
@@ -126,7 +126,7 @@
                 let Some(id) = self.known(o)? else { return Ok(None) };
                 let remark = if opt(o, "remark").is_some() { whole(o, "remark")? } else { 0 };
                 let outcome = outcome(o)?;
-                let told = self.names.crowd && matches!(outcome, Outcome::Ok | Outcome::Full);
+                let told = self.names.queue_depth && matches!(outcome, Outcome::Ok | Outcome::Full);
                 Event::Answer(Answer {
                     id,
                     attempt: whole(o, "try")? as usize,
@@ -134,7 +134,7 @@
                     outcome,
                     closed: flag(o, "no_more", false)?,
                     latency: time_or(o, "lag", Micros(0))?,
-                    crowd: told.then_some(remark / 8),
+                    queue_depth: told.then_some(remark / 8),
                     load_failed: remark % 8 == 4,
                     report: report(o)?,
                 })
@@ -145,7 +145,7 @@
             }
             "Vanished" => {
                 let Some(id) = self.known(o)? else { return Ok(None) };
-                Event::Left { id }
+                Event::ClientDisconnected { id }
             }
             "Members" => {
                 let scope = match text(o, "scope")? {
@@ -162,15 +162,15 @@
                         pages.get(&page).ok_or_else(|| format!("field 'page': no list {page} was given"))?;
                     entries = lines.iter().map(|v| entry(v, &self.names)).collect::<Res<_>>()?;
                 }
-                Event::Listed(Listing { scope, entries })
+                Event::WorkersListed(Listing { scope, entries })
             }
-            "Probed" => Event::Probed {
+            "Probed" => Event::ProbeCompleted {
                 worker: worker()?,
                 outcome: outcome(o)?,
                 latency: time_or(o, "lag", Micros(0))?,
                 report: report(o)?,
             },
-            "InPlace" => Event::Loaded {
+            "InPlace" => Event::LoadCompleted {
                 worker: worker()?,
                 function: FunctionId(whole(o, "app")?),
                 outcome: outcome(o)?,
@@ -277,7 +277,7 @@
                 // A request that this event ends keeps its name until the module has been told.
                 let ended = match &event {
                     Event::Answer(a) => Some((a.id, a.closed, true)),
-                    Event::Left { id } => Some((*id, true, false)),
+                    Event::ClientDisconnected { id } => Some((*id, true, false)),
                     _ => None,
                 };
                 let mut actions = Vec::new();
--- a/adapter/tests/platform.rs
+++ b/adapter/tests/platform.rs
@@ -32,7 +32,7 @@
 enum ScriptedEvent {
     List(Vec<(&'static str, WorkerState)>),
     Call { id: &'static str, class: usize, function: &'static str },
-    Ends { id: &'static str, attempt: usize, outcome: Outcome, crowd: u64 },
+    Ends { id: &'static str, attempt: usize, outcome: Outcome, queue_depth: u64 },
     Probed { worker: usize, queue: f64 },
     Loaded { worker: usize, function: &'static str, outcome: Outcome },
     Left { id: &'static str },
@@ -60,14 +60,14 @@
         story.push((300.0, Loaded { worker, function: f, outcome: Outcome::Ok }));
         story.push((310.0, Loaded { worker, function: g, outcome: Outcome::Full }));
     }
-    story.push((400.0, Ends { id: "1", attempt: 0, outcome: Outcome::Ok, crowd: 2 }));
-    story.push((410.0, Ends { id: "2", attempt: 0, outcome: Outcome::Full, crowd: 1 }));
+    story.push((400.0, Ends { id: "1", attempt: 0, outcome: Outcome::Ok, queue_depth: 2 }));
+    story.push((410.0, Ends { id: "2", attempt: 0, outcome: Outcome::Full, queue_depth: 1 }));
     story.push((420.0, Call { id: "3", class: 1, function: f }));
     story.push((425.0, Call { id: "4", class: 0, function: g }));
     story.push((500.0, List(vec![("w2", WorkerState::Draining)])));
-    story.push((510.0, Ends { id: "3", attempt: 0, outcome: Outcome::Reset, crowd: 0 }));
+    story.push((510.0, Ends { id: "3", attempt: 0, outcome: Outcome::Reset, queue_depth: 0 }));
     story.push((530.0, Left { id: "4" }));
-    story.push((560.0, Ends { id: "2", attempt: 1, outcome: Outcome::Ok, crowd: 0 }));
+    story.push((560.0, Ends { id: "2", attempt: 1, outcome: Outcome::Ok, queue_depth: 0 }));
     for n in 0..30 {
         story.push((
             600.0 + 7.0 * n as f64,
@@ -183,13 +183,13 @@
             ScriptedEvent::Call { id, class, function } => vec![json!({"m": "Knock", "i": "r", "id": id,
                 "budget": 2000.0, "kind": CLASSES[*class], "app": function_id(function).0, "at_once": 2,
                 "warm_ms": 300, "memory_mb": 400})],
-            ScriptedEvent::Ends { id, attempt, outcome, crowd } => {
+            ScriptedEvent::Ends { id, attempt, outcome, queue_depth } => {
                 let wanted = self.wanted.iter().filter(|w| w.1.starts_with(&format!("send {id} ")));
                 let Some((sent, words)) = wanted.clone().nth(*attempt) else { return };
                 let worker = words.rsplit(' ').next().unwrap();
                 vec![json!({"m": "Answer", "i": "r", "id": id, "worker": worker_id(worker).0,
                     "rc": rc(outcome), "try": attempt, "lag": at - *sent as f64 / 1000.0,
-                    "no_more": *outcome == Outcome::Ok, "remark": crowd * 8})]
+                    "no_more": *outcome == Outcome::Ok, "remark": queue_depth * 8})]
             }
             ScriptedEvent::Probed { worker, queue } => vec![json!({"m": "Probed", "i": "r",
                 "worker": number(worker), "rc": "GOOD", "lag": 1.0, "server_stats": {"backlog": queue}})],
@@ -285,7 +285,7 @@
         for output in out {
             match output {
                 FrontOutput::Call(call) => self.engine.call(self.now, *call, &mut wanted),
-                FrontOutput::Left(ticket) => self.engine.left(self.now, ticket, &mut wanted),
+                FrontOutput::Left(ticket) => self.engine.client_disconnected(self.now, ticket, &mut wanted),
                 other => panic!("{other:?}"),
             }
         }
@@ -355,10 +355,10 @@
                 let bytes = self.request(id, *class, function);
                 return self.bytes(&bytes);
             }
-            ScriptedEvent::Ends { id, attempt, outcome, crowd } => {
-                let told = matches!(outcome, Outcome::Ok | Outcome::Full).then_some(*crowd);
+            ScriptedEvent::Ends { id, attempt, outcome, queue_depth } => {
+                let told = matches!(outcome, Outcome::Ok | Outcome::Full).then_some(*queue_depth);
                 let request = slatevalve::RequestId(self.ids[*id].0);
-                let end = AttemptEnd { crowd: told, ..AttemptEnd::bare(*outcome) };
+                let end = AttemptEnd { queue_depth: told, ..AttemptEnd::without_payload(*outcome) };
                 self.engine.attempt_ended(self.now, AttemptRef { request, attempt: *attempt }, end, &mut out);
             }
             ScriptedEvent::Probed { worker, queue } => {
--- a/benches/module.rs
+++ b/benches/module.rs
@@ -27,7 +27,7 @@
         let listing = Listing { scope: Scope::Full, entries: entries.collect() };
         let mut balancer = Balancer::new(settings, 1);
         let mut actions = Vec::new();
-        balancer.handle(Micros(1), Event::Listed(listing), &mut actions);
+        balancer.handle(Micros(1), Event::WorkersListed(listing), &mut actions);
         let (due, events) = (BinaryHeap::new(), std::collections::HashMap::new());
         let mut world = World { balancer, now: 1, next: 0, due, events, actions, numbers: 0 };
         // The same functions for all sizes, met often enough to be known.
@@ -52,7 +52,7 @@
                         outcome: Outcome::Ok,
                         closed: true,
                         latency: Micros(5_000),
-                        crowd: None,
+                        queue_depth: None,
                         load_failed: false,
                         report: Some(Report { queue: Some(0.0), inflight: Some(1.0), util: Some(0.3) }),
                     };
@@ -60,13 +60,13 @@
                 }
                 Action::Probe { worker } => {
                     let (outcome, latency, report) = (Outcome::Ok, Micros(300), None);
-                    self.later(300, Event::Probed { worker, outcome, latency, report });
+                    self.later(300, Event::ProbeCompleted { worker, outcome, latency, report });
                 }
                 Action::Load { worker, function, copies } => {
                     let (outcome, latency) = (Outcome::Ok, Micros(1_000));
                     self.later(
                         1_000,
-                        Event::Loaded { worker, function, outcome, copies: copies.max(1), latency },
+                        Event::LoadCompleted { worker, function, outcome, copies: copies.max(1), latency },
                     );
                 }
                 Action::Wake { at, token } => self.later((at.0 - self.now).max(0), Event::Wake { token }),
@@ -118,7 +118,7 @@
                 let state = if draining { WorkerState::Draining } else { WorkerState::Ready };
                 let entry = WorkerEntry { id: WorkerId(7_919 + 1), state, ..WorkerEntry::default() };
                 let listing = Listing { scope: Scope::Changes, entries: vec![entry] };
-                world.balancer.handle(Micros(world.now), Event::Listed(listing), &mut world.actions);
+                world.balancer.handle(Micros(world.now), Event::WorkersListed(listing), &mut world.actions);
             });
         });
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FunctionTraits {
     /// Calls that one loaded copy runs at a time.
-    pub lanes: usize,
+    pub concurrency: usize,
     /// Expected work on a standard core.
     pub work: Option<Micros>,
     /// The usual time of a load.
@@ -38,7 +38,7 @@
 
 impl Default for FunctionTraits {
     fn default() -> Self {
-        FunctionTraits { lanes: 1, work: None, load_time: None, memory_mb: 0.0 }
+        FunctionTraits { concurrency: 1, work: None, load_time: None, memory_mb: 0.0 }
     }
 }
 
@@ -88,7 +88,7 @@
     /// Version or digest that ran.
     pub ran: Option<Arc<str>>,
     /// Calls of the same function that the worker held on arrival.
-    pub crowd: Option<u64>,
+    pub queue_depth: Option<u64>,
     /// The load behind it failed.
     pub load_failed: bool,
     /// The worker's report.
@@ -97,9 +97,9 @@
 
 impl AttemptEnd {
     /// An end that brought nothing but its outcome.
-    pub fn bare(outcome: Outcome) -> Self {
+    pub fn without_payload(outcome: Outcome) -> Self {
         let payload = Arc::from([].as_slice());
-        AttemptEnd { outcome, payload, ran: None, crowd: None, load_failed: false, report: None }
+        AttemptEnd { outcome, payload, ran: None, queue_depth: None, load_failed: false, report: None }
     }
 }
 
@@ -233,7 +233,7 @@
     keys: DuplicateTable,
     timers: Timers<Timer>,
     stopping: bool,
-    /// See [`Engine::withhold`].
+    /// See [`Engine::suspend_non_idempotent`].
     pub(crate) withheld: bool,
     /// Attempts that a call may have once all before this one are closed.
     pub(crate) looser: Option<(RequestId, usize)>,
@@ -366,7 +366,7 @@
             class: call.class,
             tenant: call.tenant,
             function,
-            lanes: traits.lanes,
+            concurrency: traits.concurrency,
             work: traits.work,
             load_time: traits.load_time,
             memory_mb: traits.memory_mb,
@@ -416,14 +416,14 @@
     /// A ticket's client left for good: nothing is owed to it. A safe call that nobody waits for any more is
     /// called off. One whose answer goes on record runs on: its key's owner may come back for it, and calling it
     /// off would turn a known end into an unknown one.
-    pub fn left(&mut self, now: Micros, ticket: Ticket, out: &mut Vec<Output>) {
+    pub fn client_disconnected(&mut self, now: Micros, ticket: Ticket, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         let Some(id) = self.tickets.remove(&ticket) else { return };
         let Some(open) = self.open.get_mut(&id) else { return };
         open.tickets.retain(|t| t.0 != ticket);
         if open.tickets.is_empty() && !open.recorded {
             self.finish(id, Verdict::Failed(Reason::ClientLeft), out);
-            self.tell(Event::Left { id }, out);
+            self.tell(Event::ClientDisconnected { id }, out);
             self.sweep(id);
         }
     }
@@ -440,7 +440,7 @@
                 self.statistics.ran_other += 1;
                 let version = version.clone();
                 out.push(Output::RanOther { worker, version, ran: end.ran.take() });
-                end = AttemptEnd { report: end.report, ..AttemptEnd::bare(Outcome::Error) };
+                end = AttemptEnd { report: end.report, ..AttemptEnd::without_payload(Outcome::Error) };
             }
         }
         attempt.outcome = Some(end.outcome);
@@ -454,7 +454,7 @@
             outcome: end.outcome,
             closed: self.open.get(&of.request).is_none_or(|o| o.answered),
             latency: Micros(self.now.0.saturating_sub(sent.0)),
-            crowd: end.crowd,
+            queue_depth: end.queue_depth,
             load_failed: end.load_failed,
             report: end.report,
         };
@@ -465,13 +465,13 @@
     /// The worker list said something.
     pub fn listed(&mut self, now: Micros, listing: Listing, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        self.tell(Event::Listed(listing), out);
+        self.tell(Event::WorkersListed(listing), out);
     }
 
     /// The number of routers is another one now, this one included.
     pub fn routers(&mut self, now: Micros, routers: usize, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        self.tell(Event::Routers(routers), out);
+        self.tell(Event::RouterCountChanged(routers), out);
     }
 
     /// A probe ended.
@@ -485,7 +485,7 @@
         out: &mut Vec<Output>,
     ) {
         self.now = self.now.max(now);
-        self.tell(Event::Probed { worker, outcome, latency, report }, out);
+        self.tell(Event::ProbeCompleted { worker, outcome, latency, report }, out);
     }
 
     /// An order to load ended.
@@ -501,7 +501,7 @@
         out: &mut Vec<Output>,
     ) {
         self.now = self.now.max(now);
-        self.tell(Event::Loaded { worker, function, outcome, copies, latency }, out);
+        self.tell(Event::LoadCompleted { worker, function, outcome, copies, latency }, out);
     }
 
     /// Calls of one function are about to take over from those of another: the module may order up to `most` copies
@@ -519,7 +519,7 @@
         let Ok(function) = self.names.open(name) else { return 0 };
         self.names.close(function);
         let before = out.len();
-        self.tell(Event::Expected { function, like: function_id(like), most }, out);
+        self.tell(Event::LoadExpected { function, like: function_id(like), most }, out);
         out[before..]
             .iter()
             .filter(|o| matches!(o, Output::Load { function: f, .. } if *f == function))
@@ -527,8 +527,8 @@
     }
 
     /// On how many workers copies of a function are known to stand.
-    pub fn copies_standing(&self, name: &str) -> usize {
-        self.balancer.copies_standing(function_id(name))
+    pub fn loaded_replicas(&self, name: &str) -> usize {
+        self.balancer.loaded_replicas(function_id(name))
     }
 
     /// How many workers serve a function; 0 for one without calls.
@@ -617,7 +617,7 @@
             false => Verdict::Refused(reason),
         };
         self.finish(id, verdict, out);
-        self.tell(Event::Left { id }, out);
+        self.tell(Event::ClientDisconnected { id }, out);
         self.sweep(id);
     }
 
@@ -683,7 +683,7 @@
             Action::Send { id, worker, timeout: _ } => return self.send(id, worker, out),
             // Advice on when to come back has no place in the answers yet; the module gives none.
             Action::Refuse { id, retry_after: _ } => {
-                let reason = if self.is_withheld(id) { Reason::NoRight } else { Reason::NoCapacity };
+                let reason = if self.is_suspended(id) { Reason::NoRight } else { Reason::NoCapacity };
                 self.finish(id, Verdict::Refused(reason), out);
                 self.sweep(id);
             }
@@ -696,7 +696,7 @@
                 Some(name) => out.push(Output::Load { worker, function, name, copies }),
                 None => {
                     let (outcome, latency) = (Outcome::NotSent, Micros(0));
-                    return Some(Event::Loaded { worker, function, outcome, copies: 0, latency });
+                    return Some(Event::LoadCompleted { worker, function, outcome, copies: 0, latency });
                 }
             },
             Action::Drop { worker, function } => {
@@ -719,7 +719,7 @@
                 outcome: Outcome::NotSent,
                 closed,
                 latency: Micros(0),
-                crowd: None,
+                queue_depth: None,
                 load_failed: false,
                 report: None,
             }))
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -15,7 +15,7 @@
 mod duplicates;
 mod engine;
 mod names;
-mod settle;
+mod settings_change;
 mod timers;
 
 pub use answer::{Answer, Reason, Verdict};
--- a/crates/engine/src/settle.rs
+++ b/crates/engine/src/settings_change.rs
@@ -11,7 +11,7 @@
 impl Engine {
     /// Takes other settings. Seed, limits of the table of keys, and how many calls and names are held stay as they were. More
     /// attempts than before are allowed once all calls that are open now are closed.
-    pub fn settle(&mut self, settings: EngineSettings) {
+    pub fn update_settings(&mut self, settings: EngineSettings) {
         let EngineSettings { mut module, classes, key_spaces, functions, other_functions, margin, .. } =
             settings;
         let (allowed, wanted) = (self.settings.module.limits.max_attempts, module.limits.max_attempts);
@@ -20,7 +20,7 @@
             module.limits.max_attempts = allowed;
             self.looser = Some((RequestId(self.next), wanted));
         }
-        self.balancer.settle(module.clone());
+        self.balancer.update_settings(module.clone());
         let own = &mut self.settings;
         (own.module, own.classes, own.key_spaces) = (module, classes, key_spaces);
         (own.functions, own.other_functions, own.margin) = (functions, other_functions, margin);
@@ -32,18 +32,18 @@
         if self.open.keys().next().is_none_or(|id| *id >= first) {
             self.looser = None;
             self.settings.module.limits.max_attempts = most;
-            self.balancer.settle(self.settings.module.clone());
+            self.balancer.update_settings(self.settings.module.clone());
         }
     }
 
     /// Whether only safe calls may be sent for now: others that come are refused, as nothing of them was sent, and attempts of
     /// those that are open end as not sent. Answers on record are given as ever.
-    pub fn withhold(&mut self, withheld: bool) {
+    pub fn suspend_non_idempotent(&mut self, withheld: bool) {
         self.withheld = withheld;
     }
 
-    /// Whether an attempt of an open call is one that is withheld, see [`Engine::withhold`].
-    pub fn is_withheld(&self, request: RequestId) -> bool {
+    /// Whether an attempt of an open call is one that is withheld, see [`Engine::suspend_non_idempotent`].
+    pub fn is_suspended(&self, request: RequestId) -> bool {
         self.withheld && self.open.get(&request).is_some_and(|o| o.recorded)
     }
 
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -131,7 +131,7 @@
             ends.entry(attempt).and_modify(|end| *end = end.or(Some(outcome)));
         }
         self.waiting.retain(|(a, _)| *a != attempt);
-        self.engine.attempt_ended(self.now, attempt, AttemptEnd::bare(outcome), &mut self.out);
+        self.engine.attempt_ended(self.now, attempt, AttemptEnd::without_payload(outcome), &mut self.out);
     }
 
     fn answer_first(&mut self, outcome: Outcome) {
@@ -258,7 +258,8 @@
         for _ in 0..3 {
             if let Some((attempt, body)) = b.waiting.first().cloned() {
                 assert_eq!(&*body.function, "f@sha256:aa");
-                let end = AttemptEnd { ran: Some("sha256:bb".into()), ..AttemptEnd::bare(Outcome::Ok) };
+                let end =
+                    AttemptEnd { ran: Some("sha256:bb".into()), ..AttemptEnd::without_payload(Outcome::Ok) };
                 b.waiting.clear();
                 b.engine.attempt_ended(b.now, attempt, end, &mut b.out);
                 b.carry_out();
@@ -346,8 +347,8 @@
     let mut b = Bench::new();
     let (quote, charge) =
         (b.call(1, SAFE, None, Repeat::Unmarked), b.call(1, UNSAFE, Some("k"), Repeat::Unmarked));
-    b.engine.left(b.now, quote, &mut b.out);
-    b.engine.left(b.now, charge, &mut b.out);
+    b.engine.client_disconnected(b.now, quote, &mut b.out);
+    b.engine.client_disconnected(b.now, charge, &mut b.out);
     b.carry_out();
     assert_eq!(b.waiting.len(), 1, "the quote's attempt was called off");
     b.answer_first(Outcome::Ok);
@@ -453,7 +454,7 @@
                 Step::Leave(ticket) => {
                     if asked.contains(&Ticket(ticket)) && b.words(Ticket(ticket)).is_empty() {
                         left.insert(Ticket(ticket));
-                        b.engine.left(b.now, Ticket(ticket), &mut b.out);
+                        b.engine.client_disconnected(b.now, Ticket(ticket), &mut b.out);
                         b.carry_out();
                     }
                 }
@@ -522,7 +523,7 @@
     assert_eq!(bodies, wanted);
     assert_eq!(engine.keys(), 0);
     out.clear();
-    engine.left(Micros(300_000), Ticket(1), &mut out);
+    engine.client_disconnected(Micros(300_000), Ticket(1), &mut out);
     assert!(out.iter().any(|o| matches!(o, Output::Cancel(_))), "what nobody waits for is called off");
 }
 
@@ -547,15 +548,15 @@
     let open = b.call(1, KEYED, Some("k"), Repeat::Unmarked);
     let mut stricter = classes.clone();
     stricter[KEYED.0].effect = Effect::Unsafe;
-    b.engine.settle(other_settings(stricter, &[], 3));
+    b.engine.update_settings(other_settings(stricter, &[], 3));
     b.answer_first(Outcome::Reset);
     b.pass(200_000);
     assert_eq!((b.words(open), b.sent.len()), (vec!["failed"], 1), "it is not sent again");
     // One attempt, then many: what was taken under one stays with one, and what comes after it as well until that is closed.
     let mut b = Bench::new();
-    b.engine.settle(other_settings(classes.clone(), &[], 1));
+    b.engine.update_settings(other_settings(classes.clone(), &[], 1));
     let open = b.call(1, SAFE, None, Repeat::Unmarked);
-    b.engine.settle(other_settings(classes, &[], 5));
+    b.engine.update_settings(other_settings(classes, &[], 5));
     b.answer_first(Outcome::Full);
     b.pass(500_000);
     assert_eq!((b.words(open).len(), b.sent.len()), (1, 1));
@@ -573,7 +574,7 @@
     classes.push(Class { effect: Effect::Safe, ..classes[UNSAFE.0] });
     let mut b = Bench::new();
     let first = b.call(1, UNSAFE, Some("k"), Repeat::Unmarked);
-    b.engine.settle(other_settings(classes, &[0, 1, 2, 2], 3));
+    b.engine.update_settings(other_settings(classes, &[0, 1, 2, 2], 3));
     assert_eq!(b.engine.open_classes(), BTreeSet::from([UNSAFE]));
     let again = b.call(2, ClassId(3), Some("k"), Repeat::Unmarked);
     let other = b.call(2, KEYED, Some("k"), Repeat::Unmarked);
@@ -599,9 +600,9 @@
     let open = b.call(1, KEYED, Some("open"), Repeat::Unmarked);
     assert_eq!(b.sent.len(), 2);
     let request = b.waiting[0].0.request;
-    assert!(!b.engine.is_withheld(request));
-    b.engine.withhold(true);
-    assert!(b.engine.is_withheld(request));
+    assert!(!b.engine.is_suspended(request));
+    b.engine.suspend_non_idempotent(true);
+    assert!(b.engine.is_suspended(request));
     let record = b.call(1, UNSAFE, Some("old"), Repeat::Unmarked);
     let new = b.call(1, UNSAFE, Some("new"), Repeat::Unmarked);
     let safe = b.call(1, SAFE, None, Repeat::Unmarked);
@@ -613,7 +614,7 @@
     b.answer_first(Outcome::Ok);
     b.pass(1_000_000);
     assert_eq!((b.words(open), b.words(safe)), (vec!["refused"], vec!["served"]), "it never ran");
-    b.engine.withhold(false);
+    b.engine.suspend_non_idempotent(false);
     let new = b.call(1, UNSAFE, Some("new"), Repeat::Unmarked);
     b.answer_first(Outcome::Ok);
     assert_eq!(b.words(new), ["served"]);
--- a/crates/fleet-test/src/link.rs
+++ b/crates/fleet-test/src/link.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 use slatevalve_http::{Limits, Part, PartReader, Side};
-use slatevalve_reactor::{Happening, Id, Reactor};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -196,12 +196,12 @@
     let mut happened = Vec::new();
     loop {
         let wait = (links.next_us() - now_us()).clamp(0, 50_000);
-        links.reactor.turn(Some(Duration::from_micros(wait as u64)), &mut happened)?;
-        for happening in happened.drain(..) {
-            if matches!(happening, Happening::Signal(_)) {
+        links.reactor.poll(Some(Duration::from_micros(wait as u64)), &mut happened)?;
+        for event in happened.drain(..) {
+            if matches!(event, ReactorEvent::Signal(_)) {
                 return links.tally.write();
             }
-            links.happened(happening)?;
+            links.handle_event(event)?;
         }
         links.advance()?;
     }
@@ -217,11 +217,11 @@
         self.plan.faults.iter().any(acts)
     }
 
-    fn happened(&mut self, happening: Happening) -> io::Result<()> {
+    fn handle_event(&mut self, event: ReactorEvent) -> io::Result<()> {
         let now = now_us();
-        match happening {
-            Happening::Accepted { connection, .. } if self.refuses(now) => self.reactor.close(connection),
-            Happening::Accepted { connection, .. } => {
+        match event {
+            ReactorEvent::Accepted { connection, .. } if self.refuses(now) => self.reactor.close(connection),
+            ReactorEvent::Accepted { connection, .. } => {
                 self.tally.at(now)?.connections += 1;
                 match self.reactor.connect(self.plan.to) {
                     Ok(twin) => {
@@ -234,13 +234,16 @@
                     Err(_) => self.reactor.close(connection),
                 }
             }
-            Happening::Received(id, bytes) => self.carry(now, id, bytes)?,
-            Happening::Closed { id, .. } => {
+            ReactorEvent::Received(id, bytes) => self.carry(now, id, bytes)?,
+            ReactorEvent::Closed { id, .. } => {
                 let accepted = self.accepted_of.get(&id).copied().unwrap_or(id);
                 self.end(accepted);
             }
-            Happening::AcceptFailed { listener, .. } => self.reactor.resume(listener),
-            Happening::Connected(_) | Happening::Drained(_) | Happening::Signal(_) | Happening::Woken => {}
+            ReactorEvent::AcceptFailed { listener, .. } => self.reactor.resume(listener),
+            ReactorEvent::Connected(_)
+            | ReactorEvent::Drained(_)
+            | ReactorEvent::Signal(_)
+            | ReactorEvent::Woken => {}
         }
         Ok(())
     }
--- a/crates/gateway/benches/drains.rs
+++ b/crates/gateway/benches/drains.rs
@@ -165,7 +165,7 @@
         let mut driver =
             Driver::new(ClientPlan { gateways, connections: 16, arrivals, trace: None }).unwrap();
         while !driver.is_done() && !stop.load(Ordering::Relaxed) {
-            driver.turn(Duration::from_millis(5)).unwrap();
+            driver.poll(Duration::from_millis(5)).unwrap();
         }
         let answered = driver.reports().values().filter_map(|r| r.answer.as_ref());
         let served = answered.clone().filter(|a| a.1 == "served").count();
--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -11,8 +11,10 @@
 use slatevalve_gateway::clock::Clock;
 use slatevalve_gateway::server::GatewayServer;
 use slatevalve_gateway::settings::{Named, Site};
-use slatevalve_reactor::{Happening, Id, Reactor};
-use slatevalve_worker_protocol::{Asked, Call, Limits, Message, MessageReader, Order, Reply, Side};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent};
+use slatevalve_worker_protocol::{
+    Call, Limits, Message, MessageReader, ParsedRequest, Reply, Side, WorkerRequest,
+};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -38,13 +40,13 @@
         let (mut readers, mut happened) = (HashMap::new(), Vec::new());
         let answer = served();
         loop {
-            reactor.turn(None, &mut happened).unwrap();
-            for happening in happened.drain(..) {
-                match happening {
-                    Happening::Accepted { connection, .. } => {
+            reactor.poll(None, &mut happened).unwrap();
+            for event in happened.drain(..) {
+                match event {
+                    ReactorEvent::Accepted { connection, .. } => {
                         readers.insert(connection, MessageReader::new(Side::Request, Limits::default()));
                     }
-                    Happening::Received(id, bytes) => {
+                    ReactorEvent::Received(id, bytes) => {
                         let message = readers.get_mut(&id).and_then(|r| r.feed(&bytes).ok().flatten());
                         match message {
                             Some(m) if m.head.target.ends_with("/infer") => reactor.write(id, &answer),
@@ -52,7 +54,7 @@
                             None => {}
                         }
                     }
-                    Happening::Closed { id, .. } => {
+                    ReactorEvent::Closed { id, .. } => {
                         readers.remove(&id);
                     }
                     _ => {}
@@ -64,9 +66,9 @@
 }
 
 fn other(message: Message) -> Vec<u8> {
-    let reply = match Asked::read(message).map(|a| a.order) {
-        Ok(Order::Load { copies, .. }) => Reply::Copies(copies),
-        Ok(Order::Ready) => Reply::Ready,
+    let reply = match ParsedRequest::read(message).map(|a| a.order) {
+        Ok(WorkerRequest::Load { copies, .. }) => Reply::Copies(copies),
+        Ok(WorkerRequest::Ready) => Reply::Ready,
         _ => Reply::Copies(1),
     };
     reply.encode(None, None)
@@ -127,17 +129,17 @@
             ..Call::default()
         };
         let (request, response, answer) =
-            (Order::Infer(call).encode("127.0.0.1:40000", "bench"), served(), answer());
+            (WorkerRequest::Infer(call).encode("127.0.0.1:40000", "bench"), served(), answer());
         let (mut client, mut bytes_in, mut turn) = (None, 0, 0);
         let mut idle: Vec<Id> = Vec::new();
         let mut connections: HashMap<Id, usize> = HashMap::new();
         let mut happened = Vec::new();
         loop {
-            reactor.turn(None, &mut happened).unwrap();
-            for happening in happened.drain(..) {
-                match happening {
-                    Happening::Accepted { connection, .. } => client = Some(connection),
-                    Happening::Received(id, bytes) if Some(id) == client => {
+            reactor.poll(None, &mut happened).unwrap();
+            for event in happened.drain(..) {
+                match event {
+                    ReactorEvent::Accepted { connection, .. } => client = Some(connection),
+                    ReactorEvent::Received(id, bytes) if Some(id) == client => {
                         bytes_in += bytes.len();
                         while bytes_in >= publish_length {
                             bytes_in -= publish_length;
@@ -149,7 +151,7 @@
                             reactor.write(id, &request);
                         }
                     }
-                    Happening::Received(id, bytes) => {
+                    ReactorEvent::Received(id, bytes) => {
                         let Some(have) = connections.get_mut(&id) else { continue };
                         *have += bytes.len();
                         if *have >= response.len() {
@@ -203,9 +205,9 @@
         // The CONNACK's bytes are counted off before the answers.
         let mut connack = Vec::new();
         while connack.len() < 2 || connack.len() < 2 + usize::from(connack[1]) {
-            reactor.turn(Some(Duration::from_millis(100)), &mut happened).unwrap();
-            for happening in happened.drain(..) {
-                if let Happening::Received(_, bytes) = happening {
+            reactor.poll(Some(Duration::from_millis(100)), &mut happened).unwrap();
+            for event in happened.drain(..) {
+                if let ReactorEvent::Received(_, bytes) = event {
                     connack.extend(bytes);
                 }
             }
@@ -222,9 +224,9 @@
     (0..in_flight).for_each(|_| send(&mut reactor, &mut sent));
     let (mut done, mut cpu_before) = (0u64, None);
     while Instant::now() < until {
-        reactor.turn(Some(Duration::from_millis(50)), &mut happened).unwrap();
-        for happening in happened.drain(..) {
-            let Happening::Received(_, bytes) = happening else { continue };
+        reactor.poll(Some(Duration::from_millis(50)), &mut happened).unwrap();
+        for event in happened.drain(..) {
+            let ReactorEvent::Received(_, bytes) = event else { continue };
             bytes_in += bytes.len();
             let now = Instant::now();
             while bytes_in >= answer_length {
--- a/crates/gateway/src/chaos_test/day.rs
+++ b/crates/gateway/src/chaos_test/day.rs
@@ -272,7 +272,7 @@
             if over {
                 break;
             }
-            driver.turn(Duration::from_millis(2))?;
+            driver.poll(Duration::from_millis(2))?;
             progress((now - start_us) as f64 / 1e6, driver.open());
         }
         let mut stopped_badly = 0;
@@ -421,8 +421,8 @@
                     window_us: memory.0,
                 },
             };
-            let (worth, late_worth) = (class.worth, class.late_worth);
-            (name.clone(), ClassTerms { effect, aim_us: class.aim.0, worth, late_worth })
+            let (worth, late_worth) = (class.priority_weight, class.late_value);
+            (name.clone(), ClassTerms { effect, aim_us: class.latency_objective.0, worth, late_worth })
         });
         let workers = (0..self.workers.len()).map(|n| {
             let terms = WorkerTerms { zone: zone(n, self.script.fleet.zones), cell: self.cell(n) };
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -88,7 +88,7 @@
     })?;
     let until = Instant::now() + Duration::from_secs(10);
     while !driver.is_done() && Instant::now() < until {
-        driver.turn(Duration::from_millis(20))?;
+        driver.poll(Duration::from_millis(20))?;
     }
     let mut answers = Vec::new();
     for (call, report) in driver.reports() {
--- a/crates/gateway/src/commands/members.rs
+++ b/crates/gateway/src/commands/members.rs
@@ -8,7 +8,7 @@
     Bytes, Compare, KeyValue, PlainResponse, PutRequest, RangeRequest, RangeResponse, RequestOp, TxnRequest,
     RANGE, TXN,
 };
-use slatevalve_registry::{read_member, worker_key, Change, Follow, Heard, Member, MemberState};
+use slatevalve_registry::{read_member, worker_key, Change, ClientEvent, Member, MemberState, WatchScope};
 use std::io::{self, Write};
 use std::process::ExitCode;
 
@@ -51,8 +51,8 @@
 pub(super) fn members(arguments: MembersArguments) -> Outcome {
     let MembersArguments { registry, json, command } = arguments;
     let follow = match command {
-        MembersCommand::List | MembersCommand::Watch { .. } => Follow::All,
-        _ => Follow::Nothing,
+        MembersCommand::List | MembersCommand::Watch { .. } => WatchScope::All,
+        _ => WatchScope::Nothing,
     };
     let mut session = Session::new(registry, follow)?;
     match command {
@@ -92,14 +92,14 @@
         let mut failed = "the registry does not answer".to_string();
         while self.clock.now().0 < until {
             let mut all = Vec::new();
-            for heard in self.turn()? {
+            for heard in self.poll()? {
                 match heard {
-                    Heard::Changes(changes) => all.extend(changes),
-                    Heard::Failed(words) => failed = words,
+                    ClientEvent::Changes(changes) => all.extend(changes),
+                    ClientEvent::Failed(words) => failed = words,
                     _ => {}
                 }
             }
-            if self.link.client().follower().revision() > 0 {
+            if self.link.client().watch_state().revision() > 0 {
                 return Ok(all);
             }
         }
@@ -132,9 +132,9 @@
         let until = seconds.map(|s| self.clock.now().0 + (s * 1e6) as i64);
         let mut out = io::stdout().lock();
         while until.is_none_or(|at| self.clock.now().0 < at) {
-            for heard in self.turn()? {
+            for heard in self.poll()? {
                 match heard {
-                    Heard::Changes(changes) => {
+                    ClientEvent::Changes(changes) => {
                         for change in &changes {
                             let row = self.row(change);
                             let line = if json { row.to_string() } else { text(&row) };
@@ -144,8 +144,8 @@
                             }
                         }
                     }
-                    Heard::Failed(words) => eprintln!("registry: {words}"),
-                    Heard::Trouble(trouble) => eprintln!("registry: {trouble:?}"),
+                    ClientEvent::Failed(words) => eprintln!("registry: {words}"),
+                    ClientEvent::WatchFault(trouble) => eprintln!("registry: {trouble:?}"),
                     _ => {}
                 }
             }
--- a/crates/gateway/src/commands/relay.rs
+++ b/crates/gateway/src/commands/relay.rs
@@ -4,7 +4,7 @@
 use super::{say_ready, Outcome};
 use clap::Args;
 use slatevalve_pacing::seed_of;
-use slatevalve_registry::{ClientSettings, Follow, FollowerSettings, Login, RegistrationSettings};
+use slatevalve_registry::{ClientSettings, Login, RegistrationSettings, WatchScope, WatchSettings};
 use slatevalve_relay::{run_relay, Limits, RelayPlan};
 use std::net::{SocketAddr, ToSocketAddrs};
 use std::process::ExitCode;
@@ -51,15 +51,15 @@
         addresses.push(found.ok_or_else(|| format!("{member} has no address"))?);
     }
     let micros = |ms: u32| i64::from(ms) * 1_000;
-    let base = FollowerSettings::default();
+    let base = WatchSettings::default();
     let client = ClientSettings {
         endpoints: registry,
         relays: 0,
         prefix,
         login: login.read()?.map(|(name, password)| Login { name, password }),
-        follow: Follow::Workers,
+        follow: WatchScope::Workers,
         own: None,
-        follower: FollowerSettings {
+        watch_state: WatchSettings {
             look_us: micros(look_ms.max(1)),
             silence_us: micros(silence_ms),
             ..base
--- a/crates/gateway/src/commands/session.rs
+++ b/crates/gateway/src/commands/session.rs
@@ -6,7 +6,9 @@
 use clap::Args;
 use slatevalve_pacing::Limits;
 use slatevalve_reactor::Reactor;
-use slatevalve_registry::{ClientSettings, Follow, FollowerSettings, Heard, Login, RegistrationSettings};
+use slatevalve_registry::{
+    ClientEvent, ClientSettings, Login, RegistrationSettings, WatchScope, WatchSettings,
+};
 use slatevalve_registry_transport::Link;
 use std::error::Error;
 use std::net::ToSocketAddrs;
@@ -39,7 +41,7 @@
 
 impl Session {
     /// A session with the registry that the arguments name.
-    pub(super) fn new(arguments: RegistryArguments, follow: Follow) -> Res<Self> {
+    pub(super) fn new(arguments: RegistryArguments, follow: WatchScope) -> Res<Self> {
         let RegistryArguments { registry: endpoints, prefix, login } = arguments;
         if endpoints.is_empty() {
             return Err("which registry? --registry HOST:PORT".into());
@@ -57,7 +59,7 @@
             login,
             follow,
             own: None,
-            follower: FollowerSettings::default(),
+            watch_state: WatchSettings::default(),
             registration: RegistrationSettings { ttl_s: 10 },
             pace: Limits::default(),
             askers: 1,
@@ -70,26 +72,26 @@
     }
 
     /// One turn; gives what was heard.
-    pub(super) fn turn(&mut self) -> Res<Vec<Heard>> {
+    pub(super) fn poll(&mut self) -> Res<Vec<ClientEvent>> {
         let now = self.clock.now().0;
         self.link.advance(now, &mut self.reactor);
         let wait = (self.link.next_wake(now) - now).clamp(0, 100_000) as u64;
         let mut happened = Vec::new();
-        self.reactor.turn(Some(Duration::from_micros(wait)), &mut happened)?;
+        self.reactor.poll(Some(Duration::from_micros(wait)), &mut happened)?;
         let now = self.clock.now().0;
-        for happening in &happened {
-            self.link.happened(now, &mut self.reactor, happening);
+        for event in &happened {
+            self.link.handle_event(now, &mut self.reactor, event);
         }
-        Ok(self.link.take_heard())
+        Ok(self.link.take_events())
     }
 
     /// Turns until `found` finds what is waited for; what failed last is the error where nothing comes.
-    pub(super) fn until<T>(&mut self, mut found: impl FnMut(&Self, Heard) -> Option<Res<T>>) -> Res<T> {
+    pub(super) fn until<T>(&mut self, mut found: impl FnMut(&Self, ClientEvent) -> Option<Res<T>>) -> Res<T> {
         let until = self.clock.now().0 + WITHIN_US;
         let mut failed = "the registry does not answer".to_string();
         while self.clock.now().0 < until {
-            for heard in self.turn()? {
-                if let Heard::Failed(words) = &heard {
+            for heard in self.poll()? {
+                if let ClientEvent::Failed(words) = &heard {
                     failed.clone_from(words);
                 }
                 if let Some(end) = found(self, heard) {
@@ -108,7 +110,7 @@
     ) -> Res<T> {
         let ticket = self.link.client_mut().ask(path, body);
         let body = self.until(|_, heard| match heard {
-            Heard::Answered(t, answer) if t == ticket => Some(answer.map_err(Into::into)),
+            ClientEvent::Answered(t, answer) if t == ticket => Some(answer.map_err(Into::into)),
             _ => None,
         })?;
         Ok(serde_json::from_slice(&body)?)
--- a/crates/gateway/src/commands/settings.rs
+++ b/crates/gateway/src/commands/settings.rs
@@ -17,7 +17,7 @@
 use slatevalve_registry::wire::{
     prefix_end, Bytes, KeyValue, PlainResponse, RangeRequest, RangeResponse, RANGE, TXN,
 };
-use slatevalve_registry::Follow;
+use slatevalve_registry::WatchScope;
 use std::collections::BTreeMap;
 use std::io::{self, IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -233,7 +233,7 @@
 impl SettingsClient {
     fn new(registry: RegistryArguments, json: bool) -> Res<Self> {
         let keys = Keys::new(&registry.prefix);
-        let session = Session::new(registry, Follow::Nothing)?;
+        let session = Session::new(registry, WatchScope::Nothing)?;
         Ok(SettingsClient { session, keys, json, documents: BTreeMap::new() })
     }
 
--- a/crates/gateway/src/loop_timer.rs
+++ b/crates/gateway/src/loop_timer.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Clock;
 use slatevalve::Micros;
-use slatevalve_reactor::{Happening, Reactor};
+use slatevalve_reactor::{Reactor, ReactorEvent};
 use std::io;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     /// How long what is read in this turn may have waited: while the turn before was at work, or the process stood still.
     pub(crate) age: Micros,
     /// What happened.
-    pub(crate) happened: Vec<Happening>,
+    pub(crate) happened: Vec<ReactorEvent>,
 }
 
 /// See the module's documentation.
@@ -69,7 +69,7 @@
         }
         self.looked = !happened.is_empty();
         if !self.looked {
-            reactor.turn_until(Some(wait), until.map(|at| clock.instant(at)), &mut happened)?;
+            reactor.poll_until(Some(wait), until.map(|at| clock.instant(at)), &mut happened)?;
         }
         let overslept = (clock.now().0 - before.0 - wait.as_micros() as i64).max(0);
         if overslept > self.old_after.0 {
@@ -81,7 +81,7 @@
 }
 
 /// Reads all that came; nothing is written.
-fn look_around(reactor: &mut Reactor, happened: &mut Vec<Happening>) -> io::Result<()> {
+fn look_around(reactor: &mut Reactor, happened: &mut Vec<ReactorEvent>) -> io::Result<()> {
     for _ in 0..LOOKS {
         let before = happened.len();
         reactor.look(Some(Duration::ZERO), happened)?;
@@ -106,15 +106,15 @@
         let peer = listener.accept().unwrap().0;
         let mut happened = Vec::new();
         while happened.is_empty() {
-            reactor.turn(Some(Duration::from_secs(1)), &mut happened).unwrap();
+            reactor.poll(Some(Duration::from_secs(1)), &mut happened).unwrap();
         }
         (id, peer)
     }
 
     fn words(turn: &Turn) -> Vec<&'static str> {
-        let word = |h: &Happening| match h {
-            Happening::Received(..) => "received",
-            Happening::Closed { .. } => "closed",
+        let word = |h: &ReactorEvent| match h {
+            ReactorEvent::Received(..) => "received",
+            ReactorEvent::Closed { .. } => "closed",
             _ => "other",
         };
         turn.happened.iter().map(word).collect()
@@ -135,7 +135,7 @@
         let turn = turns.wait(&clock, &mut reactor, Duration::from_secs(5), None).unwrap();
         assert_eq!(words(&turn), ["received", "closed"]);
         assert!(turn.age.0 >= 30_000, "what was read may have waited for all of it");
-        assert!(matches!(turn.happened[0], Happening::Received(id, _) if id == client));
+        assert!(matches!(turn.happened[0], ReactorEvent::Received(id, _) if id == client));
         assert_eq!(reactor.written(worker), 0, "nothing left by old news");
         // The next one writes, also where it took long again.
         std::thread::sleep(Duration::from_millis(30));
--- a/crates/gateway/src/members/mod.rs
+++ b/crates/gateway/src/members/mod.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 use slatevalve::Micros;
-use slatevalve_reactor::{Happening, Reactor};
+use slatevalve_reactor::{Reactor, ReactorEvent};
 use slatevalve_registry::WorkerRecord;
 use std::collections::BTreeMap;
 
@@ -34,7 +34,7 @@
 /// Where news come from. Its sockets are the loop's.
 pub trait Source {
     /// Takes a happening; `false` where it is of another's socket.
-    fn happened(&mut self, now: Micros, reactor: &mut Reactor, happening: &Happening) -> bool;
+    fn handle_event(&mut self, now: Micros, reactor: &mut Reactor, event: &ReactorEvent) -> bool;
     /// Lets time pass.
     fn advance(&mut self, now: Micros, reactor: &mut Reactor);
     /// When [`Source::advance`] is due.
--- a/crates/gateway/src/members/registry.rs
+++ b/crates/gateway/src/members/registry.rs
@@ -4,10 +4,10 @@
 use super::{News, Source};
 use crate::remembered_file::RememberedFile;
 use slatevalve::Micros;
-use slatevalve_reactor::{Happening, Reactor};
+use slatevalve_reactor::{Reactor, ReactorEvent};
 use slatevalve_registry::{
-    ClientSettings, Heard, MemberChange, Members, RouterCount, RouterCountSettings, RouterRecord, View,
-    WorkerRecord,
+    ClientEvent, ClientSettings, Freshness, MemberChange, Members, RouterCount, RouterCountSettings,
+    RouterRecord, WorkerRecord,
 };
 use slatevalve_registry_transport::Link;
 use std::collections::BTreeMap;
@@ -83,7 +83,7 @@
                 return warn!(path = %path.display(), %error, "the last list of workers is not read")
             }
         };
-        match self.link.client_mut().follower_mut().remember(&kept) {
+        match self.link.client_mut().watch_state_mut().remember(&kept) {
             Ok((changes, routers)) => {
                 // So many there were, all the more where all start again together.
                 if routers > self.census.routers() {
@@ -107,9 +107,9 @@
     /// Makes news of what the client heard.
     fn digest(&mut self, now: Micros) {
         let mut changed = false;
-        for heard in self.link.take_heard() {
+        for heard in self.link.take_events() {
             match heard {
-                Heard::Changes(changes) => {
+                ClientEvent::Changes(changes) => {
                     let (told, errors) = self.members.take(changes);
                     errors
                         .iter()
@@ -127,31 +127,31 @@
                         }
                     }
                 }
-                Heard::Trouble(trouble) => {
+                ClientEvent::WatchFault(trouble) => {
                     warn!(?trouble, "registry: the list is compared anew, or the watch begun again")
                 }
-                Heard::Failed(words) => warn!("registry: {words}"),
-                Heard::Registered => info!("registered"),
-                Heard::Routers(count) => self.listed = Some(count),
-                Heard::LeaseLost => warn!("registry: our lease was lost; it is had anew"),
-                Heard::Answered(ticket, _) => self.left |= self.leaving == Some(ticket),
+                ClientEvent::Failed(words) => warn!("registry: {words}"),
+                ClientEvent::Registered => info!("registered"),
+                ClientEvent::Routers(count) => self.listed = Some(count),
+                ClientEvent::LeaseLost => warn!("registry: our lease was lost; it is had anew"),
+                ClientEvent::Answered(ticket, _) => self.left |= self.leaving == Some(ticket),
             }
         }
-        let view = self.link.client().follower().view(now.0);
+        let view = self.link.client().watch_state().view(now.0);
         match view {
-            View::Current if !self.told_full => {
+            Freshness::Current if !self.told_full => {
                 (self.told_full, self.told_refused) = (true, false);
                 self.news.push(News::Full(self.workers()));
             }
             // Also at a start without a list of any kind: the module asks nothing of a list that it has not.
-            View::Silent if !self.told_refused => {
+            Freshness::Silent if !self.told_refused => {
                 (self.told_full, self.told_refused) = (false, true);
                 error!("nothing is heard of the registry; the workers that were known are used on");
                 self.news.push(News::Refused);
             }
             _ => {}
         }
-        let current = view == View::Current;
+        let current = view == Freshness::Current;
         let counted = self.listed.and_then(|count| self.census.listed(now.0, count, current));
         if let Some(routers) = counted {
             info!(routers, "routers");
@@ -159,7 +159,7 @@
             self.news.push(News::Routers(routers));
         }
         if changed || counted.is_some() {
-            let kept = self.link.client().follower().keep(self.census.routers());
+            let kept = self.link.client().watch_state().keep(self.census.routers());
             if let Some(file) = &self.remembered_file {
                 file.write(kept);
             }
@@ -168,8 +168,8 @@
 }
 
 impl Source for RegistrySource {
-    fn happened(&mut self, now: Micros, reactor: &mut Reactor, happening: &Happening) -> bool {
-        let mine = self.link.happened(now.0, reactor, happening);
+    fn handle_event(&mut self, now: Micros, reactor: &mut Reactor, event: &ReactorEvent) -> bool {
+        let mine = self.link.handle_event(now.0, reactor, event);
         if mine {
             self.digest(now);
         }
@@ -182,10 +182,11 @@
     }
 
     fn next_wake(&self, now: Micros) -> Micros {
-        let follower = self.link.client().follower();
+        let watch_state = self.link.client().watch_state();
         let mut due = self.link.next_wake(now.0);
-        for at in
-            [follower.silent_at_us().filter(|_| self.told_full), self.census.due_us()].into_iter().flatten()
+        for at in [watch_state.silent_at_us().filter(|_| self.told_full), self.census.due_us()]
+            .into_iter()
+            .flatten()
         {
             due = due.min(at);
         }
--- a/crates/gateway/src/members/replay.rs
+++ b/crates/gateway/src/members/replay.rs
@@ -4,7 +4,7 @@
 use super::{News, Source};
 use serde::{Deserialize, Serialize};
 use slatevalve::Micros;
-use slatevalve_reactor::{Happening, Reactor};
+use slatevalve_reactor::{Reactor, ReactorEvent};
 use std::collections::VecDeque;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -66,7 +66,7 @@
 }
 
 impl Source for ReplaySource {
-    fn happened(&mut self, _: Micros, _: &mut Reactor, _: &Happening) -> bool {
+    fn handle_event(&mut self, _: Micros, _: &mut Reactor, _: &ReactorEvent) -> bool {
         false
     }
 
--- a/crates/gateway/src/platform/mod.rs
+++ b/crates/gateway/src/platform/mod.rs
@@ -17,7 +17,7 @@
 use slatevalve_platform::config::{Config, ConfigError};
 use slatevalve_platform::front::{Front, FrontOutput, FrontSettings, LinkId};
 use slatevalve_platform::workers::Lines;
-use slatevalve_reactor::{Happening, Id, Reactor, MAX_LINGERING};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent, MAX_LINGERING};
 use slatevalve_site_config::FieldError;
 use std::collections::HashMap;
 use std::fmt;
@@ -92,7 +92,7 @@
     engine: Engine,
     front: Front,
     pool: Pool,
-    follower: Follower,
+    watch_state: Follower,
     /// The change log's connection.
     log: Option<Id>,
     listener: Id,
@@ -145,7 +145,7 @@
             total: free - clients,
             probe_timeout: connections.connect_timeout,
         };
-        let lines = Lines { streams: connections.streams, tells_crowd: site.names.crowd };
+        let lines = Lines { streams: connections.streams, tells_crowd: site.names.queue_depth };
         let order_timeout = module.loading.order_timeout;
         let engine = EngineSettings {
             module,
@@ -160,7 +160,7 @@
             max_functions: FUNCTIONS,
         };
         let at = Box::new(move |millis| clock.at_unix_ms(millis));
-        let (follower, known) =
+        let (watch_state, known) =
             Follower::new(site.names.clone(), at, config.changelog, &config.known, config.seed)
                 .map_err(|e| PlatformError::Known(file.clone(), e))?;
         let mut router = Router {
@@ -171,7 +171,7 @@
             engine: Engine::new(engine),
             front: Front::new(FrontSettings { classes, connections: clients }),
             pool: Pool::new(pool, Box::new(lines), order_timeout),
-            follower,
+            watch_state,
             log: None,
             listener,
             address,
@@ -196,7 +196,7 @@
         for change in known.changes {
             router.change(now, change);
         }
-        router.settle(now);
+        router.drain_outputs(now);
         Ok(router)
     }
 
@@ -218,7 +218,7 @@
     /// # Errors
     /// When the poller fails.
     pub fn run(&mut self) -> Result<(), PlatformError> {
-        while !self.turn(LONGEST_WAIT)? {}
+        while !self.poll(LONGEST_WAIT)? {}
         Ok(())
     }
 
@@ -227,7 +227,7 @@
     ///
     /// # Errors
     /// When the poller fails.
-    pub fn turn(&mut self, most: Duration) -> Result<bool, PlatformError> {
+    pub fn poll(&mut self, most: Duration) -> Result<bool, PlatformError> {
         let wait = self.wait_from(self.clock.now()).min(most);
         let turn =
             self.turns.wait(&self.clock, &mut self.reactor, wait, None).map_err(PlatformError::Loop)?;
@@ -235,15 +235,15 @@
         self.age = age;
         let quiet = !happened.iter().any(|h| self.is_of_client(h));
         self.handle(now, happened);
-        self.follower.advance(now, &mut self.wanted);
+        self.watch_state.advance(now, &mut self.wanted);
         self.follow(now);
         self.front.advance(now, &mut self.to_front);
         for end in self.pool.advance(now, &mut self.reactor) {
             self.ended(now, end);
         }
-        self.settle(now);
+        self.drain_outputs(now);
         self.engine.advance(now, &mut self.to_engine);
-        self.settle(now);
+        self.drain_outputs(now);
         if self.resume_at.is_some_and(|at| at <= now) {
             self.resume_at = None;
             self.reactor.resume(self.listener);
@@ -254,13 +254,13 @@
         Ok(self.has_stopped(now, quiet))
     }
 
-    fn handle(&mut self, now: Micros, mut happened: Vec<Happening>) {
+    fn handle(&mut self, now: Micros, mut happened: Vec<ReactorEvent>) {
         // What the change log tells comes before anything else in the turn: a drain that is known is kept.
         happened.sort_by_key(|h| !self.is_of_log(h));
-        for happening in happened {
-            match self.is_of_log(&happening) {
-                true => self.log_happened(now, happening),
-                false => self.happened(now, happening),
+        for event in happened {
+            match self.is_of_log(&event) {
+                true => self.log_happened(now, event),
+                false => self.handle_event(now, event),
             }
         }
     }
@@ -268,7 +268,7 @@
     fn wait_from(&self, now: Micros) -> Duration {
         let (engine, front, pool) = (self.engine.next_wake(), self.front.next_wake(), self.pool.next_wake());
         let again = self.read_again.map(|(_, at)| at);
-        let due = [engine, front, pool, self.resume_at, again, Some(self.follower.next_wake())];
+        let due = [engine, front, pool, self.resume_at, again, Some(self.watch_state.next_wake())];
         let until = due.into_iter().flatten().min().map_or(i64::MAX, |at| at.0.saturating_sub(now.0).max(0));
         Duration::from_micros(until as u64).min(LONGEST_WAIT)
     }
@@ -278,16 +278,16 @@
         !self.stop.has_begun() && self.workers.values().any(|state| *state == WorkerState::Ready)
     }
 
-    fn happened(&mut self, now: Micros, happening: Happening) {
-        match happening {
-            Happening::Accepted { connection, .. } => {
+    fn handle_event(&mut self, now: Micros, event: ReactorEvent) {
+        match event {
+            ReactorEvent::Accepted { connection, .. } => {
                 self.next_link += 1;
                 let link = LinkId(self.next_link);
                 self.links.insert(connection, link);
                 self.sockets.insert(link, connection);
                 self.front.opened(now, link, &mut self.to_front);
             }
-            Happening::Received(id, bytes) => match self.links.get(&id) {
+            ReactorEvent::Received(id, bytes) => match self.links.get(&id) {
                 Some(link) => {
                     let ready = self.is_ready();
                     self.front.received(now, *link, &bytes, ready, &mut self.to_front);
@@ -297,8 +297,8 @@
                     ends.into_iter().for_each(|end| self.ended(now, end));
                 }
             },
-            Happening::Connected(id) => self.pool.connected(now, &mut self.reactor, id),
-            Happening::Closed { id, connected, written } => match self.links.remove(&id) {
+            ReactorEvent::Connected(id) => self.pool.connected(now, &mut self.reactor, id),
+            ReactorEvent::Closed { id, connected, written } => match self.links.remove(&id) {
                 Some(link) => {
                     self.sockets.remove(&link);
                     self.front.closed(link, &mut self.to_front);
@@ -308,33 +308,33 @@
                     ends.into_iter().for_each(|end| self.ended(now, end));
                 }
             },
-            Happening::Drained(_) | Happening::Woken => {}
-            Happening::Signal(signal_hook::consts::SIGHUP) => {
+            ReactorEvent::Drained(_) | ReactorEvent::Woken => {}
+            ReactorEvent::Signal(signal_hook::consts::SIGHUP) => {
                 self.read_again = Some((READ_AGAIN.0, now));
                 self.reload(now);
             }
-            Happening::Signal(_) => self.begin_stop(now),
-            Happening::AcceptFailed { error, .. } => {
+            ReactorEvent::Signal(_) => self.begin_stop(now),
+            ReactorEvent::AcceptFailed { error, .. } => {
                 warn!(%error, "cannot accept connections; those that stand go on");
                 self.resume_at = Some(Micros(now.0 + ACCEPT_REST.0));
             }
         }
-        self.settle(now);
+        self.drain_outputs(now);
     }
 
     /// Whether something happened on the change log's connection.
-    fn is_of_log(&self, happening: &Happening) -> bool {
-        self.log.is_some() && of(happening) == self.log
+    fn is_of_log(&self, event: &ReactorEvent) -> bool {
+        self.log.is_some() && of(event) == self.log
     }
 
-    fn log_happened(&mut self, now: Micros, happening: Happening) {
+    fn log_happened(&mut self, now: Micros, event: ReactorEvent) {
         let out = &mut self.wanted;
-        match happening {
-            Happening::Connected(_) => self.follower.connected(now, out),
-            Happening::Received(_, bytes) => self.follower.received(now, &bytes, out),
-            Happening::Closed { .. } => {
+        match event {
+            ReactorEvent::Connected(_) => self.watch_state.connected(now, out),
+            ReactorEvent::Received(_, bytes) => self.watch_state.received(now, &bytes, out),
+            ReactorEvent::Closed { .. } => {
                 self.log = None;
-                self.follower.closed(now, out);
+                self.watch_state.closed(now, out);
             }
             _ => {}
         }
@@ -348,7 +348,7 @@
                 match wanted {
                     Wanted::Connect(address) => match self.reactor.connect(address) {
                         Ok(id) => self.log = Some(id),
-                        Err(_) => self.follower.closed(now, &mut self.wanted),
+                        Err(_) => self.watch_state.closed(now, &mut self.wanted),
                     },
                     Wanted::Write(bytes) => {
                         self.log.into_iter().for_each(|id| self.reactor.write(id, &bytes));
@@ -364,7 +364,7 @@
                 }
             }
         }
-        self.settle(now);
+        self.drain_outputs(now);
     }
 
     /// Takes an event of the change log.
@@ -394,7 +394,7 @@
             self.workers.remove(id);
             held_back.push(*id);
         }
-        debug!(now = now.0, seq = self.follower.seq(), ?change, "change");
+        debug!(now = now.0, seq = self.watch_state.seq(), ?change, "change");
         // The module first: what is taken back is decided anew with the drain known.
         self.engine.listed(now, change.listing(), &mut self.to_engine);
         for id in held_back {
@@ -408,7 +408,7 @@
     }
 
     /// Carries out what front and engine want until neither wants anything.
-    fn settle(&mut self, now: Micros) {
+    fn drain_outputs(&mut self, now: Micros) {
         while !(self.to_front.is_empty() && self.to_engine.is_empty()) {
             for output in std::mem::take(&mut self.to_front) {
                 match output {
@@ -438,7 +438,7 @@
                     }
                     FrontOutput::Left(ticket) => {
                         debug!(now = now.0, ticket = ticket.0, "left");
-                        self.engine.left(now, ticket, &mut self.to_engine);
+                        self.engine.client_disconnected(now, ticket, &mut self.to_engine);
                     }
                     FrontOutput::Unusable(link, why) => {
                         self.unusable += 1;
@@ -484,8 +484,8 @@
         match load(&self.file) {
             Ok(config) => {
                 info!(changelog = %config.changelog, "configuration read again");
-                self.follower.moved(now, config.changelog, &mut self.wanted);
-                self.follower.advance(now, &mut self.wanted);
+                self.watch_state.moved(now, config.changelog, &mut self.wanted);
+                self.watch_state.advance(now, &mut self.wanted);
                 self.follow(now);
             }
             Err(e) => {
@@ -499,12 +499,12 @@
 }
 
 /// The connection that something happened on.
-fn of(happening: &Happening) -> Option<Id> {
-    match happening {
-        Happening::Connected(id)
-        | Happening::Received(id, _)
-        | Happening::Drained(id)
-        | Happening::Closed { id, .. } => Some(*id),
+fn of(event: &ReactorEvent) -> Option<Id> {
+    match event {
+        ReactorEvent::Connected(id)
+        | ReactorEvent::Received(id, _)
+        | ReactorEvent::Drained(id)
+        | ReactorEvent::Closed { id, .. } => Some(*id),
         _ => None,
     }
 }
--- a/crates/gateway/src/platform/stop.rs
+++ b/crates/gateway/src/platform/stop.rs
@@ -8,7 +8,7 @@
 
 use super::Router;
 use slatevalve::Micros;
-use slatevalve_reactor::Happening;
+use slatevalve_reactor::ReactorEvent;
 use tracing::info;
 
 /// After the signal, clients may still come for this; only then does the listener close.
@@ -64,10 +64,10 @@
     }
 
     /// Whether something is of clients: one that came, or bytes of one.
-    pub(super) fn is_of_client(&self, happening: &Happening) -> bool {
-        match happening {
-            Happening::Accepted { .. } => true,
-            Happening::Received(id, _) => self.links.contains_key(id),
+    pub(super) fn is_of_client(&self, event: &ReactorEvent) -> bool {
+        match event {
+            ReactorEvent::Accepted { .. } => true,
+            ReactorEvent::Received(id, _) => self.links.contains_key(id),
             _ => false,
         }
     }
@@ -83,7 +83,7 @@
             // From here on what comes is refused at once, and what is open is ended.
             self.engine.stop(now, now);
             self.engine.advance(now, &mut self.to_engine);
-            self.settle(now);
+            self.drain_outputs(now);
         }
         match stage {
             Stage::Serving if stood >= LAST_COMERS => {
--- a/crates/gateway/src/plugins/link.rs
+++ b/crates/gateway/src/plugins/link.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use slatevalve_http::{Limits, Part, PartReader, Side};
 use slatevalve_oci::{Broke, Job, Next, Request};
-use slatevalve_reactor::{Happening, Id, Reactor};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use std::fmt;
 use std::io;
 use std::net::ToSocketAddrs;
@@ -92,9 +92,9 @@
             Next::Receive(at) => at,
         };
         let wait = until.saturating_sub(now).clamp(0, LONGEST_WAIT_US) as u64;
-        link.reactor.turn(Some(Duration::from_micros(wait)), &mut happened).map_err(LinkError::Loop)?;
-        for happening in happened.drain(..) {
-            link.happened(happening).map_err(LinkError::Job)?;
+        link.reactor.poll(Some(Duration::from_micros(wait)), &mut happened).map_err(LinkError::Loop)?;
+        for event in happened.drain(..) {
+            link.handle_event(event).map_err(LinkError::Job)?;
         }
         told(link.job.progress());
     }
@@ -155,18 +155,18 @@
         self.job.broke(now, broke).map_err(LinkError::Job)
     }
 
-    fn happened(&mut self, happening: Happening) -> Result<(), J::Error> {
+    fn handle_event(&mut self, event: ReactorEvent) -> Result<(), J::Error> {
         let now = self.now();
         let Some(connection) = &mut self.connection else { return Ok(()) };
-        match happening {
-            Happening::Connected(id) if id == connection.id => {
+        match event {
+            ReactorEvent::Connected(id) if id == connection.id => {
                 connection.connected = true;
                 let bytes = std::mem::take(&mut connection.unsent);
                 self.reactor.write(id, &bytes);
                 Ok(())
             }
-            Happening::Received(id, bytes) if id == connection.id => self.received(now, &bytes),
-            Happening::Closed { id, connected, .. } if id == connection.id => {
+            ReactorEvent::Received(id, bytes) if id == connection.id => self.received(now, &bytes),
+            ReactorEvent::Closed { id, connected, .. } if id == connection.id => {
                 let busy = connection.busy;
                 let ended = connection.reader.end();
                 self.connection = None;
--- a/crates/gateway/src/server/agreement.rs
+++ b/crates/gateway/src/server/agreement.rs
@@ -15,9 +15,9 @@
     Ask, Document, DocumentVersion, Entry, Keys, LeaseHolder, LeaseHolderSettings, Next, Reading,
     SendPermission, State, TakeoverTimer, Txn, TxnEnd,
 };
-use slatevalve_reactor::{Happening, Reactor};
+use slatevalve_reactor::{Reactor, ReactorEvent};
 use slatevalve_registry::wire::{prefix_end, Bytes, PlainResponse, RangeRequest, RangeResponse, RANGE, TXN};
-use slatevalve_registry::Heard;
+use slatevalve_registry::ClientEvent;
 use slatevalve_registry_transport::Link;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{File, OpenOptions};
@@ -140,10 +140,10 @@
             }
             let wait = (self.next_wake(now).0 - now.0).clamp(0, 100_000) as u64;
             let mut happened = Vec::new();
-            reactor.turn(Some(Duration::from_micros(wait)), &mut happened)?;
+            reactor.poll(Some(Duration::from_micros(wait)), &mut happened)?;
             let now = clock.now();
-            for happening in &happened {
-                self.link.happened(now.0, reactor, happening);
+            for event in &happened {
+                self.link.handle_event(now.0, reactor, event);
             }
         }
     }
@@ -166,8 +166,8 @@
     }
 
     /// Takes a happening on one of its sockets.
-    pub(crate) fn happened(&mut self, now: Micros, reactor: &mut Reactor, happening: &Happening) -> bool {
-        self.link.happened(now.0, reactor, happening)
+    pub(crate) fn handle_event(&mut self, now: Micros, reactor: &mut Reactor, event: &ReactorEvent) -> bool {
+        self.link.handle_event(now.0, reactor, event)
     }
 
     /// Lets time pass. Gives other settings where the documents have changed that this router acts by; they are acted by before
@@ -179,11 +179,11 @@
         open: impl FnOnce() -> BTreeSet<ClassId>,
         clock: &Clock,
     ) -> Option<Site> {
-        for heard in self.link.take_heard() {
+        for heard in self.link.take_events() {
             match heard {
                 // Which state stands there is read, with its revision.
-                Heard::Changes(_) => self.read_at = Some(now.0),
-                Heard::Answered(ticket, answer) => self.answered(now, ticket, answer, clock),
+                ClientEvent::Changes(_) => self.read_at = Some(now.0),
+                ClientEvent::Answered(ticket, answer) => self.answered(now, ticket, answer, clock),
                 _ => {}
             }
         }
@@ -471,18 +471,19 @@
         if may == std::mem::replace(&mut agreement.may, may) {
             return;
         }
-        self.engine.withhold(may != SendPermission::All);
+        self.engine.suspend_non_idempotent(may != SendPermission::All);
         if may == SendPermission::All {
             info!("the right to act by the settings stands");
             return;
         }
         warn!("no right to act by the settings: keyed and unsafe calls are not sent");
         let engine = &self.engine;
-        let ends = self.pool.cancel_unsent_where(now, &mut self.reactor, |of| engine.is_withheld(of.request));
+        let ends =
+            self.pool.cancel_unsent_where(now, &mut self.reactor, |of| engine.is_suspended(of.request));
         for end in ends {
             self.ended(now, end);
         }
-        self.settle(now);
+        self.drain_outputs(now);
     }
 
     /// The agreement's part of a turn.
@@ -492,7 +493,7 @@
         let Some(mut site) = agreement.advance(now, &mut self.reactor, open, &self.clock) else { return };
         self.front.take_routes(site.front.routes.clone(), site.front.documents.clone());
         self.pool.sends_by(&site.documents);
-        self.engine.settle(site.engine.clone());
+        self.engine.update_settings(site.engine.clone());
         // What a gateway is told at its start alone stays; the number of routers is told by itself.
         site.listen = self.site.listen;
         let list = self.source.is_none().then(|| site.workers.clone());
--- a/crates/gateway/src/server/members.rs
+++ b/crates/gateway/src/server/members.rs
@@ -52,7 +52,7 @@
                 News::Routers(routers) => self.engine.routers(now, routers, &mut self.to_engine),
             }
         }
-        self.settle(now);
+        self.drain_outputs(now);
     }
 
     /// The line of a worker; none where another worker has its id.
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -21,7 +21,7 @@
 use slatevalve::{Listing, Micros, Scope, WorkerId, WorkerState};
 use slatevalve_engine::{Call, Engine, Output, Ticket};
 use slatevalve_mqtt::{Bridge, BridgeOutput, Front, FrontOutput, LinkId, TicketSource};
-use slatevalve_reactor::{Happening, Id, Reactor};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use slatevalve_sexpr::FormError;
 use slatevalve_worker_protocol::{Http, Limits};
 use std::collections::{BTreeSet, HashMap};
@@ -212,8 +212,8 @@
             self.age = age;
             // The wait may have been long.
             self.look_at_right();
-            for happening in happened {
-                self.happened(now, happening);
+            for event in happened {
+                self.handle_event(now, event);
             }
             self.front.advance(now, &mut self.to_front);
             if let Some(link) = &mut self.bridge {
@@ -229,12 +229,12 @@
             for end in self.pool.advance(now, &mut self.reactor) {
                 self.ended(now, end);
             }
-            self.settle(now);
+            self.drain_outputs(now);
             self.engine.advance(now, &mut self.to_engine);
             if let Some(plugins) = &mut self.plugins {
                 plugins.advance(now, &mut self.engine, &mut self.to_engine);
             }
-            self.settle(now);
+            self.drain_outputs(now);
             if self.resume_at.is_some_and(|at| at <= now) {
                 self.resume_at = None;
                 self.reactor.resume(self.listener);
@@ -257,25 +257,25 @@
         }
     }
 
-    fn happened(&mut self, now: Micros, happening: Happening) {
-        if self.source.as_mut().is_some_and(|s| s.happened(now, &mut self.reactor, &happening)) {
+    fn handle_event(&mut self, now: Micros, event: ReactorEvent) {
+        if self.source.as_mut().is_some_and(|s| s.handle_event(now, &mut self.reactor, &event)) {
             return self.take_news(now);
         }
-        if self.agreement.as_mut().is_some_and(|a| a.happened(now, &mut self.reactor, &happening)) {
+        if self.agreement.as_mut().is_some_and(|a| a.handle_event(now, &mut self.reactor, &event)) {
             return;
         }
-        match happening {
-            Happening::Accepted { listener, connection, .. } if listener != self.listener => {
+        match event {
+            ReactorEvent::Accepted { listener, connection, .. } if listener != self.listener => {
                 self.admin.iter_mut().for_each(|a| a.accepted(&mut self.reactor, connection));
             }
-            Happening::Accepted { connection, .. } => {
+            ReactorEvent::Accepted { connection, .. } => {
                 self.next_link += 1;
                 let link = LinkId(self.next_link);
                 self.links.insert(connection, link);
                 self.sockets.insert(link, connection);
                 self.front.opened(now, link);
             }
-            Happening::Received(id, bytes) => {
+            ReactorEvent::Received(id, bytes) => {
                 if let Some(link) = self.links.get(&id) {
                     self.front.received(now, *link, &bytes, &mut self.to_front);
                 } else if let Some(link) = self.bridge.as_mut().filter(|l| l.socket == Some(id)) {
@@ -287,11 +287,11 @@
                     ends.into_iter().for_each(|end| self.ended(now, end));
                 }
             }
-            Happening::Connected(id) => match self.bridge.as_mut().filter(|l| l.socket == Some(id)) {
+            ReactorEvent::Connected(id) => match self.bridge.as_mut().filter(|l| l.socket == Some(id)) {
                 Some(link) => link.bridge.connected(now, &mut self.to_bridge),
                 None => self.pool.connected(now, &mut self.reactor, id),
             },
-            Happening::Closed { id, connected, written } => {
+            ReactorEvent::Closed { id, connected, written } => {
                 if let Some(link) = self.links.remove(&id) {
                     self.sockets.remove(&link);
                     self.front.closed(now, link, &mut self.to_front);
@@ -304,17 +304,17 @@
                     ends.into_iter().for_each(|end| self.ended(now, end));
                 }
             }
-            Happening::Drained(_) => {}
-            Happening::Woken => self.hear_plugins(now),
-            Happening::Signal(signal_hook::consts::SIGHUP) => self.reload(),
-            Happening::Signal(_) => self.stop(now),
+            ReactorEvent::Drained(_) => {}
+            ReactorEvent::Woken => self.hear_plugins(now),
+            ReactorEvent::Signal(signal_hook::consts::SIGHUP) => self.reload(),
+            ReactorEvent::Signal(_) => self.stop(now),
             // The admin socket's listener stays at rest: who may open it is one of us, and can ask again.
-            Happening::AcceptFailed { error, .. } => {
+            ReactorEvent::AcceptFailed { error, .. } => {
                 error!(%error, "cannot accept connections; those that stand go on");
                 self.resume_at = Some(Micros(now.0 + ACCEPT_REST.0));
             }
         }
-        self.settle(now);
+        self.drain_outputs(now);
     }
 
     /// What the plug-ins' thread has told.
@@ -336,7 +336,7 @@
     }
 
     /// Carries out what front and engine want until neither wants anything.
-    fn settle(&mut self, now: Micros) {
+    fn drain_outputs(&mut self, now: Micros) {
         while !(self.to_front.is_empty() && self.to_engine.is_empty() && self.to_bridge.is_empty()) {
             for output in std::mem::take(&mut self.to_bridge) {
                 self.execute_bridge(now, output);
@@ -357,7 +357,7 @@
                     FrontOutput::Call(call) => self.take(now, *call),
                     FrontOutput::Left(ticket) => {
                         self.plugins.iter_mut().for_each(|p| p.gone(now, ticket));
-                        self.engine.left(now, ticket, &mut self.to_engine);
+                        self.engine.client_disconnected(now, ticket, &mut self.to_engine);
                     }
                 }
             }
@@ -452,7 +452,7 @@
         let listing = Listing { scope, entries };
         self.engine.listed(now, listing, &mut self.to_engine);
         self.cancel_unsent(now, held_back);
-        self.settle(now);
+        self.drain_outputs(now);
     }
 
     /// What waits to be sent to workers that take nothing new is taken back; the module knows of them already.
@@ -504,7 +504,7 @@
     fn leave(&mut self, now: Micros) -> Result<(), GatewayError> {
         self.agreement.iter_mut().for_each(Agreement::leave);
         self.front.stop(now, &mut self.to_front);
-        self.settle(now);
+        self.drain_outputs(now);
         let until = Micros(now.0 + 1_000_000);
         let mut happened = Vec::new();
         let staying = |s: &Self| {
@@ -513,10 +513,10 @@
         };
         let unsent = |s: &Self| s.bridge.as_ref().is_some_and(|l| l.bridge.is_up() && l.bridge.unsent() > 0);
         while (self.reactor.has_pending() || unsent(self) || staying(self)) && self.clock.now() < until {
-            self.reactor.turn(Some(Duration::from_millis(10)), &mut happened).map_err(GatewayError::Loop)?;
+            self.reactor.poll(Some(Duration::from_millis(10)), &mut happened).map_err(GatewayError::Loop)?;
             let now = self.clock.now();
-            for happening in happened.drain(..) {
-                self.happened(now, happening);
+            for event in happened.drain(..) {
+                self.handle_event(now, event);
             }
             self.agree(now);
         }
--- a/crates/gateway/src/server/plugins.rs
+++ b/crates/gateway/src/server/plugins.rs
@@ -113,7 +113,7 @@
         };
         let classes = site.classes.iter().zip(&site.engine.module.classes);
         let mut host = PluginHost {
-            classes: classes.map(|(name, class)| (name.clone(), class.aim)).collect(),
+            classes: classes.map(|(name, class)| (name.clone(), class.latency_objective)).collect(),
             order_timeout: site.engine.module.loading.order_timeout,
             background: BackgroundWorker::start(&settings.folder, of_thread, waker)?,
             settings,
@@ -273,7 +273,7 @@
     fn status(&self, engine: &Engine) -> Value {
         let moves = self.moves.iter().map(|(name, m)| {
             let (standing, needed) = m.rollout.copies();
-            let serving = engine.copies_standing(&run_name(name, &m.new.digest));
+            let serving = engine.loaded_replicas(&run_name(name, &m.new.digest));
             json!({"name": name, "from": m.old.version, "to": m.new.version, "copies": standing,
                 "needed": needed, "standing": serving, "ordered": m.ordered.len()})
         });
@@ -338,7 +338,7 @@
             found.map(|(name, resolved)| {
                 let manifest = &resolved.manifest;
                 call.traits = Some(FunctionTraits {
-                    lanes: manifest.lanes as usize,
+                    concurrency: manifest.lanes as usize,
                     work: None,
                     load_time: Some(Micros((manifest.load_ms * 1_000.0) as i64)).filter(|t| t.0 > 0),
                     memory_mb: manifest.memory_mb,
@@ -449,7 +449,7 @@
         let mut ended = Vec::new();
         for (name, m) in &mut self.moves {
             let (old, new) = (run_name(name, &m.old.digest), run_name(name, &m.new.digest));
-            while m.rollout.copies().0 < engine.copies_standing(&new) {
+            while m.rollout.copies().0 < engine.loaded_replicas(&new) {
                 m.ordered.pop();
                 m.rollout.observe(now.0, Observed::Stands);
             }
--- a/crates/gateway/src/server/pool.rs
+++ b/crates/gateway/src/server/pool.rs
@@ -5,7 +5,7 @@
 //! leave can be taken back without a trace, and is, as soon as nobody wants it or nobody may send it. Each request
 //! has a connection to itself while there is room for one, so that a spoilt answer or a reset takes no other with it;
 //! only then do requests of one kind share. Called by the shells, which hand it the loop's happenings and take its
-//! [`RequestEnd`]s. Bounds: `PoolSettings::total` connections, `Wire::streams` requests on each, a peer for each worker
+//! [`RequestEnd`]s. Bounds: `PoolSettings::total` connections, `WorkerProtocol::streams` requests on each, a peer for each worker
 //! that is listed or has a connection.
 
 use crate::settings::PoolSettings;
@@ -13,7 +13,7 @@
 use slatevalve_engine::{AttemptEnd, AttemptRef, Engine, Output, RunBody, Timers};
 use slatevalve_reactor::{Id, Reactor};
 use slatevalve_worker_protocol::reply::ParsedReply;
-use slatevalve_worker_protocol::{Call, Heard, Order, Reader, Tag, Wire};
+use slatevalve_worker_protocol::{Call, CompletedRequest, Reader, Tag, WorkerProtocol, WorkerRequest};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 use tracing::debug;
@@ -59,7 +59,7 @@
 
 struct Task {
     purpose: Purpose,
-    order: Order,
+    order: WorkerRequest,
     began: Micros,
     /// Bytes of the connection before its first and after its last.
     from: u64,
@@ -104,7 +104,7 @@
 /// All connections to workers.
 pub struct Pool {
     settings: PoolSettings,
-    wire: Box<dyn Wire>,
+    wire: Box<dyn WorkerProtocol>,
     order_timeout: Micros,
     /// Numbers of the settings documents that attempts are sent by.
     documents: Vec<u64>,
@@ -114,12 +114,12 @@
     timers: Timers<Due>,
 }
 
-fn bare(outcome: Outcome) -> ParsedReply {
+fn without_payload(outcome: Outcome) -> ParsedReply {
     ParsedReply {
         outcome,
         payload: Vec::new(),
         copies: 0,
-        crowd: None,
+        queue_depth: None,
         load_failed: false,
         ran: None,
         report: None,
@@ -128,7 +128,7 @@
 
 impl Pool {
     /// A pool that knows no worker yet.
-    pub fn new(settings: PoolSettings, wire: Box<dyn Wire>, order_timeout: Micros) -> Self {
+    pub fn new(settings: PoolSettings, wire: Box<dyn WorkerProtocol>, order_timeout: Micros) -> Self {
         Pool {
             settings,
             wire,
@@ -215,7 +215,7 @@
             behind.from -= to - from;
             behind.to -= to - from;
         }
-        self.end_task(now, id, tag, bare(Outcome::NotSent))
+        self.end_task(now, id, tag, without_payload(Outcome::NotSent))
     }
 
     fn close_idle(&mut self, reactor: &mut Reactor, worker: WorkerId) {
@@ -271,22 +271,22 @@
                 (
                     worker,
                     Purpose::Attempt(attempt),
-                    Order::Infer(worker_call(classes, &self.documents, attempt, &body, time_left)),
+                    WorkerRequest::Infer(worker_call(classes, &self.documents, attempt, &body, time_left)),
                 )
             }
             Output::Load { worker, function, name, copies } => {
                 debug!(now = now.0, worker = self.name(worker), function = &*name, copies, "load");
                 let name = name.to_string();
                 let order = match copies {
-                    0 => Order::Count { function: name },
-                    _ => Order::Load { function: name, copies },
+                    0 => WorkerRequest::Count { function: name },
+                    _ => WorkerRequest::Load { function: name, copies },
                 };
                 (worker, Purpose::Load(function), order)
             }
             Output::Unload { worker, name } => {
-                (worker, Purpose::Unload, Order::Unload { function: name.to_string() })
+                (worker, Purpose::Unload, WorkerRequest::Unload { function: name.to_string() })
             }
-            Output::Probe(worker) => (worker, Purpose::Probe, Order::Ready),
+            Output::Probe(worker) => (worker, Purpose::Probe, WorkerRequest::Ready),
             Output::Cancel(attempt) => {
                 self.end_attempt(now, reactor, engine, attempt, Outcome::Cancelled, out);
                 return None;
@@ -325,7 +325,7 @@
         match self.cancel_attempt(now, reactor, attempt, outcome) {
             Some(end) => self.tell(now, end, engine, out),
             // There is no such attempt any more; the engine passes by what it has heard already.
-            None => engine.attempt_ended(now, attempt, AttemptEnd::bare(outcome), out),
+            None => engine.attempt_ended(now, attempt, AttemptEnd::without_payload(outcome), out),
         }
     }
 
@@ -333,7 +333,7 @@
     pub fn tell(&self, now: Micros, end: RequestEnd, engine: &mut Engine, out: &mut Vec<Output>) {
         let RequestEnd { worker, purpose, latency, understood } = end;
         debug!(now = now.0, worker = self.name(worker), ?purpose, latency = latency.0,
-            outcome = ?understood.outcome, crowd = understood.crowd, copies = understood.copies,
+            outcome = ?understood.outcome, queue_depth = understood.queue_depth, copies = understood.copies,
             report = ?understood.report, "end");
         match purpose {
             Purpose::Attempt(attempt) => {
@@ -341,7 +341,7 @@
                     outcome: understood.outcome,
                     payload: understood.payload.into(),
                     ran: understood.ran.map(Into::into),
-                    crowd: understood.crowd,
+                    queue_depth: understood.queue_depth,
                     load_failed: understood.load_failed,
                     report: understood.report,
                 };
@@ -363,12 +363,17 @@
         reactor: &mut Reactor,
         worker: WorkerId,
         purpose: Purpose,
-        order: Order,
+        order: WorkerRequest,
     ) -> Option<RequestEnd> {
         let id = match self.connection_for(now, reactor, worker, purpose) {
             Ok(id) => id,
             Err(outcome) => {
-                return Some(RequestEnd { worker, purpose, latency: Micros(0), understood: bare(outcome) })
+                return Some(RequestEnd {
+                    worker,
+                    purpose,
+                    latency: Micros(0),
+                    understood: without_payload(outcome),
+                })
             }
         };
         self.begin(now, reactor, id, purpose, order);
@@ -460,7 +465,7 @@
     }
 
     /// Hands a request's bytes to its connection; they leave once it stands.
-    fn begin(&mut self, now: Micros, reactor: &mut Reactor, id: Id, purpose: Purpose, order: Order) {
+    fn begin(&mut self, now: Micros, reactor: &mut Reactor, id: Id, purpose: Purpose, order: WorkerRequest) {
         let timeout = match purpose {
             // A call's time is the engine's to watch.
             Purpose::Attempt(_) => None,
@@ -494,7 +499,7 @@
     /// Whether enough of a request was taken by the kernel for a worker to run it. The loop's count alone says so: a
     /// connection that came up in this turn has been written to before this pool is told of it.
     fn may_have_left(&self, task: &Task, written: u64) -> bool {
-        if self.wire.part_may_run() {
+        if self.wire.partial_request_may_run() {
             written > task.from
         } else {
             written >= task.to
@@ -520,7 +525,7 @@
         let alone = connection.tasks.len() == 1;
         let give_up = self.wire.give_up(&task.order).filter(|_| !alone);
         let sent = !alone || self.may_have_left(task, reactor.written(id));
-        let end = self.end_task(now, id, tag, bare(if sent { outcome } else { Outcome::NotSent }));
+        let end = self.end_task(now, id, tag, without_payload(if sent { outcome } else { Outcome::NotSent }));
         match give_up {
             Some(bytes) => {
                 let connection = self.connections.get_mut(&id)?;
@@ -556,7 +561,7 @@
         let mut heard = Vec::new();
         let fed = connection.reader.feed(bytes, &mut heard);
         let mut ends: Vec<RequestEnd> = Vec::new();
-        for Heard { tag, understood } in heard {
+        for CompletedRequest { tag, understood } in heard {
             ends.extend(self.end_task(now, id, tag, understood));
         }
         // It took the requests and answered something else: they may have run.
@@ -607,7 +612,9 @@
         let Some(connection) = self.connections.get(&id) else { return Vec::new() };
         let outcome = |t: &Task| if self.may_have_left(t, written) { left } else { unsent };
         let all: Vec<(Tag, Outcome)> = connection.tasks.iter().map(|(tag, t)| (*tag, outcome(t))).collect();
-        all.into_iter().filter_map(|(tag, outcome)| self.end_task(now, id, tag, bare(outcome))).collect()
+        all.into_iter()
+            .filter_map(|(tag, outcome)| self.end_task(now, id, tag, without_payload(outcome)))
+            .collect()
     }
 
     /// A connection ended; `written` are the bytes that the kernel took over its life.
@@ -648,7 +655,7 @@
                     if !task.is_some_and(|t| over(t.due)) {
                         continue;
                     }
-                    ends.extend(self.end_task(now, id, tag, bare(Outcome::TimedOut)));
+                    ends.extend(self.end_task(now, id, tag, without_payload(Outcome::TimedOut)));
                     self.drop_alone(reactor, id);
                 }
             }
--- a/crates/gateway/src/server/pool/tests.rs
+++ b/crates/gateway/src/server/pool/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use slatevalve::RequestId;
 use slatevalve_platform::workers::Lines;
-use slatevalve_reactor::Happening;
+use slatevalve_reactor::ReactorEvent;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -44,7 +44,7 @@
 
     fn attempt(&mut self, request: u64, attempt: usize) -> AttemptRef {
         let attempt = AttemptRef { request: RequestId(request), attempt };
-        let order = Order::Infer(Call {
+        let order = WorkerRequest::Infer(Call {
             function: "0000000000000001".into(),
             version: None,
             payload: b"charge".to_vec(),
@@ -65,9 +65,9 @@
     fn until_up(&mut self) -> Id {
         let mut happened = Vec::new();
         for _ in 0..100 {
-            self.reactor.turn(Some(Duration::from_millis(100)), &mut happened).expect("the poller works");
+            self.reactor.poll(Some(Duration::from_millis(100)), &mut happened).expect("the poller works");
             let up = happened.iter().find_map(|h| match h {
-                Happening::Connected(id) => Some(*id),
+                ReactorEvent::Connected(id) => Some(*id),
                 _ => None,
             });
             if let Some(id) = up {
@@ -80,7 +80,7 @@
     /// The same, and one turn more: what was handed in has left.
     fn until_left(&mut self) -> Id {
         let id = self.until_up();
-        self.reactor.turn(Some(Duration::ZERO), &mut Vec::new()).expect("the poller works");
+        self.reactor.poll(Some(Duration::ZERO), &mut Vec::new()).expect("the poller works");
         assert!(self.reactor.written(id) > 0);
         id
     }
@@ -102,17 +102,17 @@
     }
 
     /// One turn, with the pool told of everything.
-    fn turn(&mut self) -> Vec<Outcome> {
+    fn poll(&mut self) -> Vec<Outcome> {
         let mut happened = Vec::new();
-        self.reactor.turn(Some(Duration::from_millis(20)), &mut happened).expect("the poller works");
+        self.reactor.poll(Some(Duration::from_millis(20)), &mut happened).expect("the poller works");
         let mut ends = Vec::new();
-        for happening in happened {
-            match happening {
-                Happening::Connected(id) => self.pool.connected(Micros(1), &mut self.reactor, id),
-                Happening::Received(id, bytes) => {
+        for event in happened {
+            match event {
+                ReactorEvent::Connected(id) => self.pool.connected(Micros(1), &mut self.reactor, id),
+                ReactorEvent::Received(id, bytes) => {
                     ends.extend(self.pool.received(Micros(1), &mut self.reactor, id, &bytes));
                 }
-                Happening::Closed { id, connected, written } => {
+                ReactorEvent::Closed { id, connected, written } => {
                     ends.extend(self.pool.closed(Micros(1), id, connected, written));
                 }
                 _ => {}
@@ -125,7 +125,7 @@
     fn until_ended(&mut self, number: usize) -> Vec<Outcome> {
         let mut ends = Vec::new();
         for _ in 0..1000 {
-            ends.extend(self.turn());
+            ends.extend(self.poll());
             if ends.len() >= number {
                 return ends;
             }
@@ -137,8 +137,8 @@
     fn served(&mut self, request: u64) -> TcpStream {
         self.call(request);
         let mut peer = self.peer();
-        self.turn();
-        self.turn();
+        self.poll();
+        self.poll();
         assert_eq!(heard(&mut peer, 1), [format!("{request:016x}")]);
         say(&mut peer, request, "ACK");
         assert_eq!(self.until_ended(1), [Outcome::Ok]);
@@ -233,8 +233,8 @@
     assert_eq!(bench.pool.sizes()[1], 1, "they share one");
     assert_eq!(bench.cancel_attempt(second), Outcome::NotSent);
     let mut peer = bench.peer();
-    bench.turn();
-    bench.turn();
+    bench.poll();
+    bench.poll();
     assert_eq!(heard(&mut peer, 2), [format!("{:016x}", 1), format!("{:016x}", 3)]);
     say(&mut peer, 3, "ACK");
     say(&mut peer, 1, "NOENT");
@@ -248,8 +248,8 @@
     // Its end is in the kernel, and no turn has told of it.
     bench.call(2);
     let mut peer = bench.peer();
-    bench.turn();
-    bench.turn();
+    bench.poll();
+    bench.poll();
     assert_eq!(heard(&mut peer, 1), [format!("{:016x}", 2)], "on a new one");
 }
 
@@ -258,14 +258,14 @@
     let mut bench = Bench::new(8);
     let _old = bench.served(1);
     // As after a standstill: a call comes first in the turn in which the time is up.
-    let (attempt, order) = (bench.call(2), Order::Ready);
+    let (attempt, order) = (bench.call(2), WorkerRequest::Ready);
     bench.cancel_attempt(attempt);
     let end = bench.pool.submit(Micros(20_000_000), &mut bench.reactor, WORKER, Purpose::Probe, order);
     assert!(end.is_none());
     assert_eq!(bench.pool.sizes()[1], 1, "the old one is closed, a new one comes up");
     let mut new = bench.peer();
-    bench.turn();
-    bench.turn();
+    bench.poll();
+    bench.poll();
     assert!(new.read(&mut [0; 64]).expect("a probe") > 0);
 }
 
@@ -282,8 +282,8 @@
     let mut second = bench.peer();
     // The copy comes while the second attempt is out.
     say(&mut first, 1, "NOENT");
-    bench.turn();
-    bench.turn();
+    bench.poll();
+    bench.poll();
     assert_eq!(heard(&mut second, 1), [format!("{:016x}", 1)]);
     say(&mut second, 1, "ACK");
     assert_eq!(bench.until_ended(1), [Outcome::Ok]);
--- a/crates/gateway/src/settings/agreed.rs
+++ b/crates/gateway/src/settings/agreed.rs
@@ -11,7 +11,7 @@
 use slatevalve_config_versioning::{Document, RetryCondition, RetryRule, Terms};
 use slatevalve_engine::{ClassPolicy, EngineSettings};
 use slatevalve_mqtt::{Route, Routes};
-use slatevalve_registry::{ClientSettings, Follow};
+use slatevalve_registry::{ClientSettings, WatchScope};
 use slatevalve_sexpr::{File, FormError};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -106,7 +106,7 @@
         fields.finish()?;
         let prefix = client.prefix.clone();
         client.prefix = format!("{prefix}agreement/state");
-        client.follow = Follow::All;
+        client.follow = WatchScope::All;
         let settings = AgreedSettings { client, addresses, prefix, lives, remember, name };
         let named = Named::default();
         let (places, current, spaces, tenants) = (Vec::new(), BTreeMap::new(), BTreeMap::new(), Vec::new());
--- a/crates/gateway/src/settings/classes.rs
+++ b/crates/gateway/src/settings/classes.rs
@@ -26,15 +26,15 @@
         let base = Class::default();
         let effect = effect(&fields.need("effect")?)?;
         let class = Class {
-            aim: fields.need("aim-ms")?.millis()?,
-            aim_stretch: fields.or("aim-stretch", 0.0, Form::number)?,
+            latency_objective: fields.need("aim-ms")?.millis()?,
+            objective_stretch: fields.or("aim-stretch", 0.0, Form::number)?,
             deadline: fields.need("deadline-ms")?.millis()?,
-            worth: fields.or("worth", base.worth, Form::number)?,
-            late_worth: fields.or("late-worth", base.late_worth, Form::number)?,
+            priority_weight: fields.or("worth", base.priority_weight, Form::number)?,
+            late_value: fields.or("late-worth", base.late_value, Form::number)?,
             effect,
             stream: false,
         };
-        if class.aim > class.deadline || class.aim.0 == 0 {
+        if class.latency_objective > class.deadline || class.latency_objective.0 == 0 {
             return Err(form.error("the aim lies between 0 and the deadline"));
         }
         // What repeats are remembered for: ten minutes, and never less than the workers' own memory.
--- a/crates/gateway/src/settings/members.rs
+++ b/crates/gateway/src/settings/members.rs
@@ -4,7 +4,7 @@
 use slatevalve::Micros;
 use slatevalve_pacing::{seed_of, Limits};
 use slatevalve_registry::{
-    ClientSettings, Follow, FollowerSettings, Login, RegistrationSettings, RouterCountSettings,
+    ClientSettings, Login, RegistrationSettings, RouterCountSettings, WatchScope, WatchSettings,
 };
 use slatevalve_sexpr::{Fields, Form, FormError};
 use std::net::{SocketAddr, ToSocketAddrs};
@@ -78,8 +78,8 @@
         return Err(form.error("the prefix ends with /"));
     }
     let login = super::login(fields, form)?.map(|(name, password)| Login { name, password });
-    let base = FollowerSettings::default();
-    let follower = FollowerSettings {
+    let base = WatchSettings::default();
+    let watch_state = WatchSettings {
         look_us: fields.or("look-ms", Micros(base.look_us), Form::millis)?.0.max(1_000),
         silence_us: fields.or("silence-ms", Micros(base.silence_us), Form::millis)?.0,
         ..base
@@ -93,7 +93,7 @@
     }
     let drain_within_us = fields.or("drain-within-ms", Micros(12_000_000), Form::millis)?.0;
     // A wait, the time of an answer and that of a look that finds the watch behind lie within it.
-    let longest_us = drain_within_us - timeout_us - follower.behind_us;
+    let longest_us = drain_within_us - timeout_us - watch_state.behind_us;
     if longest_us <= 0 {
         return Err(form.error("drain-within-ms is longer than timeout-ms and half a second together"));
     }
@@ -103,9 +103,9 @@
         relays,
         prefix,
         login,
-        follow: Follow::Workers,
+        follow: WatchScope::Workers,
         own: None,
-        follower,
+        watch_state,
         registration: RegistrationSettings { ttl_s },
         pace,
         askers: routers,
--- a/crates/gateway/src/settings/mod.rs
+++ b/crates/gateway/src/settings/mod.rs
@@ -434,7 +434,7 @@
             fields.take(name)?.map(|f| f.millis()).transpose()
         };
         let traits = FunctionTraits {
-            lanes: fields.or("lanes", 1, |f| f.whole(10_000))?.max(1) as usize,
+            concurrency: fields.or("lanes", 1, |f| f.whole(10_000))?.max(1) as usize,
             work: optional(&mut fields, "work-ms")?,
             load_time: optional(&mut fields, "load-ms")?,
             memory_mb: fields.or("memory-mb", 0.0, Form::number)?,
--- a/crates/gateway/tests/platform/crossings.rs
+++ b/crates/gateway/tests/platform/crossings.rs
@@ -47,12 +47,12 @@
         Stepped { router: Loop::new(file, Clock::start()).unwrap(), _directory: directory }
     }
 
-    fn turn(&mut self) {
-        assert!(!self.router.turn(Duration::from_millis(10)).unwrap(), "it goes on");
+    fn poll(&mut self) {
+        assert!(!self.router.poll(Duration::from_millis(10)).unwrap(), "it goes on");
     }
 
     fn turns(&mut self, count: usize) {
-        (0..count).for_each(|_| self.turn());
+        (0..count).for_each(|_| self.poll());
     }
 
     fn until<T>(&mut self, what: &str, mut find: impl FnMut(&mut Loop) -> Option<T>) -> T {
@@ -62,7 +62,7 @@
                 return found;
             }
             assert!(start.elapsed() < Duration::from_secs(20), "in vain: {what}");
-            self.turn();
+            self.poll();
         }
     }
 
@@ -281,7 +281,7 @@
     let told = log.answers();
     log.tell(&[("w", worker.address, "left"), ("w", worker.address, "active")]);
     until("the event to be heard", || {
-        router.turn();
+        router.poll();
         log.answers() > told && log.waiting() == 1
     });
     router.serve(&mut client, &worker, 1);
@@ -438,14 +438,14 @@
     let mut slow = asked(&mut router);
     for byte in most {
         slow.write_all(&[*byte]).unwrap();
-        router.turn();
+        router.poll();
     }
     client.send("charge", 1, 2);
     assert_eq!(router.calls_until(&mut peer, 2), [id(1), id(2)], "what is not whole counts for nothing");
     peer.say(2, "ACK");
     assert_eq!(router.answer(&mut client), End::Served(vec![]));
     slow.write_all(&[*last]).unwrap();
-    router.turn();
+    router.poll();
     client.send("charge", 1, 3);
     assert_eq!(router.answer(&mut client), End::Error("Throttled".into()));
     assert_eq!(peer.calls(), [id(1), id(2)], "something new after the drain");
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -60,7 +60,7 @@
     }
 
     /// Hears what stands there, and asks for what it wants until it wants nothing.
-    fn turn(&mut self) {
+    fn poll(&mut self) {
         loop {
             let reading = self.read();
             if let Some(state) = &reading.state {
@@ -132,11 +132,11 @@
     let fleet = Fleet::start("go-on");
     assert_eq!(fleet.publish(UNSAFE, "5").1, json!({"committed": true, "number": 1}));
     let mut routers = ["a", "b/1", "c"].map(|name| fleet.router(name));
-    routers.iter_mut().for_each(Router::turn);
+    routers.iter_mut().for_each(Router::poll);
     assert!(routers.iter().all(|r| r.may() == SendPermission::All));
     let (code, told) = fleet.publish(KEYED, "0");
     assert_eq!((code, told["awaited"].clone()), (Some(3), json!(["a", "b/1", "c"])));
-    routers[0].turn();
+    routers[0].poll();
     assert_eq!((routers[0].acts_by(), routers[1].acts_by()), (vec![1, 2], vec![1]));
     let (code, told) = fleet.settings(&["drive", "--wait-s", "0"]);
     assert_eq!((code, told["awaited"].clone()), (Some(3), json!(["b/1", "c"])));
@@ -149,15 +149,15 @@
     let other = fleet.file("three", &KEYED.replace("9000", "8000"));
     let output = fleet.output(&["publish", other.to_str().unwrap(), "--why", "three"]);
     assert!(String::from_utf8_lossy(&output.stderr).contains("document 2 is prepared and not yet committed"));
-    routers[1..].iter_mut().for_each(Router::turn);
+    routers[1..].iter_mut().for_each(Router::poll);
     assert_eq!(fleet.settings(&["drive"]).1, json!({"committed": true, "number": 2}));
-    routers.iter_mut().for_each(Router::turn);
+    routers.iter_mut().for_each(Router::poll);
     assert!(routers.iter().all(|r| r.acts_by() == [2] && r.may() == SendPermission::All));
     // Back to the document before, under a number of its own, while all say yes.
     let rollback = fleet.settings(&["rollback", "--wait-s", "0"]);
     assert_eq!(rollback.0, Some(3));
     assert_eq!(fleet.settings(&["rollback"]).1, json!({"withdrawn": true}));
-    routers.iter_mut().for_each(Router::turn);
+    routers.iter_mut().for_each(Router::poll);
     assert!(routers.iter().all(|r| r.acts_by() == [2]));
     let numbers =
         |v: &Value| v.as_array().unwrap().iter().map(|d| d["number"].as_u64().unwrap()).collect::<Vec<_>>();
@@ -171,7 +171,7 @@
     let fleet = Fleet::start("go-on");
     fleet.publish(UNSAFE, "5");
     let mut router = fleet.router("a");
-    router.turn();
+    router.poll();
     let file = fleet.file("two", KEYED);
     let mut killed = fleet.spawn(&["publish", file.to_str().unwrap(), "--why", "two"]);
     until("the change to be prepared", || !fleet.status()["prepared"].is_null());
@@ -180,7 +180,7 @@
     assert_eq!(fleet.committed(), 1);
     // Two others at once end it as one.
     let mut others = [fleet.spawn(&["drive"]), fleet.spawn(&["drive"])];
-    router.turn();
+    router.poll();
     for other in &mut others {
         assert!(other.wait().unwrap().success());
     }
@@ -192,7 +192,7 @@
     let fleet = Fleet::start("go-on");
     fleet.publish(UNSAFE, "5");
     let mut router = fleet.router("a");
-    router.turn();
+    router.poll();
     let files =
         [9001, 9002, 9003, 9004].map(|w| fleet.file(&w.to_string(), &KEYED.replace("9000", &w.to_string())));
     let all = files
@@ -202,7 +202,7 @@
     codes.sort_unstable();
     assert_eq!(codes.iter().filter(|c| **c == 3).count(), 1, "{codes:?}");
     assert_eq!(fleet.status()["prepared"]["number"], 2);
-    router.turn();
+    router.poll();
     assert_eq!(fleet.settings(&["drive"]).0, Some(0));
 }
 
@@ -211,10 +211,10 @@
     let fleet = Fleet::start("go-on");
     fleet.publish(UNSAFE, "5");
     let (mut gone, mut stays) = (fleet.router("gone"), fleet.router("stays"));
-    gone.turn();
-    stays.turn();
+    gone.poll();
+    stays.poll();
     let (code, told) = fleet.publish(KEYED, "0");
-    stays.turn();
+    stays.poll();
     assert_eq!((code, told["committed"].clone()), (Some(3), json!(false)));
     let (code, told) = fleet.settings(&["drive", "--wait-s", "1"]);
     assert_eq!((code, told["awaited"].clone()), (Some(3), json!(["gone"])), "longer than a right lasts");
@@ -223,7 +223,7 @@
     assert_eq!(fleet.settings(&["declare-gone", "gone"]).1, json!({"gone": "gone", "lives": 1}));
     assert_eq!(fleet.settings(&["drive"]).1, json!({"committed": true, "number": 2}));
     // Should it be alive after all, it finds that out by its next question and acts by the new document alone.
-    gone.turn();
+    gone.poll();
     assert_eq!((gone.acts_by(), gone.may()), (vec![2], SendPermission::All));
 }
 
@@ -232,7 +232,7 @@
     let fleet = Fleet::start("give-up");
     fleet.publish(UNSAFE, "5");
     let mut cut = fleet.router("cut");
-    cut.turn();
+    cut.poll();
     let (asked, may) = (cut.now(), cut.may());
     assert_eq!(may, SendPermission::All);
     let (code, _) = fleet.publish(KEYED, "20");
@@ -244,6 +244,6 @@
         committed - asked
     );
     assert_eq!(cut.may(), SendPermission::Safe, "what it may have been in doubt about it does not send");
-    cut.turn();
+    cut.poll();
     assert_eq!((cut.acts_by(), cut.may()), (vec![2], SendPermission::All));
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use mqtt_protocol_core::mqtt::connection::{Connection, Event};
 use mqtt_protocol_core::mqtt::packet::*;
 use mqtt_protocol_core::mqtt::{role, Version};
-use slatevalve_worker_protocol::{Asked, Limits, MessageReader, Order, Reply, Side};
+use slatevalve_worker_protocol::{Limits, MessageReader, ParsedRequest, Reply, Side, WorkerRequest};
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -242,7 +242,7 @@
 pub struct Worker {
     pub address: SocketAddr,
     calls: Arc<Mutex<Vec<(Instant, slatevalve_worker_protocol::Call)>>>,
-    orders: Arc<Mutex<Vec<Order>>>,
+    orders: Arc<Mutex<Vec<WorkerRequest>>>,
     /// Readers that have taken bytes and not yet counted what they say.
     reading: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
@@ -287,7 +287,7 @@
                 Ok(0) | Err(_) => Err(()),
                 Ok(count) => reader.feed(&bytes[..count]).map_err(|_| ()),
             };
-            let order = message.map(|m| m.map(|m| Asked::read(m).unwrap().order));
+            let order = message.map(|m| m.map(|m| ParsedRequest::read(m).unwrap().order));
             let before = match &order {
                 Ok(Some(order)) => self.count(order),
                 _ => 0,
@@ -296,9 +296,9 @@
             let Ok(order) = order else { return };
             let act = match order {
                 None => continue,
-                Some(Order::Infer(call)) => act(&call, before),
-                Some(Order::Ready) => Act::Answer(Reply::Ready),
-                Some(Order::Load { copies, .. }) => Act::Answer(Reply::Copies(copies)),
+                Some(WorkerRequest::Infer(call)) => act(&call, before),
+                Some(WorkerRequest::Ready) => Act::Answer(Reply::Ready),
+                Some(WorkerRequest::Load { copies, .. }) => Act::Answer(Reply::Copies(copies)),
                 Some(_) => Act::Answer(Reply::Copies(0)),
             };
             let done = match act {
@@ -324,12 +324,12 @@
     }
 
     /// Counts a call or an order to load, and gives how many calls came before.
-    fn count(&self, order: &Order) -> usize {
+    fn count(&self, order: &WorkerRequest) -> usize {
         let mut calls = self.calls.lock().unwrap();
         let before = calls.len();
         match order {
-            Order::Infer(call) => calls.push((Instant::now(), call.clone())),
-            Order::Load { .. } => self.orders.lock().unwrap().push(order.clone()),
+            WorkerRequest::Infer(call) => calls.push((Instant::now(), call.clone())),
+            WorkerRequest::Load { .. } => self.orders.lock().unwrap().push(order.clone()),
             _ => {}
         }
         before
--- a/crates/oci/tests/pulls.rs
+++ b/crates/oci/tests/pulls.rs
@@ -28,7 +28,7 @@
 }
 
 /// The wire: which fault befalls the nth request, counted from 0, and what was asked.
-struct Wire<'a> {
+struct WorkerProtocol<'a> {
     registry: &'a mut Registry<Memory>,
     faults: &'a dyn Fn(usize, &str) -> Option<Fault>,
     asked: Vec<String>,
@@ -71,9 +71,9 @@
     }
 }
 
-impl<'a> Wire<'a> {
+impl<'a> WorkerProtocol<'a> {
     fn new(registry: &'a mut Registry<Memory>, faults: &'a dyn Fn(usize, &str) -> Option<Fault>) -> Self {
-        Wire { registry, faults, asked: Vec::new(), now_us: 0 }
+        WorkerProtocol { registry, faults, asked: Vec::new(), now_us: 0 }
     }
 
     fn drive<J: Job>(&mut self, job: &mut J) -> Result<(), J::Error> {
@@ -151,7 +151,7 @@
 
 fn push(registry: &mut Registry<Memory>, package: &Package, faults: Faults<'_>) -> Result<Pushed, PushError> {
     let mut push = Push::new(0, location(), None, Policy::default(), 1, 600, package)?;
-    Wire::new(registry, faults).drive(&mut push)?;
+    WorkerProtocol::new(registry, faults).drive(&mut push)?;
     Ok(push.result().unwrap())
 }
 
@@ -163,7 +163,7 @@
     faults: Faults<'_>,
 ) -> (Result<Pulled, PullError>, Vec<String>) {
     let mut job = Pulling { pull: Pull::new(0, settings, "fare", "1").unwrap(), store };
-    let mut wire = Wire::new(registry, faults);
+    let mut wire = WorkerProtocol::new(registry, faults);
     let done = wire.drive(&mut job);
     (done.map(|()| job.pull.result().unwrap()), wire.asked)
 }
@@ -315,7 +315,7 @@
     let pull = Pull::new(0, settings(), "fare", "2").unwrap();
     let mut job = Pulling { pull, store: &mut store };
     let befall = |n: usize, _: &str| (n == 0).then(|| Fault::Instead(mislabelled.clone()));
-    let error = Wire::new(&mut pushed(), &befall).drive(&mut job).unwrap_err();
+    let error = WorkerProtocol::new(&mut pushed(), &befall).drive(&mut job).unwrap_err();
     assert!(matches!(error, PullError::Other { .. }), "{error}");
 }
 
@@ -412,7 +412,7 @@
         let policy = Policy::default;
         let mut push =
             Push::new(0, location(), Some(credentials.clone()), policy(), 1, 600, &package()).unwrap();
-        Wire::new(&mut registry, &|_, _| None).drive(&mut push).unwrap();
+        WorkerProtocol::new(&mut registry, &|_, _| None).drive(&mut push).unwrap();
         for (shown, good) in [(Some(credentials.clone()), true), (Some(wrong.clone()), false), (None, false)]
         {
             let settings = PullSettings { credentials: shown, ..settings() };
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -196,7 +196,7 @@
     text.parse().ok().filter(|n| plain && range.contains(n))
 }
 
-/// The further figures of a request, `memory_mb:512;lanes:2;load_ms:640`, under the platform's or the simulator's names.
+/// The further figures of a request, `memory_mb:512;concurrency:2;load_ms:640`, under the platform's or the simulator's names.
 fn traits(info: &str) -> Result<FunctionTraits, BadCall> {
     let mut traits = FunctionTraits::default();
     let bad = BadCall::Field("info");
@@ -206,7 +206,8 @@
         match name {
             "memory_mb" => traits.memory_mb = figure(value, 0.0..=1e7).ok_or(bad)?,
             "lanes" | "at_once" => {
-                traits.lanes = figure(value, 1.0..=1e4).filter(|n| n.fract() == 0.0).ok_or(bad)? as usize;
+                traits.concurrency =
+                    figure(value, 1.0..=1e4).filter(|n| n.fract() == 0.0).ok_or(bad)? as usize;
             }
             "load_ms" | "warm_ms" => traits.load_time = Some(millis().ok_or(bad)?),
             "work_ms" | "effort" | "hint" | "ms" => traits.work = Some(millis().ok_or(bad)?),
--- a/crates/platform/src/workers.rs
+++ b/crates/platform/src/workers.rs
@@ -3,11 +3,13 @@
 //! It guards the outcome of each request: `NOENT`, `AGAIN` and `STALE` prove that it never ran, all else may have. Lines
 //! without end, lengths that do not fit and claims beyond the bound end the connection; answers under an unknown id, and
 //! second copies, are passed over and leave a connection that is not used again. Called by the gateway's pool as its
-//! [`Wire`].
+//! [`WorkerProtocol`].
 
 use slatevalve::{Outcome, Report};
 use slatevalve_worker_protocol::reply::ParsedReply;
-use slatevalve_worker_protocol::{Heard, MalformedReply, Order, Reader, Tag, Wire};
+use slatevalve_worker_protocol::{
+    CompletedRequest, MalformedReply, Reader, Tag, WorkerProtocol, WorkerRequest,
+};
 
 /// The longest line of an answer: an id, a word, fields and a length.
 const MAX_LINE: usize = 1024;
@@ -24,19 +26,19 @@
 }
 
 /// What stands for a request on the wire: the client's own id for a call, a name of ours for all else.
-fn name(tag: Tag, order: &Order) -> String {
+fn name(tag: Tag, order: &WorkerRequest) -> String {
     match order {
-        Order::Infer(call) => call.request_id.clone(),
+        WorkerRequest::Infer(call) => call.request_id.clone(),
         _ => format!("t{}", tag.0),
     }
 }
 
-impl Wire for Lines {
+impl WorkerProtocol for Lines {
     fn streams(&self) -> usize {
         self.streams
     }
 
-    fn part_may_run(&self) -> bool {
+    fn partial_request_may_run(&self) -> bool {
         false
     }
 
@@ -45,10 +47,10 @@
         Box::new(LineReader { wire: *self, expected, buffer, surplus: false })
     }
 
-    fn encode(&self, _: &str, tag: Tag, order: &Order) -> Vec<u8> {
+    fn encode(&self, _: &str, tag: Tag, order: &WorkerRequest) -> Vec<u8> {
         let name = name(tag, order);
         match order {
-            Order::Infer(call) => {
+            WorkerRequest::Infer(call) => {
                 let mut line = format!("exec {name} profile={},thing={}", call.class, call.function);
                 line.push_str(&format!(",max={}", call.time_left_ms.max(1)));
                 if let Some(key) = &call.key {
@@ -61,18 +63,20 @@
                 bytes.extend_from_slice(b"\r\n");
                 bytes
             }
-            Order::Load { function, copies } => {
+            WorkerRequest::Load { function, copies } => {
                 format!("ensure {name} thing={function},copies={copies}\r\n").into_bytes()
             }
-            Order::Count { function } => format!("ensure {name} thing={function},copies=0\r\n").into_bytes(),
-            Order::Unload { function } => format!("release {function}\r\n").into_bytes(),
-            Order::Ready => format!("load {name}\r\n").into_bytes(),
+            WorkerRequest::Count { function } => {
+                format!("ensure {name} thing={function},copies=0\r\n").into_bytes()
+            }
+            WorkerRequest::Unload { function } => format!("release {function}\r\n").into_bytes(),
+            WorkerRequest::Ready => format!("load {name}\r\n").into_bytes(),
         }
     }
 
-    fn give_up(&self, order: &Order) -> Option<Vec<u8>> {
+    fn give_up(&self, order: &WorkerRequest) -> Option<Vec<u8>> {
         match order {
-            Order::Infer(call) => Some(format!("drop {}\r\n", call.request_id).into_bytes()),
+            WorkerRequest::Infer(call) => Some(format!("drop {}\r\n", call.request_id).into_bytes()),
             _ => None,
         }
     }
@@ -104,10 +108,10 @@
 }
 
 impl Reader for LineReader {
-    fn expect(&mut self, tag: Tag, order: &Order) {
+    fn expect(&mut self, tag: Tag, order: &WorkerRequest) {
         // Nothing is ever told of an order to unload.
-        if !matches!(order, Order::Unload { .. }) {
-            let call = matches!(order, Order::Infer(_));
+        if !matches!(order, WorkerRequest::Unload { .. }) {
+            let call = matches!(order, WorkerRequest::Infer(_));
             self.expected.push(Expected { tag, name: name(tag, order), call });
         }
     }
@@ -116,7 +120,7 @@
         self.expected.retain(|e| e.tag != tag);
     }
 
-    fn feed(&mut self, bytes: &[u8], out: &mut Vec<Heard>) -> Result<(), MalformedReply> {
+    fn feed(&mut self, bytes: &[u8], out: &mut Vec<CompletedRequest>) -> Result<(), MalformedReply> {
         self.buffer.extend_from_slice(bytes);
         let mut start = 0;
         let mut fed = Ok(());
@@ -134,7 +138,7 @@
                 Some(at) => {
                     let expected = self.expected.remove(at);
                     match understand(&self.wire, expected.call, &said) {
-                        Some(understood) => out.push(Heard { tag: expected.tag, understood }),
+                        Some(understood) => out.push(CompletedRequest { tag: expected.tag, understood }),
                         None => {
                             // An answer that cannot be: this request may have run, like the others here.
                             self.expected.push(expected);
@@ -153,7 +157,7 @@
         fed
     }
 
-    fn end(&mut self) -> Option<Heard> {
+    fn end(&mut self) -> Option<CompletedRequest> {
         None
     }
 
@@ -204,17 +208,17 @@
         outcome,
         payload: if call && outcome == Outcome::Ok { said.body.to_vec() } else { Vec::new() },
         copies: 0,
-        crowd: None,
+        queue_depth: None,
         load_failed: false,
         ran: None,
         report: None,
     };
-    let mut crowd = 0;
+    let mut queue_depth = 0;
     let pairs = said.fields.split(',').filter(|_| said.fields != "-");
     for (name, value) in pairs.filter_map(|pair| pair.split_once('=')) {
         match name {
             "copies" => understood.copies = value.parse().unwrap_or(0),
-            "queue_fn" => crowd = value.parse().unwrap_or(0),
+            "queue_fn" => queue_depth = value.parse().unwrap_or(0),
             "report" => understood.report = Some(report(value)),
             // The load that the request waited for failed.
             "remark" => understood.load_failed = value == "f",
@@ -222,7 +226,7 @@
         }
     }
     let told = call && wire.tells_crowd && matches!(outcome, Outcome::Ok | Outcome::Full);
-    understood.crowd = told.then_some(crowd);
+    understood.queue_depth = told.then_some(queue_depth);
     Some(understood)
 }
 
@@ -248,8 +252,8 @@
 
     const WIRE: Lines = Lines { streams: 4, tells_crowd: true };
 
-    fn exec(id: &str) -> Order {
-        Order::Infer(Call {
+    fn exec(id: &str) -> WorkerRequest {
+        WorkerRequest::Infer(Call {
             function: "7f3a9c21e0b4d655".into(),
             payload: b"a\r\nb".to_vec(),
             request_id: id.into(),
@@ -259,7 +263,10 @@
         })
     }
 
-    fn heard(orders: &[Order], bytes: &[u8]) -> (Vec<Heard>, Result<(), MalformedReply>, bool) {
+    fn heard(
+        orders: &[WorkerRequest],
+        bytes: &[u8],
+    ) -> (Vec<CompletedRequest>, Result<(), MalformedReply>, bool) {
         let mut reader = WIRE.reader();
         orders.iter().enumerate().for_each(|(n, o)| reader.expect(Tag(n as u64), o));
         let mut out = Vec::new();
@@ -270,16 +277,16 @@
     #[test]
     fn requests_are_lines_with_the_clients_own_id_and_key() {
         let mut order = exec("9b1f03aa5c7e2d41");
-        if let Order::Infer(call) = &mut order {
+        if let WorkerRequest::Infer(call) = &mut order {
             call.key = Some(b"5c0f".to_vec());
         }
         let bytes = WIRE.encode("", Tag(3), &order);
         let wanted: &[u8] = b"exec 9b1f03aa5c7e2d41 \
             profile=fare-quote,thing=7f3a9c21e0b4d655,max=1500,replay=5c0f 4\r\na\r\nb\r\n";
         assert_eq!(bytes, wanted);
-        let load = Order::Load { function: "7f".into(), copies: 2 };
+        let load = WorkerRequest::Load { function: "7f".into(), copies: 2 };
         assert_eq!(WIRE.encode("", Tag(4), &load), b"ensure t4 thing=7f,copies=2\r\n");
-        assert_eq!(WIRE.encode("", Tag(5), &Order::Ready), b"load t5\r\n");
+        assert_eq!(WIRE.encode("", Tag(5), &WorkerRequest::Ready), b"load t5\r\n");
         assert_eq!(WIRE.give_up(&order).unwrap(), b"drop 9b1f03aa5c7e2d41\r\n");
     }
 
@@ -298,18 +305,18 @@
             assert_eq!((fed, clean, out.len()), (Ok(()), true, 1), "{word}");
             assert_eq!(out[0].understood.outcome, outcome);
             let told = matches!(word, "ACK" | "AGAIN").then_some(3);
-            assert_eq!(out[0].understood.crowd, told);
+            assert_eq!(out[0].understood.queue_depth, told);
             assert_eq!(out[0].understood.payload, if word == "ACK" { b"hi".to_vec() } else { vec![] });
         }
         let (out, _, _) = heard(&[exec("aa")], b"aa ACK - 0\r\n\r\n");
-        assert_eq!(out[0].understood.crowd, Some(0), "absent is none");
+        assert_eq!(out[0].understood.queue_depth, Some(0), "absent is none");
     }
 
     #[test]
     fn answers_come_in_any_order_and_pieces() {
         let bytes =
             b"bb ACK - 4\r\n\r\n\r\n\r\nt2 READY report=backlog:2.5;util:0.5 0\r\n\r\naa EIO - 0\r\n\r\n";
-        let orders = [exec("aa"), exec("bb"), Order::Ready];
+        let orders = [exec("aa"), exec("bb"), WorkerRequest::Ready];
         for step in 1..bytes.len() {
             let mut reader = WIRE.reader();
             orders.iter().enumerate().for_each(|(n, o)| reader.expect(Tag(n as u64), o));
--- a/crates/platform/tests/front.rs
+++ b/crates/platform/tests/front.rs
@@ -127,7 +127,7 @@
     assert_eq!((call.key.as_deref(), call.request_id.as_deref()), (Some(KEY.as_bytes()), Some(ID)));
     assert_eq!(&*call.payload, b"\x00\xff");
     let traits = call.traits.unwrap();
-    assert_eq!((traits.lanes, traits.memory_mb, traits.load_time), (2, 512.0, Some(Micros(640_000))));
+    assert_eq!((traits.concurrency, traits.memory_mb, traits.load_time), (2, 512.0, Some(Micros(640_000))));
     let served = Verdict::Served { payload: b"hi".as_slice().into(), ran: None };
     let seen = bench.answer(call.ticket, served);
     assert_eq!(seen.written, [(1, vec![0x94, 1, 7, 0xc0, 0x92, 0xc4, 2, b'h', b'i', 0x80])]);
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -44,7 +44,7 @@
 
 /// What happened on the loop.
 #[derive(Debug)]
-pub enum Happening {
+pub enum ReactorEvent {
     /// A peer connected to a listener.
     Accepted {
         /// The listener.
@@ -118,14 +118,14 @@
 pub struct Waker(UnixStream);
 
 impl Waker {
-    /// The loop's next turn tells [`Happening::Woken`]. A loop that is gone, or was woken already, takes nothing.
+    /// The loop's next turn tells [`ReactorEvent::Woken`]. A loop that is gone, or was woken already, takes nothing.
     pub fn wake(&self) {
         // A full pipe means that it was woken many times already.
         let _ = (&self.0).write(&[0]);
     }
 }
 
-/// The loop's sockets and signals; [`Reactor::turn`] waits for the next happenings.
+/// The loop's sockets and signals; [`Reactor::poll`] waits for the next happenings.
 pub struct Reactor {
     poller: Poller,
     events: Events,
@@ -134,7 +134,7 @@
     scratch: Vec<u8>,
     max_buffered: usize,
     /// Ends noticed while writing, told at the next turn.
-    ended: Vec<Happening>,
+    ended: Vec<ReactorEvent>,
     /// Connections with bytes that the kernel has not been offered yet.
     unflushed: Vec<Id>,
     /// Connections that are read out, since when; the earliest first.
@@ -231,7 +231,7 @@
         Ok(Waker(write))
     }
 
-    /// Begins a connection; [`Happening::Connected`] or [`Happening::Closed`] tells how that ended.
+    /// Begins a connection; [`ReactorEvent::Connected`] or [`ReactorEvent::Closed`] tells how that ended.
     ///
     /// # Errors
     /// When no socket is to be had or the address cannot be reached at all.
@@ -248,7 +248,7 @@
         self.watch(Source::Connection(Connection::new(socket, false)), Event::all)
     }
 
-    /// Turns a signal (SIGTERM, SIGHUP ...) into a [`Happening::Signal`].
+    /// Turns a signal (SIGTERM, SIGHUP ...) into a [`ReactorEvent::Signal`].
     ///
     /// # Errors
     /// When the signal cannot be caught.
@@ -310,7 +310,7 @@
 
     /// Hands the kernel what was written in the turn before.
     /// Gives whether all was offered to the kernel.
-    fn flush(&mut self, until: Option<Instant>, out: &mut Vec<Happening>) -> bool {
+    fn flush(&mut self, until: Option<Instant>, out: &mut Vec<ReactorEvent>) -> bool {
         let all = std::mem::take(&mut self.unflushed);
         for (at, id) in all.iter().copied().enumerate() {
             if until.is_some_and(|until| Instant::now() >= until) {
@@ -358,7 +358,7 @@
 
     /// Closes a connection once all that was buffered is written, or after a bounded time without it; what it still sends is
     /// read and thrown away, for a bounded time, so that the peer can read its answers to the end. The end is told as
-    /// [`Happening::Closed`] at the next turn.
+    /// [`ReactorEvent::Closed`] at the next turn.
     pub fn finish(&mut self, id: Id) {
         let Some(Source::Connection(c)) = self.sources.get_mut(&id.0) else { return };
         if c.reading_out.is_some() || c.finishing {
@@ -392,7 +392,7 @@
         if !c.connected || c.stream.shutdown(Shutdown::Write).is_err() {
             return self.end(id);
         }
-        self.ended.push(Happening::Closed { id, connected: true, written: c.written });
+        self.ended.push(ReactorEvent::Closed { id, connected: true, written: c.written });
         (c.reading_out, c.finishing, c.paused) = (Some(LINGER_BYTES), false, false);
         self.set_interest(id);
         self.lingering.push_back((id, Instant::now()));
@@ -427,8 +427,8 @@
     ///
     /// # Errors
     /// When the poller fails.
-    pub fn turn(&mut self, timeout: Option<Duration>, out: &mut Vec<Happening>) -> io::Result<()> {
-        self.turn_until(timeout, None, out)
+    pub fn poll(&mut self, timeout: Option<Duration>, out: &mut Vec<ReactorEvent>) -> io::Result<()> {
+        self.poll_until(timeout, None, out)
     }
 
     /// The same, but writes only as long as a time has not come, and then looks without waiting: what is left can be taken back.
@@ -436,11 +436,11 @@
     ///
     /// # Errors
     /// When the poller fails.
-    pub fn turn_until(
+    pub fn poll_until(
         &mut self,
         timeout: Option<Duration>,
         until: Option<Instant>,
-        out: &mut Vec<Happening>,
+        out: &mut Vec<ReactorEvent>,
     ) -> io::Result<()> {
         let before = out.len();
         if !self.flush(until, out) {
@@ -455,7 +455,7 @@
     ///
     /// # Errors
     /// When the poller fails.
-    pub fn look(&mut self, timeout: Option<Duration>, out: &mut Vec<Happening>) -> io::Result<()> {
+    pub fn look(&mut self, timeout: Option<Duration>, out: &mut Vec<ReactorEvent>) -> io::Result<()> {
         while self.lingering.front().is_some_and(|l| l.1.elapsed() >= LINGER) {
             self.lingering.pop_front().into_iter().for_each(|(id, _)| drop(self.remove(id)));
         }
@@ -490,19 +490,19 @@
         Ok(())
     }
 
-    fn ready(&mut self, event: Event, out: &mut Vec<Happening>) {
+    fn ready(&mut self, event: Event, out: &mut Vec<ReactorEvent>) {
         let id = Id(event.key);
         match self.sources.get_mut(&event.key) {
             Some(Source::Listener(_)) => self.accept(id, out),
             Some(Source::Signal(stream, signal)) => {
                 let mut bytes = [0; 64];
                 while matches!(stream.read(&mut bytes), Ok(n) if n > 0) {}
-                out.push(Happening::Signal(*signal));
+                out.push(ReactorEvent::Signal(*signal));
             }
             Some(Source::Waker(stream)) => {
                 let mut bytes = [0; 64];
                 while matches!(stream.read(&mut bytes), Ok(n) if n > 0) {}
-                out.push(Happening::Woken);
+                out.push(ReactorEvent::Woken);
             }
             Some(Source::Connection(_)) => {
                 if event.writable || event.is_err() == Some(true) {
@@ -517,7 +517,7 @@
     }
 
     /// Accepts what waits at a listener, as far as it can, and closes it. What came between is told in `out`.
-    pub fn close_listener(&mut self, listener: Id, out: &mut Vec<Happening>) {
+    pub fn close_listener(&mut self, listener: Id, out: &mut Vec<ReactorEvent>) {
         for _ in 0..BACKLOG as usize / ACCEPT_AT_ONCE {
             let before = out.len();
             self.accept(listener, out);
@@ -528,7 +528,7 @@
         self.close(listener);
     }
 
-    fn accept(&mut self, listener: Id, out: &mut Vec<Happening>) {
+    fn accept(&mut self, listener: Id, out: &mut Vec<ReactorEvent>) {
         for _ in 0..ACCEPT_AT_ONCE {
             let Some(Source::Listener(l)) = self.sources.get(&listener.0) else { return };
             match l.accept() {
@@ -540,7 +540,7 @@
                     }
                     let source = Source::Connection(Connection::new(stream, true));
                     if let Ok(connection) = self.watch(source, Event::readable) {
-                        out.push(Happening::Accepted { listener, connection, peer: peer.as_socket() });
+                        out.push(ReactorEvent::Accepted { listener, connection, peer: peer.as_socket() });
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
@@ -549,14 +549,14 @@
                 Err(error) => {
                     // Level-triggered, it would be told again at once and for ever: it rests.
                     let _ = self.poller.modify_with_mode(l, Event::none(listener.0), PollMode::Level);
-                    out.push(Happening::AcceptFailed { listener, error });
+                    out.push(ReactorEvent::AcceptFailed { listener, error });
                     return;
                 }
             }
         }
     }
 
-    fn writable(&mut self, id: Id, out: &mut Vec<Happening>) {
+    fn writable(&mut self, id: Id, out: &mut Vec<ReactorEvent>) {
         let Some(Source::Connection(c)) = self.sources.get_mut(&id.0) else { return };
         if !c.connected {
             match c.stream.take_error() {
@@ -565,14 +565,14 @@
                 _ => return self.end(id),
             }
             c.connected = true;
-            out.push(Happening::Connected(id));
+            out.push(ReactorEvent::Connected(id));
         }
         // Not at once: this turn may also bring what takes the bytes back.
         self.note_unflushed(id);
     }
 
     /// Offers the kernel what waits, and watches for writability while something is left.
-    fn write_pending(&mut self, id: Id, out: &mut Vec<Happening>) {
+    fn write_pending(&mut self, id: Id, out: &mut Vec<ReactorEvent>) {
         let Some(Source::Connection(c)) = self.sources.get_mut(&id.0) else { return };
         if c.pending() > 0 {
             match write_some(&mut c.stream, &c.buffer[c.start..]) {
@@ -589,7 +589,7 @@
                     return self.half_close(id);
                 }
                 if c.watching_writes {
-                    out.push(Happening::Drained(id));
+                    out.push(ReactorEvent::Drained(id));
                 }
             } else if c.start > READ_AT_ONCE {
                 c.buffer.drain(..c.start);
@@ -599,7 +599,7 @@
         self.interest(id);
     }
 
-    fn readable(&mut self, id: Id, out: &mut Vec<Happening>) {
+    fn readable(&mut self, id: Id, out: &mut Vec<ReactorEvent>) {
         let Some(Source::Connection(c)) = self.sources.get_mut(&id.0) else { return };
         if !c.connected || c.paused {
             return;
@@ -609,7 +609,7 @@
         }
         match c.stream.read(&mut self.scratch) {
             Ok(0) => self.end(id),
-            Ok(n) => out.push(Happening::Received(id, self.scratch[..n].to_vec())),
+            Ok(n) => out.push(ReactorEvent::Received(id, self.scratch[..n].to_vec())),
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
             Err(_) => self.end(id),
         }
@@ -638,7 +638,7 @@
                 break;
             }
             match c.stream.read(&mut self.scratch) {
-                Ok(n) if n > 0 => self.ended.push(Happening::Received(id, self.scratch[..n].to_vec())),
+                Ok(n) if n > 0 => self.ended.push(ReactorEvent::Received(id, self.scratch[..n].to_vec())),
                 _ => break,
             }
         }
@@ -647,7 +647,7 @@
 
     fn end(&mut self, id: Id) {
         if let Some(Source::Connection(c)) = self.remove(id).filter(|s| !s.is_read_out()) {
-            self.ended.push(Happening::Closed { id, connected: c.connected, written: c.written });
+            self.ended.push(ReactorEvent::Closed { id, connected: c.connected, written: c.written });
         }
     }
 
--- a/crates/reactor/tests/crossings.rs
+++ b/crates/reactor/tests/crossings.rs
@@ -1,14 +1,14 @@
 //! What holds when a peer's bytes, close or reset come between two calls of the loop. Peers are plain sockets; before each
 //! turn the peer's side has happened: its write returned, its close was seen.
 
-use slatevalve_reactor::{Happening, Id, Reactor, MAX_LINGERING};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent, MAX_LINGERING};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
 struct Loop {
     reactor: Reactor,
-    happened: Vec<Happening>,
+    happened: Vec<ReactorEvent>,
 }
 
 impl Loop {
@@ -16,8 +16,8 @@
         Loop { reactor: Reactor::new(4 << 20).unwrap(), happened: Vec::new() }
     }
 
-    fn turn(&mut self) {
-        self.reactor.turn(Some(Duration::from_millis(10)), &mut self.happened).unwrap();
+    fn poll(&mut self) {
+        self.reactor.poll(Some(Duration::from_millis(10)), &mut self.happened).unwrap();
     }
 
     fn until<T>(&mut self, mut find: impl FnMut(&mut Self) -> Option<T>) -> T {
@@ -27,7 +27,7 @@
                 return found;
             }
             assert!(start.elapsed() < Duration::from_secs(20), "in vain: {:?}", self.happened);
-            self.turn();
+            self.poll();
         }
     }
 
@@ -37,7 +37,7 @@
         let id = self.reactor.connect(listener.local_addr().unwrap()).unwrap();
         let peer = listener.accept().unwrap().0;
         self.until(|l| {
-            l.happened.iter().any(|h| matches!(h, Happening::Connected(i) if *i == id)).then_some(())
+            l.happened.iter().any(|h| matches!(h, ReactorEvent::Connected(i) if *i == id)).then_some(())
         });
         (id, peer)
     }
@@ -48,7 +48,9 @@
         let peer = TcpStream::connect(address).unwrap();
         let id = self.until(|l| {
             l.happened.iter().find_map(|h| match h {
-                Happening::Accepted { connection, listener: at, .. } if *at == listener => Some(*connection),
+                ReactorEvent::Accepted { connection, listener: at, .. } if *at == listener => {
+                    Some(*connection)
+                }
                 _ => None,
             })
         });
@@ -57,14 +59,14 @@
 
     fn received(&self, id: Id) -> Vec<u8> {
         let bytes = self.happened.iter().filter_map(|h| match h {
-            Happening::Received(i, bytes) if *i == id => Some(bytes.as_slice()),
+            ReactorEvent::Received(i, bytes) if *i == id => Some(bytes.as_slice()),
             _ => None,
         });
         bytes.collect::<Vec<_>>().concat()
     }
 
     fn is_closed(&self, id: Id) -> bool {
-        self.happened.iter().any(|h| matches!(h, Happening::Closed { id: i, .. } if *i == id))
+        self.happened.iter().any(|h| matches!(h, ReactorEvent::Closed { id: i, .. } if *i == id))
     }
 }
 
@@ -74,15 +76,15 @@
     let (id, mut peer) = l.standing();
     // Unread bytes at its close make the peer's kernel send a reset behind the answer.
     l.reactor.write(id, b"question");
-    l.turn();
+    l.poll();
     peer.write_all(b"answer").unwrap();
     drop(peer);
     l.reactor.write(id, b"the next question");
     l.until(|l| l.is_closed(id).then_some(()));
     assert_eq!(l.received(id), b"answer");
-    let at = |f: fn(&Happening) -> bool| l.happened.iter().position(f).unwrap();
-    let told = at(|h| matches!(h, Happening::Received(..)));
-    assert!(told < at(|h| matches!(h, Happening::Closed { .. })), "before its end");
+    let at = |f: fn(&ReactorEvent) -> bool| l.happened.iter().position(f).unwrap();
+    let told = at(|h| matches!(h, ReactorEvent::Received(..)));
+    assert!(told < at(|h| matches!(h, ReactorEvent::Closed { .. })), "before its end");
 }
 
 #[test]
@@ -92,10 +94,10 @@
     let id = l.reactor.connect(listener.local_addr().unwrap()).unwrap();
     l.reactor.write(id, b"one two three");
     let mut peer = listener.accept().unwrap().0;
-    l.until(|l| l.happened.iter().any(|h| matches!(h, Happening::Connected(_))).then_some(()));
+    l.until(|l| l.happened.iter().any(|h| matches!(h, ReactorEvent::Connected(_))).then_some(()));
     assert_eq!(l.reactor.written(id), 0);
     assert!(l.reactor.discard_unsent(id, 4, 8), "nothing of it left");
-    l.turn();
+    l.poll();
     assert_eq!(l.reactor.written(id), 9);
     assert!(!l.reactor.discard_unsent(id, 0, 4), "it left");
     assert!(!l.reactor.discard_unsent(id, 9, 10), "there is no such byte");
@@ -119,18 +121,18 @@
 fn what_may_be_written_only_until_a_time_is_kept_back_after_it() {
     let mut l = Loop::new();
     let ((first, _one), (second, _other)) = (l.standing(), l.standing());
-    l.turn();
+    l.poll();
     l.reactor.write(first, b"decided");
     l.reactor.write(second, b"decided");
     // The process stood still before its first write; there is nothing to wait for in a turn that wrote nothing.
     let start = Instant::now();
-    l.reactor.turn_until(Some(Duration::from_secs(60)), Some(start), &mut l.happened).unwrap();
+    l.reactor.poll_until(Some(Duration::from_secs(60)), Some(start), &mut l.happened).unwrap();
     assert_eq!((l.reactor.written(first), l.reactor.written(second)), (0, 0));
     assert!(start.elapsed() < Duration::from_secs(30));
     assert!(l.reactor.discard_unsent(first, 0, 7), "it can be taken back");
     // What is left goes out in the next turn that may write.
     let later = Some(start + Duration::from_secs(3_600));
-    l.reactor.turn_until(Some(Duration::ZERO), later, &mut l.happened).unwrap();
+    l.reactor.poll_until(Some(Duration::ZERO), later, &mut l.happened).unwrap();
     assert_eq!((l.reactor.written(first), l.reactor.written(second)), (0, 7));
 }
 
@@ -142,7 +144,7 @@
     let answer = vec![b'a'; 3 << 20];
     l.reactor.write(id, &answer);
     l.reactor.finish(id);
-    l.turn();
+    l.poll();
     peer.write_all(b"what nobody reads").unwrap();
     let reads = std::thread::spawn(move || {
         let mut all = Vec::new();
@@ -151,7 +153,7 @@
     });
     l.until(|l| (l.is_closed(id) && l.reactor.lingering() == 0).then_some(()));
     assert_eq!(reads.join().unwrap(), (Ok(answer.len()), answer.len()), "no reset");
-    let ends = l.happened.iter().filter(|h| matches!(h, Happening::Closed { .. })).count();
+    let ends = l.happened.iter().filter(|h| matches!(h, ReactorEvent::Closed { .. })).count();
     assert_eq!(ends, 1, "its end is told once");
 }
 
@@ -180,7 +182,7 @@
         l.until(|l| {
             l.reactor.write(*id, &[b'a'; 1 << 20]);
             written += 1 << 20;
-            l.turn();
+            l.poll();
             (l.reactor.pending(*id) > 1 << 20).then_some(())
         });
         l.reactor.finish(*id);
@@ -191,7 +193,7 @@
     l.until(|l| peers.iter().all(|s| l.is_closed(s.0)).then_some(()));
     assert_eq!(reader.join().unwrap(), written);
     let ends = |id: Id| {
-        l.happened.iter().filter(|h| matches!(h, Happening::Closed { id: i, .. } if *i == id)).count()
+        l.happened.iter().filter(|h| matches!(h, ReactorEvent::Closed { id: i, .. } if *i == id)).count()
     };
     assert!(peers.iter().map(|s| s.0).chain([reads]).all(|id| ends(id) == 1), "each end is told once");
     assert!(!l.reactor.has_pending(), "nothing is left of them");
@@ -203,7 +205,7 @@
     let (listener, address) = l.reactor.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let peers: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(address).unwrap()).collect();
     l.reactor.close_listener(listener, &mut l.happened);
-    let accepted = l.happened.iter().filter(|h| matches!(h, Happening::Accepted { .. })).count();
+    let accepted = l.happened.iter().filter(|h| matches!(h, ReactorEvent::Accepted { .. })).count();
     assert_eq!(accepted, peers.len());
     assert!(TcpStream::connect(address).is_err(), "closed");
 }
--- a/crates/registry-transport/src/lib.rs
+++ b/crates/registry-transport/src/lib.rs
@@ -3,8 +3,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use slatevalve_reactor::{Happening, Id, Reactor};
-use slatevalve_registry::{Channel, Client, ClientSettings, Do, Heard};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent};
+use slatevalve_registry::{Channel, Client, ClientEvent, ClientSettings, Do};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
     client: Client,
     endpoints: Vec<SocketAddr>,
     sockets: BTreeMap<Channel, Id>,
-    heard: Vec<Heard>,
+    heard: Vec<ClientEvent>,
 }
 
 impl Link {
@@ -46,23 +46,25 @@
     }
 
     /// What was heard since the last time.
-    pub fn take_heard(&mut self) -> Vec<Heard> {
+    pub fn take_events(&mut self) -> Vec<ClientEvent> {
         std::mem::take(&mut self.heard)
     }
 
     /// Takes a happening on one of its sockets; `false` where it is of another's.
-    pub fn happened(&mut self, now_us: i64, reactor: &mut Reactor, happening: &Happening) -> bool {
-        let id = match happening {
-            Happening::Connected(id) | Happening::Received(id, _) | Happening::Closed { id, .. } => *id,
+    pub fn handle_event(&mut self, now_us: i64, reactor: &mut Reactor, event: &ReactorEvent) -> bool {
+        let id = match event {
+            ReactorEvent::Connected(id) | ReactorEvent::Received(id, _) | ReactorEvent::Closed { id, .. } => {
+                *id
+            }
             _ => return false,
         };
         let Some(channel) = self.sockets.iter().find(|(_, i)| **i == id).map(|(c, _)| *c) else {
             return false;
         };
         let mut todo = Vec::new();
-        match happening {
-            Happening::Connected(_) => self.client.connected(now_us, channel, &mut todo),
-            Happening::Received(_, bytes) => {
+        match event {
+            ReactorEvent::Connected(_) => self.client.connected(now_us, channel, &mut todo),
+            ReactorEvent::Received(_, bytes) => {
                 self.client.received(now_us, channel, bytes, &mut todo, &mut self.heard);
             }
             _ => {
--- a/crates/registry/benches/catch_up.rs
+++ b/crates/registry/benches/catch_up.rs
@@ -3,7 +3,7 @@
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use slatevalve_registry::wire::{Bytes, Header, KeyValue, RangeResponse};
-use slatevalve_registry::{worker_key, Follower, FollowerSettings};
+use slatevalve_registry::{worker_key, WatchSettings, WatchState};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -55,25 +55,25 @@
     for workers in [85, 1_000] {
         let (before, after) = (list(workers, false), list(workers, true));
         let read = |bytes: &[u8]| serde_json::from_slice::<RangeResponse>(bytes).unwrap();
-        let settings = FollowerSettings { page: 10_000, ..FollowerSettings::default() };
+        let settings = WatchSettings { page: 10_000, ..WatchSettings::default() };
         let empty = IN_USE.load(Ordering::Relaxed);
-        let mut follower = Follower::new(settings);
-        assert_eq!(follower.listed(0, read(&before)).len(), workers);
+        let mut watch_state = WatchState::new(settings);
+        assert_eq!(watch_state.listed(0, read(&before)).len(), workers);
         let memory = IN_USE.load(Ordering::Relaxed) - empty;
         println!("{workers} workers: a list of {} bytes, {memory} bytes held by the follower", after.len());
-        drop(follower);
+        drop(watch_state);
         group.bench_function(BenchmarkId::new("read and compared", workers), |b| {
             b.iter_batched(
                 || {
-                    let mut follower = Follower::new(settings);
-                    follower.listed(0, read(&before));
-                    follower.list_compacted(1);
-                    follower
+                    let mut watch_state = WatchState::new(settings);
+                    watch_state.listed(0, read(&before));
+                    watch_state.list_compacted(1);
+                    watch_state
                 },
-                |mut follower| {
-                    let changes = follower.listed(2, read(&after));
+                |mut watch_state| {
+                    let changes = watch_state.listed(2, read(&after));
                     assert_eq!(changes.len(), workers.div_ceil(10));
-                    follower
+                    watch_state
                 },
                 criterion::BatchSize::SmallInput,
             );
--- a/crates/registry/src/client.rs
+++ b/crates/registry/src/client.rs
@@ -10,9 +10,9 @@
 use crate::connection::{Connection, Link, Purpose};
 use crate::counting::Counting;
 use crate::endpoints::Endpoints;
-use crate::follower::{Change, Follower, FollowerSettings, NextRequest, Trouble};
 use crate::members::{RelayRecord, RELAYS, ROUTERS, WORKERS};
 use crate::registration::{Registration, RegistrationSettings, Step};
+use crate::watch_state::{Change, NextRequest, WatchFault, WatchSettings, WatchState};
 use crate::wire::*;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -30,7 +30,7 @@
 
 /// What is followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Follow {
+pub enum WatchScope {
     /// Nothing.
     Nothing,
     /// Workers by list and watch; routers are only counted, so that what they cost does not grow with their square.
@@ -60,11 +60,11 @@
     /// Who we are, where the registry wants to know.
     pub login: Option<Login>,
     /// What is followed.
-    pub follow: Follow,
+    pub follow: WatchScope,
     /// This process's own key and its value, where it registers itself.
     pub own: Option<(String, Vec<u8>)>,
     /// Of the follower.
-    pub follower: FollowerSettings,
+    pub watch_state: WatchSettings,
     /// Of the registration.
     pub registration: RegistrationSettings,
     /// What the registry takes, and the longest wait.
@@ -101,11 +101,11 @@
 
 /// What the client's owner hears.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ClientEvent {
     /// Changes, in order; those of one revision together.
     Changes(Vec<Change>),
     /// Something went wrong with the following.
-    Trouble(Trouble),
+    WatchFault(WatchFault),
     /// A member failed; the next one is asked.
     Failed(String),
     /// Our own entry stands.
@@ -121,7 +121,7 @@
 /// See the module's documentation.
 pub struct Client {
     settings: ClientSettings,
-    follower: Follower,
+    watch_state: WatchState,
     registration: Option<Registration>,
     endpoints: Endpoints,
     pace: PollSchedule,
@@ -155,7 +155,7 @@
         let free = u32::try_from(endpoints.count() - 1).unwrap_or(u32::MAX);
         let limits = PaceLimits { free, ..settings.pace };
         Client {
-            follower: Follower::new(settings.follower),
+            watch_state: WatchState::new(settings.watch_state),
             registration: settings.own.is_some().then(|| Registration::new(settings.registration)),
             endpoints,
             pace: PollSchedule::new(limits, settings.askers, settings.seed),
@@ -179,13 +179,13 @@
     }
 
     /// What is followed.
-    pub fn follower(&self) -> &Follower {
-        &self.follower
+    pub fn watch_state(&self) -> &WatchState {
+        &self.watch_state
     }
 
     /// The same, to give it what an earlier process kept.
-    pub fn follower_mut(&mut self) -> &mut Follower {
-        &mut self.follower
+    pub fn watch_state_mut(&mut self) -> &mut WatchState {
+        &mut self.watch_state
     }
 
     /// So many ask the registry as this one does.
@@ -258,7 +258,7 @@
         let of_lease = self.registration.as_ref().and_then(Registration::due_us);
         let later =
             [self.register_from_us, self.counting.due_us()].map(|at| Some(at).filter(|at| *at > now_us));
-        let times = [self.follower.look_due_us(), of_lease, self.endpoints.home_us(), later[0], later[1]];
+        let times = [self.watch_state.look_due_us(), of_lease, self.endpoints.home_us(), later[0], later[1]];
         times.into_iter().flatten().fold(due, i64::min).max(now_us)
     }
 
@@ -266,7 +266,7 @@
     fn begin(&mut self, now_us: i64) {
         self.begun = true;
         self.not_before_us = now_us.saturating_add(self.pace.first());
-        let follows = self.settings.follow != Follow::Nothing;
+        let follows = self.settings.follow != WatchScope::Nothing;
         let later = if follows { now_us.saturating_add(self.pace.later()) } else { self.not_before_us };
         self.register_from_us = later;
         self.counting.not_before(later);
@@ -275,17 +275,17 @@
 
     /// How far apart looks and audits are among so many askers.
     fn pace_looks(&mut self) {
-        let FollowerSettings { look_us, behind_us, audit_us, .. } = self.settings.follower;
+        let WatchSettings { look_us, behind_us, audit_us, .. } = self.settings.watch_state;
         let most = self.settings.drain_within_us - self.settings.timeout_us - behind_us;
         let look = self.pace.every(look_us, most, LOOK_PART);
         let audit = self.pace.every(audit_us, LONGEST_AUDIT_US, AUDIT_PART);
         // As few askers as ever look as often as ever, and hear of silence as soon.
         let answer_us = if look > look_us { self.settings.timeout_us } else { 0 };
-        self.follower.pace(look, audit, answer_us);
+        self.watch_state.pace(look, audit, answer_us);
     }
 
     /// Lets time pass: what took too long is given up, and what is wanted goes out.
-    pub fn advance(&mut self, now_us: i64, out: &mut Vec<Do>, heard: &mut Vec<Heard>) {
+    pub fn advance(&mut self, now_us: i64, out: &mut Vec<Do>, heard: &mut Vec<ClientEvent>) {
         if !self.begun {
             self.begin(now_us);
         }
@@ -307,7 +307,8 @@
             self.leave_member(out);
         }
         // A list that begins anew ends the watch that stood.
-        if matches!(self.watch.link, Link::Busy(_)) && matches!(self.follower.want(), NextRequest::List(_)) {
+        if matches!(self.watch.link, Link::Busy(_)) && matches!(self.watch_state.want(), NextRequest::List(_))
+        {
             self.close(Channel::Watch, out);
         }
         if self.short_is_free(now_us) {
@@ -331,11 +332,13 @@
     /// Whether a watch is to be begun and could be.
     fn wants_watch(&self) -> bool {
         let free = matches!(self.watch.link, Link::Closed | Link::Idle);
-        free && self.follows() && !self.needs_login() && matches!(self.follower.want(), NextRequest::Watch(_))
+        free && self.follows()
+            && !self.needs_login()
+            && matches!(self.watch_state.want(), NextRequest::Watch(_))
     }
 
     fn follows(&self) -> bool {
-        self.settings.follow != Follow::Nothing
+        self.settings.follow != WatchScope::Nothing
     }
 
     /// The step of our own entry that is due; the first ones not among everybody's first lists.
@@ -344,13 +347,13 @@
     }
 
     fn wants_count(&self, now_us: i64) -> bool {
-        self.settings.follow == Follow::Workers && !self.leaving && now_us >= self.counting.due_us()
+        self.settings.follow == WatchScope::Workers && !self.leaving && now_us >= self.counting.due_us()
     }
 
     /// Whether [`Client::wanted`] would give something.
     fn wants_short(&self, now_us: i64) -> bool {
-        let list = !self.leaving && matches!(self.follower.want(), NextRequest::List(_));
-        let follow = self.follows() && (list || self.follower.wants_look(now_us));
+        let list = !self.leaving && matches!(self.watch_state.want(), NextRequest::List(_));
+        let follow = self.follows() && (list || self.watch_state.liveness_check_due(now_us));
         let more = self.step(now_us).is_some() || self.wants_count(now_us) || self.counting.wants_relays();
         self.needs_login() || !self.asked.is_empty() || follow || more
     }
@@ -365,7 +368,7 @@
             return Some(Purpose::Asked { ticket, path, body });
         }
         if self.follows() && !self.leaving {
-            if let NextRequest::List(ask) = self.follower.want() {
+            if let NextRequest::List(ask) = self.watch_state.want() {
                 return Some(Purpose::List(ask));
             }
         }
@@ -379,12 +382,12 @@
         if let Some(step) = self.step(now_us) {
             return Some(Purpose::Step(step));
         }
-        if !self.follows() || !self.follower.wants_look(now_us) {
+        if !self.follows() || !self.watch_state.liveness_check_due(now_us) {
             return None;
         }
         // The answer to a keep-alive tells the registry's revision, and with it mostly all that a look would.
         let lease = self.registration.as_ref().and_then(Registration::standing);
-        let owed = std::mem::take(&mut self.look_owed) || self.follower.must_look();
+        let owed = std::mem::take(&mut self.look_owed) || self.watch_state.must_look();
         Some(lease.filter(|_| !owed).map_or(Purpose::Look, |id| Purpose::Step(Step::KeepAlive(id))))
     }
 
@@ -401,7 +404,7 @@
         match &purpose {
             Purpose::Look => {
                 self.pace_looks();
-                self.follower.looked(now_us);
+                self.watch_state.looked(now_us);
             }
             Purpose::Count => self.counting.asked(now_us),
             Purpose::Step(_) => self.registration.iter_mut().for_each(|r| r.sent(now_us)),
@@ -419,7 +422,7 @@
         let json = |value: &dyn erased::Json| value.json();
         let (path, body) = match purpose {
             Purpose::Watch => {
-                let start_revision = match self.follower.want() {
+                let start_revision = match self.watch_state.want() {
                     NextRequest::Watch(revision) => revision,
                     _ => 0,
                 };
@@ -466,7 +469,7 @@
 
     /// The range that is followed.
     fn range(&self) -> (Bytes, Bytes) {
-        self.below(if self.settings.follow == Follow::Workers { WORKERS } else { "" })
+        self.below(if self.settings.follow == WatchScope::Workers { WORKERS } else { "" })
     }
 
     fn below(&self, kind: &str) -> (Bytes, Bytes) {
@@ -487,14 +490,17 @@
     }
 
     /// The member is given up: both connections end, and the next one is asked.
-    fn failed(&mut self, now_us: i64, words: &str, out: &mut Vec<Do>, heard: &mut Vec<Heard>) {
+    fn failed(&mut self, now_us: i64, words: &str, out: &mut Vec<Do>, heard: &mut Vec<ClientEvent>) {
         let endpoint = self.settings.endpoints.get(self.endpoints.current()).cloned().unwrap_or_default();
-        heard.push(Heard::Failed(format!("{endpoint}: {words}")));
+        heard.push(ClientEvent::Failed(format!("{endpoint}: {words}")));
         self.endpoints.failed(now_us);
         self.not_before_us = now_us.saturating_add(self.pace.failed(None));
         self.counting.not_before(now_us.saturating_add(self.pace.later()));
         if let Some(Purpose::Asked { ticket, .. }) = self.short.purpose() {
-            heard.push(Heard::Answered(*ticket, Err(format!("{endpoint}: {words}; it may have been done"))));
+            heard.push(ClientEvent::Answered(
+                *ticket,
+                Err(format!("{endpoint}: {words}; it may have been done")),
+            ));
         }
         self.leave_member(out);
     }
@@ -507,7 +513,7 @@
         channel: Channel,
         words: &str,
         out: &mut Vec<Do>,
-        heard: &mut Vec<Heard>,
+        heard: &mut Vec<ClientEvent>,
     ) {
         let aside = matches!(
             self.connection(channel).purpose(),
@@ -516,7 +522,7 @@
         if !aside || !self.watching {
             return self.failed(now_us, words, out, heard);
         }
-        heard.push(Heard::Failed(format!("{words} (not a question of the list)")));
+        heard.push(ClientEvent::Failed(format!("{words} (not a question of the list)")));
         self.close(channel, out);
         self.short_not_before_us = now_us.saturating_add(self.pace.failed(None));
     }
@@ -524,7 +530,7 @@
     fn leave_member(&mut self, out: &mut Vec<Do>) {
         self.close(Channel::Watch, out);
         self.close(Channel::Short, out);
-        self.follower.broke();
+        self.watch_state.broke();
     }
 
     /// The member has too much to do and says when to come again: what stands stays, as a new connection would cost it more.
@@ -542,7 +548,7 @@
         let Purpose::List(ask) = purpose else { return false };
         let Some(page) = read::<PlainResponse>(body).filter(|_| ask.from.is_empty()) else { return false };
         let older =
-            page.header.revision < self.follower.revision() && self.older + 1 < self.endpoints.count();
+            page.header.revision < self.watch_state.revision() && self.older + 1 < self.endpoints.count();
         self.older = if older { self.older + 1 } else { 0 };
         older
     }
@@ -556,7 +562,7 @@
     }
 
     /// A connection ended, or never stood.
-    pub fn closed(&mut self, now_us: i64, channel: Channel, out: &mut Vec<Do>, heard: &mut Vec<Heard>) {
+    pub fn closed(&mut self, now_us: i64, channel: Channel, out: &mut Vec<Do>, heard: &mut Vec<ClientEvent>) {
         let connection = self.connection(channel);
         let link = std::mem::replace(&mut connection.link, Link::Closed);
         match link {
@@ -576,7 +582,7 @@
         channel: Channel,
         bytes: &[u8],
         out: &mut Vec<Do>,
-        heard: &mut Vec<Heard>,
+        heard: &mut Vec<ClientEvent>,
     ) {
         let mut parts = Vec::new();
         let connection = self.connection(channel);
@@ -596,7 +602,14 @@
         }
     }
 
-    fn part(&mut self, now_us: i64, channel: Channel, part: Part, out: &mut Vec<Do>, heard: &mut Vec<Heard>) {
+    fn part(
+        &mut self,
+        now_us: i64,
+        channel: Channel,
+        part: Part,
+        out: &mut Vec<Do>,
+        heard: &mut Vec<ClientEvent>,
+    ) {
         let connection = self.connection(channel);
         match part {
             Part::Head(head) => {
@@ -624,8 +637,8 @@
                 if let (Link::Busy(purpose), Some(again_us)) = (&link, again_us) {
                     let words = format!("{status}: it has too much to do");
                     heard.push(match purpose {
-                        Purpose::Asked { ticket, .. } => Heard::Answered(*ticket, Err(words)),
-                        _ => Heard::Failed(words),
+                        Purpose::Asked { ticket, .. } => ClientEvent::Answered(*ticket, Err(words)),
+                        _ => ClientEvent::Failed(words),
                     });
                     return self.turned_away(now_us, purpose, again_us);
                 }
@@ -633,7 +646,7 @@
                     Link::Busy(Purpose::Watch) if status == 200 => {
                         // A watch that ended without a word of why.
                         self.watching = false;
-                        self.follower.broke();
+                        self.watch_state.broke();
                     }
                     Link::Busy(purpose) => self.answered(now_us, purpose, status, &body, out, heard),
                     _ => {}
@@ -643,7 +656,7 @@
     }
 
     /// Whole lines of the watch's answer.
-    fn watch_lines(&mut self, now_us: i64, out: &mut Vec<Do>, heard: &mut Vec<Heard>) {
+    fn watch_lines(&mut self, now_us: i64, out: &mut Vec<Do>, heard: &mut Vec<ClientEvent>) {
         while let Some(end) = self.watch.body.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = self.watch.body.drain(..=end).collect();
             if line.trim_ascii().is_empty() {
@@ -654,9 +667,9 @@
                     self.pace.good();
                     self.watching |= answer.created;
                     let ended = answer.canceled;
-                    let changes = self.follower.watched(now_us, answer);
+                    let changes = self.watch_state.watched(now_us, answer);
                     if !changes.is_empty() {
-                        heard.push(Heard::Changes(changes));
+                        heard.push(ClientEvent::Changes(changes));
                     }
                     self.troubles(heard);
                     if ended {
@@ -665,7 +678,7 @@
                 }
                 Ok(Streamed { error: Some(error), .. }) => {
                     self.close(Channel::Watch, out);
-                    self.follower.broke();
+                    self.watch_state.broke();
                     return self.refused(now_us, &error, out, heard);
                 }
                 Ok(_) | Err(_) => {
@@ -675,18 +688,18 @@
         }
     }
 
-    fn troubles(&mut self, heard: &mut Vec<Heard>) {
-        for trouble in self.follower.take_troubles() {
+    fn troubles(&mut self, heard: &mut Vec<ClientEvent>) {
+        for trouble in self.watch_state.take_faults() {
             // Leases of another life of the registry are none.
-            if trouble == Trouble::Restored {
+            if trouble == WatchFault::Restored {
                 self.registration.iter_mut().for_each(Registration::lost);
             }
-            heard.push(Heard::Trouble(trouble));
+            heard.push(ClientEvent::WatchFault(trouble));
         }
     }
 
     /// An error that is not the request's own.
-    fn refused(&mut self, now_us: i64, error: &ErrorBody, out: &mut Vec<Do>, heard: &mut Vec<Heard>) {
+    fn refused(&mut self, now_us: i64, error: &ErrorBody, out: &mut Vec<Do>, heard: &mut Vec<ClientEvent>) {
         match error.code {
             code::UNAUTHENTICATED => self.token = None,
             _ => self.failed(now_us, &error.message, out, heard),
@@ -700,7 +713,7 @@
         status: u16,
         body: &[u8],
         out: &mut Vec<Do>,
-        heard: &mut Vec<Heard>,
+        heard: &mut Vec<ClientEvent>,
     ) {
         if status == 200 {
             if self.is_older(&purpose, body) {
@@ -723,9 +736,9 @@
                     self.asked.push_front((ticket, path, body));
                 }
             }
-            (Purpose::Asked { ticket, .. }, _) => heard.push(Heard::Answered(*ticket, Err(told()))),
+            (Purpose::Asked { ticket, .. }, _) => heard.push(ClientEvent::Answered(*ticket, Err(told()))),
             (Purpose::List(_), code::OUT_OF_RANGE) => {
-                self.follower.list_compacted(now_us);
+                self.watch_state.list_compacted(now_us);
                 self.troubles(heard);
             }
             (Purpose::Step(_), code::NOT_FOUND) => self.lease_lost(heard),
@@ -733,10 +746,10 @@
         }
     }
 
-    fn lease_lost(&mut self, heard: &mut Vec<Heard>) {
+    fn lease_lost(&mut self, heard: &mut Vec<ClientEvent>) {
         self.registration.iter_mut().for_each(Registration::lost);
         if std::mem::take(&mut self.registered) {
-            heard.push(Heard::LeaseLost);
+            heard.push(ClientEvent::LeaseLost);
         }
     }
 
@@ -746,7 +759,7 @@
         now_us: i64,
         purpose: &Purpose,
         body: &[u8],
-        heard: &mut Vec<Heard>,
+        heard: &mut Vec<ClientEvent>,
     ) -> Option<()> {
         match purpose {
             Purpose::Watch => {}
@@ -758,15 +771,15 @@
                 self.token.as_ref()?;
             }
             Purpose::List(_) => {
-                let changes = self.follower.listed(now_us, read(body)?);
+                let changes = self.watch_state.listed(now_us, read(body)?);
                 if !changes.is_empty() {
-                    heard.push(Heard::Changes(changes));
+                    heard.push(ClientEvent::Changes(changes));
                 }
                 self.troubles(heard);
             }
             Purpose::Look => {
                 let seen: RangeResponse = read(body)?;
-                self.follower.seen(now_us, &seen.header, seen.count, seen.kvs.first());
+                self.watch_state.seen(now_us, &seen.header, seen.count, seen.kvs.first());
                 self.troubles(heard);
             }
             Purpose::Count => {
@@ -777,7 +790,7 @@
                 let of_relay = |kv: KeyValue| read::<RelayRecord>(&kv.value.0).map_or(0, |r| r.routers);
                 let count = relays.map(of_relay).fold(*direct, usize::saturating_add);
                 let window_us = self.pace.window_us();
-                heard.extend(self.counting.counted(now_us, count, window_us).map(Heard::Routers));
+                heard.extend(self.counting.counted(now_us, count, window_us).map(ClientEvent::Routers));
             }
             Purpose::Step(Step::Grant(_)) => {
                 let granted: LeaseResponse = read(body)?;
@@ -787,14 +800,14 @@
                 read::<PlainResponse>(body)?;
                 self.registration.iter_mut().for_each(Registration::announced);
                 if !std::mem::replace(&mut self.registered, true) {
-                    heard.push(Heard::Registered);
+                    heard.push(ClientEvent::Registered);
                 }
             }
             Purpose::Step(Step::KeepAlive(_)) => {
                 let kept = read::<Streamed<LeaseResponse>>(body)?.result?;
                 if self.follows() {
-                    let told = self.follower.answered(now_us, &kept.header);
-                    self.look_owed = !told && self.follower.wants_look(now_us);
+                    let told = self.watch_state.answered(now_us, &kept.header);
+                    self.look_owed = !told && self.watch_state.liveness_check_due(now_us);
                     if told {
                         self.pace_looks();
                     }
@@ -804,7 +817,7 @@
                     self.lease_lost(heard);
                 }
             }
-            Purpose::Asked { ticket, .. } => heard.push(Heard::Answered(*ticket, Ok(body.to_vec()))),
+            Purpose::Asked { ticket, .. } => heard.push(ClientEvent::Answered(*ticket, Ok(body.to_vec()))),
         }
         Some(())
     }
--- a/crates/registry/src/connection.rs
+++ b/crates/registry/src/connection.rs
@@ -1,7 +1,7 @@
 //! One of the client's two connections: what it was opened or asked for, and how far its answer is. Called by [`crate::Client`].
 
-use crate::follower::ListRequest;
 use crate::registration::Step;
+use crate::watch_state::ListRequest;
 use slatevalve_http::{Limits, PartReader, Side};
 
 /// What a request is for.
--- a/crates/registry/src/members.rs
+++ b/crates/registry/src/members.rs
@@ -1,7 +1,7 @@
 //! Workers and routers as the registry lists them: what a key's value says, and what a batch of changes means, with
 //! drains and departures before all else. The gateway and the stand-in worker write and read these records.
 
-use crate::follower::Change;
+use crate::watch_state::Change;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/registry/src/follower.rs
+++ b/crates/registry/src/watch_state.rs
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Limits of a [`Follower`]. Times in microseconds.
+/// Limits of a [`WatchState`]. Times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FollowerSettings {
+pub struct WatchSettings {
     /// Keys asked for at a time.
     pub page: i64,
     /// How often the registry is asked whether the watch tells all, and so whether it is there; of many askers less often,
-    /// see [`Follower::pace`].
+    /// see [`WatchState::pace`].
     pub look_us: i64,
     /// A look that finds the watch behind gives it this long.
     pub behind_us: i64,
@@ -25,9 +25,9 @@
     pub silence_us: i64,
 }
 
-impl Default for FollowerSettings {
+impl Default for WatchSettings {
     fn default() -> Self {
-        FollowerSettings {
+        WatchSettings {
             page: 500,
             look_us: 1_000_000,
             behind_us: 500_000,
@@ -80,7 +80,7 @@
 
 /// What went wrong; told, as an operator may have to act.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum WatchFault {
     /// The history that was needed is gone: everything is listed again.
     Compacted {
         /// The oldest revision that is left.
@@ -96,7 +96,7 @@
 
 /// How much the view is worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum View {
+pub enum Freshness {
     /// Nothing is held.
     None,
     /// What was held once, not seen in the registry since this process began.
@@ -128,8 +128,8 @@
 }
 
 /// See the module's documentation.
-pub struct Follower {
-    settings: FollowerSettings,
+pub struct WatchState {
+    settings: WatchSettings,
     held: BTreeMap<Vec<u8>, CachedEntry>,
     /// All changes up to this revision are told.
     revision: i64,
@@ -151,7 +151,7 @@
     listed_us: i64,
     /// Since when looks find the watch behind, and the revision that it is stuck at.
     behind: Option<(i64, i64)>,
-    troubles: Vec<Trouble>,
+    troubles: Vec<WatchFault>,
 }
 
 /// What a follower keeps over a restart. Without a revision, as earlier versions wrote it, everything is listed.
@@ -170,10 +170,10 @@
     askers: usize,
 }
 
-impl Follower {
+impl WatchState {
     /// A follower that holds nothing.
-    pub fn new(settings: FollowerSettings) -> Self {
-        Follower {
+    pub fn new(settings: WatchSettings) -> Self {
+        WatchState {
             settings,
             held: BTreeMap::new(),
             revision: 0,
@@ -198,7 +198,7 @@
     /// restarts nobody lists.
     ///
     /// # Errors
-    /// When it was not kept by [`Follower::keep`]; nothing is taken then.
+    /// When it was not kept by [`WatchState::keep`]; nothing is taken then.
     pub fn remember(&mut self, kept: &[u8]) -> Result<(Vec<Change>, usize), serde_json::Error> {
         let Remembered { keys, revisions, revision, cluster, askers } = serde_json::from_slice(kept)?;
         let known = revision > 0 && cluster != 0 && revisions.len() == keys.len();
@@ -224,12 +224,12 @@
     }
 
     /// How much the view is worth now.
-    pub fn view(&self, now_us: i64) -> View {
+    pub fn view(&self, now_us: i64) -> Freshness {
         match (self.listed_once, self.heard_us) {
-            (false, _) if self.held.is_empty() => View::None,
-            (false, _) => View::Remembered,
-            (true, Some(at)) if now_us.saturating_sub(at) < self.silence_us => View::Current,
-            (true, _) => View::Silent,
+            (false, _) if self.held.is_empty() => Freshness::None,
+            (false, _) => Freshness::Remembered,
+            (true, Some(at)) if now_us.saturating_sub(at) < self.silence_us => Freshness::Current,
+            (true, _) => Freshness::Silent,
         }
     }
 
@@ -238,7 +238,7 @@
         self.heard_us.map(|at| now_us.saturating_sub(at).max(0))
     }
 
-    /// When [`Follower::view`] may be another one by itself.
+    /// When [`WatchState::view`] may be another one by itself.
     pub fn silent_at_us(&self) -> Option<i64> {
         self.heard_us.map(|at| at.saturating_add(self.silence_us))
     }
@@ -278,7 +278,7 @@
     }
 
     /// Troubles since the last time.
-    pub fn take_troubles(&mut self) -> Vec<Trouble> {
+    pub fn take_faults(&mut self) -> Vec<WatchFault> {
         std::mem::take(&mut self.troubles)
     }
 
@@ -296,7 +296,7 @@
     }
 
     /// Whether the registry is to be asked how many keys there are, beside the watch.
-    pub fn wants_look(&self, now_us: i64) -> bool {
+    pub fn liveness_check_due(&self, now_us: i64) -> bool {
         matches!(self.state, State::Watching) && now_us >= self.look_due_us
     }
 
@@ -337,7 +337,7 @@
     fn same_registry(&mut self, header: &Header) -> bool {
         let other = self.cluster != 0 && header.cluster_id != 0 && header.cluster_id != self.cluster;
         if other {
-            self.troubles.push(Trouble::Restored);
+            self.troubles.push(WatchFault::Restored);
             // What is held stays, to be compared with what is listed; its revisions mean nothing any more.
             self.held.values_mut().for_each(|h| h.changed = 0);
             (self.cluster, self.revision, self.sure) = (header.cluster_id, 0, 0);
@@ -372,7 +372,7 @@
         let (revision, found) = (*revision, std::mem::take(found));
         // An earlier state of the same cluster: its later revisions are other changes than those that were told.
         if revision < self.revision {
-            self.troubles.push(Trouble::Restored);
+            self.troubles.push(WatchFault::Restored);
             self.held.values_mut().for_each(|h| h.changed = 0);
         }
         let told = self.compare(&found);
@@ -403,7 +403,7 @@
     /// A list could not be had as of the revision that its first page was of: it begins anew.
     pub fn list_compacted(&mut self, now_us: i64) {
         self.heard_us = Some(now_us);
-        self.troubles.push(Trouble::Compacted { oldest: 0 });
+        self.troubles.push(WatchFault::Compacted { oldest: 0 });
         self.list_again();
     }
 
@@ -417,10 +417,10 @@
         if answer.canceled || answer.compact_revision > 0 {
             self.fragments.clear();
             if answer.compact_revision > 0 {
-                self.troubles.push(Trouble::Compacted { oldest: answer.compact_revision });
+                self.troubles.push(WatchFault::Compacted { oldest: answer.compact_revision });
                 self.list_again();
             } else {
-                self.troubles.push(Trouble::Ended(answer.cancel_reason));
+                self.troubles.push(WatchFault::Ended(answer.cancel_reason));
                 self.state = State::Resuming;
             }
             return Vec::new();
@@ -429,7 +429,7 @@
             self.state = State::Watching;
             // A member that has less than was told already lags, or is of an earlier state: a list says which.
             if answer.header.revision != 0 && answer.header.revision < self.revision {
-                self.troubles.push(Trouble::Behind);
+                self.troubles.push(WatchFault::Behind);
                 self.list_again();
                 return Vec::new();
             }
@@ -510,7 +510,7 @@
         let stuck = self.behind.filter(|(_, at)| *at == self.revision);
         let (since, _) = *self.behind.insert(stuck.unwrap_or((now_us, self.revision)));
         if now_us.saturating_sub(since) >= self.settings.behind_us {
-            self.troubles.push(Trouble::Behind);
+            self.troubles.push(WatchFault::Behind);
             self.list_again();
         } else {
             self.look_due_us = since.saturating_add(self.settings.behind_us);
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -63,9 +63,9 @@
                 relays: 0,
                 prefix: PREFIX.into(),
                 login: None,
-                follow: Follow::Workers,
+                follow: WatchScope::Workers,
                 own: Some((router_key(PREFIX, &format!("r-{n}")), b"{}".to_vec())),
-                follower: FollowerSettings::default(),
+                watch_state: WatchSettings::default(),
                 registration: RegistrationSettings { ttl_s: 30 },
                 pace: PollSchedule { per_second, ..PollSchedule::default() },
                 askers: believed,
@@ -173,10 +173,10 @@
         self.clients[of].advance(now, &mut todo, &mut heard);
         for what in &heard {
             // As the gateway does: what is counted is believed from then on.
-            if let Heard::Routers(count) = what {
+            if let ClientEvent::Routers(count) = what {
                 self.clients[of].askers(*count);
             }
-            let Heard::Changes(changes) = what else { continue };
+            let ClientEvent::Changes(changes) = what else { continue };
             self.listed_us.entry(of).or_insert(now);
             let drains =
                 |c: &Change| matches!(c, Change::Put { value, .. } if value.ends_with(b"\"draining\"}"));
--- a/crates/registry/tests/follow.rs
+++ b/crates/registry/tests/follow.rs
@@ -35,7 +35,7 @@
     /// The store at each revision of each life of the registry.
     states: BTreeMap<(i64, i64), Keys>,
     life: i64,
-    heard: Vec<Heard>,
+    heard: Vec<ClientEvent>,
     lists: usize,
     /// The watch lost something without a word: what is held may be a state that never was, until that is found out.
     lossy: bool,
@@ -47,9 +47,9 @@
         prefix: PREFIX.into(),
         login: login.then(|| Login { name: "u".into(), password: "p".into() }),
         relays: 0,
-        follow: Follow::All,
+        follow: WatchScope::All,
         own: Some((OWN.into(), b"{}".to_vec())),
-        follower: FollowerSettings { page: 3, audit_us: 8_000_000, ..FollowerSettings::default() },
+        watch_state: WatchSettings { page: 3, audit_us: 8_000_000, ..WatchSettings::default() },
         registration: RegistrationSettings { ttl_s: 10 },
         pace: slatevalve_pacing::Limits::default(),
         askers: 1,
@@ -85,7 +85,7 @@
 
     /// What the keys that are followed begin with.
     fn followed(&self) -> String {
-        let workers = if self.settings.follow == Follow::Workers { WORKERS } else { "" };
+        let workers = if self.settings.follow == WatchScope::Workers { WORKERS } else { "" };
         format!("{PREFIX}{workers}")
     }
 
@@ -249,12 +249,12 @@
 
     /// The process ends and another one begins with what it kept.
     fn start_again(&mut self) {
-        let kept = self.client.follower().keep(1);
+        let kept = self.client.watch_state().keep(1);
         self.pipes.values_mut().for_each(|pipe| *pipe = Pipe::default());
         self.client = Client::new(self.settings.clone());
         self.told.clear();
-        let (changes, _) = self.client.follower_mut().remember(&kept).unwrap();
-        self.hear(vec![Heard::Changes(changes)]);
+        let (changes, _) = self.client.watch_state_mut().remember(&kept).unwrap();
+        self.hear(vec![ClientEvent::Changes(changes)]);
     }
 
     fn pass(&mut self, us: i64) {
@@ -267,9 +267,9 @@
         self.carry_out(todo);
     }
 
-    fn hear(&mut self, heard: Vec<Heard>) {
+    fn hear(&mut self, heard: Vec<ClientEvent>) {
         for what in heard {
-            if let Heard::Changes(changes) = &what {
+            if let ClientEvent::Changes(changes) = &what {
                 for change in changes {
                     match change {
                         Change::Put { key, value, .. } => self.told.insert(key.clone(), value.clone()),
@@ -287,7 +287,7 @@
 
     /// What was told, added up, is what the store held at the revision that the follower says it is at.
     fn check(&self) {
-        let revision = self.client.follower().revision();
+        let revision = self.client.watch_state().revision();
         if revision == 0 || self.lossy {
             return;
         }
@@ -307,7 +307,7 @@
         let now = &self.states[&(self.life, self.store.revision())];
         assert_eq!(names(&self.told), names(now), "revision {}", self.store.revision());
         assert!(now.contains_key(OWN.as_bytes()), "our own entry is not there");
-        assert_eq!(self.client.follower().view(self.now_us), View::Current);
+        assert_eq!(self.client.watch_state().view(self.now_us), Freshness::Current);
     }
 }
 
@@ -356,7 +356,7 @@
     world.settle();
     let mut troubles = BTreeMap::new();
     for heard in &world.heard {
-        if let Heard::Trouble(t) = heard {
+        if let ClientEvent::WatchFault(t) = heard {
             let word = format!("{t:?}").split([' ', '(', '{']).next().unwrap_or_default().to_string();
             *troubles.entry(word).or_default() += 1;
         }
@@ -394,7 +394,7 @@
         world.deliver(Channel::Short);
         world.pass(50_000);
     }
-    assert!(world.heard.contains(&Heard::Trouble(Trouble::Behind)), "{:?}", world.heard);
+    assert!(world.heard.contains(&ClientEvent::WatchFault(WatchFault::Behind)), "{:?}", world.heard);
     assert_eq!(world.told[&worker_key(PREFIX, "w1").into_bytes()], DRAINING.as_bytes());
 }
 
@@ -427,7 +427,7 @@
         let changes: Vec<&Change> = world
             .heard
             .iter()
-            .filter_map(|h| if let Heard::Changes(c) = h { Some(c) } else { None })
+            .filter_map(|h| if let ClientEvent::Changes(c) = h { Some(c) } else { None })
             .flatten()
             .collect();
         let of = |n: u32| worker_key(PREFIX, &format!("w{n}")).into_bytes();
@@ -436,7 +436,8 @@
         // One that went and came back within the gap is told as made anew.
         let anew = |c: &&Change| matches!(c, Change::Put { key, made: true, .. } if *key == of(3));
         assert!(changes.iter().any(anew), "{compaction:?}: {changes:?}");
-        let listed_again = world.heard.iter().any(|h| matches!(h, Heard::Trouble(Trouble::Compacted { .. })));
+        let listed_again =
+            world.heard.iter().any(|h| matches!(h, ClientEvent::WatchFault(WatchFault::Compacted { .. })));
         assert_eq!(listed_again, compaction == Some(true));
     }
 }
@@ -475,11 +476,11 @@
     for _ in 0..200 {
         world.pipes.values_mut().for_each(|p| p.inbox.clear());
         world.pass(50_000);
-        views.push(world.client.follower().view(world.now_us));
+        views.push(world.client.watch_state().view(world.now_us));
     }
     views.dedup();
-    assert_eq!(views, [View::Current, View::Silent]);
-    assert!(world.heard.iter().any(|h| matches!(h, Heard::Failed(w) if w.contains("does not answer"))));
+    assert_eq!(views, [Freshness::Current, Freshness::Silent]);
+    assert!(world.heard.iter().any(|h| matches!(h, ClientEvent::Failed(w) if w.contains("does not answer"))));
     world.settle();
 }
 
@@ -489,18 +490,18 @@
     world.store.expire(i64::MAX);
     world.note();
     world.settle();
-    assert!(world.heard.contains(&Heard::LeaseLost) && world.heard.contains(&Heard::Registered));
+    assert!(world.heard.contains(&ClientEvent::LeaseLost) && world.heard.contains(&ClientEvent::Registered));
 }
 
 #[test]
 fn what_was_kept_is_remembered_until_the_registry_is_heard() {
     let world = standing();
-    let kept = world.client.follower().keep(3);
+    let kept = world.client.watch_state().keep(3);
     let mut client = Client::new(settings(false));
-    let (told, askers) = client.follower_mut().remember(&kept).unwrap();
+    let (told, askers) = client.watch_state_mut().remember(&kept).unwrap();
     assert_eq!(askers, 3);
-    assert_eq!((told.len(), client.follower().view(0)), (world.told.len(), View::Remembered));
-    assert!(client.follower_mut().remember(b"{").is_err());
+    assert_eq!((told.len(), client.watch_state().view(0)), (world.told.len(), Freshness::Remembered));
+    assert!(client.watch_state_mut().remember(b"{").is_err());
     // Heard at last: only differences are told.
     let mut again = World::new(false);
     (0..5).filter(|n| *n != 2).for_each(|n| again.put(n, READY));
@@ -509,7 +510,7 @@
     again.client = client;
     again.settle();
     let changes =
-        again.heard.iter().filter_map(|h| if let Heard::Changes(c) = h { Some(c.len()) } else { None });
+        again.heard.iter().filter_map(|h| if let ClientEvent::Changes(c) = h { Some(c.len()) } else { None });
     // Ours and w2 are gone, w4 drains, and ours is there again.
     assert!(changes.sum::<usize>() <= 4, "{:?}", again.heard);
 }
@@ -518,23 +519,23 @@
 fn a_restart_lists_nothing_where_the_history_is_left_and_only_looks() {
     let mut world = standing();
     world.start_again();
-    assert_eq!(world.client.follower().view(world.now_us), View::Remembered);
+    assert_eq!(world.client.watch_state().view(world.now_us), Freshness::Remembered);
     world.put(3, DRAINING);
     let lists = world.lists;
     world.heard.clear();
     world.settle();
     let told =
-        world.heard.iter().filter_map(|h| if let Heard::Changes(c) = h { Some(c.len()) } else { None });
+        world.heard.iter().filter_map(|h| if let ClientEvent::Changes(c) = h { Some(c.len()) } else { None });
     // The drain, and our own entry that was written again.
     assert_eq!(told.sum::<usize>(), 2, "{:?}", world.heard);
-    assert!(world.heard.iter().all(|h| !matches!(h, Heard::Trouble(_))), "{:?}", world.heard);
+    assert!(world.heard.iter().all(|h| !matches!(h, ClientEvent::WatchFault(_))), "{:?}", world.heard);
     // One look after the start; then one in a second at most.
     assert!(world.lists - lists <= 22, "{}", world.lists - lists);
 }
 
 #[test]
 fn many_askers_look_seldom_and_a_keep_alive_serves_where_nothing_changed() {
-    let settings = ClientSettings { askers: 300, follow: Follow::Workers, ..settings(false) };
+    let settings = ClientSettings { askers: 300, follow: WatchScope::Workers, ..settings(false) };
     let mut world = World::with(settings, false);
     (0..5).for_each(|n| world.put(n, READY));
     (0..200).for_each(|_| {
@@ -590,8 +591,8 @@
 #[test]
 fn a_rolling_deploy_of_most_workers_is_followed_change_by_change() {
     // 81 of 85 workers drain, go and are succeeded within 5 s, among changes of others: 5,000 in all.
-    let follower = FollowerSettings::default();
-    let mut world = World::with(ClientSettings { follower, ..settings(false) }, false);
+    let watch_state = WatchSettings::default();
+    let mut world = World::with(ClientSettings { watch_state, ..settings(false) }, false);
     (0..85).for_each(|n| world.put(n, READY));
     world.settle();
     let (lists, before) = (world.lists, world.store.revision());
@@ -620,8 +621,8 @@
         world.pass(10_000);
     }
     assert!(world.store.revision() - before >= 4_700, "{}", world.store.revision() - before);
-    let drained = |h: &Heard| {
-        matches!(h, Heard::Changes(c) if c.iter().any(|c| matches!(c, Change::Put { key, value, .. }
+    let drained = |h: &ClientEvent| {
+        matches!(h, ClientEvent::Changes(c) if c.iter().any(|c| matches!(c, Change::Put { key, value, .. }
         if asked.keys().any(|n| *key == worker_key(PREFIX, &format!("w{n}")).into_bytes()) && value == DRAINING.as_bytes())))
     };
     assert_eq!(world.heard.iter().filter(|h| drained(h)).count(), 81);
--- a/crates/registry/tests/stored_forms.rs
+++ b/crates/registry/tests/stored_forms.rs
@@ -119,28 +119,28 @@
         more: false,
         count: 2,
     };
-    let mut follower = Follower::new(FollowerSettings::default());
-    assert_eq!(follower.listed(0, page), changes_of_remembered());
-    assert_eq!(String::from_utf8(follower.keep(9)).unwrap(), REMEMBERED);
+    let mut watch_state = WatchState::new(WatchSettings::default());
+    assert_eq!(watch_state.listed(0, page), changes_of_remembered());
+    assert_eq!(String::from_utf8(watch_state.keep(9)).unwrap(), REMEMBERED);
 }
 
 #[test]
 fn the_remembered_list_is_read_and_written_again_as_it_stands() {
-    let mut follower = Follower::new(FollowerSettings::default());
-    let told = follower.remember(REMEMBERED.as_bytes()).unwrap();
+    let mut watch_state = WatchState::new(WatchSettings::default());
+    let told = watch_state.remember(REMEMBERED.as_bytes()).unwrap();
     assert_eq!(told, (changes_of_remembered(), 9));
-    assert_eq!((follower.cluster(), follower.want()), (-77, NextRequest::Watch(43)));
-    let held: Vec<(i64, i64)> = follower.held().values().map(|held| (held.made, held.changed)).collect();
+    assert_eq!((watch_state.cluster(), watch_state.want()), (-77, NextRequest::Watch(43)));
+    let held: Vec<(i64, i64)> = watch_state.held().values().map(|held| (held.made, held.changed)).collect();
     assert_eq!(held, [(5, 40), (6, 6)]);
-    assert_eq!(String::from_utf8(follower.keep(9)).unwrap(), REMEMBERED);
+    assert_eq!(String::from_utf8(watch_state.keep(9)).unwrap(), REMEMBERED);
 }
 
 /// Written by earlier versions only.
 #[test]
 fn a_remembered_list_without_revisions_is_read_and_everything_is_listed() {
-    let mut follower = Follower::new(FollowerSettings::default());
+    let mut watch_state = WatchState::new(WatchSettings::default());
     let old = br#"{"keys":[[[47,115,47,119,111,114,107,101,114,115,47,98],[]]]}"#;
-    let told = follower.remember(old).unwrap();
+    let told = watch_state.remember(old).unwrap();
     assert_eq!(told, (changes_of_remembered().split_off(1), 0));
-    assert!(matches!(follower.want(), NextRequest::List(_)));
+    assert!(matches!(watch_state.want(), NextRequest::List(_)));
 }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -7,7 +7,7 @@
 use slatevalve_http::{Message, MessageReader, Side};
 use slatevalve_registry::serve::{answer, chunk, watch_line, within, WATCH_END, WATCH_HEAD};
 use slatevalve_registry::wire::*;
-use slatevalve_registry::{Follower, View, ROUTERS, WORKERS};
+use slatevalve_registry::{Freshness, WatchState, ROUTERS, WORKERS};
 use std::collections::BTreeMap;
 
 /// Events in one line of a watch's answer.
@@ -140,10 +140,10 @@
     }
 
     /// Takes what is followed; to be called whenever something was heard of the registry, and from time to time.
-    pub fn followed(&mut self, now_us: i64, follower: &Follower, out: &mut Vec<Act>) {
-        let fit = follower.view(now_us) == View::Current;
+    pub fn followed(&mut self, now_us: i64, watch_state: &WatchState, out: &mut Vec<Act>) {
+        let fit = watch_state.view(now_us) == Freshness::Current;
         if fit {
-            match self.mirror.take(follower.cluster(), follower.sure(), follower.held()) {
+            match self.mirror.take(watch_state.cluster(), watch_state.sure(), watch_state.held()) {
                 Taken::Nothing => {}
                 Taken::Events(events) => self.tell(&events, out),
                 Taken::Anew => self.end_watches(true, out),
