--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -1,8 +1,8 @@
 //! The relay's thin shell: one loop with the registry's client and the routers' connections.
 
 use crate::relay::{Act, Limits, Relay};
-use slatevalve_reactor::{Happening, Id, Reactor};
-use slatevalve_registry::{ClientSettings, Heard, RelayRecord, RELAYS};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent};
+use slatevalve_registry::{ClientEvent, ClientSettings, RelayRecord, RELAYS};
 use slatevalve_registry_transport::Link;
 use std::collections::HashMap;
 use std::fmt;
@@ -86,19 +86,19 @@
     loop {
         let now = clock();
         let wait = (link.next_wake(now).min(now + TICK_US) - now).clamp(0, TICK_US);
-        reactor.turn(Some(Duration::from_micros(wait as u64)), &mut happened).map_err(RelayError::Loop)?;
+        reactor.poll(Some(Duration::from_micros(wait as u64)), &mut happened).map_err(RelayError::Loop)?;
         let now = clock();
-        for happening in happened.drain(..) {
-            if link.happened(now, &mut reactor, &happening) {
+        for event in happened.drain(..) {
+            if link.handle_event(now, &mut reactor, &event) {
                 look_us = now;
                 continue;
             }
-            match happening {
-                Happening::Signal(_) if leaving.is_none() => {
+            match event {
+                ReactorEvent::Signal(_) if leaving.is_none() => {
                     leaving = Some((link.client_mut().leave(), now + LEAVE_WITHIN_US));
                 }
-                Happening::Signal(_) => return Ok(()),
-                Happening::Accepted { connection, .. } => {
+                ReactorEvent::Signal(_) => return Ok(()),
+                ReactorEvent::Accepted { connection, .. } => {
                     next += 1;
                     if relay.opened(next) {
                         ids.insert(next, connection);
@@ -107,35 +107,35 @@
                         reactor.close(connection);
                     }
                 }
-                Happening::Received(id, bytes) => {
+                ReactorEvent::Received(id, bytes) => {
                     if let Some(peer) = numbers.get(&id) {
                         relay.received(now, *peer, &bytes, &mut acts);
                     }
                 }
-                Happening::Closed { id, .. } => {
+                ReactorEvent::Closed { id, .. } => {
                     if let Some(peer) = numbers.remove(&id) {
                         ids.remove(&peer);
                         relay.closed(peer);
                     }
                 }
-                Happening::AcceptFailed { listener, .. } => reactor.resume(listener),
-                Happening::Connected(_) | Happening::Drained(_) | Happening::Woken => {}
+                ReactorEvent::AcceptFailed { listener, .. } => reactor.resume(listener),
+                ReactorEvent::Connected(_) | ReactorEvent::Drained(_) | ReactorEvent::Woken => {}
             }
         }
         link.advance(now, &mut reactor);
-        for heard in link.take_heard() {
+        for heard in link.take_events() {
             match heard {
-                Heard::Routers(count) => relay.counted(count),
-                Heard::Failed(words) => warn!("registry: {words}"),
-                Heard::Trouble(trouble) => {
+                ClientEvent::Routers(count) => relay.counted(count),
+                ClientEvent::Failed(words) => warn!("registry: {words}"),
+                ClientEvent::WatchFault(trouble) => {
                     warn!(?trouble, "registry: the list is compared anew, or the watch begun again")
                 }
-                Heard::LeaseLost => warn!("registry: our lease was lost; it is had anew"),
-                Heard::Registered => info!("registered"),
-                Heard::Answered(ticket, _) if leaving.is_some_and(|(ours, _)| ours == Some(ticket)) => {
+                ClientEvent::LeaseLost => warn!("registry: our lease was lost; it is had anew"),
+                ClientEvent::Registered => info!("registered"),
+                ClientEvent::Answered(ticket, _) if leaving.is_some_and(|(ours, _)| ours == Some(ticket)) => {
                     return Ok(())
                 }
-                Heard::Changes(_) | Heard::Answered(..) => {}
+                ClientEvent::Changes(_) | ClientEvent::Answered(..) => {}
             }
         }
         if leaving.is_some_and(|(ours, until)| ours.is_none() || now >= until) {
@@ -144,12 +144,12 @@
         // What is followed is compared whole: when something was heard of it, not at each question of a router.
         if now >= look_us {
             look_us = now + TICK_US;
-            relay.followed(now, link.client().follower(), &mut acts);
+            relay.followed(now, link.client().watch_state(), &mut acts);
         }
         relay.advance(now, &mut acts);
         if relay.is_fit() != was_fit {
             was_fit = relay.is_fit();
-            info!(serves = was_fit, workers = link.client().follower().len(), "relay");
+            info!(serves = was_fit, workers = link.client().watch_state().len(), "relay");
         }
         for act in acts.drain(..) {
             match act {
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -1,7 +1,7 @@
 //! A relay without sockets: what routers are answered while it follows, lags and loses its registry.
 
 use slatevalve_registry::wire::*;
-use slatevalve_registry::{Follower, FollowerSettings};
+use slatevalve_registry::{WatchSettings, WatchState};
 use slatevalve_relay::{Act, Limits, Peer, Relay};
 
 const KEY: &str = "/s/workers/a";
@@ -9,7 +9,7 @@
 
 struct World {
     relay: Relay,
-    follower: Follower,
+    watch_state: WatchState,
     now_us: i64,
 }
 
@@ -25,20 +25,21 @@
 impl World {
     /// A relay that follows from revision 5, with one worker.
     fn new() -> Self {
-        let mut follower = Follower::new(FollowerSettings::default());
-        follower.listed(
+        let mut watch_state = WatchState::new(WatchSettings::default());
+        watch_state.listed(
             0,
             RangeResponse { header: header(5), kvs: vec![worker("ready", 3, 3)], more: false, count: 1 },
         );
-        follower.watched(0, WatchResponse { header: header(5), created: true, ..WatchResponse::default() });
-        let mut world = World { relay: Relay::new(LIMITS, "one", "/s/"), follower, now_us: 0 };
+        watch_state
+            .watched(0, WatchResponse { header: header(5), created: true, ..WatchResponse::default() });
+        let mut world = World { relay: Relay::new(LIMITS, "one", "/s/"), watch_state, now_us: 0 };
         assert!(world.follow().is_empty() && world.relay.is_fit());
         world
     }
 
     fn follow(&mut self) -> Vec<Act> {
         let mut acts = Vec::new();
-        self.relay.followed(self.now_us, &self.follower, &mut acts);
+        self.relay.followed(self.now_us, &self.watch_state, &mut acts);
         self.relay.advance(self.now_us, &mut acts);
         acts
     }
@@ -47,7 +48,7 @@
         let kv = worker(value, 3, revision);
         let events = vec![WatchEvent { kind: EventType::Put, kv }];
         let answer = WatchResponse { header: header(revision), events, ..WatchResponse::default() };
-        self.follower.watched(self.now_us, answer);
+        self.watch_state.watched(self.now_us, answer);
         self.follow()
     }
 
@@ -121,26 +122,26 @@
 fn a_relay_that_lost_its_registry_ends_its_watches_and_serves_nobody() {
     let mut world = World::new();
     world.watch(1, 6);
-    world.now_us += FollowerSettings::default().silence_us;
+    world.now_us += WatchSettings::default().silence_us;
     assert_eq!(world.follow(), [Act::Finish(1)]);
     assert!(!world.relay.is_fit());
     assert!(text(&world.list(2), 2).contains("503") && text(&world.watch(3, 6), 3).contains("503"));
     // It is back, at an earlier state than before: nobody goes on from what was told.
-    world.follower.broke();
+    world.watch_state.broke();
     let back = WatchResponse { header: header(5), created: true, ..WatchResponse::default() };
-    world.follower.watched(world.now_us, back);
+    world.watch_state.watched(world.now_us, back);
     assert!(world.follow().is_empty() && world.relay.is_fit());
     world.relay.closed(3);
     world.watch(3, 6);
-    world.follower.watched(
+    world.watch_state.watched(
         world.now_us,
         WatchResponse { header: Header { cluster_id: 8, ..header(5) }, ..WatchResponse::default() },
     );
-    world.follower.listed(
+    world.watch_state.listed(
         world.now_us,
         RangeResponse { header: Header { cluster_id: 8, ..header(2) }, ..RangeResponse::default() },
     );
-    world.follower.watched(
+    world.watch_state.watched(
         world.now_us,
         WatchResponse {
             header: Header { cluster_id: 8, ..header(2) },
--- a/crates/site-config/src/settings.rs
+++ b/crates/site-config/src/settings.rs
@@ -16,7 +16,7 @@
     /// Kinds of machine.
     pub kinds: Vec<String>,
     /// Whether answers tell how many calls of the function the worker held.
-    pub crowd: bool,
+    pub queue_depth: bool,
 }
 
 /// What the settings say of connections to workers.
@@ -66,7 +66,7 @@
             step: time_or(o, "step", base.step)?,
             classes: list(o, "categories")?.iter().map(class).collect::<Result<_, _>>()?,
             tenants,
-            over_share_worth: number_or(o, "over_share_worth", 1.0)?,
+            over_quota_weight: number_or(o, "over_share_worth", 1.0)?,
             worth_by_work: opt(o, "counted_by").and_then(Value::as_str) == Some("work"),
             must_ask: opt(o, "membership_mode").and_then(Value::as_str) == Some("subscribe"),
             weights: match opt(o, "weight_kind").and_then(Value::as_str) {
@@ -101,7 +101,7 @@
             tenants: names("tenants")?,
             zones,
             kinds: texts(o, "machine_types")?,
-            crowd: flag(family, "tells_crowd", false)?,
+            queue_depth: flag(family, "tells_crowd", false)?,
         };
         Ok(Site { settings, names, connections })
     }
@@ -124,11 +124,11 @@
         other => return unknown("effect", other),
     };
     Ok(Class {
-        aim: time(c, "aim")?,
-        aim_stretch: number_or(c, "aim_stretch", 0.0)?,
+        latency_objective: time(c, "aim")?,
+        objective_stretch: number_or(c, "aim_stretch", 0.0)?,
         deadline: time(c, "deadline")?,
-        worth: number_or(c, "points", 1.0)?,
-        late_worth: number_or(c, "late_value", 0.0)?,
+        priority_weight: number_or(c, "points", 1.0)?,
+        late_value: number_or(c, "late_value", 0.0)?,
         effect,
         stream: flag(c, "stream", false)?,
     })
--- a/crates/test-servers/src/broker.rs
+++ b/crates/test-servers/src/broker.rs
@@ -11,7 +11,7 @@
 };
 use mqtt_protocol_core::mqtt::{role, Version};
 use serde::{Deserialize, Serialize};
-use slatevalve_reactor::{Happening, Id, Reactor};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -138,21 +138,21 @@
         loop {
             let next =
                 self.faults.first().map_or(1_000_000, |f| (f.at_us - unix_micros()).clamp(0, 1_000_000));
-            self.reactor.turn(Some(Duration::from_micros(next as u64)), &mut happened)?;
+            self.reactor.poll(Some(Duration::from_micros(next as u64)), &mut happened)?;
             while self.faults.first().is_some_and(|f| f.at_us <= unix_micros()) {
                 let fault = self.faults.remove(0);
                 self.act(fault);
             }
-            for happening in happened.drain(..) {
-                match happening {
-                    Happening::Signal(_) => return Ok(()),
-                    Happening::Accepted { connection, .. } => {
+            for event in happened.drain(..) {
+                match event {
+                    ReactorEvent::Signal(_) => return Ok(()),
+                    ReactorEvent::Accepted { connection, .. } => {
                         let mut mqtt = Connection::new(Version::V5_0);
                         mqtt.set_auto_ping_response(true);
                         self.links.insert(connection, Link { mqtt, client: None });
                     }
-                    Happening::Received(id, bytes) => self.received(id, &bytes),
-                    Happening::Closed { id, .. } => self.gone(id),
+                    ReactorEvent::Received(id, bytes) => self.received(id, &bytes),
+                    ReactorEvent::Closed { id, .. } => self.gone(id),
                     _ => {}
                 }
             }
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -14,7 +14,7 @@
 };
 use mqtt_protocol_core::mqtt::result_code::{ConnectReasonCode, MqttError};
 use mqtt_protocol_core::mqtt::{role, Version};
-use slatevalve_reactor::{Happening, Id, Reactor};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use slatevalve_trace_checker::trace::Seen;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
@@ -175,7 +175,7 @@
     ///
     /// # Errors
     /// When the poller fails.
-    pub fn turn(&mut self, wait: Duration) -> io::Result<()> {
+    pub fn poll(&mut self, wait: Duration) -> io::Result<()> {
         let now = unix_micros();
         for n in 0..self.clients.len() {
             if self.clients[n].socket.is_none() && self.clients[n].connect_at <= now {
@@ -196,12 +196,12 @@
             .front()
             .map_or(wait, |a| Duration::from_micros((a.at_us - unix_micros()).max(0) as u64).min(wait));
         let mut happened = Vec::new();
-        self.reactor.turn(Some(until), &mut happened)?;
-        for happening in happened {
-            match happening {
-                Happening::Connected(id) => self.connected(id),
-                Happening::Received(id, bytes) => self.received(id, &bytes),
-                Happening::Closed { id, .. } => self.lost(id),
+        self.reactor.poll(Some(until), &mut happened)?;
+        for event in happened {
+            match event {
+                ReactorEvent::Connected(id) => self.connected(id),
+                ReactorEvent::Received(id, bytes) => self.received(id, &bytes),
+                ReactorEvent::Closed { id, .. } => self.lost(id),
                 _ => {}
             }
         }
--- a/crates/test-servers/src/entry.rs
+++ b/crates/test-servers/src/entry.rs
@@ -3,9 +3,9 @@
 use crate::tap::unix_micros;
 use crate::worker::RegisterPlan;
 use slatevalve_pacing::{seed_of, Limits};
-use slatevalve_reactor::{Happening, Reactor};
+use slatevalve_reactor::{Reactor, ReactorEvent};
 use slatevalve_registry::{
-    worker_key, ClientSettings, Follow, FollowerSettings, Heard, MemberState, RegistrationSettings,
+    worker_key, ClientEvent, ClientSettings, MemberState, RegistrationSettings, WatchScope, WatchSettings,
     WorkerRecord,
 };
 use slatevalve_registry_transport::Link;
@@ -49,8 +49,8 @@
             prefix: plan.prefix,
             login: None,
             relays: 0,
-            follow: Follow::Nothing,
-            follower: FollowerSettings::default(),
+            follow: WatchScope::Nothing,
+            watch_state: WatchSettings::default(),
             registration: RegistrationSettings { ttl_s: plan.ttl_s },
             pace: Limits::default(),
             askers: 1,
@@ -74,8 +74,8 @@
 
     pub(crate) fn advance(&mut self, now: i64, reactor: &mut Reactor) {
         self.link.advance(now, reactor);
-        for heard in self.link.take_heard() {
-            if let (Heard::Answered(ticket, _), Leaving::Revokes(ours, _)) = (&heard, self.leaving) {
+        for heard in self.link.take_events() {
+            if let (ClientEvent::Answered(ticket, _), Leaving::Revokes(ours, _)) = (&heard, self.leaving) {
                 if *ticket == ours {
                     self.leaving = Leaving::Done;
                 }
@@ -83,8 +83,8 @@
         }
     }
 
-    pub(crate) fn happened(&mut self, now: i64, reactor: &mut Reactor, happening: &Happening) -> bool {
-        self.link.happened(now, reactor, happening)
+    pub(crate) fn handle_event(&mut self, now: i64, reactor: &mut Reactor, event: &ReactorEvent) -> bool {
+        self.link.handle_event(now, reactor, event)
     }
 
     /// It drains from now on; and leaves then, if that is wanted.
--- a/crates/test-servers/src/kv/server.rs
+++ b/crates/test-servers/src/kv/server.rs
@@ -5,7 +5,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use slatevalve_http::{Limits, Message, MessageReader, Side};
-use slatevalve_reactor::{Happening, Id, Reactor};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use slatevalve_registry::serve;
 use slatevalve_registry::wire::*;
 use std::collections::{HashMap, VecDeque};
@@ -168,13 +168,13 @@
     ready(address);
     let mut happened = Vec::new();
     loop {
-        server.reactor.turn(Some(tick), &mut happened)?;
+        server.reactor.poll(Some(tick), &mut happened)?;
         server.act_faults();
-        for happening in happened.drain(..) {
-            if let Happening::Signal(_) = happening {
+        for event in happened.drain(..) {
+            if let ReactorEvent::Signal(_) = event {
                 return Ok(());
             }
-            server.happened(happening);
+            server.handle_event(event);
         }
         server.work();
         server.store.expire(unix_micros());
@@ -225,23 +225,27 @@
         }
     }
 
-    fn happened(&mut self, happening: Happening) {
-        match happening {
-            Happening::Accepted { connection, .. } if self.acts(&KvFaultKind::Break) || self.is_full() => {
+    fn handle_event(&mut self, event: ReactorEvent) {
+        match event {
+            ReactorEvent::Accepted { connection, .. } if self.acts(&KvFaultKind::Break) || self.is_full() => {
                 self.reactor.close(connection);
             }
-            Happening::Accepted { connection, .. } => {
+            ReactorEvent::Accepted { connection, .. } => {
                 let reader = MessageReader::new(Side::Request, Limits::default());
                 self.peers.insert(connection, Peer { reader, watcher: None });
             }
-            Happening::Received(id, bytes) => match self.peers.get_mut(&id).map(|p| p.reader.feed(&bytes)) {
+            ReactorEvent::Received(id, bytes) => match self.peers.get_mut(&id).map(|p| p.reader.feed(&bytes))
+            {
                 Some(Ok(Some(request))) if !self.acts(&KvFaultKind::Stall) => self.queue(id, request),
                 Some(Err(_)) => self.reactor.finish(id),
                 _ => {}
             },
-            Happening::Closed { id, .. } => drop(self.peers.remove(&id)),
-            Happening::AcceptFailed { listener, .. } => self.reactor.resume(listener),
-            Happening::Connected(_) | Happening::Drained(_) | Happening::Signal(_) | Happening::Woken => {}
+            ReactorEvent::Closed { id, .. } => drop(self.peers.remove(&id)),
+            ReactorEvent::AcceptFailed { listener, .. } => self.reactor.resume(listener),
+            ReactorEvent::Connected(_)
+            | ReactorEvent::Drained(_)
+            | ReactorEvent::Signal(_)
+            | ReactorEvent::Woken => {}
         }
     }
 
--- a/crates/test-servers/src/registry.rs
+++ b/crates/test-servers/src/registry.rs
@@ -7,7 +7,7 @@
 use slatevalve_blobs::{BlobStore, Disk};
 use slatevalve_http::{Limits, Message, MessageReader, Side};
 use slatevalve_oci::{Access, Credentials, Registry};
-use slatevalve_reactor::{Happening, Id, Reactor};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use std::collections::{BTreeMap, HashMap};
 use std::fs::File;
 use std::io::{self, Write};
@@ -130,12 +130,12 @@
     ready(address);
     let mut happened = Vec::new();
     loop {
-        server.reactor.turn(Some(server.wait()), &mut happened)?;
-        for happening in happened.drain(..) {
-            if let Happening::Signal(_) = happening {
+        server.reactor.poll(Some(server.wait()), &mut happened)?;
+        for event in happened.drain(..) {
+            if let ReactorEvent::Signal(_) = event {
                 return Ok(());
             }
-            server.happened(happening)?;
+            server.handle_event(event)?;
         }
         server.send_late();
         server.send_endless();
@@ -166,14 +166,15 @@
         }
     }
 
-    fn happened(&mut self, happening: Happening) -> io::Result<()> {
-        match happening {
-            Happening::Accepted { connection, .. } => {
+    fn handle_event(&mut self, event: ReactorEvent) -> io::Result<()> {
+        match event {
+            ReactorEvent::Accepted { connection, .. } => {
                 let limits = Limits { body: MAX_BODY, ..Limits::default() };
                 let reader = MessageReader::new(Side::Request, limits);
                 self.peers.insert(connection, Peer { reader, endless: 0 });
             }
-            Happening::Received(id, bytes) => match self.peers.get_mut(&id).map(|p| p.reader.feed(&bytes)) {
+            ReactorEvent::Received(id, bytes) => match self.peers.get_mut(&id).map(|p| p.reader.feed(&bytes))
+            {
                 Some(Ok(Some(request))) => self.answer(id, &request)?,
                 Some(Err(_)) => {
                     self.reactor.write(id, b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
@@ -181,11 +182,14 @@
                 }
                 Some(Ok(None)) | None => {}
             },
-            Happening::Closed { id, .. } => {
+            ReactorEvent::Closed { id, .. } => {
                 self.peers.remove(&id);
             }
-            Happening::AcceptFailed { listener, .. } => self.reactor.resume(listener),
-            Happening::Connected(_) | Happening::Drained(_) | Happening::Signal(_) | Happening::Woken => {}
+            ReactorEvent::AcceptFailed { listener, .. } => self.reactor.resume(listener),
+            ReactorEvent::Connected(_)
+            | ReactorEvent::Drained(_)
+            | ReactorEvent::Signal(_)
+            | ReactorEvent::Woken => {}
         }
         Ok(())
     }
--- a/crates/test-servers/src/service.rs
+++ b/crates/test-servers/src/service.rs
@@ -131,7 +131,7 @@
     }
 
     /// Calls of a function that wait.
-    pub(crate) fn crowd(&self, function: &str) -> u64 {
+    pub(crate) fn queue_depth(&self, function: &str) -> u64 {
         self.waiting.iter().filter(|w| w.1 == function).count() as u64
     }
 
--- a/crates/test-servers/src/worker.rs
+++ b/crates/test-servers/src/worker.rs
@@ -8,9 +8,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
-use slatevalve_reactor::{Happening, Id, Reactor};
+use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use slatevalve_trace_checker::trace::Seen;
-use slatevalve_worker_protocol::{Asked, Call, Limits, LoadReport, MessageReader, Order, Reply, Side};
+use slatevalve_worker_protocol::{
+    Call, Limits, LoadReport, MessageReader, ParsedRequest, Reply, Side, WorkerRequest,
+};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -96,7 +98,7 @@
     gateway: String,
     call: Call,
     name: String,
-    crowd: u64,
+    queue_depth: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -172,7 +174,7 @@
             let next = [self.due.first().map(|d| d.0), self.faults.next_us(now), entry];
             let next = next.into_iter().flatten().min();
             let wait = next.map_or(1_000_000, |at| (at - now).clamp(0, 1_000_000));
-            self.reactor.turn(Some(Duration::from_micros(wait as u64)), &mut happened)?;
+            self.reactor.poll(Some(Duration::from_micros(wait as u64)), &mut happened)?;
             let now = unix_micros();
             self.act_faults(now);
             if let Some(entry) = &mut self.entry {
@@ -181,18 +183,18 @@
                     return Ok(());
                 }
             }
-            for happening in happened.drain(..) {
-                if self.entry.as_mut().is_some_and(|e| e.happened(now, &mut self.reactor, &happening)) {
+            for event in happened.drain(..) {
+                if self.entry.as_mut().is_some_and(|e| e.handle_event(now, &mut self.reactor, &event)) {
                     continue;
                 }
-                match happening {
-                    Happening::Signal(signal) => match &mut self.entry {
+                match event {
+                    ReactorEvent::Signal(signal) => match &mut self.entry {
                         Some(entry) => entry.drain(now, signal == libc::SIGTERM),
                         None => return Ok(()),
                     },
-                    Happening::Accepted { connection, .. } => self.accepted(connection),
-                    Happening::Received(id, bytes) => self.received(id, &bytes),
-                    Happening::Closed { id, .. } => self.gone(id),
+                    ReactorEvent::Accepted { connection, .. } => self.accepted(connection),
+                    ReactorEvent::Received(id, bytes) => self.received(id, &bytes),
+                    ReactorEvent::Closed { id, .. } => self.gone(id),
                     _ => {}
                 }
             }
@@ -243,7 +245,7 @@
         let Some(reader) = self.connections.get_mut(&id) else { return };
         match reader.feed(bytes) {
             Ok(None) => {}
-            Ok(Some(message)) => match Asked::read(message) {
+            Ok(Some(message)) => match ParsedRequest::read(message) {
                 Ok(asked) => self.asked(id, asked),
                 Err(e) => self.reply(id, &Reply::BadRequest(e.to_string()), None),
             },
@@ -285,24 +287,24 @@
         self.reports.front().map_or(report, |r| r.1)
     }
 
-    fn reply(&mut self, id: Id, reply: &Reply, crowd: Option<u64>) {
+    fn reply(&mut self, id: Id, reply: &Reply, queue_depth: Option<u64>) {
         let report = self.report();
-        self.reactor.write(id, &reply.encode(Some(report), crowd));
+        self.reactor.write(id, &reply.encode(Some(report), queue_depth));
     }
 
-    fn asked(&mut self, id: Id, asked: Asked) {
+    fn asked(&mut self, id: Id, asked: ParsedRequest) {
         let now = unix_micros();
         let gateway = asked.gateway.unwrap_or_default();
         match asked.order {
-            Order::Infer(call) => self.infer(id, gateway, call),
+            WorkerRequest::Infer(call) => self.infer(id, gateway, call),
             // A worker whose calls hang hangs as a whole.
             _ if self.faults.acts(now, &FaultKind::Hang) => {}
-            Order::Ready => self.reply(id, &Reply::Ready, None),
-            Order::Count { function } => {
+            WorkerRequest::Ready => self.reply(id, &Reply::Ready, None),
+            WorkerRequest::Count { function } => {
                 self.tap.saw(Seen::Ordered { function: function.clone(), copies: 0, gateway });
                 self.reply(id, &Reply::Copies(self.service.stands(&function, now)), None);
             }
-            Order::Load { function, copies } => {
+            WorkerRequest::Load { function, copies } => {
                 self.tap.saw(Seen::Ordered { function: function.clone(), copies, gateway });
                 let load = self.slow_loads(now);
                 match self.service.order(&function, copies, now, load) {
@@ -314,7 +316,7 @@
                     }
                 }
             }
-            Order::Unload { function } => {
+            WorkerRequest::Unload { function } => {
                 self.service.unload(&function);
                 self.reply(id, &Reply::Copies(0), None);
             }
@@ -360,7 +362,7 @@
             return self.reply(id, &Reply::Failed("this class fails".into()), None);
         }
         let (slow, load) = (self.slow(now), self.slow_loads(now));
-        let crowd = self.service.crowd(&call.function);
+        let queue_depth = self.service.queue_depth(&call.function);
         self.next += 1;
         let number = self.next;
         match self.service.take(number, &call.function, work_us, now, slow, load) {
@@ -374,13 +376,13 @@
                 self.due.extend(at.map(|at| (at, Due::Loaded)));
             }
         }
-        self.running.insert(number, Running { connection: id, gateway, call, name, crowd });
+        self.running.insert(number, Running { connection: id, gateway, call, name, queue_depth });
     }
 
     fn turn_away(&mut self, id: Id, gateway: String, call: &Call, name: String, reply: Reply) {
         self.tap.saw(Seen::NeverRan { call: name, gateway, attempt: call.attempt });
-        let crowd = self.service.crowd(&call.function);
-        self.reply(id, &reply, Some(crowd));
+        let queue_depth = self.service.queue_depth(&call.function);
+        self.reply(id, &reply, Some(queue_depth));
     }
 
     fn fire(&mut self) {
@@ -419,7 +421,7 @@
         };
         let served = Reply::Served { payload, ran };
         let report = self.report();
-        let bytes = served.encode(Some(report), Some(run.crowd));
+        let bytes = served.encode(Some(report), Some(run.queue_depth));
         let part = |k: &FaultKind| if let FaultKind::LoseAnswers { part } = k { Some(*part) } else { None };
         let late = |k: &FaultKind| if let FaultKind::Late { by_us } = k { Some(*by_us) } else { None };
         if self.faults.comes(now, &FaultKind::DieAfterAccept) {
--- a/crates/worker-protocol/src/headers.rs
+++ b/crates/worker-protocol/src/headers.rs
@@ -23,7 +23,7 @@
 /// Value of [`NEVER_RAN`]: the function is not loaded here.
 pub const NEVER_RAN_MISS: &str = "miss";
 /// Response: calls of the same function that the worker held when this one came.
-pub const CROWD: &str = "X-Crowd";
+pub const QUEUE_DEPTH: &str = "X-Crowd";
 /// Response: copies of the function that stand.
 pub const COPIES: &str = "X-Copies";
 /// Response: the load behind an error failed.
--- a/crates/worker-protocol/src/order.rs
+++ b/crates/worker-protocol/src/order.rs
@@ -31,7 +31,7 @@
 
 /// What the gateway asks of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum WorkerRequest {
     /// Run a call.
     Infer(Call),
     /// Hold copies of a function.
@@ -83,9 +83,9 @@
 
 /// A request as a worker took it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct ParsedRequest {
     /// What is asked.
-    pub order: Order,
+    pub order: WorkerRequest,
     /// The gateway that asks, where it says so.
     pub gateway: Option<String>,
 }
@@ -130,7 +130,7 @@
     Some(digits.chunks(2).map(|d| (d[0] * 16 + d[1]) as u8).collect())
 }
 
-impl Order {
+impl WorkerRequest {
     /// The request's bytes. `host` is the worker's address, `gateway` the sender's name; neither may hold line
     /// ends, which the settings check.
     pub fn encode(&self, host: &str, gateway: &str) -> Vec<u8> {
@@ -138,7 +138,7 @@
             |function: &str, verb: &str| format!("/v2/repository/models/{}/{verb}", segment(function));
         let mut extra = String::new();
         let (method, path, body) = match self {
-            Order::Infer(call) => {
+            WorkerRequest::Infer(call) => {
                 let version = call.version.as_ref().map(|v| format!("/versions/{}", segment(v)));
                 let path =
                     format!("/v2/models/{}{}/infer", segment(&call.function), version.unwrap_or_default());
@@ -164,19 +164,22 @@
                 }
                 ("POST", path, body)
             }
-            Order::Load { function, copies } => {
+            WorkerRequest::Load { function, copies } => {
                 let body = json!({"parameters": {"copies": copies}}).to_string().into_bytes();
                 ("POST", repository(function, "load"), body)
             }
-            Order::Count { function } => {
+            WorkerRequest::Count { function } => {
                 let body = json!({"name": function}).to_string().into_bytes();
                 ("POST", "/v2/repository/index".into(), body)
             }
-            Order::Unload { function } => ("POST", repository(function, "unload"), b"{}".to_vec()),
-            Order::Ready => ("GET", "/v2/health/ready".into(), Vec::new()),
+            WorkerRequest::Unload { function } => ("POST", repository(function, "unload"), b"{}".to_vec()),
+            WorkerRequest::Ready => ("GET", "/v2/health/ready".into(), Vec::new()),
+        };
+        let kind = if matches!(self, WorkerRequest::Infer(_)) {
+            "application/octet-stream"
+        } else {
+            "application/json"
         };
-        let kind =
-            if matches!(self, Order::Infer(_)) { "application/octet-stream" } else { "application/json" };
         let length = body.len();
         let name = headers::GATEWAY;
         let mut bytes = format!(
@@ -189,7 +192,7 @@
     }
 }
 
-impl Asked {
+impl ParsedRequest {
     /// Reads a request as an order.
     ///
     /// # Errors
@@ -201,30 +204,30 @@
         let parts: Vec<&str> = target.trim_start_matches('/').split('/').collect();
         let name = |text: &str| unsegment(text).ok_or_else(unknown);
         let order = match (method.as_str(), parts.as_slice()) {
-            ("GET", ["v2", "health", "ready"]) => Order::Ready,
+            ("GET", ["v2", "health", "ready"]) => WorkerRequest::Ready,
             ("POST", ["v2", "repository", "index"]) => {
                 let body: Value = serde_json::from_slice(&message.body).map_err(|_| RequestError::Body)?;
                 let function = body.get("name").and_then(Value::as_str).ok_or(RequestError::Body)?;
-                Order::Count { function: function.into() }
+                WorkerRequest::Count { function: function.into() }
             }
             ("POST", ["v2", "repository", "models", function, "load"]) => {
                 let body: Value = serde_json::from_slice(&message.body).map_err(|_| RequestError::Body)?;
                 let copies = body.pointer("/parameters/copies").map_or(Some(1), Value::as_u64);
                 let copies = copies.and_then(|n| u32::try_from(n).ok()).ok_or(RequestError::Body)?;
-                Order::Load { function: name(function)?, copies }
+                WorkerRequest::Load { function: name(function)?, copies }
             }
             ("POST", ["v2", "repository", "models", function, "unload"]) => {
-                Order::Unload { function: name(function)? }
+                WorkerRequest::Unload { function: name(function)? }
             }
             ("POST", ["v2", "models", function, "infer"]) => {
-                Order::Infer(call(name(function)?, None, message)?)
+                WorkerRequest::Infer(call(name(function)?, None, message)?)
             }
             ("POST", ["v2", "models", function, "versions", version, "infer"]) => {
-                Order::Infer(call(name(function)?, Some(name(version)?), message)?)
+                WorkerRequest::Infer(call(name(function)?, Some(name(version)?), message)?)
             }
             _ => return Err(unknown()),
         };
-        Ok(Asked { order, gateway })
+        Ok(ParsedRequest { order, gateway })
     }
 }
 
@@ -264,10 +267,10 @@
     use super::*;
     use crate::{Limits, MessageReader, Side};
 
-    fn through(order: Order) -> Asked {
+    fn through(order: WorkerRequest) -> ParsedRequest {
         let bytes = order.encode("127.0.0.1:9", "gw");
         let message = MessageReader::new(Side::Request, Limits::default()).feed(&bytes).unwrap();
-        Asked::read(message.expect("whole")).unwrap()
+        ParsedRequest::read(message.expect("whole")).unwrap()
     }
 
     #[test]
@@ -284,15 +287,21 @@
             settings: vec![7, 8],
         };
         let orders = [
-            Order::Infer(call.clone()),
-            Order::Infer(Call { key: None, version: None, payload: Vec::new(), settings: vec![], ..call }),
-            Order::Load { function: "a b".into(), copies: 3 },
-            Order::Count { function: "a\"b".into() },
-            Order::Unload { function: "a".into() },
-            Order::Ready,
+            WorkerRequest::Infer(call.clone()),
+            WorkerRequest::Infer(Call {
+                key: None,
+                version: None,
+                payload: Vec::new(),
+                settings: vec![],
+                ..call
+            }),
+            WorkerRequest::Load { function: "a b".into(), copies: 3 },
+            WorkerRequest::Count { function: "a\"b".into() },
+            WorkerRequest::Unload { function: "a".into() },
+            WorkerRequest::Ready,
         ];
         for order in orders {
-            assert_eq!(through(order.clone()), Asked { order, gateway: Some("gw".into()) });
+            assert_eq!(through(order.clone()), ParsedRequest { order, gateway: Some("gw".into()) });
         }
     }
 
@@ -300,11 +309,11 @@
     fn a_payload_that_is_not_what_its_head_says_is_refused() {
         let read = |bytes: &[u8]| {
             let message = MessageReader::new(Side::Request, Limits::default()).feed(bytes).unwrap();
-            Asked::read(message.expect("whole"))
+            ParsedRequest::read(message.expect("whole"))
         };
         let call =
             Call { function: "f".into(), request_id: "1".into(), class: "c".into(), ..Call::default() };
-        let good = Order::Infer(Call { payload: b"four".to_vec(), ..call }).encode("h", "g");
+        let good = WorkerRequest::Infer(Call { payload: b"four".to_vec(), ..call }).encode("h", "g");
         let text = String::from_utf8_lossy(&good).replace("\"binary_data_size\":8", "\"binary_data_size\":9");
         assert_eq!(read(text.as_bytes()), Err(RequestError::Tensor(TensorError::Binary)));
         let text = String::from_utf8_lossy(&good).replace("BYTES", "INT32");
--- a/crates/worker-protocol/src/reply.rs
+++ b/crates/worker-protocol/src/reply.rs
@@ -1,6 +1,6 @@
 //! What a worker answers: encoded by the stand-in worker, read by the gateway as the module's outcome.
 
-use crate::order::Order;
+use crate::order::WorkerRequest;
 use crate::{headers, tensor};
 use serde_json::{json, Value};
 use slatevalve::{Outcome, Report};
@@ -55,7 +55,7 @@
     /// Copies that stand, for orders.
     pub copies: u32,
     /// Calls of the same function that the worker held on arrival.
-    pub crowd: Option<u64>,
+    pub queue_depth: Option<u64>,
     /// The load behind it failed.
     pub load_failed: bool,
     /// Version or digest that ran.
@@ -65,8 +65,8 @@
 }
 
 impl Reply {
-    /// The response's bytes; `load` and `crowd` go along where given.
-    pub fn encode(&self, load: Option<LoadReport>, crowd: Option<u64>) -> Vec<u8> {
+    /// The response's bytes; `load` and `queue_depth` go along where given.
+    pub fn encode(&self, load: Option<LoadReport>, queue_depth: Option<u64>) -> Vec<u8> {
         let mut extra: Vec<(&str, String)> = Vec::new();
         let error = |words: &str| json!({ "error": words }).to_string().into_bytes();
         let (status, body) = match self {
@@ -100,7 +100,7 @@
             Reply::Ready => ("200 OK", b"{}".to_vec()),
             Reply::BadRequest(words) => ("400 Bad Request", error(words)),
         };
-        extra.extend(crowd.map(|n| (headers::CROWD, n.to_string())));
+        extra.extend(queue_depth.map(|n| (headers::QUEUE_DEPTH, n.to_string())));
         extra.extend(load.map(|l| (headers::LOAD, l.to_header())));
         let mut bytes = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n", body.len());
         for (name, value) in extra {
@@ -144,7 +144,7 @@
 
 /// What an answer to `order` means. A call that was answered without the profile's own header may have run, so it
 /// is an error, whatever its status: 404, 429, 502 and 503 may come from anything between.
-pub fn read(order: &Order, message: Message) -> ParsedReply {
+pub fn read(order: &WorkerRequest, message: Message) -> ParsedReply {
     let head = &message.head;
     let number = |name| head.header(name).and_then(|v| v.parse::<u64>().ok());
     let good = (200..300).contains(&head.status);
@@ -157,18 +157,18 @@
         outcome: never_ran.unwrap_or(if good { Outcome::Ok } else { Outcome::Error }),
         payload: Vec::new(),
         copies: number(headers::COPIES).and_then(|n| u32::try_from(n).ok()).unwrap_or(0),
-        crowd: number(headers::CROWD),
+        queue_depth: number(headers::QUEUE_DEPTH),
         load_failed: head.header(headers::LOAD_FAILED) == Some("1"),
         ran: head.header(headers::RAN).map(str::to_string),
         report: head.header(headers::LOAD).and_then(LoadReport::from_header),
     };
     match order {
-        Order::Infer(_) if good => match tensor::unwrap("outputs", message) {
+        WorkerRequest::Infer(_) if good => match tensor::unwrap("outputs", message) {
             Ok(payload) => understood.payload = payload,
             // It says that it ran, and gave nothing that can be passed on.
             Err(_) => understood.outcome = Outcome::Error,
         },
-        Order::Load { copies, .. } if good && understood.copies == 0 => {
+        WorkerRequest::Load { copies, .. } if good && understood.copies == 0 => {
             // Servers without the project's header say no more than that the load stands.
             understood.copies = *copies;
         }
@@ -184,7 +184,7 @@
 
     fn through(bytes: &[u8]) -> ParsedReply {
         let message = MessageReader::new(Side::Response, Limits::default()).feed(bytes).unwrap();
-        read(&Order::Infer(Call::default()), message.expect("whole"))
+        read(&WorkerRequest::Infer(Call::default()), message.expect("whole"))
     }
 
     #[test]
@@ -210,7 +210,7 @@
         let reply = Reply::Served { payload: vec![0, 255], ran: Some("sha256:ab".into()) };
         let understood = through(&reply.encode(Some(load), Some(4)));
         assert_eq!((understood.outcome, understood.payload.as_slice()), (Outcome::Ok, &[0u8, 255][..]));
-        assert_eq!((understood.crowd, understood.ran.as_deref()), (Some(4), Some("sha256:ab")));
+        assert_eq!((understood.queue_depth, understood.ran.as_deref()), (Some(4), Some("sha256:ab")));
         let report = Report { queue: Some(3.0), inflight: Some(2.0), util: Some(0.5) };
         assert_eq!(understood.report, Some(report));
     }
--- a/crates/worker-protocol/src/wire.rs
+++ b/crates/worker-protocol/src/wire.rs
@@ -3,7 +3,7 @@
 //! It guards the pool against knowing any one of them: [`Http`] is the Open Inference Protocol, one request at a time on
 //! a connection; the platform's lines are another. Called by the gateway's pool.
 
-use crate::order::Order;
+use crate::order::WorkerRequest;
 use crate::reply::{self, ParsedReply};
 use slatevalve_http::{Limits, MessageReader, Side};
 
@@ -13,7 +13,7 @@
 
 /// The end of a request, as a worker told it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Heard {
+pub struct CompletedRequest {
     /// Which request.
     pub tag: Tag,
     /// What came of it.
@@ -25,32 +25,32 @@
 pub struct MalformedReply;
 
 /// One protocol.
-pub trait Wire {
+pub trait WorkerProtocol {
     /// Requests that one connection may carry at a time.
     fn streams(&self) -> usize;
     /// Whether a request may run of which the worker has only a part.
-    fn part_may_run(&self) -> bool;
+    fn partial_request_may_run(&self) -> bool;
     /// A reader for a new connection.
     fn reader(&self) -> Box<dyn Reader>;
     /// A request's bytes; `host` is the worker's address.
-    fn encode(&self, host: &str, tag: Tag, order: &Order) -> Vec<u8>;
+    fn encode(&self, host: &str, tag: Tag, order: &WorkerRequest) -> Vec<u8>;
     /// The bytes that give a request up, where the protocol has any.
-    fn give_up(&self, order: &Order) -> Option<Vec<u8>>;
+    fn give_up(&self, order: &WorkerRequest) -> Option<Vec<u8>>;
 }
 
 /// What comes back on one connection.
 pub trait Reader {
     /// A request goes out on the connection.
-    fn expect(&mut self, tag: Tag, order: &Order);
+    fn expect(&mut self, tag: Tag, order: &WorkerRequest);
     /// A request is over for us; what still comes for it is passed over.
     fn forget(&mut self, tag: Tag);
     /// Takes bytes; appends the requests that ended with them.
     ///
     /// # Errors
     /// When the bytes are none of the protocol. What was appended before stands.
-    fn feed(&mut self, bytes: &[u8], out: &mut Vec<Heard>) -> Result<(), MalformedReply>;
+    fn feed(&mut self, bytes: &[u8], out: &mut Vec<CompletedRequest>) -> Result<(), MalformedReply>;
     /// The connection ended: the request that only this end completes, if any.
-    fn end(&mut self) -> Option<Heard>;
+    fn end(&mut self) -> Option<CompletedRequest>;
     /// Whether nothing of a further answer has come and the worker will take further requests.
     fn is_clean(&self) -> bool;
 }
@@ -64,12 +64,12 @@
     pub limits: Limits,
 }
 
-impl Wire for Http {
+impl WorkerProtocol for Http {
     fn streams(&self) -> usize {
         1
     }
 
-    fn part_may_run(&self) -> bool {
+    fn partial_request_may_run(&self) -> bool {
         true
     }
 
@@ -78,23 +78,23 @@
         Box::new(HttpReader { reader, expected: None, last: false })
     }
 
-    fn encode(&self, host: &str, _: Tag, order: &Order) -> Vec<u8> {
+    fn encode(&self, host: &str, _: Tag, order: &WorkerRequest) -> Vec<u8> {
         order.encode(host, &self.gateway)
     }
 
-    fn give_up(&self, _: &Order) -> Option<Vec<u8>> {
+    fn give_up(&self, _: &WorkerRequest) -> Option<Vec<u8>> {
         None
     }
 }
 
 struct HttpReader {
     reader: MessageReader,
-    expected: Option<(Tag, Order)>,
+    expected: Option<(Tag, WorkerRequest)>,
     last: bool,
 }
 
 impl Reader for HttpReader {
-    fn expect(&mut self, tag: Tag, order: &Order) {
+    fn expect(&mut self, tag: Tag, order: &WorkerRequest) {
         self.expected = Some((tag, order.clone()));
     }
 
@@ -102,21 +102,21 @@
         self.expected = None;
     }
 
-    fn feed(&mut self, bytes: &[u8], out: &mut Vec<Heard>) -> Result<(), MalformedReply> {
+    fn feed(&mut self, bytes: &[u8], out: &mut Vec<CompletedRequest>) -> Result<(), MalformedReply> {
         // Nothing was asked: whatever this answers, it is nobody's.
         let (tag, order) = self.expected.as_ref().ok_or(MalformedReply)?;
         if let Some(message) = self.reader.feed(bytes).map_err(|_| MalformedReply)? {
             self.last = message.head.last;
-            out.push(Heard { tag: *tag, understood: reply::read(order, message) });
+            out.push(CompletedRequest { tag: *tag, understood: reply::read(order, message) });
             self.expected = None;
         }
         Ok(())
     }
 
-    fn end(&mut self) -> Option<Heard> {
+    fn end(&mut self) -> Option<CompletedRequest> {
         let (tag, order) = self.expected.take()?;
         let message = self.reader.end().ok()??;
-        Some(Heard { tag, understood: reply::read(&order, message) })
+        Some(CompletedRequest { tag, understood: reply::read(&order, message) })
     }
 
     fn is_clean(&self) -> bool {
--- a/crates/worker-protocol/tests/stored_forms.rs
+++ b/crates/worker-protocol/tests/stored_forms.rs
@@ -8,7 +8,8 @@
 use slatevalve::{Outcome, Report};
 use slatevalve_worker_protocol::reply::{read, ParsedReply};
 use slatevalve_worker_protocol::{
-    Asked, Call, Http, Limits, LoadReport, Message, MessageReader, Order, Reply, Side, Tag, Wire,
+    Call, Http, Limits, LoadReport, Message, MessageReader, ParsedRequest, Reply, Side, Tag, WorkerProtocol,
+    WorkerRequest,
 };
 
 const HOST: &str = "10.0.0.7:9000";
@@ -18,25 +19,25 @@
 }
 
 /// The request is read to the order, and the order is written as the request.
-fn is_request(order: Order, literal: &[u8]) {
+fn is_request(order: WorkerRequest, literal: &[u8]) {
     let written = order.encode(HOST, "gw-1");
     assert_eq!(written.escape_ascii().to_string(), literal.escape_ascii().to_string());
     let pooled = Http { gateway: "gw-1".into(), limits: Limits::default() };
     assert_eq!(pooled.encode(HOST, Tag(5), &order), literal, "as the pool sends it");
-    let asked = Asked::read(message(Side::Request, literal)).unwrap();
-    assert_eq!(asked, Asked { order, gateway: Some("gw-1".into()) });
+    let asked = ParsedRequest::read(message(Side::Request, literal)).unwrap();
+    assert_eq!(asked, ParsedRequest { order, gateway: Some("gw-1".into()) });
 }
 
 /// The reply is written as the literal, and the literal understood by the gateway as an answer to the order.
 fn is_reply(
     reply: &Reply,
     load: Option<LoadReport>,
-    crowd: Option<u64>,
-    order: &Order,
+    queue_depth: Option<u64>,
+    order: &WorkerRequest,
     literal: &[u8],
     wanted: ParsedReply,
 ) {
-    let written = reply.encode(load, crowd);
+    let written = reply.encode(load, queue_depth);
     assert_eq!(written.escape_ascii().to_string(), literal.escape_ascii().to_string());
     assert_eq!(read(order, message(Side::Response, literal)), wanted);
 }
@@ -46,19 +47,19 @@
         outcome,
         payload: Vec::new(),
         copies: 0,
-        crowd: None,
+        queue_depth: None,
         load_failed: false,
         ran: None,
         report: None,
     }
 }
 
-fn infer() -> Order {
-    Order::Infer(Call { function: "fare".into(), ..Call::default() })
+fn infer() -> WorkerRequest {
+    WorkerRequest::Infer(Call { function: "fare".into(), ..Call::default() })
 }
 
-fn load() -> Order {
-    Order::Load { function: "fare".into(), copies: 3 }
+fn load() -> WorkerRequest {
+    WorkerRequest::Load { function: "fare".into(), copies: 3 }
 }
 
 #[test]
@@ -74,7 +75,7 @@
         class: "charge".into(),
         settings: vec![7, 8],
     };
-    is_request(Order::Infer(call), b"POST /v2/models/fare%20p%C3%A5slag%2F1%25/versions/3.0/infer HTTP/1.1\r\n\
+    is_request(WorkerRequest::Infer(call), b"POST /v2/models/fare%20p%C3%A5slag%2F1%25/versions/3.0/infer HTTP/1.1\r\n\
         Host: 10.0.0.7:9000\r\n\
         X-Gateway: gw-1\r\n\
         Inference-Header-Content-Length: 175\r\n\
@@ -99,7 +100,7 @@
         class: "quote".into(),
         ..Call::default()
     };
-    is_request(Order::Infer(call), b"POST /v2/models/fare/infer HTTP/1.1\r\n\
+    is_request(WorkerRequest::Infer(call), b"POST /v2/models/fare/infer HTTP/1.1\r\n\
         Host: 10.0.0.7:9000\r\n\
         X-Gateway: gw-1\r\n\
         Inference-Header-Content-Length: 172\r\n\
@@ -128,7 +129,7 @@
 #[test]
 fn the_request_of_the_index_keeps_its_bytes() {
     is_request(
-        Order::Count { function: "fare".into() },
+        WorkerRequest::Count { function: "fare".into() },
         b"POST /v2/repository/index HTTP/1.1\r\n\
         Host: 10.0.0.7:9000\r\n\
         X-Gateway: gw-1\r\n\
@@ -141,7 +142,7 @@
 #[test]
 fn the_request_of_an_unload_keeps_its_bytes() {
     is_request(
-        Order::Unload { function: "fare".into() },
+        WorkerRequest::Unload { function: "fare".into() },
         b"POST /v2/repository/models/fare/unload HTTP/1.1\r\n\
         Host: 10.0.0.7:9000\r\n\
         X-Gateway: gw-1\r\n\
@@ -154,7 +155,7 @@
 #[test]
 fn the_request_of_a_probe_keeps_its_bytes() {
     is_request(
-        Order::Ready,
+        WorkerRequest::Ready,
         b"GET /v2/health/ready HTTP/1.1\r\n\
         Host: 10.0.0.7:9000\r\n\
         X-Gateway: gw-1\r\n\
@@ -169,7 +170,7 @@
     let load = LoadReport { queue: Some(3.0), inflight: Some(2.5), util: Some(0.5) };
     let wanted = ParsedReply {
         payload: vec![0, 255],
-        crowd: Some(4),
+        queue_depth: Some(4),
         ran: Some("sha256:ab".into()),
         report: Some(Report { queue: Some(3.0), inflight: Some(2.5), util: Some(0.5) }),
         ..understood(Outcome::Ok)
@@ -186,7 +187,7 @@
         &Reply::Ready,
         Some(load),
         None,
-        &Order::Ready,
+        &WorkerRequest::Ready,
         b"HTTP/1.1 200 OK\r\n\
         Content-Length: 2\r\n\
         endpoint-load-metrics: JSON {\"named_metrics\":{\"inflight\":2.0}}\r\n\r\n\
@@ -197,7 +198,7 @@
 
 #[test]
 fn the_reply_of_a_full_worker_keeps_its_bytes() {
-    let wanted = ParsedReply { crowd: Some(12), ..understood(Outcome::Full) };
+    let wanted = ParsedReply { queue_depth: Some(12), ..understood(Outcome::Full) };
     is_reply(
         &Reply::Full,
         None,
@@ -307,6 +308,6 @@
 #[test]
 fn header_names_are_read_in_any_case() {
     let literal = b"HTTP/1.1 503 x\r\nx-never-ran: miss\r\nX-CROWD: 7\r\ncontent-length: 0\r\n\r\n";
-    let wanted = ParsedReply { crowd: Some(7), ..understood(Outcome::Miss) };
+    let wanted = ParsedReply { queue_depth: Some(7), ..understood(Outcome::Miss) };
     assert_eq!(read(&infer(), message(Side::Response, literal)), wanted);
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -92,15 +92,15 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this many times the request's own work.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// How long a client waits, all its tries together.
     pub deadline: Micros,
     /// What an answer is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of the worth that a late answer still earns.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// What a repeat would do.
     pub effect: Effect,
     /// Whether the answer is a stream.
@@ -110,11 +110,11 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim: Micros(1_000_000),
-            aim_stretch: 0.0,
+            latency_objective: Micros(1_000_000),
+            objective_stretch: 0.0,
             deadline: Micros(3_000_000),
-            worth: 1.0,
-            late_worth: 0.0,
+            priority_weight: 1.0,
+            late_value: 0.0,
             effect: Effect::Unsafe,
             stream: false,
         }
@@ -252,7 +252,7 @@
     /// The tenants, if any.
     pub tenants: Vec<Tenant>,
     /// What a request beyond its tenant's share is worth, as a part of the usual.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Worth is counted for each unit of work, not for each request.
     pub worth_by_work: bool,
     /// The list of workers comes only when asked for.
@@ -279,7 +279,7 @@
             step: Micros(1_000),
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_weight: 1.0,
             worth_by_work: false,
             must_ask: false,
             weights: Weights::None,
@@ -306,7 +306,7 @@
     /// The function it calls.
     pub function: FunctionId,
     /// Calls that one loaded copy runs at a time.
-    pub lanes: usize,
+    pub concurrency: usize,
     /// Expected work on a standard core, where a hint comes along.
     pub work: Option<Micros>,
     /// The usual time of a load, where it is told.
@@ -325,7 +325,7 @@
             class: ClassId(0),
             tenant: None,
             function: FunctionId(0),
-            lanes: 1,
+            concurrency: 1,
             work: None,
             load_time: None,
             memory_mb: 0.0,
@@ -429,7 +429,7 @@
     /// Time since it was sent.
     pub latency: Micros,
     /// Calls of the same function that the worker held on arrival, where told.
-    pub crowd: Option<u64>,
+    pub queue_depth: Option<u64>,
     /// The load behind it failed.
     pub load_failed: bool,
     /// The worker's report, if one came along.
@@ -451,14 +451,14 @@
         attempt: usize,
     },
     /// The client left; nothing is owed.
-    Left {
+    ClientDisconnected {
         /// Which request.
         id: RequestId,
     },
     /// The worker list said something.
-    Listed(Listing),
+    WorkersListed(Listing),
     /// A probe ended.
-    Probed {
+    ProbeCompleted {
         /// Which worker.
         worker: WorkerId,
         /// How it ended.
@@ -469,7 +469,7 @@
         report: Option<Report>,
     },
     /// An order to load ended.
-    Loaded {
+    LoadCompleted {
         /// Which worker.
         worker: WorkerId,
         /// Which function.
@@ -482,9 +482,9 @@
         latency: Micros,
     },
     /// The number of routers of this tier is another one now, this one included.
-    Routers(usize),
+    RouterCountChanged(usize),
     /// Calls of one function are about to take over from those of another.
-    Expected {
+    LoadExpected {
         /// The function that calls will ask for.
         function: FunctionId,
         /// The one that they ask for now.
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -134,7 +134,7 @@
 impl Balancer {
     /// A router that knows its settings and nothing else yet.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let class_work = settings.classes.iter().map(|c| secs(c.aim) / 6.0).collect();
+        let class_work = settings.classes.iter().map(|c| secs(c.latency_objective) / 6.0).collect();
         let tenants = vec![(0.0, Micros(0)); settings.tenants.len()];
         let (retries, probes) = (RETRIES.1, PROBES.1);
         // A router alone has nobody else to keep copies alive.
@@ -160,24 +160,26 @@
             Event::Streaming { id, .. } => {
                 self.open.get_mut(&id).into_iter().for_each(|o| o.streaming = true)
             }
-            Event::Left { id } => {
+            Event::ClientDisconnected { id } => {
                 // Nothing is owed, and what still runs for it is work for nobody.
                 self.cancel_attempts(id, out);
                 self.close(id);
             }
-            Event::Listed(l) => self.listed(l),
-            Event::Probed { worker, outcome, report, .. } => self.probed(worker, outcome, report, out),
-            Event::Loaded { worker, function, outcome, copies, latency } => {
+            Event::WorkersListed(l) => self.listed(l),
+            Event::ProbeCompleted { worker, outcome, report, .. } => {
+                self.probed(worker, outcome, report, out)
+            }
+            Event::LoadCompleted { worker, function, outcome, copies, latency } => {
                 self.loaded(worker, function, outcome, copies, latency)
             }
-            Event::Routers(n) => {
+            Event::RouterCountChanged(n) => {
                 // Another one keeps copies alive that this one does not see; a router alone has nobody.
                 if (n > 1) != (self.s.routers > 1) {
                     self.blind = BLIND * f64::from(u8::from(n > 1));
                 }
                 self.s.routers = n.max(1);
             }
-            Event::Expected { function, like, most } => self.expect(function, like, most, out),
+            Event::LoadExpected { function, like, most } => self.expect(function, like, most, out),
             Event::Wake { token: 0 } => {
                 self.tick_at = None;
                 self.tick(out);
@@ -480,8 +482,8 @@
     /// time, where its calls will go, so that the change does not make them wait for loads.
     fn expect(&mut self, f: FunctionId, like: FunctionId, most: usize, out: &mut Vec<Action>) {
         let Some(old) = self.functions.get(&like) else { return };
-        let (lanes, load, svc, width) = (old.lanes, old.load, old.svc, self.width(old));
-        self.functions.entry(f).or_insert(Function { lanes, load, svc, ..Function::default() });
+        let (concurrency, load, svc, width) = (old.concurrency, old.load, old.svc, self.width(old));
+        self.functions.entry(f).or_insert(Function { concurrency, load, svc, ..Function::default() });
         let mut left = most;
         for id in self.walk(f, width) {
             let place = self.functions.get(&f).and_then(|f| f.places.get(&id));
@@ -497,7 +499,7 @@
     }
 
     /// On how many workers copies of a function stand, as far as this router has seen lately.
-    pub fn copies_standing(&self, f: FunctionId) -> usize {
+    pub fn loaded_replicas(&self, f: FunctionId) -> usize {
         self.functions.get(&f).map_or(0, |f| f.places.values().filter(|p| self.is_loaded(p)).count())
     }
 
@@ -538,7 +540,7 @@
 
     /// Parts of the aim that a call waits at a worker by what it told: where calls wait, all its slots are
     /// taken, and one that does not answer a probe at once is no better.
-    fn crowd(&self, w: &Worker) -> f64 {
+    fn queue_depth(&self, w: &Worker) -> f64 {
         let silent = w.asked.is_some_and(|t| since(self.now, t) >= ASK_WAIT);
         let queue = w.queue.filter(|q| since(self.now, q.0) < FRESH).map_or(0.0, |q| q.1);
         let queue = if silent { queue.max(SILENT) } else { queue };
@@ -549,7 +551,7 @@
     /// the function stands. Where there is none, the least expected wait, loads included.
     fn pick(&self, o: &Open) -> Option<WorkerId> {
         let f = self.functions.get(&o.req.function)?;
-        let (class, aim) = (o.req.class.0, secs(self.class(o).aim));
+        let (class, latency_objective) = (o.req.class.0, secs(self.class(o).latency_objective));
         let (total, weight) = (self.own, self.effective_weight());
         let width = self.width(f);
         let mut order = self.candidate_order(o, width);
@@ -578,11 +580,15 @@
             first = false;
             let record = w.record(class, self.now);
             let doubt = DOUBT_COST * record.times as f64 + f64::from(u8::from(tried));
-            let (own, crowd) = (self.excess(w, total, weight), self.crowd(w));
-            if load + doubt + own + crowd == 0.0 {
+            let (own, queue_depth) = (self.excess(w, total, weight), self.queue_depth(w));
+            if load + doubt + own + queue_depth == 0.0 {
                 return Some(id);
             }
-            let cost = own * f.svc * w.slow.max(0.5) + crowd * aim + load + doubt + step as f64 * 1e-3;
+            let cost = own * f.svc * w.slow.max(0.5)
+                + queue_depth * latency_objective
+                + load
+                + doubt
+                + step as f64 * 1e-3;
             if best.is_none_or(|b| cost < b.0) {
                 best = Some((cost, id));
             }
@@ -606,7 +612,7 @@
         }
         let new = Function { load: 0.7, svc: 0.15, ..Function::default() };
         let f = self.functions.entry(r.function).or_insert(new);
-        f.lanes = r.lanes.max(1);
+        f.concurrency = r.concurrency.max(1);
         f.calls.add(self.now, SHARE_OVER, 1.0);
         if let (Some(t), true) = (r.load_time, f.places.is_empty()) {
             f.load = secs(t).clamp(0.01, 10.0);
@@ -639,7 +645,13 @@
 
     /// How much the class's work is worth beside that of the most worth, from 0 to 1.
     fn rank(&self, o: &Open) -> f64 {
-        let density = |c: &Class, w: f64| if self.s.worth_by_work { c.worth } else { c.worth / w.max(1e-3) };
+        let density = |c: &Class, w: f64| {
+            if self.s.worth_by_work {
+                c.priority_weight
+            } else {
+                c.priority_weight / w.max(1e-3)
+            }
+        };
         let all = self.s.classes.iter().zip(&self.class_work).map(|(c, w)| density(c, *w));
         (density(self.class(o), self.work(o)) / all.fold(1e-9, f64::max)).clamp(0.0, 1.0)
     }
@@ -662,7 +674,8 @@
     /// Little's law; where it has few, by the part of its answers that came late. Work of low worth goes
     /// first, and what a tenant sends beyond its share.
     fn should_shed(&mut self, o: &Open) -> bool {
-        let (over, rank, aim) = (self.exceeds_quota(o), self.rank(o), secs(self.class(o).aim));
+        let (over, rank, latency_objective) =
+            (self.exceeds_quota(o), self.rank(o), secs(self.class(o).latency_objective));
         let shed = self.late * (LATE.3 - rank).max(0.0) * if over { 2.0 } else { 1.0 };
         if part(mix(self.salt ^ mix(!o.req.id.0))) < shed {
             return true;
@@ -672,20 +685,24 @@
         let pace =
             self.answers.at(self.now, PACE_OVER) / PACE_OVER / (1.0 - (-age / PACE_OVER).exp()).max(0.1);
         // All calls out are at least those at sound workers: where they are few, nobody need be looked at.
-        if age <= PACE_OVER || (self.own + 1) as f64 <= patience * aim * pace {
+        if age <= PACE_OVER || (self.own + 1) as f64 <= patience * latency_objective * pace {
             return false;
         }
         // Calls stuck at workers in doubt are no queue for the rest: a silent zone must not stop them.
         let stuck = |w: &Worker| w.record(o.req.class.0, self.now);
         let sound = || self.workers.values().filter(|w| stuck(w).times < 2 || stuck(w).full);
         let total: usize = sound().map(|w| w.own).sum();
-        let late = |total: usize| total > sound().count() && (total + 1) as f64 > patience * aim * pace;
+        let late = |total: usize| {
+            total > sound().count() && (total + 1) as f64 > patience * latency_objective * pace
+        };
         if !late(total) {
             return false;
         }
         // Nor are calls out for longer than their aim: where answers are lost they never end, and counted as
         // a queue they lead to refusals, a lower pace and more refusals.
-        let old = |o: &Open, t: &Attempt| secs(since(self.now, t.sent)) > STUCK * secs(self.class(o).aim);
+        let old = |o: &Open, t: &Attempt| {
+            secs(since(self.now, t.sent)) > STUCK * secs(self.class(o).latency_objective)
+        };
         let out = self.open.values().flat_map(|o| o.attempts.iter().map(move |t| (o, t)));
         let lost = out.filter(|(o, t)| t.outcome.is_none() && !t.loading && old(o, t)).count();
         late(total.saturating_sub(lost))
@@ -709,14 +726,15 @@
         let Some(o) = self.open.get(&id) else { return };
         // Where even the best of those asked is crowded, the answer comes too late. Silence tells so only
         // after part of the aim, and not at one never heard from, whose connection may still be coming up.
-        let (most, tells) = (REFUSE.2 * self.patience(o), micros(HEAR * secs(self.class(o).aim)));
+        let (most, tells) =
+            (REFUSE.2 * self.patience(o), micros(HEAR * secs(self.class(o).latency_objective)));
         let best = self.workers.get(&worker).filter(|w| w.heard.is_some() || w.asked.is_none());
-        if let Some(w) = best.filter(|w| o.attempts.is_empty() && self.crowd(w) > most) {
+        if let Some(w) = best.filter(|w| o.attempts.is_empty() && self.queue_depth(w) > most) {
             let at = w.asked.map_or(self.now, |t| after(t, tells));
             return if at > self.now { self.hold(id, at, out) } else { self.finish_unserved(id, out) };
         }
         let Some(fun) = self.functions.get(&f) else { return };
-        let (place, lanes) = (fun.places.get(&worker).cloned().unwrap_or_default(), fun.lanes);
+        let (place, concurrency) = (fun.places.get(&worker).cloned().unwrap_or_default(), fun.concurrency);
         let is_loaded = self.is_loaded(&place);
         let (likely_loaded, copies) =
             (if missed { is_loaded } else { self.likely_loaded(&place) }, place.copies.max(1));
@@ -725,7 +743,7 @@
             if !self.s.loading.on_request && self.order(f, worker, 1, out) {
                 ordered = Some(self.now);
             }
-        } else if is_loaded && place.own > lanes * copies as usize {
+        } else if is_loaded && place.own > concurrency * copies as usize {
             self.order(f, worker, copies + 1, out);
         }
         let fresh = ordered.filter(|t| since(self.now, *t) < BEHIND_ORDER && !likely_loaded);
@@ -840,7 +858,7 @@
             self.answers.add(self.now, PACE_OVER, 1.0);
             self.ok.add(self.now, SHARE_OVER, 1.0);
             if !loading && judged {
-                let late = self.s.classes.get(class).is_some_and(|c| taken > secs(c.aim));
+                let late = self.s.classes.get(class).is_some_and(|c| taken > secs(c.latency_objective));
                 self.late = (self.late + if late { LATE.0 } else { -LATE.1 }).clamp(0.0, LATE.2);
             }
         }
@@ -984,7 +1002,7 @@
     /// behind the crowd, in its usual times, which spread as exponential ones do.
     fn late_at(&self, o: &Open, id: WorkerId) -> Option<f64> {
         let w = self.workers.get(&id).filter(|w| w.queue.is_some_and(|q| since(self.now, q.0) < FRESH))?;
-        let left = (1.0 - self.crowd(w)).max(0.0) * secs(self.class(o).aim);
+        let left = (1.0 - self.queue_depth(w)).max(0.0) * secs(self.class(o).latency_objective);
         Some((-left / self.work(o).max(1e-3)).exp())
     }
 
@@ -1041,7 +1059,7 @@
             };
             let f = self.functions.get(&o.req.function).map_or((0.15, 0.7), |f| (f.svc, f.load));
             let load = if t.loading { 2.5 * f.1 } else { 0.0 };
-            let patience = (PATIENCE.0 * f.0).max(PATIENCE.1 * secs(self.class(o).aim)) + load;
+            let patience = (PATIENCE.0 * f.0).max(PATIENCE.1 * secs(self.class(o).latency_objective)) + load;
             let quiet = self.workers.get(&t.worker).is_none_or(|w| w.last_good < t.sent);
             if secs(since(self.now, t.sent.max(self.awake))) > patience && quiet && !t.cancelled {
                 silent.push((*id, t.worker, o.req.class.0));
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -119,7 +119,7 @@
 
 #[derive(Default)]
 pub(crate) struct Function {
-    pub(crate) lanes: usize,
+    pub(crate) concurrency: usize,
     pub(crate) load: f64,
     pub(crate) svc: f64,
     pub(crate) calls: DecayingCounter,
@@ -235,7 +235,7 @@
     /// Takes other settings while calls are open. A class or tenant keeps its place, with what is known of it; new ones stand
     /// behind them. Calls that are open in a class go by what it says from now on. A list of workers is to follow where it
     /// changes their weights. The number of routers stays, as it is told by itself.
-    pub fn settle(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         let fresh = Balancer::new(settings, self.salt);
         let (classes, tenants) = (fresh.s.classes.len(), fresh.s.tenants.len());
         self.class_work.extend(fresh.class_work.into_iter().skip(self.class_work.len()));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,7 +14,7 @@
 //! let mut balancer = Balancer::new(settings, 7);
 //! let mut actions = Vec::new();
 //! let worker = WorkerEntry { id: WorkerId(1), ..WorkerEntry::default() };
-//! balancer.handle(Micros(0), Event::Listed(Listing { scope: Scope::Full, entries: vec![worker] }), &mut actions);
+//! balancer.handle(Micros(0), Event::WorkersListed(Listing { scope: Scope::Full, entries: vec![worker] }), &mut actions);
 //! let request = Request { id: RequestId(1), function: FunctionId(9), ..Request::default() };
 //! balancer.handle(Micros(1_000), Event::Request(request), &mut actions);
 //! // The worker was not heard from yet and is asked first; then the function, not yet loaded, is ordered, and
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -48,7 +48,7 @@
     }
 
     fn list(&mut self, scope: Scope, entries: Vec<WorkerEntry>) {
-        self.tell(Event::Listed(Listing { scope, entries }));
+        self.tell(Event::WorkersListed(Listing { scope, entries }));
     }
 
     fn ask(&mut self, id: u64, function: u64) -> Option<u64> {
@@ -82,7 +82,7 @@
             outcome,
             closed: outcome == Outcome::Ok,
             latency: Micros(50_000),
-            crowd: None,
+            queue_depth: None,
             load_failed: false,
             report: None,
         }))
@@ -320,7 +320,7 @@
 #[test]
 fn calls_stuck_at_silent_workers_do_not_stop_the_rest() {
     let mut s = site(Effect::Unsafe, true);
-    s.classes[0].aim = Micros(60_000);
+    s.classes[0].latency_objective = Micros(60_000);
     let mut r = Router::new(s, &[1, 2, 3, 4, 5]);
     let (mut refusals, mut id) = (0, 0);
     for step in 0..400 {
@@ -454,7 +454,7 @@
         r.now += 12_000;
         r.tell(Event::Wake { token: id + 1 });
         r.now += 200_000;
-        r.tell(Event::Left { id: RequestId(id) });
+        r.tell(Event::ClientDisconnected { id: RequestId(id) });
     }
     let probes = r.out.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
     assert!((20..=160).contains(&probes), "{probes} probes for 100 requests");
@@ -473,7 +473,7 @@
 fn a_client_that_left_leaves_nothing_running() {
     let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3]);
     r.ask(1, 7).expect("sent");
-    let end = r.tell(Event::Left { id: RequestId(1) });
+    let end = r.tell(Event::ClientDisconnected { id: RequestId(1) });
     assert!(end.iter().any(|a| matches!(a, Action::Cancel { id: RequestId(1), attempt: 0 })));
 }
 
@@ -548,7 +548,7 @@
     let mut r = Router::new(site(Effect::Safe, false), &[1, 2, 3]);
     r.ask(1, 7);
     let home = sent(&r.pass(20)).expect("sent behind its order");
-    r.tell(Event::Loaded {
+    r.tell(Event::LoadCompleted {
         worker: WorkerId(home),
         function: FunctionId(7),
         outcome: Outcome::Ok,
@@ -608,7 +608,7 @@
     let home = ask_quick(&mut r, 1, 7).expect("sent behind its order");
     let (worker, function) = (WorkerId(home), FunctionId(7));
     let (outcome, latency) = (Outcome::Ok, Micros(80_000));
-    r.tell(Event::Loaded { worker, function, outcome, copies: 1, latency });
+    r.tell(Event::LoadCompleted { worker, function, outcome, copies: 1, latency });
     r.answer(1, home, Outcome::Ok);
     (r, home)
 }
@@ -629,7 +629,7 @@
             let (worker, function) = (WorkerId(worker), FunctionId(f));
             let (outcome, latency) = (Outcome::Ok, Micros(80_000));
             if end {
-                r.tell(Event::Loaded { worker, function, outcome, copies: 1, latency });
+                r.tell(Event::LoadCompleted { worker, function, outcome, copies: 1, latency });
             }
         }
         r.pass(400);
@@ -662,7 +662,7 @@
 #[test]
 fn answers_lost_everywhere_do_not_lead_to_refusals() {
     let mut s = site(Effect::Safe, true);
-    s.classes[0].aim = Micros(300_000);
+    s.classes[0].latency_objective = Micros(300_000);
     let mut r = Router::new(s, &[1, 2, 3, 4, 5, 6]);
     let (mut out, mut refusals) = (Vec::new(), 0);
     for id in 0..600 {
--- a/tests/routers.rs
+++ b/tests/routers.rs
@@ -9,9 +9,9 @@
     let (mut balancer, mut out, mut seen) = (Balancer::new(settings, 1), Vec::new(), Vec::new());
     let start = Micros(100_000_000);
     let entries = (1..=8).map(|id| WorkerEntry { id: WorkerId(id), ..WorkerEntry::default() }).collect();
-    balancer.handle(start, Event::Listed(Listing { scope: Scope::Full, entries }), &mut out);
+    balancer.handle(start, Event::WorkersListed(Listing { scope: Scope::Full, entries }), &mut out);
     for routers in told {
-        balancer.handle(start, Event::Routers(*routers), &mut out);
+        balancer.handle(start, Event::RouterCountChanged(*routers), &mut out);
     }
     for n in 0..600i64 {
         let now = Micros(start.0 + n * 1_700);
@@ -28,7 +28,7 @@
                     outcome: Outcome::Ok,
                     closed: true,
                     latency: Micros(1_000),
-                    crowd: None,
+                    queue_depth: None,
                     load_failed: false,
                     report: None,
                 });
@@ -56,7 +56,7 @@
     let class = Class { effect: Effect::Safe, ..Class::default() };
     let settings = Settings { classes: vec![class], weights: Weights::Size, ..Settings::default() };
     let (mut balancer, mut out) = (Balancer::new(settings, 1), Vec::new());
-    listings.into_iter().for_each(|l| balancer.handle(Micros(1_000), Event::Listed(l), &mut out));
+    listings.into_iter().for_each(|l| balancer.handle(Micros(1_000), Event::WorkersListed(l), &mut out));
     out.clear();
     for n in 0..200u64 {
         let request = Request { id: RequestId(n + 1), function: FunctionId(n), ..Request::default() };
@@ -109,7 +109,7 @@
     let (mut balancer, mut out) = (Balancer::new(settings, 1), Vec::new());
     let mut now = Micros(100_000_000);
     let entries = (0..100).map(|id| WorkerEntry { id: WorkerId(id), ..WorkerEntry::default() }).collect();
-    balancer.handle(now, Event::Listed(Listing { scope: Scope::Full, entries }), &mut out);
+    balancer.handle(now, Event::WorkersListed(Listing { scope: Scope::Full, entries }), &mut out);
     let is_jammed = |w: WorkerId| jammed.is_some_and(|one_of| w.0.is_multiple_of(one_of));
     let (mut probes, mut known_and_sent) = (0, 0);
     let mut told = std::collections::HashMap::new();
@@ -129,13 +129,17 @@
                         let queue = Some(if is_jammed(worker) { 12.0 } else { 0.0 });
                         let (outcome, latency) = (Outcome::Ok, Micros(1_000));
                         let report = Some(Report { queue, ..Report::default() });
-                        balancer.handle(now, Event::Probed { worker, outcome, latency, report }, &mut out);
+                        balancer.handle(
+                            now,
+                            Event::ProbeCompleted { worker, outcome, latency, report },
+                            &mut out,
+                        );
                     }
                     Action::Send { id, worker, .. } => {
                         let lately = told.get(&worker).is_some_and(|t| now.0 - t.0 < 1_000_000);
                         known_and_sent += usize::from(lately && is_jammed(worker));
                         let (outcome, latency) = (Outcome::Ok, Micros(100_000));
-                        let (attempt, closed, crowd, report) = (0, true, None, None);
+                        let (attempt, closed, queue_depth, report) = (0, true, None, None);
                         let answer = Answer {
                             id,
                             attempt,
@@ -143,7 +147,7 @@
                             outcome,
                             closed,
                             latency,
-                            crowd,
+                            queue_depth,
                             load_failed: false,
                             report,
                         };
@@ -179,7 +183,7 @@
     let (mut balancer, mut out) = (Balancer::new(settings, 1), Vec::new());
     let start = 100_000_000;
     let entries = (1..=8).map(|id| WorkerEntry { id: WorkerId(id), ..WorkerEntry::default() }).collect();
-    balancer.handle(Micros(start), Event::Listed(Listing { scope: Scope::Full, entries }), &mut out);
+    balancer.handle(Micros(start), Event::WorkersListed(Listing { scope: Scope::Full, entries }), &mut out);
     let silent = |w: WorkerId| w == WorkerId(3);
     let mut queue: std::collections::BTreeMap<(i64, usize), Event> = (0..1_200)
         .map(|n| {
@@ -202,20 +206,29 @@
                     let nth = attempts.entry(id).or_insert(0);
                     let attempt = std::mem::replace(nth, *nth + 1);
                     let (latency, closed) = (Micros(lasts), outcome == Outcome::Ok);
-                    let (crowd, load_failed, report) = (None, false, None);
-                    let answer =
-                        Answer { id, attempt, worker, outcome, closed, latency, crowd, load_failed, report };
+                    let (queue_depth, load_failed, report) = (None, false, None);
+                    let answer = Answer {
+                        id,
+                        attempt,
+                        worker,
+                        outcome,
+                        closed,
+                        latency,
+                        queue_depth,
+                        load_failed,
+                        report,
+                    };
                     (lasts, Event::Answer(answer))
                 }
                 Action::Probe { worker } => {
                     probes += 1;
                     let lasts = if silent(worker) { 1_000_000 } else { 1_000 };
                     let outcome = if silent(worker) { Outcome::TimedOut } else { Outcome::Ok };
-                    (lasts, Event::Probed { worker, outcome, latency: Micros(lasts), report: None })
+                    (lasts, Event::ProbeCompleted { worker, outcome, latency: Micros(lasts), report: None })
                 }
                 Action::Load { worker, function, copies } => {
                     let (outcome, latency) = (Outcome::Ok, Micros(10_000));
-                    (10_000, Event::Loaded { worker, function, outcome, copies, latency })
+                    (10_000, Event::LoadCompleted { worker, function, outcome, copies, latency })
                 }
                 Action::Wake { at, token } => (at.0 - now, Event::Wake { token }),
                 _ => continue,
@@ -237,15 +250,19 @@
 /// A call of a class that is refused behind crowds, before two workers of which the first one asked says nothing for
 /// `silent_ms`; `met` is whether it was heard from before. What was done about the call, and when, in milliseconds.
 fn asked_in_silence(met: bool, silent_ms: i64) -> Vec<(i64, &'static str)> {
-    let class = |aim| Class { effect: Effect::Safe, aim: Micros(aim), ..Class::default() };
+    let class = |latency_objective| Class {
+        effect: Effect::Safe,
+        latency_objective: Micros(latency_objective),
+        ..Class::default()
+    };
     // The other class has more worth for its work, so that this one is the first to be refused.
     let classes = vec![class(1_000_000), class(100_000)];
     let (mut balancer, mut out) = (Balancer::new(Settings { classes, ..Settings::default() }, 1), Vec::new());
     let start = 100_000_000;
     let entries = (1..=2).map(|id| WorkerEntry { id: WorkerId(id), ..WorkerEntry::default() }).collect();
-    balancer.handle(Micros(start), Event::Listed(Listing { scope: Scope::Full, entries }), &mut out);
+    balancer.handle(Micros(start), Event::WorkersListed(Listing { scope: Scope::Full, entries }), &mut out);
     let probed =
-        |worker| Event::Probed { worker, outcome: Outcome::Ok, latency: Micros(1_000), report: None };
+        |worker| Event::ProbeCompleted { worker, outcome: Outcome::Ok, latency: Micros(1_000), report: None };
     if met {
         (1..=2).for_each(|w| balancer.handle(Micros(start), probed(WorkerId(w)), &mut out));
     }
@@ -262,7 +279,7 @@
                 Action::Probe { worker } => (now + silent_ms * 1_000, probed(worker)),
                 Action::Load { worker, function, copies } => {
                     let (outcome, latency) = (Outcome::Ok, Micros(1_000));
-                    (now + 1_000, Event::Loaded { worker, function, outcome, copies, latency })
+                    (now + 1_000, Event::LoadCompleted { worker, function, outcome, copies, latency })
                 }
                 Action::Wake { at, token } => (at.0.max(now), Event::Wake { token }),
                 Action::Send { .. } | Action::Refuse { .. } => {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -230,7 +230,7 @@
             outcome,
             closed,
             latency,
-            crowd: None,
+            queue_depth: None,
             load_failed: false,
             report: Some(Report { queue: Some(1.0), inflight: None, util: Some(0.5) }),
         }))
@@ -255,7 +255,10 @@
         }
         let old = self.check.workers.get(&id).and_then(|w| w.1);
         self.check.workers.insert(id, (id % 2, stop.map(|t| old.unwrap_or(t))));
-        self.tell(Event::Listed(Listing { scope: if full { Scope::Full } else { Scope::Changes }, entries }))
+        self.tell(Event::WorkersListed(Listing {
+            scope: if full { Scope::Full } else { Scope::Changes },
+            entries,
+        }))
     }
 
     fn step(&mut self, (op, a, b): (u8, u16, u16)) -> Result<(), String> {
@@ -284,7 +287,7 @@
                     class: ClassId(x % 3),
                     tenant: (y % 3 == 0).then_some(TenantId(0)),
                     function: FunctionId((x / 3 % 7) as u64),
-                    lanes: y % 3,
+                    concurrency: y % 3,
                     work: (y % 2 == 0).then_some(Micros(b as i64)),
                     ..Request::default()
                 }))
@@ -310,12 +313,18 @@
                 let (worker, function) = self.check.orders.remove(x % self.check.orders.len());
                 let (worker, function) = (WorkerId(worker), FunctionId(function));
                 let (outcome, copies) = (ENDS[y % 6], (y % 3) as u32);
-                self.tell(Event::Loaded { worker, function, outcome, copies, latency: Micros(b as i64 * 9) })
+                self.tell(Event::LoadCompleted {
+                    worker,
+                    function,
+                    outcome,
+                    copies,
+                    latency: Micros(b as i64 * 9),
+                })
             }
             10 if !self.check.probes.is_empty() => {
                 let worker = WorkerId(self.check.probes.remove(0));
                 let (outcome, latency) = (ENDS[y % 6], Micros(1_000));
-                self.tell(Event::Probed { worker, outcome, latency, report: None })
+                self.tell(Event::ProbeCompleted { worker, outcome, latency, report: None })
             }
             11 => {
                 // A client leaves, or an event speaks of what nobody knows.
@@ -323,9 +332,9 @@
                 if let Some(a) = self.check.asked.get_mut(&id) {
                     a.over = true;
                 }
-                self.tell(Event::Left { id: RequestId(id) })?;
+                self.tell(Event::ClientDisconnected { id: RequestId(id) })?;
                 self.tell(Event::Wake { token: b as u64 })?;
-                self.tell(Event::Loaded {
+                self.tell(Event::LoadCompleted {
                     worker: WorkerId(999),
                     function: FunctionId(999),
                     outcome: Outcome::Ok,
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -80,7 +80,7 @@
                     outcome,
                     closed: outcome == Outcome::Ok,
                     latency: Micros(taken),
-                    crowd: None,
+                    queue_depth: None,
                     load_failed: false,
                     report: None,
                 };
@@ -97,7 +97,7 @@
                 self.loads += begun;
                 let taken = (stands - now).max(1_000);
                 let (outcome, latency) = (Outcome::Ok, Micros(taken));
-                self.tell(taken, n, Event::Loaded { worker, function, outcome, copies, latency });
+                self.tell(taken, n, Event::LoadCompleted { worker, function, outcome, copies, latency });
             }
             Action::Wake { at, token } => {
                 self.tell((at.0 - self.now).max(0), n, Event::Wake { token });
@@ -133,7 +133,7 @@
         (1..=WORKERS).map(|w| WorkerEntry { id: WorkerId(w), ..WorkerEntry::default() }).collect();
     for n in 0..ROUTERS {
         let listing = Listing { scope: Scope::Full, entries: entries.clone() };
-        day.tell(0, n, Event::Listed(listing));
+        day.tell(0, n, Event::WorkersListed(listing));
         let first = 1_000 + n as i64 * EVERY / ROUTERS as i64;
         day.at(first, Due::Call(n));
     }
@@ -150,7 +150,11 @@
             let up_since = Some(Micros(at));
             let cold = WorkerEntry { id: WorkerId(COLD), up_since, ..WorkerEntry::default() };
             for n in 0..ROUTERS {
-                day.tell(0, n, Event::Listed(Listing { scope: Scope::Changes, entries: vec![cold.clone()] }));
+                day.tell(
+                    0,
+                    n,
+                    Event::WorkersListed(Listing { scope: Scope::Changes, entries: vec![cold.clone()] }),
+                );
             }
         }
         let (n, event) = match due {
