--- /dev/null
+++ b/crates/platform/tests/stored_forms.rs
@@ -0,0 +1,242 @@
+//! The bytes that go between the platform's clients, its routers and its workers, as fixed literals.
+//!
+//! Neither the clients nor the workers are ours. Each literal of a request to a worker and of an answer to a client was
+//! written by the program and must stay as it is, whatever the identifiers in the code are called; each literal of a
+//! client's request and of a worker's answer must be read to the fields that stand here. A test that fails says that
+//! the protocol changed; the literal is not to be adapted to the code.
+
+use slatevalve::{ClassId, Effect, Group, Micros, Outcome, Report};
+use slatevalve_engine::{Answer, FunctionTraits, Reason, Ticket, Verdict};
+use slatevalve_platform::front::{Front, FrontOutput, FrontSettings, LinkId};
+use slatevalve_platform::message::{self, Asked, Message};
+use slatevalve_platform::workers::Lines;
+use slatevalve_worker_wire::reply::Understood;
+use slatevalve_worker_wire::{Call, Heard, Order, Tag, Wire};
+
+const LINES: Lines = Lines { streams: 4, tells_crowd: true };
+
+fn call(key: Option<&[u8]>) -> Order {
+    Order::Infer(Call {
+        function: "7f3a9c21e0b4d655".into(),
+        payload: b"a\r\nb".to_vec(),
+        key: key.map(Into::into),
+        request_id: "9b1f03aa5c7e2d41".into(),
+        attempt: 1,
+        time_left_ms: 1500,
+        class: "fare-quote".into(),
+        settings: vec![3],
+        ..Call::default()
+    })
+}
+
+fn load() -> Order {
+    Order::Load { function: "7f3a9c21e0b4d655".into(), copies: 2 }
+}
+
+fn line(order: &Order) -> String {
+    LINES.encode("10.0.0.7:9000", Tag(12), order).escape_ascii().to_string()
+}
+
+/// What the gateway understands of a worker's bytes, the only answer to an order.
+fn heard(order: &Order, literal: &[u8]) -> Understood {
+    let (mut reader, mut out) = (LINES.reader(), Vec::new());
+    reader.expect(Tag(12), order);
+    reader.feed(literal, &mut out).unwrap();
+    assert!(reader.is_clean());
+    let Heard { tag, understood } = out.remove(0);
+    assert_eq!((tag, out.len()), (Tag(12), 0));
+    understood
+}
+
+fn understood(outcome: Outcome) -> Understood {
+    Understood {
+        outcome,
+        payload: Vec::new(),
+        copies: 0,
+        crowd: None,
+        load_failed: false,
+        ran: None,
+        report: None,
+    }
+}
+
+#[test]
+fn the_line_of_a_call_keeps_its_bytes() {
+    let literal = r"exec 9b1f03aa5c7e2d41 profile=fare-quote,thing=7f3a9c21e0b4d655,max=1500 4\r\na\r\nb\r\n";
+    assert_eq!(line(&call(None)), literal);
+}
+
+#[test]
+fn the_line_of_a_call_with_a_key_keeps_its_bytes() {
+    let literal = r"exec 9b1f03aa5c7e2d41 profile=fare-quote,thing=7f3a9c21e0b4d655,max=1500,replay=5c0f 4\r\na\r\nb\r\n";
+    assert_eq!(line(&call(Some(b"5c0f"))), literal);
+}
+
+#[test]
+fn the_line_that_drops_a_call_keeps_its_bytes() {
+    assert_eq!(LINES.give_up(&call(None)).unwrap(), b"drop 9b1f03aa5c7e2d41\r\n");
+    assert_eq!(LINES.give_up(&load()), None);
+}
+
+#[test]
+fn the_line_of_a_load_order_keeps_its_bytes() {
+    assert_eq!(line(&load()), r"ensure t12 thing=7f3a9c21e0b4d655,copies=2\r\n");
+}
+
+#[test]
+fn the_line_that_asks_for_the_count_of_copies_keeps_its_bytes() {
+    let count = Order::Count { function: "7f3a9c21e0b4d655".into() };
+    assert_eq!(line(&count), r"ensure t12 thing=7f3a9c21e0b4d655,copies=0\r\n");
+}
+
+#[test]
+fn the_line_of_an_unload_keeps_its_bytes() {
+    let unload = Order::Unload { function: "7f3a9c21e0b4d655".into() };
+    assert_eq!(line(&unload), r"release 7f3a9c21e0b4d655\r\n");
+}
+
+#[test]
+fn the_line_of_a_probe_keeps_its_bytes() {
+    assert_eq!(line(&Order::Ready), r"load t12\r\n");
+}
+
+#[test]
+fn each_word_of_a_workers_answer_to_a_call_is_read() {
+    let cases: [(&[u8], Outcome); 7] = [
+        (b"9b1f03aa5c7e2d41 ACK - 2\r\nhi\r\n", Outcome::Ok),
+        (b"9b1f03aa5c7e2d41 READY - 2\r\nhi\r\n", Outcome::Ok),
+        (b"9b1f03aa5c7e2d41 NOENT - 0\r\n\r\n", Outcome::Miss),
+        (b"9b1f03aa5c7e2d41 AGAIN - 0\r\n\r\n", Outcome::Full),
+        (b"9b1f03aa5c7e2d41 EIO - 0\r\n\r\n", Outcome::Error),
+        (b"9b1f03aa5c7e2d41 AILING - 0\r\n\r\n", Outcome::Error),
+        (b"9b1f03aa5c7e2d41 STALE - 0\r\n\r\n", Outcome::NotSent),
+    ];
+    for (literal, outcome) in cases {
+        assert_eq!(heard(&call(None), literal).outcome, outcome, "{}", literal.escape_ascii());
+    }
+}
+
+#[test]
+fn the_fields_of_a_workers_answer_to_a_call_are_read() {
+    let ran = b"9b1f03aa5c7e2d41 ACK queue_fn=3,report=queue:2.5;inflight:7;util:0.61 2\r\nhi\r\n";
+    let report = Some(Report { queue: Some(2.5), inflight: Some(7.0), util: Some(0.61) });
+    let wanted = Understood { payload: b"hi".to_vec(), crowd: Some(3), report, ..understood(Outcome::Ok) };
+    assert_eq!(heard(&call(None), ran), wanted);
+    let failed = b"9b1f03aa5c7e2d41 EIO remark=f 0\r\n\r\n";
+    assert_eq!(heard(&call(None), failed), Understood { load_failed: true, ..understood(Outcome::Error) });
+}
+
+#[test]
+fn the_answers_to_a_load_order_and_a_probe_are_read() {
+    let wanted = Understood { copies: 2, ..understood(Outcome::Ok) };
+    assert_eq!(heard(&load(), b"t12 READY copies=2 0\r\n\r\n"), wanted);
+    let probe = b"t12 READY report=backlog:2.5;outstanding:7;utilization:0.5 0\r\n\r\n";
+    let report = Some(Report { queue: Some(2.5), inflight: Some(7.0), util: Some(0.5) });
+    assert_eq!(heard(&Order::Ready, probe), Understood { report, ..understood(Outcome::Ok) });
+}
+
+/// `[0, 7, "booking", [{...}, body]]` with every field that is known.
+const REQUEST: &[u8] = b"\x94\x00\x07\xa7booking\x92\x86\
+    \xa3req\xb09b1f03aa5c7e2d41\
+    \xa7timeout\xa41500\
+    \xa6resent\xa11\
+    \xa5opkey\xa45c0f\
+    \xa7subject\xb07f3a9c21e0b4d655\
+    \xa4info\xd9\x2fmemory_mb:512.5;lanes:2;load_ms:640;work_ms:9.5\
+    \xc4\x02\x00\xff";
+/// `[0, 8, "check"]` with its empty parameters.
+const CHECK: &[u8] = b"\x94\x00\x08\xa5check\x91\x80";
+/// `[2, "interrupt", [7, 300]]`.
+const INTERRUPT: &[u8] = b"\x93\x02\xa9interrupt\x92\x07\xcd\x01\x2c";
+
+#[test]
+fn a_clients_request_is_read_with_every_field() {
+    let asked = Asked {
+        id: "9b1f03aa5c7e2d41".into(),
+        class: "booking".into(),
+        function: "7f3a9c21e0b4d655".into(),
+        timeout: Micros(1_500_000),
+        resent: true,
+        key: Some("5c0f".into()),
+        traits: FunctionTraits {
+            lanes: 2,
+            work: Some(Micros(9_500)),
+            load_time: Some(Micros(640_000)),
+            memory_mb: 512.5,
+        },
+        body: vec![0, 255],
+    };
+    assert_eq!(message::read(REQUEST), Ok(Message::Call { number: 7, asked: Ok(asked) }));
+}
+
+#[test]
+fn a_clients_check_and_its_interrupt_are_read() {
+    assert_eq!(message::read(CHECK), Ok(Message::Check { number: 8 }));
+    assert_eq!(message::read(INTERRUPT), Ok(Message::Interrupt(vec![7, 300])));
+}
+
+/// What a client is written after its request, as the front answers it with this verdict.
+fn answered(verdict: Verdict) -> Vec<u8> {
+    let keyed = Effect::Keyed { group: Group::Cell, memory: Micros(6_000_000) };
+    let classes = vec![("quote".to_string(), Effect::Safe), ("booking".to_string(), keyed)];
+    let mut front = Front::new(FrontSettings { classes, connections: 4 });
+    let mut out = Vec::new();
+    front.opened(Micros(0), LinkId(1), &mut out);
+    front.received(Micros(0), LinkId(1), REQUEST, true, &mut out);
+    let ticket: Vec<Ticket> = out
+        .drain(..)
+        .map(|o| match o {
+            FrontOutput::Call(call) => {
+                assert_eq!(call.class, ClassId(1));
+                call.ticket
+            }
+            other => panic!("{other:?}"),
+        })
+        .collect();
+    let answer = Answer { verdict, attempts: 1, recorded: false, version: None };
+    front.answer(Micros(0), ticket[0], &answer, &mut out);
+    match out.as_slice() {
+        [FrontOutput::Write(LinkId(1), bytes)] => bytes.clone(),
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn the_answer_served_keeps_its_bytes() {
+    let verdict = Verdict::Served { payload: b"\x00hi".as_slice().into(), ran: Some("1.0".into()) };
+    assert_eq!(answered(verdict), b"\x94\x01\x07\xc0\x92\xc4\x03\x00hi\x80");
+}
+
+#[test]
+fn the_answer_throttled_keeps_its_bytes() {
+    assert_eq!(answered(Verdict::Refused(Reason::NoCapacity)), b"\x94\x01\x07\x92\xa9Throttled\x80\xc0");
+}
+
+#[test]
+fn the_answer_failed_keeps_its_bytes() {
+    assert_eq!(answered(Verdict::Failed(Reason::NoCapacity)), b"\x94\x01\x07\x92\xa6Broken\x80\xc0");
+}
+
+#[test]
+fn the_answer_to_what_cannot_be_used_keeps_its_bytes() {
+    let mut front = Front::new(FrontSettings { classes: Vec::new(), connections: 4 });
+    let mut out = Vec::new();
+    front.opened(Micros(0), LinkId(1), &mut out);
+    front.received(Micros(0), LinkId(1), REQUEST, true, &mut out);
+    let Some(FrontOutput::Write(_, bytes)) = out.last() else { panic!("{out:?}") };
+    assert_eq!(bytes, b"\x94\x01\x07\x92\xa8Unusable\x80\xc0");
+}
+
+#[test]
+fn the_answer_to_check_keeps_its_bytes() {
+    for (ready, literal) in
+        [(true, b"\x94\x01\x08\xc0\x92\xc3\x80"), (false, b"\x94\x01\x08\xc0\x92\xc2\x80")]
+    {
+        let mut front = Front::new(FrontSettings { classes: Vec::new(), connections: 4 });
+        let mut out = Vec::new();
+        front.opened(Micros(0), LinkId(1), &mut out);
+        front.received(Micros(0), LinkId(1), CHECK, ready, &mut out);
+        let [FrontOutput::Write(LinkId(1), bytes)] = out.as_slice() else { panic!("{out:?}") };
+        assert_eq!(bytes, literal);
+    }
+}
