--- a/crates/gateway/tests/stored_forms.rs
+++ b/crates/gateway/tests/stored_forms.rs
@@ -181,16 +181,16 @@
 fn the_fields_of_the_shared_forms_are_read_to_their_own_places() {
     let site = Files::new().site(&format!("{OWN}{SHARED}"));
     let (module, quote) = (&site.engine.module, &site.engine.module.classes[0]);
-    assert_eq!((quote.aim, quote.deadline), (Micros(801_000), Micros(3_001_000)));
-    assert_eq!((quote.worth, quote.late_worth, quote.aim_stretch), (2.5, 0.25, 0.5));
+    assert_eq!((quote.latency_objective, quote.deadline), (Micros(801_000), Micros(3_001_000)));
+    assert_eq!((quote.priority_weight, quote.late_value, quote.objective_stretch), (2.5, 0.25, 0.5));
     let effects: Vec<&String> = site.rights.effects.values().collect();
     assert_eq!(effects, ["keyed", "keyed", "unsafe", "keyed", "safe"]);
     assert_eq!(site.engine.classes[4].remember, Micros(600_005_000));
     assert_eq!((module.tenants[0].quota_per_s, site.rights.tenants["north"].len()), (40.5, 2));
     let fare = &site.engine.functions["fare"];
-    assert_eq!((fare.lanes, fare.work, fare.memory_mb), (6, Some(Micros(7_000)), 409.5));
+    assert_eq!((fare.concurrency, fare.work, fare.memory_mb), (6, Some(Micros(7_000)), 409.5));
     assert_eq!(fare.load_time, Some(Micros(708_000)));
-    assert_eq!(site.engine.other_functions.lanes, 2);
+    assert_eq!(site.engine.other_functions.concurrency, 2);
     let states: Vec<WorkerState> = site.workers.iter().map(|w| w.entry.state).collect();
     assert_eq!(states, [WorkerState::Ready, WorkerState::Draining, WorkerState::Gone]);
     let node = &site.workers[0].entry;
@@ -253,7 +253,7 @@
     assert_eq!((client.prefix.as_str(), client.relays, client.askers), ("/site/", 1, 41));
     let login = client.login.as_ref().unwrap();
     assert_eq!((login.name.as_str(), login.password.as_str()), ("reader", "secret"));
-    assert_eq!((client.follower.look_us, client.follower.silence_us), (91_000, 1_592_000));
+    assert_eq!((client.watch_state.look_us, client.watch_state.silence_us), (91_000, 1_592_000));
     assert_eq!((client.registration.ttl_s, client.timeout_us), (93, 594_000));
     assert_eq!((client.pace.per_second, client.drain_within_us), (95.5, 12_096_000));
     let replay = files.site(&format!("{OWN}{shared}(members (replay \"news.jsonl\"))"));
@@ -268,7 +268,7 @@
     assert!(printed.starts_with("{\"classes\":5,\"digest\":\""), "{printed}");
     let read = SharedSettings::parse("document", &document, &Clock::start()).unwrap();
     assert_eq!((read.right, read.clock_error_ppm), (Micros(701_000), 702));
-    assert_eq!(read.doubt, slatevalve_agreement::Doubt::GiveUp);
+    assert_eq!(read.doubt, slatevalve_config_versioning::LeaseExpiryPolicy::GiveUp);
     let own = r#"(agreed (registry "127.0.0.1:2379") (prefix "/site/") (user "reader") (password-file "DIR/password") (timeout-ms 594)
         (look-ms 91) (silence-ms 1592) (lives "DIR/lives") (remember "DIR/last"))"#;
     let file = files.write("own.scm", &format!("{OWN}{own}"));
--- a/crates/platform/tests/stored_forms.rs
+++ b/crates/platform/tests/stored_forms.rs
@@ -10,13 +10,13 @@
 use slatevalve_platform::front::{Front, FrontOutput, FrontSettings, LinkId};
 use slatevalve_platform::message::{self, Asked, Message};
 use slatevalve_platform::workers::Lines;
-use slatevalve_worker_wire::reply::Understood;
-use slatevalve_worker_wire::{Call, Heard, Order, Tag, Wire};
+use slatevalve_worker_protocol::reply::ParsedReply;
+use slatevalve_worker_protocol::{Call, CompletedRequest, Tag, WorkerProtocol, WorkerRequest};
 
 const LINES: Lines = Lines { streams: 4, tells_crowd: true };
 
-fn call(key: Option<&[u8]>) -> Order {
-    Order::Infer(Call {
+fn call(key: Option<&[u8]>) -> WorkerRequest {
+    WorkerRequest::Infer(Call {
         function: "7f3a9c21e0b4d655".into(),
         payload: b"a\r\nb".to_vec(),
         key: key.map(Into::into),
@@ -29,31 +29,31 @@
     })
 }
 
-fn load() -> Order {
-    Order::Load { function: "7f3a9c21e0b4d655".into(), copies: 2 }
+fn load() -> WorkerRequest {
+    WorkerRequest::Load { function: "7f3a9c21e0b4d655".into(), copies: 2 }
 }
 
-fn line(order: &Order) -> String {
+fn line(order: &WorkerRequest) -> String {
     LINES.encode("10.0.0.7:9000", Tag(12), order).escape_ascii().to_string()
 }
 
 /// What the gateway understands of a worker's bytes, the only answer to an order.
-fn heard(order: &Order, literal: &[u8]) -> Understood {
+fn heard(order: &WorkerRequest, literal: &[u8]) -> ParsedReply {
     let (mut reader, mut out) = (LINES.reader(), Vec::new());
     reader.expect(Tag(12), order);
     reader.feed(literal, &mut out).unwrap();
     assert!(reader.is_clean());
-    let Heard { tag, understood } = out.remove(0);
+    let CompletedRequest { tag, understood } = out.remove(0);
     assert_eq!((tag, out.len()), (Tag(12), 0));
     understood
 }
 
-fn understood(outcome: Outcome) -> Understood {
-    Understood {
+fn understood(outcome: Outcome) -> ParsedReply {
+    ParsedReply {
         outcome,
         payload: Vec::new(),
         copies: 0,
-        crowd: None,
+        queue_depth: None,
         load_failed: false,
         ran: None,
         report: None,
@@ -85,19 +85,19 @@
 
 #[test]
 fn the_line_that_asks_for_the_count_of_copies_keeps_its_bytes() {
-    let count = Order::Count { function: "7f3a9c21e0b4d655".into() };
+    let count = WorkerRequest::Count { function: "7f3a9c21e0b4d655".into() };
     assert_eq!(line(&count), r"ensure t12 thing=7f3a9c21e0b4d655,copies=0\r\n");
 }
 
 #[test]
 fn the_line_of_an_unload_keeps_its_bytes() {
-    let unload = Order::Unload { function: "7f3a9c21e0b4d655".into() };
+    let unload = WorkerRequest::Unload { function: "7f3a9c21e0b4d655".into() };
     assert_eq!(line(&unload), r"release 7f3a9c21e0b4d655\r\n");
 }
 
 #[test]
 fn the_line_of_a_probe_keeps_its_bytes() {
-    assert_eq!(line(&Order::Ready), r"load t12\r\n");
+    assert_eq!(line(&WorkerRequest::Ready), r"load t12\r\n");
 }
 
 #[test]
@@ -120,19 +120,20 @@
 fn the_fields_of_a_workers_answer_to_a_call_are_read() {
     let ran = b"9b1f03aa5c7e2d41 ACK queue_fn=3,report=queue:2.5;inflight:7;util:0.61 2\r\nhi\r\n";
     let report = Some(Report { queue: Some(2.5), inflight: Some(7.0), util: Some(0.61) });
-    let wanted = Understood { payload: b"hi".to_vec(), crowd: Some(3), report, ..understood(Outcome::Ok) };
+    let wanted =
+        ParsedReply { payload: b"hi".to_vec(), queue_depth: Some(3), report, ..understood(Outcome::Ok) };
     assert_eq!(heard(&call(None), ran), wanted);
     let failed = b"9b1f03aa5c7e2d41 EIO remark=f 0\r\n\r\n";
-    assert_eq!(heard(&call(None), failed), Understood { load_failed: true, ..understood(Outcome::Error) });
+    assert_eq!(heard(&call(None), failed), ParsedReply { load_failed: true, ..understood(Outcome::Error) });
 }
 
 #[test]
 fn the_answers_to_a_load_order_and_a_probe_are_read() {
-    let wanted = Understood { copies: 2, ..understood(Outcome::Ok) };
+    let wanted = ParsedReply { copies: 2, ..understood(Outcome::Ok) };
     assert_eq!(heard(&load(), b"t12 READY copies=2 0\r\n\r\n"), wanted);
     let probe = b"t12 READY report=backlog:2.5;outstanding:7;utilization:0.5 0\r\n\r\n";
     let report = Some(Report { queue: Some(2.5), inflight: Some(7.0), util: Some(0.5) });
-    assert_eq!(heard(&Order::Ready, probe), Understood { report, ..understood(Outcome::Ok) });
+    assert_eq!(heard(&WorkerRequest::Ready, probe), ParsedReply { report, ..understood(Outcome::Ok) });
 }
 
 /// `[0, 7, "booking", [{...}, body]]` with every field that is known.
@@ -159,7 +160,7 @@
         resent: true,
         key: Some("5c0f".into()),
         traits: FunctionTraits {
-            lanes: 2,
+            concurrency: 2,
             work: Some(Micros(9_500)),
             load_time: Some(Micros(640_000)),
             memory_mb: 512.5,
