--- /dev/null
+++ b/crates/gateway/src/commands/gateway.rs
@@ -0,0 +1,54 @@
+//! The sub-commands `run`, `platform` and `check`: the two event loops, and a settings file without starting anything.
+
+use super::{say_ready, CommandResult};
+use crate::clock::Clock;
+use crate::platform::{PlatformError, Router};
+use crate::server::GatewayServer;
+use crate::settings::{Agreed, Named, Site};
+use serde_json::json;
+use std::path::PathBuf;
+use std::process::ExitCode;
+
+/// The variable of the environment that names the platform's configuration file.
+const PLATFORM_CONFIG_VARIABLE: &str = "EDGE_CONFIG";
+
+/// Runs a gateway by a settings file until it is stopped by a signal.
+pub(super) fn run(settings: PathBuf) -> CommandResult {
+    let clock = Clock::start();
+    let mut server = match Agreed::read(&settings)? {
+        Some((agreed_by, agreed)) => GatewayServer::agreed(agreed_by, agreed, clock)?,
+        None => {
+            let site = Site::load(&settings, &clock, Named::default())?;
+            GatewayServer::new(site, Some(settings), clock)?
+        }
+    };
+    say_ready(server.address())?;
+    server.run()?;
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Runs a router of the platform until it is stopped by a signal.
+pub(super) fn platform() -> CommandResult {
+    let file = std::env::var_os(PLATFORM_CONFIG_VARIABLE)
+        .ok_or(PlatformError::Variable(PLATFORM_CONFIG_VARIABLE))?;
+    let mut router = Router::new(file.into(), Clock::start())?;
+    say_ready(router.address())?;
+    router.run()?;
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Reads a settings file and prints what it holds.
+pub(super) fn check(settings: PathBuf, json: bool) -> CommandResult {
+    let site = Site::load(&settings, &Clock::start(), Named::default())?;
+    let routes = &site.front.routes;
+    let (name, classes, workers) = (&site.name, site.classes.len(), site.workers.len());
+    let (routes, tenants) = (routes.routes.len(), routes.tenants.len());
+    if json {
+        let found =
+            json!({"name": name, "classes": classes, "routes": routes, "tenants": tenants, "workers": workers});
+        println!("{found}");
+    } else {
+        println!("{name}: {classes} classes, {routes} routes, {tenants} tenants, {workers} workers");
+    }
+    Ok(ExitCode::SUCCESS)
+}
--- a/crates/gateway/src/commands/plugin.rs
+++ b/crates/gateway/src/commands/plugin.rs
@@ -1,7 +1,7 @@
 //! The `plugin` sub-commands: on the folder of plug-ins, or by the admin socket of a running gateway.
 
 use super::login::LoginArguments;
-use super::Outcome;
+use super::CommandResult;
 use crate::clock::Clock;
 use crate::plugins::command::{carry_out, Command, CommandError, Context};
 use crate::plugins::folder::PluginFolder;
@@ -150,7 +150,7 @@
 
 type Shown = Result<Value, Box<dyn Error>>;
 
-pub(super) fn plugin(arguments: PluginArguments) -> Outcome {
+pub(super) fn plugin(arguments: PluginArguments) -> CommandResult {
     let PluginArguments { folder, socket, registry, login, json, command } = arguments;
     let site = match &command {
         PluginCommand::Push { settings, .. } | PluginCommand::Pull { settings, .. } => settings.clone(),
--- a/crates/gateway/src/commands/registry.rs
+++ b/crates/gateway/src/commands/registry.rs
@@ -1,7 +1,7 @@
 //! The `registry` sub-command: a registry of plug-ins over a folder.
 
 use super::login::LoginArguments;
-use super::{say_ready, Outcome};
+use super::{say_ready, CommandResult};
 use clap::Args;
 use slatevalve_blobs::{BlobStore, Disk};
 use slatevalve_oci::{Access, Registry};
@@ -32,7 +32,7 @@
     plan: Option<String>,
 }
 
-pub(super) fn registry(arguments: RegistryArguments) -> Outcome {
+pub(super) fn registry(arguments: RegistryArguments) -> CommandResult {
     let folder = arguments.folder.unwrap_or_default();
     if arguments.gc {
         let store = BlobStore::new(Disk::new(&folder)?);
