--- a/crates/gateway/src/commands/gateway.rs
+++ b/crates/gateway/src/commands/gateway.rs
@@ -44,8 +44,7 @@
     let (name, classes, workers) = (&site.name, site.classes.len(), site.workers.len());
     let (routes, tenants) = (routes.routes.len(), routes.tenants.len());
     if json {
-        let found =
-            json!({"name": name, "classes": classes, "routes": routes, "tenants": tenants, "workers": workers});
+        let found = json!({"name": name, "classes": classes, "routes": routes, "tenants": tenants, "workers": workers});
         println!("{found}");
     } else {
         println!("{name}: {classes} classes, {routes} routes, {tenants} tenants, {workers} workers");
--- /dev/null
+++ b/crates/gateway/src/commands/plugin/mod.rs
@@ -0,0 +1,321 @@
+//! The `plugin` sub-commands: on the folder of plug-ins, or by the admin socket of a running gateway.
+
+mod output;
+mod registry;
+mod signing;
+
+use super::login::LoginArguments;
+use super::CommandResult;
+use crate::clock::Clock;
+use crate::plugins::command::{carry_out, Command, CommandError, Context};
+use crate::plugins::folder::PluginFolder;
+use crate::settings::{Named, Site};
+use clap::{Args, Subcommand};
+use registry::Registry;
+use serde_json::{json, Value};
+use slatevalve_oci::PullSettings;
+use slatevalve_plugins::{ClassRights, CURRENT};
+use std::collections::BTreeSet;
+use std::error::Error;
+use std::io::{self, BufRead, BufReader, IsTerminal, Write};
+use std::os::unix::net::UnixStream;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use std::sync::atomic::AtomicBool;
+
+#[derive(Args)]
+pub(super) struct PluginArguments {
+    /// The folder of plug-ins, as `(plugins (folder ...))` names it
+    #[arg(long)]
+    folder: Option<PathBuf>,
+    /// The admin socket of a running gateway, as `(plugins (admin ...))` names it: the change counts at once
+    #[arg(long)]
+    socket: Option<PathBuf>,
+    /// The registry, http://HOST[:PORT][/PREFIX], for `pull` and `publish` without a running gateway
+    #[arg(long)]
+    registry: Option<String>,
+    #[command(flatten)]
+    login: LoginArguments,
+    /// Print JSON
+    #[arg(long)]
+    json: bool,
+    #[command(subcommand)]
+    command: PluginCommand,
+}
+
+#[derive(Subcommand)]
+enum PluginCommand {
+    /// Take a version in: its manifest and the files of its layers
+    Push {
+        /// The manifest, JSON
+        manifest: PathBuf,
+        /// The layers' files, in any order; those that are here already may be left out
+        layers: Vec<PathBuf>,
+        /// Check the class that it claims against the classes and tenants of this settings file
+        #[arg(long)]
+        settings: Option<PathBuf>,
+    },
+    /// Bring a version from the registry, verified; one that broke off goes on from where it was
+    Pull {
+        /// The plug-in's name
+        name: String,
+        /// Its version, or sha256:... of its image manifest
+        version: String,
+        /// Check the class that it claims against the classes and tenants of this settings file
+        #[arg(long)]
+        settings: Option<PathBuf>,
+    },
+    /// Send a version and its signatures from the folder to the registry
+    Publish {
+        /// The plug-in's name
+        name: String,
+        /// Its version
+        version: String,
+    },
+    /// Make a key that signs, in a file that only you can read, and print its public part
+    Keygen {
+        /// The file, which must not be there yet
+        file: PathBuf,
+    },
+    /// Sign a version in the folder
+    Sign {
+        /// The plug-in's name
+        name: String,
+        /// Its version
+        version: String,
+        /// The file that `keygen` made
+        #[arg(long)]
+        key: PathBuf,
+        /// The key's id, as `(signatures (key "ID" ...))` has it
+        #[arg(long)]
+        id: String,
+    },
+    /// List all plug-ins and what their `current` means
+    List,
+    /// Show the versions and aliases of a plug-in
+    Show {
+        /// Its name
+        name: String,
+    },
+    /// Move an alias to a version, or make it; `current` takes `previous` along
+    Alias {
+        /// The plug-in's name
+        name: String,
+        /// The alias
+        alias: String,
+        /// The version that it is to mean
+        version: String,
+        /// Move it only if it is at this revision still (0: if there is none)
+        #[arg(long)]
+        expect: Option<u64>,
+        /// Who moves it, for the history
+        #[arg(long, default_value = "operator")]
+        who: String,
+    },
+    /// Show the moves of an alias
+    History {
+        /// The plug-in's name
+        name: String,
+        /// The alias
+        #[arg(default_value = CURRENT)]
+        alias: String,
+    },
+    /// Check all content against its digests; what is missing or corrupt goes into quarantine
+    Verify,
+    /// Take a version out of use until it is pushed or pulled again
+    Quarantine {
+        /// NAME@VERSION or NAME@sha256:...
+        reference: String,
+        /// Why
+        #[arg(long)]
+        reason: String,
+    },
+    /// Delete a version that no alias means
+    Delete {
+        /// The plug-in's name
+        name: String,
+        /// The version
+        version: String,
+    },
+    /// Remove content that no version needs
+    ///
+    /// By --socket, content of calls that are open stays; with --folder run it when none is.
+    Gc,
+    /// Let a running gateway read its folder again (--socket)
+    Reload,
+    /// What a running gateway moves, pulled and does not let run (--socket)
+    Status,
+}
+
+/// What a command answers, as JSON.
+type Answer = Result<Value, Box<dyn Error>>;
+
+/// Runs a `plugin` sub-command; exit code 1 where `verify` found content that is missing or corrupt.
+pub(super) fn plugin(arguments: PluginArguments) -> CommandResult {
+    let PluginArguments { folder, socket, registry, login, json, command } = arguments;
+    let rights = command.settings().map(class_rights).transpose()?;
+    let registry = registry.map(|address| Registry::new(&address, login)).transpose()?;
+    let target = Target { folder, socket, registry, rights };
+    let answer = target.execute(&command)?;
+    match json {
+        true => println!("{answer}"),
+        false => println!("{}", output::text(&command, &answer)),
+    }
+    let found_bad = matches!(command, PluginCommand::Verify) && answer["quarantined"] != json!([]);
+    Ok(if found_bad { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+}
+
+/// What a command works on: a folder, a running gateway, a registry.
+struct Target {
+    folder: Option<PathBuf>,
+    socket: Option<PathBuf>,
+    registry: Option<Registry>,
+    rights: Option<ClassRights>,
+}
+
+impl Target {
+    fn execute(self, command: &PluginCommand) -> Answer {
+        match command {
+            PluginCommand::Push { manifest, layers, .. } => {
+                let (manifest, digest) = self.open_folder()?.push(manifest, layers, self.rights.as_ref())?;
+                self.reload_gateway()?;
+                Ok(json!({"name": manifest.name, "version": manifest.version, "digest": digest}))
+            }
+            PluginCommand::Publish { name, version } => {
+                let mut folder = self.open_folder()?;
+                let registry = self.registry.ok_or(CommandError::NoRegistry)?;
+                registry::publish(&mut folder, &registry, name, version)
+            }
+            PluginCommand::Keygen { file } => signing::keygen(file),
+            PluginCommand::Sign { name, version, key, id } => {
+                let answer = signing::sign(&mut self.open_folder()?, name, version, key, id)?;
+                self.reload_gateway()?;
+                Ok(answer)
+            }
+            other => {
+                let command = other.to_gateway_command().ok_or("this command works on a folder only")?;
+                self.execute_anywhere(&command)
+            }
+        }
+    }
+
+    /// By the running gateway where its socket is given, else on the folder.
+    fn execute_anywhere(self, command: &Command) -> Answer {
+        if let Some(socket) = &self.socket {
+            return ask_gateway(socket, command);
+        }
+        let mut folder = self.open_folder()?;
+        let settings = self.registry.map(|registry| registry.pull_settings(self.rights));
+        run(&mut folder, command, settings.as_ref())
+    }
+
+    fn open_folder(&self) -> Result<PluginFolder, Box<dyn Error>> {
+        let path = self.folder.as_deref().ok_or("this works on a folder: give --folder")?;
+        Ok(PluginFolder::open(path)?)
+    }
+
+    /// Has the running gateway, where its socket is given, read the folder again.
+    fn reload_gateway(&self) -> Result<(), Box<dyn Error>> {
+        let Some(socket) = &self.socket else { return Ok(()) };
+        ask_gateway(socket, &Command::Reload).map(drop)
+    }
+}
+
+impl PluginCommand {
+    /// The settings file against which a version's class is checked.
+    fn settings(&self) -> Option<&Path> {
+        match self {
+            PluginCommand::Push { settings, .. } | PluginCommand::Pull { settings, .. } => {
+                settings.as_deref()
+            }
+            _ => None,
+        }
+    }
+
+    /// The command as a gateway takes it; none for those that work on files of the caller.
+    fn to_gateway_command(&self) -> Option<Command> {
+        Some(match self {
+            PluginCommand::List => Command::List,
+            PluginCommand::Show { name } => Command::Show { name: name.clone() },
+            PluginCommand::Alias { name, alias, version, expect, who } => Command::Alias {
+                name: name.clone(),
+                alias: alias.clone(),
+                version: version.clone(),
+                expect: *expect,
+                who: who.clone(),
+            },
+            PluginCommand::History { name, alias } => {
+                Command::History { name: name.clone(), alias: alias.clone() }
+            }
+            PluginCommand::Verify => Command::Verify,
+            PluginCommand::Quarantine { reference, reason } => {
+                Command::Quarantine { reference: reference.clone(), reason: reason.clone() }
+            }
+            PluginCommand::Delete { name, version } => {
+                Command::Delete { name: name.clone(), version: version.clone() }
+            }
+            PluginCommand::Gc => Command::Gc,
+            PluginCommand::Pull { name, version, .. } => {
+                Command::Pull { name: name.clone(), version: version.clone() }
+            }
+            PluginCommand::Reload => Command::Reload,
+            PluginCommand::Status => Command::Status,
+            PluginCommand::Push { .. }
+            | PluginCommand::Publish { .. }
+            | PluginCommand::Keygen { .. }
+            | PluginCommand::Sign { .. } => return None,
+        })
+    }
+}
+
+/// Progress on a terminal, one line that is written over.
+fn show_progress((done, of): (u64, u64)) {
+    if io::stderr().is_terminal() && of > 0 {
+        eprint!("\r  {done} of {of}");
+    }
+}
+
+fn end_progress() {
+    if io::stderr().is_terminal() {
+        eprint!("\r                                \r");
+    }
+}
+
+/// Executes a command on a folder.
+fn run(folder: &mut PluginFolder, command: &Command, registry: Option<&PullSettings>) -> Answer {
+    let mut context = Context {
+        registry,
+        clock: &Clock::start(),
+        stop: &AtomicBool::new(false),
+        keep: &BTreeSet::new(),
+        told: &mut show_progress,
+    };
+    let done = carry_out(folder, command, &mut context);
+    end_progress();
+    Ok(done?)
+}
+
+/// Sends a command to a running gateway and waits for its answer.
+fn ask_gateway(path: &Path, command: &Command) -> Answer {
+    let failed = |e: io::Error| format!("admin socket {}: {e}", path.display());
+    let mut stream = UnixStream::connect(path).map_err(failed)?;
+    stream.write_all(format!("{}\n", serde_json::to_string(command)?).as_bytes()).map_err(failed)?;
+    for line in BufReader::new(stream).lines() {
+        let mut answer: Value = serde_json::from_str(&line.map_err(failed)?)?;
+        if let Some([done, of]) = answer["progress"].as_array().map(Vec::as_slice) {
+            show_progress((done.as_u64().unwrap_or(0), of.as_u64().unwrap_or(0)));
+            continue;
+        }
+        end_progress();
+        return match answer["error"].as_str() {
+            Some(error) => Err(error.into()),
+            None => Ok(answer["done"].take()),
+        };
+    }
+    Err(format!("admin socket {}: the gateway ended before it answered", path.display()).into())
+}
+
+/// The classes and tenants of a settings file, against which what is taken in is checked.
+fn class_rights(settings: &Path) -> Result<ClassRights, Box<dyn Error>> {
+    Ok(Site::load(settings, &Clock::start(), Named::default())?.rights)
+}
