--- a/crates/gateway/src/commands/plugin/mod.rs
+++ b/crates/gateway/src/commands/plugin/mod.rs
@@ -7,7 +7,7 @@
 use super::login::LoginArguments;
 use super::CommandResult;
 use crate::clock::Clock;
-use crate::plugins::command::{carry_out, Command, CommandError, Context};
+use crate::plugins::command::{execute, Command, CommandError, Context};
 use crate::plugins::folder::PluginFolder;
 use crate::settings::{Named, Site};
 use clap::{Args, Subcommand};
@@ -202,7 +202,7 @@
     /// By the running gateway where its socket is given, else on the folder.
     fn execute_anywhere(self, command: &Command) -> Answer {
         if let Some(socket) = &self.socket {
-            return ask_gateway(socket, command);
+            return send_to_gateway(socket, command);
         }
         let mut folder = self.open_folder()?;
         let settings = self.registry.map(|registry| registry.pull_settings(self.rights));
@@ -217,7 +217,7 @@
     /// Has the running gateway, where its socket is given, read the folder again.
     fn reload_gateway(&self) -> Result<(), Box<dyn Error>> {
         let Some(socket) = &self.socket else { return Ok(()) };
-        ask_gateway(socket, &Command::Reload).map(drop)
+        send_to_gateway(socket, &Command::Reload).map(drop)
     }
 }
 
@@ -288,15 +288,15 @@
         clock: &Clock::start(),
         stop: &AtomicBool::new(false),
         keep: &BTreeSet::new(),
-        told: &mut show_progress,
+        progress: &mut show_progress,
     };
-    let done = carry_out(folder, command, &mut context);
+    let done = execute(folder, command, &mut context);
     end_progress();
     Ok(done?)
 }
 
 /// Sends a command to a running gateway and waits for its answer.
-fn ask_gateway(path: &Path, command: &Command) -> Answer {
+fn send_to_gateway(path: &Path, command: &Command) -> Answer {
     let failed = |e: io::Error| format!("admin socket {}: {e}", path.display());
     let mut stream = UnixStream::connect(path).map_err(failed)?;
     stream.write_all(format!("{}\n", serde_json::to_string(command)?).as_bytes()).map_err(failed)?;
--- a/crates/gateway/src/commands/plugin/registry.rs
+++ b/crates/gateway/src/commands/plugin/registry.rs
@@ -11,8 +11,8 @@
 use std::error::Error;
 use std::sync::atomic::AtomicBool;
 
-/// Bytes sent to a registry, or asked of it, at a time.
-const PART_BYTES: usize = 4 * 1024 * 1024;
+/// Size of a chunk sent to, or requested from, a registry.
+const CHUNK_BYTES: usize = 4 * 1024 * 1024;
 
 /// Where the registry is, and who this command is towards it.
 pub(super) struct Registry {
@@ -36,7 +36,7 @@
             location: self.location,
             credentials: self.credentials,
             policy: Policy::default(),
-            range: PART_BYTES as u64,
+            range: CHUNK_BYTES as u64,
             max_size: u64::MAX,
             rights,
             seed: u64::from(std::process::id()),
@@ -51,7 +51,7 @@
     let seed = u64::from(std::process::id());
     let (location, credentials) = (registry.location.clone(), registry.credentials.clone());
     let now_us = clock.now().0;
-    let mut push = Push::new(now_us, location, credentials, Policy::default(), seed, PART_BYTES, &package)?;
+    let mut push = Push::new(now_us, location, credentials, Policy::default(), seed, CHUNK_BYTES, &package)?;
     let driven = link::drive(&mut push, &clock, &stop, show_progress);
     end_progress();
     driven?;
--- a/crates/gateway/src/plugins/background.rs
+++ b/crates/gateway/src/plugins/background.rs
@@ -1,11 +1,11 @@
-//! The thread in which a running gateway does for its plug-ins what takes its time: disk, hashes, pulls. The loop hands
-//! it tasks and is woken for their ends, so that no call waits for a sync or for a registry.
+//! The background worker of a running gateway: disk access, hashing and pulls for its plug-ins. The event loop submits tasks
+//! and is woken when they end, so that no call waits for a sync or for a registry.
 //!
-//! Tasks are done one after another, in order, so an alias moved behind a pull finds what the pull brought. In between,
-//! content is looked at again at a stated rate: rot on the disk is found while the gateway runs, not at its next start.
+//! Tasks run one after another in the order of submission, so an alias moved after a pull finds what the pull fetched. In
+//! between, stored content is verified again (scrubbed) at a stated rate: corruption is found while the gateway runs.
 
-use super::command::{carry_out, Command, CommandError, Context};
-use super::folder::{unix_ms, whole_versions, FolderError, PluginFolder};
+use super::command::{execute, Command, CommandError, Context};
+use super::folder::{unix_ms, whole_versions, FolderError, PluginFolder, WholeVersion};
 use crate::clock::Clock;
 use serde_json::Value;
 use slatevalve_oci::PullSettings;
@@ -19,12 +19,15 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Tasks that may wait.
-const QUEUE: usize = 256;
-/// A folder without content is looked at again after this.
-const REST: Duration = Duration::from_secs(5);
+/// Tasks that may be queued.
+const MAX_QUEUED_TASKS: usize = 256;
+/// Bounds of the pause between two blobs, in seconds.
+const SCRUB_PAUSE_MIN_SECS: f64 = 0.001;
+const SCRUB_PAUSE_MAX_SECS: f64 = 60.0;
+/// Pause before a folder without content is scrubbed again.
+const SCRUB_PAUSE: Duration = Duration::from_secs(5);
 
-/// Who wants a task's end.
+/// Who is told when a task ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Requester {
     /// A connection to the admin socket.
@@ -35,7 +38,7 @@
     Rollout,
     /// SIGHUP.
     Signal,
-    /// Nobody: content was looked at again.
+    /// Nobody: content was scrubbed.
     Scrub,
 }
 
@@ -50,7 +53,7 @@
     pub keep: BTreeSet<Digest>,
 }
 
-/// What the thread tells.
+/// An event of the background worker.
 #[derive(Debug)]
 pub enum Told {
     /// A task is at work: bytes or blobs done, and of how many.
@@ -68,17 +71,17 @@
     },
 }
 
-/// What the thread is told at its start.
+/// Settings of a [`BackgroundWorker`].
 pub struct BackgroundWorkerSettings {
     /// Where pulls come from.
     pub registry: Option<PullSettings>,
-    /// Bytes of content that are looked at again in a second; 0 for none.
+    /// Bytes of content scrubbed per second; 0 for none.
     pub scrub_per_s: u64,
     /// The clock of pulls.
     pub clock: Clock,
 }
 
-/// The loop's handle of the thread.
+/// The event loop's handle of the thread; dropping it stops the thread and waits for its end.
 pub struct BackgroundWorker {
     tasks: Option<SyncSender<Box<Task>>>,
     told: Receiver<Told>,
@@ -97,7 +100,7 @@
         waker: Waker,
     ) -> Result<Self, FolderError> {
         let folder_opened = PluginFolder::open(folder)?;
-        let (tasks, to_do) = mpsc::sync_channel(QUEUE);
+        let (tasks, to_do) = mpsc::sync_channel(MAX_QUEUED_TASKS);
         let (tell, told) = mpsc::channel();
         let stop = Arc::new(AtomicBool::new(false));
         let worker = Worker {
@@ -113,13 +116,13 @@
         Ok(BackgroundWorker { tasks: Some(tasks), told, stop, thread })
     }
 
-    /// Hands in a task; `false` where too many wait.
+    /// Queues a task; `false` where the queue is full.
     pub fn submit(&self, task: Task) -> bool {
         // Dropped where it finds no room: whoever asked is told so.
         self.tasks.as_ref().is_some_and(|tasks| tasks.try_send(Box::new(task)).is_ok())
     }
 
-    /// What was told since the last time.
+    /// Events since the last call.
     pub fn told(&self) -> Vec<Told> {
         self.told.try_iter().collect()
     }
@@ -135,39 +138,63 @@
     }
 }
 
+/// A blob to be verified, with the version that needs it.
+struct ScrubItem {
+    /// NAME@VERSION.
+    version: String,
+    /// The version's digest.
+    digest: Digest,
+    blob: Digest,
+}
+
+/// Every blob of every whole version that is not in quarantine.
+fn scrub_items(catalogue: &Catalogue) -> Vec<ScrubItem> {
+    let mut items = Vec::new();
+    for WholeVersion { name, version, digest } in whole_versions(catalogue) {
+        if catalogue.quarantined(&digest).is_some() {
+            continue;
+        }
+        let layers = catalogue.layers(&name, &version).unwrap_or_default();
+        let blobs = layers.iter().map(|layer| layer.digest).chain([digest]);
+        items.extend(blobs.map(|blob| ScrubItem { version: format!("{name}@{version}"), digest, blob }));
+    }
+    items
+}
+
 struct Worker {
     folder: PluginFolder,
     settings: BackgroundWorkerSettings,
     stop: Arc<AtomicBool>,
     tell: mpsc::Sender<Told>,
     waker: Waker,
-    /// What is still to be looked at in this round: version, its digest, and a blob of it.
-    scrub: VecDeque<(String, Digest, Digest)>,
+    /// Blobs still to be verified in this round.
+    scrub: VecDeque<ScrubItem>,
 }
 
 impl Worker {
+    /// Executes tasks and scrubs until the handle is dropped.
     fn run(mut self, to_do: &Receiver<Box<Task>>) {
-        let mut wait = REST;
+        let mut wait = SCRUB_PAUSE;
         while !self.stop.load(Ordering::Relaxed) {
             match to_do.recv_timeout(wait) {
-                Ok(task) => self.carry_out(*task),
-                Err(RecvTimeoutError::Timeout) => wait = self.look_again(),
+                Ok(task) => self.execute(*task),
+                Err(RecvTimeoutError::Timeout) => wait = self.scrub_next(),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    fn say(&self, told: Told) {
-        if self.tell.send(told).is_ok() {
+    fn notify(&self, event: Told) {
+        if self.tell.send(event).is_ok() {
             self.waker.wake();
         }
     }
 
-    fn carry_out(&mut self, task: Task) {
+    fn execute(&mut self, task: Task) {
         let Task { asker, command, keep } = task;
         let (tell, waker) = (self.tell.clone(), &self.waker);
         let mut last = 0;
-        let mut told = |(done, of): (u64, u64)| {
+        let mut progress = |(done, of): (u64, u64)| {
             // A line for each hundredth, as whoever reads it may be a person.
             let hundredth = done.saturating_mul(100).checked_div(of).unwrap_or(0);
             if hundredth > last {
@@ -184,43 +211,38 @@
                     clock: &self.settings.clock,
                     stop: &self.stop,
                     keep: &keep,
-                    told: &mut told,
+                    progress: &mut progress,
                 };
-                carry_out(&mut self.folder, &command, &mut context)
+                execute(&mut self.folder, &command, &mut context)
             }
         };
         let catalogue = command.changes().then(|| self.folder.catalogue().map(Box::new));
-        self.say(Told::Ended { asker, command, outcome, catalogue });
+        self.notify(Told::Ended { asker, command, outcome, catalogue });
     }
 
-    /// Looks at one blob again; gives how long to rest before the next.
-    fn look_again(&mut self) -> Duration {
+    /// Verifies one blob; returns the pause before the next, by the stated rate.
+    fn scrub_next(&mut self) -> Duration {
         if self.settings.scrub_per_s == 0 {
-            return REST;
+            return SCRUB_PAUSE;
         }
         if self.scrub.is_empty() {
-            let Ok(catalogue) = self.folder.catalogue() else { return REST };
-            for (name, version, digest) in whole_versions(&catalogue) {
-                if catalogue.quarantined(&digest).is_none() {
-                    let layers = catalogue.layers(&name, &version).unwrap_or_default();
-                    let label = format!("{name}@{version}");
-                    let blobs = layers.iter().map(|l| l.digest).chain([digest]);
-                    self.scrub.extend(blobs.map(|blob| (label.clone(), digest, blob)));
-                }
-            }
+            let Ok(catalogue) = self.folder.catalogue() else { return SCRUB_PAUSE };
+            self.scrub.extend(scrub_items(&catalogue));
         }
-        let Some((version, digest, blob)) = self.scrub.pop_front() else { return REST };
+        let Some(ScrubItem { version, digest, blob }) = self.scrub.pop_front() else { return SCRUB_PAUSE };
         let size = match self.folder.store.read(&blob) {
             Ok(content) => content.len() as u64,
             Err(error) => {
-                self.found(version, digest, &format!("{blob}: {error}"));
+                self.quarantine(version, digest, &format!("{blob}: {error}"));
                 0
             }
         };
-        Duration::from_secs_f64((size.max(1) as f64 / self.settings.scrub_per_s as f64).clamp(0.001, 60.0))
+        let pause_secs = size.max(1) as f64 / self.settings.scrub_per_s as f64;
+        Duration::from_secs_f64(pause_secs.clamp(SCRUB_PAUSE_MIN_SECS, SCRUB_PAUSE_MAX_SECS))
     }
 
-    fn found(&mut self, version: String, digest: Digest, reason: &str) {
+    /// Takes a version out of use whose content is missing or corrupt, and says so to the event loop.
+    fn quarantine(&mut self, version: String, digest: Digest, reason: &str) {
         let changed = self.folder.change(|catalogue, _| {
             // It may be gone from the catalogue since the round began.
             if catalogue.reachable().contains(&digest) {
@@ -231,6 +253,6 @@
         let command = Command::Quarantine { reference: version, reason: reason.into() };
         let outcome = changed.map(|()| Value::Null).map_err(CommandError::from);
         let catalogue = Some(self.folder.catalogue().map(Box::new));
-        self.say(Told::Ended { asker: Requester::Scrub, command, outcome, catalogue });
+        self.notify(Told::Ended { asker: Requester::Scrub, command, outcome, catalogue });
     }
 }
--- a/crates/gateway/src/plugins/command.rs
+++ b/crates/gateway/src/plugins/command.rs
@@ -1,7 +1,7 @@
-//! What may be done with plug-ins, as plain data: the same for the command line on a folder, and for a running gateway
-//! that hears it on its admin socket. The answer is JSON; the command line makes text of it.
+//! Commands on plug-ins as plain data: the same for the command line on a folder and for a running gateway, which receives
+//! them on its admin socket. Answers are JSON; the command line formats them as text.
 
-use super::folder::{unix_ms, verify, FolderError, PluginFolder};
+use super::folder::{unix_ms, verify, FolderError, PluginFolder, QuarantinedVersion};
 use super::link;
 use crate::clock::Clock;
 use serde::{Deserialize, Serialize};
@@ -90,16 +90,16 @@
     }
 }
 
-/// Why a command was not carried out.
+/// Why a command failed.
 #[derive(Debug)]
 pub enum CommandError {
-    /// The folder, or what was asked of it.
+    /// The folder failed, or refused the command.
     Folder(FolderError),
-    /// The pull.
+    /// The pull failed.
     Pull(link::LinkError<PullError>),
     /// No registry is known to pull from.
     NoRegistry,
-    /// Only a running gateway can answer it.
+    /// Only a running gateway can answer the command.
     NotRunning,
 }
 
@@ -118,7 +118,15 @@
     }
 }
 
-impl std::error::Error for CommandError {}
+impl std::error::Error for CommandError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            CommandError::Folder(e) => Some(e),
+            CommandError::Pull(e) => Some(e),
+            CommandError::NoRegistry | CommandError::NotRunning => None,
+        }
+    }
+}
 
 impl From<FolderError> for CommandError {
     fn from(e: FolderError) -> Self {
@@ -136,25 +144,21 @@
     pub stop: &'a AtomicBool,
     /// Content that must stay beside what the catalogue names: calls that are open need it.
     pub keep: &'a BTreeSet<Digest>,
-    /// Hears of progress: done, and of how many (bytes, or blobs).
-    pub told: &'a mut dyn FnMut((u64, u64)),
+    /// Called with the progress: how many bytes or blobs are done, and of how many.
+    pub progress: &'a mut dyn FnMut((u64, u64)),
 }
 
-type Done = Result<Value, CommandError>;
+/// A command's answer as JSON.
+type Answer = Result<Value, CommandError>;
 
-/// Carries a command out on a folder.
+/// Executes a command on a folder.
 ///
 /// # Errors
-/// When it cannot be; the folder is then as it was, but for a quarantine that a pull or check brought.
-pub fn carry_out(folder: &mut PluginFolder, command: &Command, context: &mut Context<'_>) -> Done {
+/// When it fails; the folder is then as it was, except for a quarantine that a pull or a verification caused.
+pub fn execute(folder: &mut PluginFolder, command: &Command, context: &mut Context<'_>) -> Answer {
     match command {
         Command::List => list(&folder.catalogue()?),
-        Command::Show { name } => {
-            let catalogue = folder.catalogue()?;
-            let versions = catalogue.versions(name).map_err(FolderError::from)?;
-            let aliases = catalogue.aliases(name).map_err(FolderError::from)?;
-            Ok(json!({"name": name, "versions": versions, "aliases": aliases}))
-        }
+        Command::Show { name } => show(&folder.catalogue()?, name),
         Command::Alias { name, alias, version, expect, who } => {
             let revision = folder.change(|catalogue, _| {
                 Ok(catalogue.move_alias(name, alias, version, *expect, who, unix_ms())?)
@@ -164,35 +168,13 @@
         Command::History { name, alias } => {
             Ok(json!(folder.catalogue()?.history(name, alias).map_err(FolderError::from)?))
         }
-        Command::Verify => {
-            let blobs = folder.store.digests().map_err(FolderError::from)?.len();
-            let told = &mut *context.told;
-            let found = folder.change(|catalogue, store| Ok(verify(catalogue, store, unix_ms(), told)))?;
-            let row =
-                |(v, d, why): &(String, Digest, String)| json!({"version": v, "digest": d, "reason": why});
-            Ok(json!({"blobs": blobs, "quarantined": found.iter().map(row).collect::<Vec<_>>()}))
-        }
-        Command::Quarantine { reference, reason } => {
-            let parsed: Reference =
-                reference.parse().map_err(|e| FolderError::Layer(format!("{reference}: {e}")))?;
-            let digest = folder.change(|catalogue, _| {
-                let digest = catalogue.resolve(&parsed)?.digest;
-                catalogue.hold(digest, reason, unix_ms());
-                Ok(digest)
-            })?;
-            Ok(json!({"digest": digest, "reason": reason}))
-        }
+        Command::Verify => verify_all(folder, context),
+        Command::Quarantine { reference, reason } => quarantine(folder, reference, reason),
         Command::Delete { name, version } => {
             folder.change(|catalogue, _| Ok(catalogue.delete(name, version)?))?;
             Ok(json!({"name": name, "deleted": version}))
         }
-        Command::Gc => {
-            let removed = folder.change(|catalogue, store| {
-                let keep = &catalogue.reachable() | context.keep;
-                Ok(store.collect(&keep)?)
-            })?;
-            Ok(json!({ "removed": removed }))
-        }
+        Command::Gc => collect_garbage(folder, context),
         Command::Pull { name, version } => pull(folder, name, version, context),
         Command::Sign { name, version, signature } => {
             folder.change(|catalogue, _| {
@@ -204,25 +186,57 @@
     }
 }
 
-fn list(catalogue: &Catalogue) -> Done {
-    let row = |name: &str| -> Done {
+fn show(catalogue: &Catalogue, name: &str) -> Answer {
+    let versions = catalogue.versions(name).map_err(FolderError::from)?;
+    let aliases = catalogue.aliases(name).map_err(FolderError::from)?;
+    Ok(json!({"name": name, "versions": versions, "aliases": aliases}))
+}
+
+fn verify_all(folder: &mut PluginFolder, context: &mut Context<'_>) -> Answer {
+    let blobs = folder.store.digests().map_err(FolderError::from)?.len();
+    let progress = &mut *context.progress;
+    let found = folder.change(|catalogue, store| Ok(verify(catalogue, store, unix_ms(), progress)))?;
+    let row = |bad: &QuarantinedVersion| json!({"version": bad.version, "digest": bad.digest, "reason": bad.reason});
+    Ok(json!({"blobs": blobs, "quarantined": found.iter().map(row).collect::<Vec<_>>()}))
+}
+
+fn quarantine(folder: &mut PluginFolder, reference: &str, reason: &str) -> Answer {
+    let parsed: Reference = reference.parse().map_err(|e| FolderError::Layer(format!("{reference}: {e}")))?;
+    let digest = folder.change(|catalogue, _| {
+        let digest = catalogue.resolve(&parsed)?.digest;
+        catalogue.hold(digest, reason, unix_ms());
+        Ok(digest)
+    })?;
+    Ok(json!({"digest": digest, "reason": reason}))
+}
+
+fn collect_garbage(folder: &mut PluginFolder, context: &Context<'_>) -> Answer {
+    let removed = folder.change(|catalogue, store| {
+        let keep = &catalogue.reachable() | context.keep;
+        Ok(store.collect(&keep)?)
+    })?;
+    Ok(json!({ "removed": removed }))
+}
+
+fn list(catalogue: &Catalogue) -> Answer {
+    let row = |name: &str| -> Answer {
         let aliases = catalogue.aliases(name).map_err(FolderError::from)?;
-        let current = aliases.into_iter().find(|a| a.alias == CURRENT).map(|a| a.version);
+        let current = aliases.into_iter().find(|view| view.alias == CURRENT).map(|view| view.version);
         let versions = catalogue.versions(name).map_err(FolderError::from)?;
-        let quarantined = versions.iter().filter(|v| v.quarantine.is_some()).count();
-        let versions = versions.iter().filter(|v| v.state != VersionState::Deleted).count();
+        let quarantined = versions.iter().filter(|view| view.quarantine.is_some()).count();
+        let versions = versions.iter().filter(|view| view.state != VersionState::Deleted).count();
         Ok(json!({"name": name, "current": current, "versions": versions, "quarantined": quarantined}))
     };
     Ok(Value::Array(catalogue.names().map(row).collect::<Result<_, _>>()?))
 }
 
 /// A pull that fails because the registry's content is wrong puts the version into quarantine, where it is known.
-fn pull(folder: &mut PluginFolder, name: &str, version: &str, context: &mut Context<'_>) -> Done {
+fn pull(folder: &mut PluginFolder, name: &str, version: &str, context: &mut Context<'_>) -> Answer {
     let settings = context.registry.ok_or(CommandError::NoRegistry)?.clone();
-    let failed = |e| CommandError::Pull(link::LinkError::Job(e));
+    let failed = |error| CommandError::Pull(link::LinkError::Job(error));
     let pull = Pull::new(context.clock.now().0, settings, name, version).map_err(failed)?;
     let mut job = Pulling { pull, store: &mut folder.store };
-    let driven = link::drive(&mut job, context.clock, context.stop, &mut *context.told);
+    let driven = link::drive(&mut job, context.clock, context.stop, &mut *context.progress);
     let begun = job.pull.begun();
     if let Err(error) = driven {
         if let (link::LinkError::Job(PullError::Corrupt(..)), Some((manifest, digest))) = (&error, begun) {
--- a/crates/gateway/src/plugins/folder.rs
+++ b/crates/gateway/src/plugins/folder.rs
@@ -1,5 +1,5 @@
-//! The folder of plug-ins: blobs and the catalogue, as the gateway and the `plugin` commands share it. Changes are made
-//! under a lock file, so that of two operators the second sees what the first did.
+//! The folder of plug-ins, shared by a gateway and the `plugin` commands: blobs and the catalogue. Changes are serialised by a
+//! lock file, so that of two operators the second sees what the first did.
 
 use slatevalve_blobs::{BlobError, BlobStore, Disk};
 use slatevalve_oci::{Package, Pulled};
@@ -14,10 +14,15 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// The document that holds the catalogue.
 const CATALOGUE: &str = "catalogue.json";
-/// A lock older than this was left by a process that died.
-const STALE_LOCK: Duration = Duration::from_secs(30);
-const LOCK_WAIT: Duration = Duration::from_secs(10);
+/// A lock file older than this was left by a process that crashed.
+const STALE_LOCK_AGE: Duration = Duration::from_secs(30);
+/// A change gives up after waiting this long for the lock.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// How often a lock that is held is tried again.
+const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What is wrong with the folder, or with what was asked of it.
 #[derive(Debug)]
@@ -55,7 +60,19 @@
     }
 }
 
-impl std::error::Error for FolderError {}
+impl std::error::Error for FolderError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            FolderError::Io(_, e) => Some(e),
+            FolderError::Blob(e) => Some(e),
+            FolderError::Catalogue(e) => Some(e),
+            FolderError::Unreadable(_)
+            | FolderError::Manifest(_)
+            | FolderError::Layer(_)
+            | FolderError::Locked(_) => None,
+        }
+    }
+}
 
 impl From<BlobError> for FolderError {
     fn from(e: BlobError) -> Self {
@@ -69,7 +86,7 @@
     }
 }
 
-type Res<T> = Result<T, FolderError>;
+type Result<T, E = FolderError> = std::result::Result<T, E>;
 
 /// Milliseconds of the Unix clock, for histories.
 pub fn unix_ms() -> i64 {
@@ -77,14 +94,14 @@
     i64::try_from(since.as_millis()).unwrap_or(i64::MAX)
 }
 
-/// See the module's documentation.
+/// A folder of plug-ins, opened.
 pub struct PluginFolder {
     path: PathBuf,
     /// The blobs.
     pub store: BlobStore<Disk>,
 }
 
-/// Held while the folder is changed; gone with the process or after a while.
+/// The lock file of the folder; removed when dropped, stale after [`STALE_LOCK_AGE`] where the process crashed.
 struct Lock(PathBuf);
 
 impl Drop for Lock {
@@ -98,7 +115,7 @@
     ///
     /// # Errors
     /// When it cannot be made.
-    pub fn open(path: &Path) -> Res<Self> {
+    pub fn open(path: &Path) -> Result<Self> {
         let disk = Disk::new(path).map_err(|e| FolderError::Io(path.into(), e))?;
         Ok(PluginFolder { path: path.into(), store: BlobStore::new(disk) })
     }
@@ -107,7 +124,7 @@
     ///
     /// # Errors
     /// When it cannot be read.
-    pub fn catalogue(&self) -> Res<Catalogue> {
+    pub fn catalogue(&self) -> Result<Catalogue> {
         match self.store.document(CATALOGUE) {
             Ok(bytes) => serde_json::from_slice(&bytes).map_err(|e| FolderError::Unreadable(e.to_string())),
             Err(BlobError::Missing) => Ok(Catalogue::default()),
@@ -121,8 +138,8 @@
     /// What `change` says, in which case nothing is written; or what the folder says.
     pub fn change<T>(
         &mut self,
-        change: impl FnOnce(&mut Catalogue, &mut BlobStore<Disk>) -> Res<T>,
-    ) -> Res<T> {
+        change: impl FnOnce(&mut Catalogue, &mut BlobStore<Disk>) -> Result<T>,
+    ) -> Result<T> {
         let _lock = self.lock()?;
         let mut catalogue = self.catalogue()?;
         let done = change(&mut catalogue, &mut self.store)?;
@@ -132,7 +149,7 @@
         Ok(done)
     }
 
-    fn lock(&self) -> Res<Lock> {
+    fn lock(&self) -> Result<Lock> {
         let path = self.path.join("lock");
         let start = Instant::now();
         loop {
@@ -141,13 +158,14 @@
                 Err(e) if e.kind() != io::ErrorKind::AlreadyExists => return Err(FolderError::Io(path, e)),
                 Err(_) => {}
             }
-            let age = fs::metadata(&path).and_then(|m| m.modified()).ok().and_then(|t| t.elapsed().ok());
-            if age.is_some_and(|a| a > STALE_LOCK) {
+            let modified = fs::metadata(&path).and_then(|metadata| metadata.modified()).ok();
+            let age = modified.and_then(|time| time.elapsed().ok());
+            if age.is_some_and(|age| age > STALE_LOCK_AGE) {
                 let _ = fs::remove_file(&path);
-            } else if start.elapsed() > LOCK_WAIT {
+            } else if start.elapsed() > LOCK_TIMEOUT {
                 return Err(FolderError::Locked(path));
             } else {
-                std::thread::sleep(Duration::from_millis(10));
+                std::thread::sleep(LOCK_POLL_INTERVAL);
             }
         }
     }
@@ -161,7 +179,7 @@
         manifest: &Path,
         layers: &[PathBuf],
         rights: Option<&ClassRights>,
-    ) -> Res<(Manifest, Digest)> {
+    ) -> Result<(Manifest, Digest)> {
         let read = |path: &Path| fs::read(path).map_err(|e| FolderError::Io(path.into(), e));
         let bytes = read(manifest)?;
         let (checked, digest) =
@@ -169,7 +187,7 @@
         let mut contents = Vec::new();
         for path in layers {
             let content = read(path)?;
-            if !checked.layers.iter().any(|l| l.digest == Digest::of(&content)) {
+            if !checked.layers.iter().any(|layer| layer.digest == Digest::of(&content)) {
                 return Err(FolderError::Layer(format!(
                     "{}: the manifest names no such layer",
                     path.display()
@@ -192,7 +210,7 @@
     ///
     /// # Errors
     /// When the version has other content here, or what came was lost in between.
-    pub fn take_pulled(&mut self, pulled: Pulled) -> Res<()> {
+    pub fn take_pulled(&mut self, pulled: Pulled) -> Result<()> {
         self.change(|catalogue, store| {
             catalogue.publish(pulled.manifest.clone(), pulled.digest)?;
             store.read(&pulled.digest)?;
@@ -206,13 +224,13 @@
     ///
     /// # Errors
     /// When there is no such version, or its content is not whole.
-    pub fn package(&mut self, name: &str, version: &str) -> Res<Package> {
+    pub fn package(&mut self, name: &str, version: &str) -> Result<Package> {
         let catalogue = self.catalogue()?;
         let reference = Reference { name: name.into(), selector: Selector::Word(version.into()) };
         let found = catalogue.resolve(&reference)?;
         let config = self.store.read(&found.digest)?;
-        let layers = found.manifest.layers.iter().map(|l| Ok(self.store.read(&l.digest)?.into()));
-        let layers = layers.collect::<Res<_>>()?;
+        let layers = found.manifest.layers.iter().map(|layer| Ok(self.store.read(&layer.digest)?.into()));
+        let layers = layers.collect::<Result<_>>()?;
         let signatures = catalogue.signatures(name, &found.version)?.to_vec();
         let manifest = Manifest::clone(&found.manifest);
         Ok(Package { manifest, config: config.into(), layers, signatures })
@@ -220,7 +238,7 @@
 }
 
 /// Marks a version whole once all that its manifest names is here, verified.
-fn complete(catalogue: &mut Catalogue, store: &mut BlobStore<Disk>, manifest: &Manifest) -> Res<()> {
+fn complete(catalogue: &mut Catalogue, store: &mut BlobStore<Disk>, manifest: &Manifest) -> Result<()> {
     for layer in &manifest.layers {
         match store.read(&layer.digest) {
             Ok(content) if content.len() as u64 == layer.size => {}
@@ -234,38 +252,64 @@
     Ok(catalogue.complete(&manifest.name, &manifest.version)?)
 }
 
-/// Checks all content of all whole versions and puts into quarantine what is missing or corrupt; gives what was found.
-/// `told` hears how many versions are done, of how many.
+/// A version that a verification put into quarantine.
+pub struct QuarantinedVersion {
+    /// NAME@VERSION.
+    pub version: String,
+    /// The version's digest.
+    pub digest: Digest,
+    /// The blob that is missing or corrupt, and how.
+    pub reason: String,
+}
+
+/// Checks all content of all whole versions and puts into quarantine what is missing or corrupt; returns those versions.
+/// `progress` is called with how many versions are done, and of how many.
 pub fn verify(
     catalogue: &mut Catalogue,
     store: &mut BlobStore<Disk>,
     at_ms: i64,
-    told: &mut dyn FnMut((u64, u64)),
-) -> Vec<(String, Digest, String)> {
+    progress: &mut dyn FnMut((u64, u64)),
+) -> Vec<QuarantinedVersion> {
     let all = whole_versions(catalogue);
     let mut found = Vec::new();
     // Versions share layers: each is read once.
-    let mut seen: HashMap<Digest, Option<String>> = HashMap::new();
-    for (n, (name, version, digest)) in all.iter().enumerate() {
+    let mut checked: HashMap<Digest, Option<String>> = HashMap::new();
+    for (index, WholeVersion { name, version, digest }) in all.iter().enumerate() {
         let layers = catalogue.layers(name, version).unwrap_or_default();
-        let mut digests = layers.iter().map(|l| l.digest).chain([*digest]);
-        let mut look = |d: Digest| store.read(&d).err().map(|e| format!("{d}: {e}"));
-        if let Some(reason) = digests.find_map(|d| seen.entry(d).or_insert_with(|| look(d)).clone()) {
+        let mut digests = layers.iter().map(|layer| layer.digest).chain([*digest]);
+        let mut check = |blob: Digest| store.read(&blob).err().map(|error| format!("{blob}: {error}"));
+        if let Some(reason) =
+            digests.find_map(|blob| checked.entry(blob).or_insert_with(|| check(blob)).clone())
+        {
             catalogue.quarantine(*digest, &reason, at_ms);
-            found.push((format!("{name}@{version}"), *digest, reason));
+            found.push(QuarantinedVersion { version: format!("{name}@{version}"), digest: *digest, reason });
         }
-        told((n as u64 + 1, all.len() as u64));
+        progress((index as u64 + 1, all.len() as u64));
     }
     found
 }
 
-/// Name, version and digest of every version that is whole.
-pub fn whole_versions(catalogue: &Catalogue) -> Vec<(String, String, Digest)> {
+/// A version all of whose content is in the folder.
+pub struct WholeVersion {
+    /// The plug-in's name.
+    pub name: String,
+    /// The version.
+    pub version: String,
+    /// Its digest.
+    pub digest: Digest,
+}
+
+/// Every version that is whole.
+pub fn whole_versions(catalogue: &Catalogue) -> Vec<WholeVersion> {
     let mut all = Vec::new();
     for name in catalogue.names() {
         let versions = catalogue.versions(name).unwrap_or_default().into_iter();
-        let whole = versions.filter(|v| v.state == VersionState::Whole);
-        all.extend(whole.map(|v| (name.to_string(), v.version, v.digest)));
+        let whole = versions.filter(|view| view.state == VersionState::Whole);
+        all.extend(whole.map(|view| WholeVersion {
+            name: name.to_string(),
+            version: view.version,
+            digest: view.digest,
+        }));
     }
     all
 }
--- a/crates/gateway/src/plugins/link.rs
+++ b/crates/gateway/src/plugins/link.rs
@@ -1,5 +1,5 @@
-//! Carries a [`Job`] at a registry over real sockets: one connection, kept between requests, on a loop of its own. The
-//! `plugin` commands call it, and a running gateway's thread for plug-ins; the gateway's own loop never does.
+//! Runs a [`Job`] at a plug-in registry over sockets: one connection, kept between requests, on an event loop of its own.
+//! Called by the `plugin` commands and by a running gateway's background worker, never by the gateway's own event loop.
 
 use crate::clock::Clock;
 use slatevalve_http::{Limits, Part, PartReader, Side};
@@ -37,7 +37,15 @@
     }
 }
 
-impl<E: fmt::Debug + fmt::Display> std::error::Error for LinkError<E> {}
+impl<E: std::error::Error + 'static> std::error::Error for LinkError<E> {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            LinkError::Job(e) => Some(e),
+            LinkError::Loop(e) => Some(e),
+            LinkError::Stopped => None,
+        }
+    }
+}
 
 struct Connection {
     id: Id,
@@ -53,6 +61,13 @@
     unsent: Vec<u8>,
 }
 
+impl Connection {
+    /// Whether the next request may go out on this connection.
+    fn can_carry(&self, request: &Request) -> bool {
+        self.host == request.host && self.port == request.port && !self.busy && !self.last
+    }
+}
+
 struct Link<'a, J> {
     job: &'a mut J,
     clock: &'a Clock,
@@ -60,7 +75,7 @@
     connection: Option<Connection>,
 }
 
-/// Drives a job to its end. `told` hears of its progress, `stop` ends it.
+/// Runs a job to its end. `progress` is called with how much is done, and of how much; `stop` ends it.
 ///
 /// # Errors
 /// When the job fails, the loop does, or it was stopped.
@@ -68,7 +83,7 @@
     job: &mut J,
     clock: &Clock,
     stop: &AtomicBool,
-    mut told: impl FnMut((u64, u64)),
+    mut progress: impl FnMut((u64, u64)),
 ) -> Result<(), LinkError<J::Error>> {
     let reactor = Reactor::new(MAX_BUFFERED).map_err(LinkError::Loop)?;
     let mut link = Link { job, clock, reactor, connection: None };
@@ -96,7 +111,7 @@
         for event in happened.drain(..) {
             link.handle_event(event).map_err(LinkError::Job)?;
         }
-        told(link.job.progress());
+        progress(link.job.progress());
     }
 }
 
@@ -112,13 +127,15 @@
     }
 
     fn send(&mut self, request: Request) -> Result<(), LinkError<J::Error>> {
-        let fits = |c: &Connection| c.host == request.host && c.port == request.port && !c.busy && !c.last;
-        if !self.connection.as_ref().is_some_and(fits) {
+        let is_usable = |connection: &Connection| connection.can_carry(&request);
+        if !self.connection.as_ref().is_some_and(is_usable) {
             self.close();
             // Looked up for each connection: a registry may move while a gateway runs.
-            let address =
-                (request.host.as_str(), request.port).to_socket_addrs().ok().and_then(|mut a| a.next());
-            let Some(id) = address.and_then(|a| self.reactor.connect(a).ok()) else {
+            let address = (request.host.as_str(), request.port)
+                .to_socket_addrs()
+                .ok()
+                .and_then(|mut found| found.next());
+            let Some(id) = address.and_then(|address| self.reactor.connect(address).ok()) else {
                 let now = self.now();
                 return self.job.broke(now, Broke::Connect).map_err(LinkError::Job);
             };
@@ -149,7 +166,7 @@
     }
 
     fn stalled(&mut self, now: i64) -> Result<(), LinkError<J::Error>> {
-        let connected = self.connection.as_ref().is_some_and(|c| c.connected);
+        let connected = self.connection.as_ref().is_some_and(|open| open.connected);
         self.close();
         let broke = if connected { Broke::Stalled } else { Broke::Connect };
         self.job.broke(now, broke).map_err(LinkError::Job)
@@ -186,7 +203,7 @@
         let mut parts = Vec::new();
         let fed = connection.reader.feed(bytes, &mut parts);
         for part in parts {
-            let Some(connection) = self.connection.as_mut().filter(|c| c.busy) else { break };
+            let Some(connection) = self.connection.as_mut().filter(|open| open.busy) else { break };
             match &part {
                 Part::Head(head) => connection.last = head.last,
                 Part::End => connection.busy = false,
@@ -201,7 +218,7 @@
             }
         }
         if fed.is_err() {
-            let busy = self.connection.as_ref().is_some_and(|c| c.busy);
+            let busy = self.connection.as_ref().is_some_and(|open| open.busy);
             self.close();
             if busy {
                 return self.job.broke(now, Broke::Garbage);
--- a/crates/gateway/src/plugins/mod.rs
+++ b/crates/gateway/src/plugins/mod.rs
@@ -1,5 +1,5 @@
-//! Plug-ins on disk and in registries: the folder, the commands on it, pulls and pushes over sockets, and the thread in
-//! which a running gateway does all that takes its time. The loop's own part is `shell/plugins.rs`.
+//! Plug-ins on disk and in registries: the folder, commands on it, pulls and pushes over sockets, and the background worker
+//! of a running gateway. The event loop's own part is in `server/`.
 
 pub mod background;
 pub mod command;
--- a/crates/gateway/src/server/plugins.rs
+++ b/crates/gateway/src/server/plugins.rs
@@ -98,7 +98,7 @@
         let now = clock.now();
         let mut folder = PluginFolder::open(&settings.folder)?;
         let found = folder.change(|catalogue, store| Ok(verify(catalogue, store, unix_ms(), &mut |_| {})))?;
-        for (version, _, reason) in found {
+        for crate::plugins::folder::QuarantinedVersion { version, reason, .. } in found {
             error!(version, reason, "in quarantine: its content is not what its digest says");
         }
         let mut catalogue = folder.catalogue()?;
