--- /dev/null
+++ b/crates/plugins/src/digest/tests.rs
@@ -0,0 +1,24 @@
+use super::*;
+
+#[test]
+fn digests_are_read_as_they_are_written_and_nothing_else_is() {
+    let digest = Digest::of(b"rules");
+    assert_eq!(digest.to_string().parse(), Ok(digest));
+    assert_eq!("sha512:00".parse::<Digest>(), Err(DigestError::UnknownAlgorithm("sha512".into())));
+    for bad in ["", "sha256", "sha256:00", &digest.to_string().to_uppercase().replace("SHA", "sha")] {
+        assert_eq!(bad.parse::<Digest>(), Err(DigestError::Malformed), "{bad}");
+    }
+}
+
+#[test]
+fn content_is_taken_only_whole_and_unchanged() {
+    let check = |content: &[u8]| {
+        let mut verifier = Verifier::new(Digest::of(b"rules"), 5);
+        content.chunks(2).try_for_each(|piece| verifier.update(piece))?;
+        verifier.finish()
+    };
+    assert_eq!(check(b"rules"), Ok(()));
+    assert_eq!(check(b"rulez"), Err(VerifyError::Other));
+    assert_eq!(check(b"rule"), Err(VerifyError::TooShort));
+    assert_eq!(check(b"rules and more"), Err(VerifyError::TooLong));
+}
--- /dev/null
+++ b/crates/plugins/src/signature/tests.rs
@@ -0,0 +1,27 @@
+use super::*;
+
+#[test]
+fn only_a_listed_key_and_just_this_digest_vouch() {
+    let (anna, other) = (SigningSecret::from_random([7; 32]), SigningSecret::from_random([8; 32]));
+    let digest = Digest::of(b"rules");
+    let mut keys = KeyList::default();
+    keys.add("anna", &anna.public()).unwrap();
+    let good = anna.sign("anna", &digest);
+    let forged = other.sign("anna", &digest);
+    let unlisted = other.sign("other", &digest);
+    assert_eq!(keys.vouched(&digest, &[forged.clone(), unlisted, good.clone()]), Some("anna"));
+    assert_eq!(keys.vouched(&digest, &[forged]), None);
+    assert_eq!(keys.vouched(&Digest::of(b"other rules"), std::slice::from_ref(&good)), None);
+    assert_eq!(KeyList::default().vouched(&digest, &[good]), None);
+}
+
+#[test]
+fn what_is_no_key_or_signature_is_refused() {
+    let secret = SigningSecret::from_random([7; 32]);
+    assert_eq!(SigningSecret::parse(&secret.base64()).unwrap().public(), secret.public());
+    let weak = STANDARD.encode([0u8; 32]);
+    for bad in ["", "AAAA", "not base64!", &weak] {
+        assert_eq!(KeyList::default().add("x", bad), Err(KeyError), "{bad}");
+    }
+    assert_eq!(Signature::read("a", "AAAA"), None);
+}
