--- a/crates/plugins/src/catalogue.rs
+++ b/crates/plugins/src/catalogue.rs
@@ -4,23 +4,28 @@
 //! who move it at once, the second is told; a version's digest never changes; content that an alias, a kept
 //! version or an open call needs is never given up. History is ordered by its count, not by the clock, which may jump.
 
+mod error;
+mod views;
+
+pub use error::CatalogueError;
+pub use views::{AliasView, VersionView};
+
 use crate::digest::Digest;
 use crate::manifest::{ClassRights, LayerRef, Manifest};
 use crate::reference::{Reference, Selector};
 use crate::signature::{KeyList, Signature};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::fmt;
 use std::sync::Arc;
 
 /// The alias that a bare name means.
 pub const CURRENT: &str = "current";
 /// The alias that follows `current` by one step.
 pub const PREVIOUS: &str = "previous";
-/// Moves that an alias's history keeps.
-const HISTORY: usize = 1_000;
-/// Signatures that a version keeps; the oldest give way.
-const SIGNATURES: usize = 32;
+/// Moves that an alias's history keeps; the oldest are dropped.
+const MAX_HISTORY: usize = 1_000;
+/// Signatures that a version keeps; the oldest are dropped.
+const MAX_SIGNATURES: usize = 32;
 
 /// How much of a version is here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -83,59 +88,6 @@
     aliases: BTreeMap<String, Alias>,
 }
 
-/// Why something cannot be done or found.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CatalogueError {
-    /// No such function.
-    UnknownFunction(String),
-    /// No such version or alias.
-    UnknownVersion(String),
-    /// The version was published with other content; versions never change.
-    VersionTaken(Digest),
-    /// An alias and a version may not have the same name.
-    NameTaken(String),
-    /// Not all of its content is here.
-    Partial(String),
-    /// It is in quarantine.
-    Quarantined(String),
-    /// No key of the list vouches for it.
-    Unsigned(String),
-    /// It claims what its tenant, or nobody, may at this site.
-    NotAllowed(String),
-    /// Somebody else moved the alias in between; it is at this revision now.
-    Stale(u64),
-    /// An alias means this version.
-    InUse(String),
-    /// A name, alias or version that cannot be one.
-    BadName(String),
-}
-
-impl fmt::Display for CatalogueError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            CatalogueError::UnknownFunction(name) => write!(f, "there is no plug-in {name}"),
-            CatalogueError::UnknownVersion(name) => write!(f, "there is no version or alias {name}"),
-            CatalogueError::VersionTaken(digest) => {
-                write!(f, "this version is published already, as {digest}")
-            }
-            CatalogueError::NameTaken(name) => write!(f, "{name} is an alias or a version already"),
-            CatalogueError::Partial(version) => write!(f, "not all of version {version} is here"),
-            CatalogueError::Quarantined(reason) => write!(f, "in quarantine: {reason}"),
-            CatalogueError::Unsigned(version) => {
-                write!(f, "no key of the list has signed version {version}")
-            }
-            CatalogueError::NotAllowed(words) => f.write_str(words),
-            CatalogueError::Stale(revision) => {
-                write!(f, "somebody else moved this alias in between; it is at revision {revision}")
-            }
-            CatalogueError::InUse(alias) => write!(f, "alias {alias} means this version"),
-            CatalogueError::BadName(name) => write!(f, "{name:?} cannot be a name here"),
-        }
-    }
-}
-
-impl std::error::Error for CatalogueError {}
-
 /// What a reference means now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resolved {
@@ -149,36 +101,6 @@
     pub revision: Option<u64>,
 }
 
-/// A version, for lists.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct VersionView {
-    /// Its name.
-    pub version: String,
-    /// Its digest.
-    pub digest: Digest,
-    /// How much of it is here.
-    pub state: VersionState,
-    /// Why it runs nowhere, if so.
-    pub quarantine: Option<Quarantine>,
-    /// The keys that signed it, whether they are listed or not.
-    pub signed_by: Vec<String>,
-    /// Calls that are open for it.
-    pub open: usize,
-    /// Aliases that mean it.
-    pub aliases: Vec<String>,
-}
-
-/// An alias, for lists.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct AliasView {
-    /// Its name.
-    pub alias: String,
-    /// The version that it means.
-    pub version: String,
-    /// Its revision, for the next mover to name.
-    pub revision: u64,
-}
-
 /// What a version must fulfil to run at a site.
 #[derive(Clone, Debug, Default)]
 pub struct Terms {
@@ -189,19 +111,22 @@
 }
 
 impl Terms {
-    fn check(&self, name: &str, version: &str, v: &Version) -> Res<()> {
-        let problems = self.rights.as_ref().map(|r| r.problems(&format!("{name}@{version}"), &v.manifest));
+    fn check(&self, name: &str, version: &str, checked: &Version) -> Result<()> {
+        let problems = self
+            .rights
+            .as_ref()
+            .map(|rights| rights.problems(&format!("{name}@{version}"), &checked.manifest));
         if let Some(problem) = problems.into_iter().flatten().next() {
             return Err(CatalogueError::NotAllowed(problem.to_string()));
         }
-        match self.keys.as_ref().map(|keys| keys.vouched(&v.digest, &v.signatures)) {
+        match self.keys.as_ref().map(|keys| keys.vouched(&checked.digest, &checked.signatures)) {
             Some(None) => Err(CatalogueError::Unsigned(version.into())),
             Some(Some(_)) | None => Ok(()),
         }
     }
 }
 
-/// See the module's documentation.
+/// All versions and aliases of all functions, as stored in the folder.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Catalogue {
     functions: BTreeMap<String, Function>,
@@ -217,7 +142,7 @@
     barred: HashMap<Digest, CatalogueError>,
 }
 
-type Res<T> = Result<T, CatalogueError>;
+type Result<T, E = CatalogueError> = std::result::Result<T, E>;
 
 impl Catalogue {
     /// Whether there is a function of this name.
@@ -230,7 +155,7 @@
         self.functions.keys().map(String::as_str)
     }
 
-    fn function(&self, name: &str) -> Res<&Function> {
+    fn function(&self, name: &str) -> Result<&Function> {
         self.functions.get(name).ok_or_else(|| CatalogueError::UnknownFunction(name.into()))
     }
 
@@ -238,7 +163,7 @@
     ///
     /// # Errors
     /// When the version has other content, or its name is an alias's.
-    pub fn publish(&mut self, manifest: Manifest, digest: Digest) -> Res<()> {
+    pub fn publish(&mut self, manifest: Manifest, digest: Digest) -> Result<()> {
         let (name, version) = (manifest.name.clone(), manifest.version.clone());
         if !Reference::is_name(&name) || !Reference::is_word(&version) {
             return Err(CatalogueError::BadName(format!("{name}@{version}")));
@@ -274,9 +199,9 @@
         self.terms = terms;
         self.barred.clear();
         for (name, function) in &self.functions {
-            for (version, v) in &function.versions {
-                if let Err(e) = self.terms.check(name, version, v) {
-                    self.barred.insert(v.digest, e);
+            for (version, entry) in &function.versions {
+                if let Err(e) = self.terms.check(name, version, entry) {
+                    self.barred.insert(entry.digest, e);
                 }
             }
         }
@@ -291,17 +216,20 @@
     ///
     /// # Errors
     /// When there is no such version.
-    pub fn sign(&mut self, name: &str, version: &str, signatures: &[Signature]) -> Res<()> {
+    pub fn sign(&mut self, name: &str, version: &str, signatures: &[Signature]) -> Result<()> {
         let function =
             self.functions.get_mut(name).ok_or_else(|| CatalogueError::UnknownFunction(name.into()))?;
         let found = function.versions.get_mut(version);
         let found = found.ok_or_else(|| CatalogueError::UnknownVersion(version.into()))?;
-        for signature in
-            signatures.iter().filter(|s| !found.signatures.contains(s)).cloned().collect::<Vec<_>>()
+        for signature in signatures
+            .iter()
+            .filter(|signature| !found.signatures.contains(signature))
+            .cloned()
+            .collect::<Vec<_>>()
         {
             found.signatures.push(signature);
         }
-        let excess = found.signatures.len().saturating_sub(SIGNATURES);
+        let excess = found.signatures.len().saturating_sub(MAX_SIGNATURES);
         found.signatures.drain(..excess);
         match self.terms.check(name, version, found) {
             Ok(()) => self.barred.remove(&found.digest),
@@ -314,16 +242,18 @@
     ///
     /// # Errors
     /// When there is no such version.
-    pub fn signatures(&self, name: &str, version: &str) -> Res<&[Signature]> {
+    pub fn signatures(&self, name: &str, version: &str) -> Result<&[Signature]> {
         let found = self.function(name)?.versions.get(version);
-        found.map(|v| v.signatures.as_slice()).ok_or_else(|| CatalogueError::UnknownVersion(version.into()))
+        found
+            .map(|version| version.signatures.as_slice())
+            .ok_or_else(|| CatalogueError::UnknownVersion(version.into()))
     }
 
     /// Whether a version's content may run now.
     ///
     /// # Errors
     /// With the reason, where it may not.
-    pub fn may_run(&self, digest: &Digest) -> Res<()> {
+    pub fn may_run(&self, digest: &Digest) -> Result<()> {
         match (self.quarantined.get(digest), self.barred.get(digest)) {
             (Some(found), _) => Err(CatalogueError::Quarantined(found.reason.clone())),
             (None, Some(why)) => Err(why.clone()),
@@ -335,7 +265,7 @@
     ///
     /// # Errors
     /// When there is no such version.
-    pub fn complete(&mut self, name: &str, version: &str) -> Res<()> {
+    pub fn complete(&mut self, name: &str, version: &str) -> Result<()> {
         let function =
             self.functions.get_mut(name).ok_or_else(|| CatalogueError::UnknownFunction(name.into()))?;
         let found = function.versions.get_mut(version);
@@ -375,7 +305,7 @@
         expected: Option<u64>,
         who: &str,
         at_ms: i64,
-    ) -> Res<u64> {
+    ) -> Result<u64> {
         if !Reference::is_word(alias) {
             return Err(CatalogueError::BadName(alias.into()));
         }
@@ -383,8 +313,8 @@
         if function.versions.contains_key(alias) {
             return Err(CatalogueError::NameTaken(alias.into()));
         }
-        let revision = function.aliases.get(alias).map_or(0, |a| a.revision);
-        if expected.is_some_and(|e| e != revision) {
+        let revision = function.aliases.get(alias).map_or(0, |alias| alias.revision);
+        if expected.is_some_and(|expected| expected != revision) {
             return Err(CatalogueError::Stale(revision));
         }
         let version = function.versions.get(to).ok_or_else(|| CatalogueError::UnknownVersion(to.into()))?;
@@ -395,8 +325,8 @@
         self.may_run(&digest)?;
         let function =
             self.functions.get_mut(name).ok_or_else(|| CatalogueError::UnknownFunction(name.into()))?;
-        let before = function.aliases.get(alias).map(|a| a.version.clone());
-        if let Some(before) = before.filter(|b| alias == CURRENT && b != to) {
+        let before = function.aliases.get(alias).map(|alias| alias.version.clone());
+        if let Some(before) = before.filter(|before| alias == CURRENT && before != to) {
             function.set(PREVIOUS, before, who, at_ms);
         }
         Ok(function.set(alias, to.into(), who, at_ms))
@@ -407,7 +337,7 @@
     ///
     /// # Errors
     /// When there is no such function, no `current`, or no such digest.
-    pub fn version_of<'a>(&'a self, reference: &'a Reference) -> Res<(&'a str, Option<u64>)> {
+    pub fn version_of<'a>(&'a self, reference: &'a Reference) -> Result<(&'a str, Option<u64>)> {
         let function = self.function(&reference.name)?;
         let by_alias =
             |alias: &str| function.aliases.get(alias).map(|a| (a.version.as_str(), Some(a.revision)));
@@ -426,10 +356,10 @@
     ///
     /// # Errors
     /// When it means nothing, or nothing that may run.
-    pub fn resolve(&self, reference: &Reference) -> Res<Resolved> {
+    pub fn resolve(&self, reference: &Reference) -> Result<Resolved> {
         let (name, revision) = self.version_of(reference)?;
         let version = self.function(&reference.name)?.versions.get(name);
-        let version = version.filter(|v| v.state != VersionState::Deleted);
+        let version = version.filter(|entry| entry.state != VersionState::Deleted);
         let version = version.ok_or_else(|| CatalogueError::UnknownVersion(reference.to_string()))?;
         self.may_run(&version.digest)?;
         if version.state == VersionState::Partial {
@@ -458,7 +388,7 @@
     ///
     /// # Errors
     /// When an alias means it, or there is none.
-    pub fn delete(&mut self, name: &str, version: &str) -> Res<()> {
+    pub fn delete(&mut self, name: &str, version: &str) -> Result<()> {
         let function =
             self.functions.get_mut(name).ok_or_else(|| CatalogueError::UnknownFunction(name.into()))?;
         if let Some((alias, _)) = function.aliases.iter().find(|(_, a)| a.version == version) {
@@ -472,16 +402,18 @@
 
     /// All content that must be kept: of every version that is not deleted, and of those with calls open.
     pub fn reachable(&self) -> BTreeSet<Digest> {
-        let versions = self.functions.values().flat_map(|f| f.versions.values());
-        let kept = versions.filter(|v| v.state != VersionState::Deleted || self.open.contains_key(&v.digest));
-        kept.flat_map(|v| v.manifest.layers.iter().map(|l| l.digest).chain([v.digest])).collect()
+        let versions = self.functions.values().flat_map(|function| function.versions.values());
+        let kept = versions
+            .filter(|entry| entry.state != VersionState::Deleted || self.open.contains_key(&entry.digest));
+        kept.flat_map(|entry| entry.manifest.layers.iter().map(|layer| layer.digest).chain([entry.digest]))
+            .collect()
     }
 
     /// Every layer of a version, for pulls and checks.
     ///
     /// # Errors
     /// When there is no such version.
-    pub fn layers(&self, name: &str, version: &str) -> Res<Vec<LayerRef>> {
+    pub fn layers(&self, name: &str, version: &str) -> Result<Vec<LayerRef>> {
         let found = self.function(name)?.versions.get(version);
         let found = found.ok_or_else(|| CatalogueError::UnknownVersion(version.into()))?;
         Ok(found.manifest.layers.clone())
@@ -491,20 +423,20 @@
     ///
     /// # Errors
     /// When there is no such function.
-    pub fn versions(&self, name: &str) -> Res<Vec<VersionView>> {
+    pub fn versions(&self, name: &str) -> Result<Vec<VersionView>> {
         let function = self.function(name)?;
-        let view = |(version, v): (&String, &Version)| VersionView {
+        let view = |(version, entry): (&String, &Version)| VersionView {
             version: version.clone(),
-            digest: v.digest,
-            state: v.state,
-            quarantine: self.quarantined.get(&v.digest).cloned(),
-            signed_by: v.signatures.iter().map(|s| s.key.clone()).collect(),
-            open: self.open.get(&v.digest).copied().unwrap_or(0),
+            digest: entry.digest,
+            state: entry.state,
+            quarantine: self.quarantined.get(&entry.digest).cloned(),
+            signed_by: entry.signatures.iter().map(|signature| signature.key.clone()).collect(),
+            open: self.open.get(&entry.digest).copied().unwrap_or(0),
             aliases: function
                 .aliases
                 .iter()
-                .filter(|(_, a)| a.version == *version)
-                .map(|(n, _)| n.clone())
+                .filter(|(_, alias)| alias.version == *version)
+                .map(|(name, _)| name.clone())
                 .collect(),
         };
         Ok(function.versions.iter().map(view).collect())
@@ -514,11 +446,11 @@
     ///
     /// # Errors
     /// When there is no such function.
-    pub fn aliases(&self, name: &str) -> Res<Vec<AliasView>> {
-        let view = |(alias, a): (&String, &Alias)| AliasView {
-            alias: alias.clone(),
-            version: a.version.clone(),
-            revision: a.revision,
+    pub fn aliases(&self, name: &str) -> Result<Vec<AliasView>> {
+        let view = |(name, alias): (&String, &Alias)| AliasView {
+            alias: name.clone(),
+            version: alias.version.clone(),
+            revision: alias.revision,
         };
         Ok(self.function(name)?.aliases.iter().map(view).collect())
     }
@@ -527,19 +459,22 @@
     ///
     /// # Errors
     /// When there is no such alias.
-    pub fn history(&self, name: &str, alias: &str) -> Res<&[AliasMove]> {
+    pub fn history(&self, name: &str, alias: &str) -> Result<&[AliasMove]> {
         let alias_found = self.function(name)?.aliases.get(alias);
-        alias_found.map(|a| a.history.as_slice()).ok_or_else(|| CatalogueError::UnknownVersion(alias.into()))
+        alias_found
+            .map(|alias| alias.history.as_slice())
+            .ok_or_else(|| CatalogueError::UnknownVersion(alias.into()))
     }
 }
 
 impl Function {
     fn set(&mut self, alias: &str, to: String, who: &str, at_ms: i64) -> u64 {
         let entry = self.aliases.entry(alias.into()).or_default();
-        let from = Some(std::mem::replace(&mut entry.version, to.clone())).filter(|f| !f.is_empty());
+        let from =
+            Some(std::mem::replace(&mut entry.version, to.clone())).filter(|before| !before.is_empty());
         entry.revision += 1;
         entry.history.push(AliasMove { revision: entry.revision, at_ms, who: who.into(), from, to });
-        if entry.history.len() > HISTORY {
+        if entry.history.len() > MAX_HISTORY {
             entry.history.remove(0);
         }
         entry.revision
--- a/crates/plugins/src/lib.rs
+++ b/crates/plugins/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! It guards three things: a call runs the rules that its reference meant when it was taken, whatever moves later; a
 //! version whose content is not what its digest says runs nowhere; and moving an alias does not cost the rush. The
-//! gateway's shell calls it before a call goes to the engine and tells it how calls of each version went.
+//! gateway's event loop calls it before a call goes to the engine and reports how calls of each version ended.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/plugins/src/manifest.rs
+++ b/crates/plugins/src/manifest.rs
@@ -9,8 +9,9 @@
 
 /// The JSON schema of manifests.
 pub const SCHEMA: &str = include_str!("../schema/plugin.json");
-/// The engine version that manifests may ask for, and every earlier one of the same first number.
-const ENGINE: (u32, u32) = (0, 1);
+/// The engine version that manifests may require: this major version, and this or an earlier minor version.
+const ENGINE_MAJOR: u32 = 0;
+const ENGINE_MINOR: u32 = 1;
 
 /// A layer of a plug-in's content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -97,7 +98,7 @@
             // The site says what a class does. A plug-in that believes otherwise, a charge that calls itself safe,
             // was written for something else.
             Some(effect) => {
-                if let Some(claimed) = manifest.effect.as_ref().filter(|c| *c != effect) {
+                if let Some(claimed) = manifest.effect.as_ref().filter(|claimed| *claimed != effect) {
                     let words = format!(
                         "it claims to be {claimed}, but calls of class {} are {effect}",
                         manifest.class
@@ -140,11 +141,11 @@
     // What the schema lets pass and the type does not is a digest of another algorithm.
     let manifest: Manifest =
         serde_json::from_value(value).map_err(|e| vec![problem("/layers".into(), e.to_string())])?;
-    let mut found = rights.map_or_else(Vec::new, |r| r.problems(file, &manifest));
+    let mut found = rights.map_or_else(Vec::new, |rights| rights.problems(file, &manifest));
     if let Some(engine) = &manifest.engine {
-        let parts: Vec<u32> = engine.split('.').filter_map(|p| p.parse().ok()).collect();
-        if parts.len() != 2 || parts[0] != ENGINE.0 || parts[1] > ENGINE.1 {
-            let words = format!("it needs engine {engine}; this is {}.{}", ENGINE.0, ENGINE.1);
+        let parts: Vec<u32> = engine.split('.').filter_map(|number| number.parse().ok()).collect();
+        if parts.len() != 2 || parts[0] != ENGINE_MAJOR || parts[1] > ENGINE_MINOR {
+            let words = format!("it needs engine {engine}; this is {}.{}", ENGINE_MAJOR, ENGINE_MINOR);
             found.push(problem("/engine".into(), words));
         }
     }
--- a/crates/plugins/src/rollout.rs
+++ b/crates/plugins/src/rollout.rs
@@ -1,9 +1,9 @@
-//! The move of an alias, carried out: copies of the new version first, then calls, a stable part of them at a time; and
-//! back by itself, once, where the new version does worse.
+//! The roll-out of a new version behind an alias: replicas are loaded first, then a growing, stable fraction of the calls is
+//! moved; it is rolled back automatically, once, where the new version does worse.
 //!
-//! It decides by what it is told: which copies stand ([`Observed::Stands`]), how calls of either version went. It never
-//! sends and never loads: [`Rollout::wants`] says what is to be ordered ahead, [`Rollout::side`] which version a call
-//! goes to. One for each function whose `current` moved; bounded state, no clock of its own, no chance.
+//! It decides by what it observes: which replicas are loaded ([`Observed::Stands`]), how calls of either version ended. It does no
+//! I/O: [`Rollout::wants`] returns how many replicas to load ahead, [`Rollout::side`] which version a call
+//! goes to. One instance for each function whose `current` moved; bounded state, no clock, no randomness.
 //!
 //! Invariants, each with a test: no call goes to the new version before a copy of it stands; a key that has gone to the
 //! new version stays there while the move goes on; a move back happens once, and from then on all calls take the old
@@ -78,7 +78,7 @@
     Corrupt,
 }
 
-/// What a roll-out wants of the gateway.
+/// What a roll-out asks of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Want {
     /// Up to so many further copies of the new version ordered ahead.
@@ -107,20 +107,30 @@
     Over(Ended),
 }
 
+/// Counts of one version's calls since the move began.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
+struct CallCounters {
     open: u32,
     ended: u32,
     failed: u32,
     late: u32,
 }
 
-impl Tally {
-    fn part(count: u32, of: u32) -> f64 {
-        if of == 0 {
+impl CallCounters {
+    fn failure_ratio(self) -> f64 {
+        self.ratio(self.failed)
+    }
+
+    fn late_ratio(self) -> f64 {
+        self.ratio(self.late)
+    }
+
+    /// The fraction of the ended calls that a count is; 0 where none has ended.
+    fn ratio(self, count: u32) -> f64 {
+        if self.ended == 0 {
             0.0
         } else {
-            f64::from(count) / f64::from(of)
+            f64::from(count) / f64::from(self.ended)
         }
     }
 }
@@ -135,12 +145,12 @@
     /// Copies that will be needed: workers that serve the old version.
     needed: usize,
     standing: usize,
-    out: usize,
+    orders_open: usize,
     failed_orders: usize,
-    old: Tally,
-    new: Tally,
+    old: CallCounters,
+    new: CallCounters,
     /// Whether its end was given.
-    told: bool,
+    end_reported: bool,
 }
 
 impl Rollout {
@@ -153,11 +163,11 @@
             state: RolloutState::Preparing,
             needed: needed.max(1),
             standing: 0,
-            out: 0,
+            orders_open: 0,
             failed_orders: 0,
-            old: Tally::default(),
-            new: Tally::default(),
-            told: false,
+            old: CallCounters::default(),
+            new: CallCounters::default(),
+            end_reported: false,
         }
     }
 
@@ -184,8 +194,8 @@
     /// What is to be ordered ahead now.
     pub fn wants(&self) -> Want {
         let over = matches!(self.state, RolloutState::Over(_));
-        let missing = self.needed.saturating_sub(self.standing + self.out);
-        let room = self.settings.orders_at_once.saturating_sub(self.out);
+        let missing = self.needed.saturating_sub(self.standing + self.orders_open);
+        let room = self.settings.orders_at_once.saturating_sub(self.orders_open);
         match missing.min(room) {
             0 => Want::Nothing,
             _ if over => Want::Nothing,
@@ -196,26 +206,26 @@
     /// Takes what happened.
     pub fn observe(&mut self, now_us: i64, observed: Observed) {
         match observed {
-            Observed::Ordered => self.out += 1,
+            Observed::Ordered => self.orders_open += 1,
             Observed::Stands => {
-                self.out = self.out.saturating_sub(1);
+                self.orders_open = self.orders_open.saturating_sub(1);
                 self.standing += 1;
             }
             Observed::OrderFailed => {
-                self.out = self.out.saturating_sub(1);
+                self.orders_open = self.orders_open.saturating_sub(1);
                 self.failed_orders += 1;
             }
-            Observed::Began(side) => self.tally(side).open += 1,
+            Observed::Began(side) => self.counters(side).open += 1,
             Observed::Withdrawn(side) => {
-                let tally = self.tally(side);
-                tally.open = tally.open.saturating_sub(1);
+                let counters = self.counters(side);
+                counters.open = counters.open.saturating_sub(1);
             }
             Observed::Ended { side, served, late } => {
-                let tally = self.tally(side);
-                tally.open = tally.open.saturating_sub(1);
-                tally.ended += 1;
-                tally.failed += u32::from(!served);
-                tally.late += u32::from(late);
+                let counters = self.counters(side);
+                counters.open = counters.open.saturating_sub(1);
+                counters.ended += 1;
+                counters.failed += u32::from(!served);
+                counters.late += u32::from(late);
             }
             Observed::Corrupt => return self.end(Ended::Back("its content was found corrupt")),
         }
@@ -226,12 +236,12 @@
     pub fn advance(&mut self, now_us: i64) -> Option<Ended> {
         self.judge(now_us);
         match self.state {
-            RolloutState::Over(ended) if !std::mem::replace(&mut self.told, true) => Some(ended),
+            RolloutState::Over(ended) if !std::mem::replace(&mut self.end_reported, true) => Some(ended),
             _ => None,
         }
     }
 
-    fn tally(&mut self, side: Direction) -> &mut Tally {
+    fn counters(&mut self, side: Direction) -> &mut CallCounters {
         match side {
             Direction::Old => &mut self.old,
             Direction::New => &mut self.new,
@@ -265,16 +275,16 @@
 
     /// Why the new version does worse, if it does: beyond the old one's part, and beyond chance at so few calls.
     fn worse(&self) -> Option<&'static str> {
-        let (new, old, s) = (self.new, self.old, self.settings);
-        if new.ended < s.judged_after {
+        let (new, old) = (self.new, self.old);
+        if new.ended < self.settings.judged_after {
             return None;
         }
         let chance = 1.0 / f64::from(new.ended).sqrt();
-        let beyond = |new_part: f64, old_part: f64, more: f64| new_part > old_part + more.max(chance);
-        if beyond(Tally::part(new.failed, new.ended), Tally::part(old.failed, old.ended), s.more_failures) {
+        let exceeds = |new: f64, old: f64, tolerance: f64| new > old + tolerance.max(chance);
+        if exceeds(new.failure_ratio(), old.failure_ratio(), self.settings.more_failures) {
             return Some("more of its calls failed");
         }
-        if beyond(Tally::part(new.late, new.ended), Tally::part(old.late, old.ended), s.more_late) {
+        if exceeds(new.late_ratio(), old.late_ratio(), self.settings.more_late) {
             return Some("more of its calls came late");
         }
         None
@@ -282,10 +292,10 @@
 
     /// The next part: double what it was, never beyond the part of the copies that stand.
     fn step(&mut self, now_us: i64) {
-        let stands = (self.standing as f64 / self.needed as f64).min(1.0);
+        let loaded = (self.standing as f64 / self.needed as f64).min(1.0);
         let part = match self.state {
-            RolloutState::Preparing if self.standing > 0 => self.settings.first_part.min(stands),
-            RolloutState::Moving(part) => (part * 2.0).min(stands).max(part),
+            RolloutState::Preparing if self.standing > 0 => self.settings.first_part.min(loaded),
+            RolloutState::Moving(part) => (part * 2.0).min(loaded).max(part),
             _ => return,
         };
         // Each part is judged by calls of its own before it grows, unless there are hardly any calls at all. Calls that
