--- a/fuzz/fuzz_targets/worker_wire.rs
+++ b/fuzz/fuzz_targets/worker_protocol.rs
@@ -2,7 +2,7 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use slatevalve_worker_protocol::{reply, Asked, Call, Limits, MessageReader, Order, Side};
+use slatevalve_worker_protocol::{reply, Call, Limits, MessageReader, ParsedRequest, Side, WorkerRequest};
 
 fuzz_target!(|pieces: Vec<Vec<u8>>| {
     let limits = Limits { head: 512, body: 1_024 };
@@ -13,8 +13,8 @@
                 Ok(Some(message)) => {
                     assert!(message.body.len() <= limits.body);
                     match side {
-                        Side::Request => drop(Asked::read(message)),
-                        Side::Response => drop(reply::read(&Order::Infer(Call::default()), message)),
+                        Side::Request => drop(ParsedRequest::read(message)),
+                        Side::Response => drop(reply::read(&WorkerRequest::Infer(Call::default()), message)),
                     }
                 }
                 Ok(None) => {}
