--- a/crates/engine/src/answer.rs
+++ b/crates/engine/src/answer.rs
@@ -93,7 +93,7 @@
     /// No attempt gave a result in time; the call may have run.
     NoResult,
     /// It was served, but the result is no longer held.
-    ResultForgotten,
+    ResultEvicted,
     /// The client that asked first left, and the call was called off; it may have run.
     ClientLeft,
 }
@@ -122,7 +122,7 @@
             Reason::NoRight => "not sent: the gateway cannot tell whether its settings still count",
             Reason::InChange => "not sent: the settings of this topic are being changed",
             Reason::NoResult => "no result in time; it may have run",
-            Reason::ResultForgotten => "it ran; its result is no longer held",
+            Reason::ResultEvicted => "it ran; its result is no longer held",
             Reason::ClientLeft => "called off as its client left; it may have run",
         }
     }
--- a/crates/engine/src/duplicates.rs
+++ b/crates/engine/src/duplicates.rs
@@ -1,55 +1,61 @@
-//! The table of keys: what was seen, what came of it, and that it was seen at all.
+//! The duplicate table: which idempotency keys were used, and how their calls ended.
 //!
-//! It guards keyed and unsafe calls against a second run. A key is in one of four states: unknown, running, ended
-//! with an answer on record, or forgotten (the answer is gone, the fact that the key was used is not). A key never
-//! goes from any of these back to unknown on its own but by [`DuplicateTable::release`], which the engine calls
-//! where every attempt is proven never to have run. What is remembered is bounded in keys and in bytes: results
-//! give way first, keys never before their time; a table full of keys takes no further one. Called by the engine.
+//! It prevents a second run of calls with side effects. A key is unknown, running, completed with a stored answer, or
+//! forgotten (the answer is gone, the fact that the key was used is not). Keys become unknown again by the passage of time,
+//! or by [`DuplicateTable::release`], which the engine calls only if every attempt is proven never to have run. The table is
+//! bounded in keys and in bytes of results: the oldest results are evicted, keys never are. A full table accepts no further
+//! key.
 
 use crate::answer::{Answer, Reason, Verdict};
 use sha2::{Digest, Sha256};
 use slatevalve::{ClassId, Micros, RequestId, TenantId};
 use std::collections::{HashMap, VecDeque};
 
-/// A key within its tenant and class, as a digest.
+/// Bytes that are kept of a SHA-256 digest: enough that collisions can be neglected.
+const DIGEST_BYTES: usize = 16;
+
+/// Digest of an idempotency key together with its tenant and class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct KeyDigest([u8; 16]);
+pub(crate) struct KeyDigest([u8; DIGEST_BYTES]);
 
-/// What the call was, so that a key used for another one is noticed.
+/// Digest of the function and payload of a call, by which a key that is reused for another call is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fingerprint([u8; 16]);
+pub(crate) struct Fingerprint([u8; DIGEST_BYTES]);
 
-fn sixteen(hash: Sha256) -> [u8; 16] {
-    let mut out = [0; 16];
-    out.copy_from_slice(&hash.finalize()[..16]);
-    out
+fn truncated_digest(hash: Sha256) -> [u8; DIGEST_BYTES] {
+    let mut digest = [0; DIGEST_BYTES];
+    digest.copy_from_slice(&hash.finalize()[..DIGEST_BYTES]);
+    digest
 }
 
 impl KeyDigest {
-    /// The digest of a key.
-    pub fn new(tenant: Option<TenantId>, class: ClassId, key: &[u8]) -> Self {
-        let tenant = tenant.map_or(0, |t| t.0 as u64 + 1).to_be_bytes();
+    /// Digest of a key of a tenant and class.
+    #[must_use]
+    pub(crate) fn new(tenant: Option<TenantId>, class: ClassId, key: &[u8]) -> Self {
+        let tenant = tenant.map_or(0, |id| id.0 as u64 + 1).to_be_bytes();
         let class = (class.0 as u64).to_be_bytes();
-        KeyDigest(sixteen(Sha256::new().chain_update(tenant).chain_update(class).chain_update(key)))
+        KeyDigest(truncated_digest(Sha256::new().chain_update(tenant).chain_update(class).chain_update(key)))
     }
 }
 
 impl Fingerprint {
-    /// The fingerprint of a call.
-    pub fn new(function: &str, payload: &[u8]) -> Self {
+    /// Fingerprint of a call.
+    #[must_use]
+    pub(crate) fn new(function: &str, payload: &[u8]) -> Self {
         let length = (function.len() as u64).to_be_bytes();
-        Fingerprint(sixteen(Sha256::new().chain_update(length).chain_update(function).chain_update(payload)))
+        let hash = Sha256::new().chain_update(length).chain_update(function).chain_update(payload);
+        Fingerprint(truncated_digest(hash))
     }
 }
 
-/// How much is remembered.
+/// Limits of the duplicate table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateLimits {
-    /// Keys, running, answered and forgotten together.
+    /// Maximum number of keys: running, completed and forgotten ones together.
     pub keys: usize,
-    /// Bytes of recorded results, all together.
+    /// Maximum number of bytes of all stored results together.
     pub result_bytes: usize,
-    /// How many times its class's memory a forgotten key still counts as used.
+    /// How long a forgotten key counts as used, as a multiple of the retention time of its class.
     pub forgotten_for: u32,
 }
 
@@ -59,228 +65,164 @@
     }
 }
 
-/// What is known of a key.
+/// What the table knows of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
-    /// Nothing: it may run.
+pub(crate) enum KeyStatus {
+    /// The key was not used: the call may run.
     Unknown,
-    /// It runs.
+    /// The call with this key is running.
     Running(RequestId),
-    /// It ended so.
-    Answered(Answer),
-    /// It was used; how it ended is no longer known.
+    /// The call ended with this answer.
+    Completed(Answer),
+    /// The key was used; the answer is no longer stored.
     Forgotten,
-    /// It was used for another function or payload.
-    Other,
+    /// The key was used for another function or payload.
+    Mismatch,
 }
 
 #[derive(Debug)]
-enum State {
+enum EntryState {
     Running(RequestId),
-    Answered(Answer),
+    Completed(Answer),
     Forgotten,
 }
 
 #[derive(Debug)]
 struct Entry {
     fingerprint: Fingerprint,
-    state: State,
-    /// When its present state ends; of a running one nothing but its end does that.
-    until: Micros,
-    remember: Micros,
+    state: EntryState,
+    /// When the present state expires; the end of time for a running call.
+    expires_at: Micros,
+    /// How long the answer is stored after the call ended.
+    retention: Micros,
 }
 
-/// The table.
+/// The table of idempotency keys.
 #[derive(Debug)]
-pub struct DuplicateTable {
+pub(crate) struct DuplicateTable {
     limits: DuplicateLimits,
     entries: HashMap<KeyDigest, Entry>,
-    /// Keys with a recorded result, in the order of their end, for those that must give way.
+    /// Keys with a stored result, oldest first, in the order of eviction.
     results: VecDeque<KeyDigest>,
     result_bytes: usize,
 }
 
 impl DuplicateTable {
     /// An empty table.
-    pub fn new(limits: DuplicateLimits) -> Self {
+    #[must_use]
+    pub(crate) fn new(limits: DuplicateLimits) -> Self {
         DuplicateTable { limits, entries: HashMap::new(), results: VecDeque::new(), result_bytes: 0 }
     }
 
-    /// What is known of a key at a time.
-    pub fn look(&self, now: Micros, key: KeyDigest, fingerprint: Fingerprint) -> Seen {
-        let Some(entry) = self.entries.get(&key) else { return Seen::Unknown };
+    /// Status of a key at `now`.
+    #[must_use]
+    pub(crate) fn lookup(&self, now: Micros, key: KeyDigest, fingerprint: Fingerprint) -> KeyStatus {
+        let Some(entry) = self.entries.get(&key) else { return KeyStatus::Unknown };
         if entry.fingerprint != fingerprint {
-            return Seen::Other;
+            return KeyStatus::Mismatch;
         }
         match &entry.state {
-            State::Running(id) => Seen::Running(*id),
-            State::Answered(answer) if now < entry.until => {
-                Seen::Answered(Answer { recorded: true, ..answer.clone() })
+            EntryState::Running(id) => KeyStatus::Running(*id),
+            EntryState::Completed(answer) if now < entry.expires_at => {
+                KeyStatus::Completed(Answer { recorded: true, ..answer.clone() })
             }
-            State::Answered(_) | State::Forgotten => Seen::Forgotten,
+            EntryState::Completed(_) | EntryState::Forgotten => KeyStatus::Forgotten,
         }
     }
 
-    /// Whether no further key can be remembered.
-    pub fn is_full(&self) -> bool {
+    /// Whether the table has no room for another key.
+    #[must_use]
+    pub(crate) fn is_full(&self) -> bool {
         self.entries.len() >= self.limits.keys
     }
 
-    /// Keys remembered.
-    pub fn len(&self) -> usize {
+    /// Number of keys in the table.
+    #[must_use]
+    pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
-    pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
-    }
-
-    /// Notes that a key runs; its answer will be on record for `remember`.
-    pub fn begin(&mut self, key: KeyDigest, fingerprint: Fingerprint, id: RequestId, remember: Micros) {
-        let (state, until) = (State::Running(id), Micros(i64::MAX));
-        self.entries.insert(key, Entry { fingerprint, state, until, remember });
+    /// Inserts a key whose call starts to run; its answer will be stored for `retention`.
+    pub(crate) fn insert_running(
+        &mut self,
+        key: KeyDigest,
+        fingerprint: Fingerprint,
+        id: RequestId,
+        retention: Micros,
+    ) {
+        let (state, expires_at) = (EntryState::Running(id), Micros(i64::MAX));
+        self.entries.insert(key, Entry { fingerprint, state, expires_at, retention });
     }
 
-    /// Puts the answer of a running key on record; returns when [`DuplicateTable::expire`] is due.
-    pub fn record(&mut self, now: Micros, key: KeyDigest, answer: Answer) -> Option<Micros> {
+    /// Stores the answer of a running key; returns when [`DuplicateTable::expire`] is due.
+    pub(crate) fn record_answer(&mut self, now: Micros, key: KeyDigest, answer: Answer) -> Option<Micros> {
         let entry = self.entries.get_mut(&key)?;
         if let Verdict::Served { payload, .. } = &answer.verdict {
             self.result_bytes += payload.len();
             self.results.push_back(key);
         }
-        entry.state = State::Answered(answer);
-        entry.until = Micros(now.0.saturating_add(entry.remember.0));
-        let until = entry.until;
+        entry.state = EntryState::Completed(answer);
+        entry.expires_at = Micros(now.0.saturating_add(entry.retention.0));
+        let expires_at = entry.expires_at;
         while self.result_bytes > self.limits.result_bytes {
             let Some(oldest) = self.results.pop_front() else { break };
-            self.drop_result(oldest);
+            self.evict_result(oldest);
         }
-        Some(until)
+        Some(expires_at)
     }
 
-    /// Forgets a key of which nothing ever ran.
-    pub fn release(&mut self, key: KeyDigest) {
+    /// Removes a key of which no attempt ran.
+    pub(crate) fn release(&mut self, key: KeyDigest) {
         self.entries.remove(&key);
     }
 
-    /// A time returned before has come: the answer is forgotten, or the key itself. Returns the next such time.
-    pub fn expire(&mut self, now: Micros, key: KeyDigest) -> Option<Micros> {
-        let limits = self.limits;
-        let entry = self.entries.get_mut(&key).filter(|e| e.until <= now)?;
+    /// Expires the present state of a key if it is due at `now`: a completed key becomes forgotten, a forgotten one is
+    /// removed. Returns when the next call of this function is due.
+    pub(crate) fn expire(&mut self, now: Micros, key: KeyDigest) -> Option<Micros> {
+        let forgotten_for = i64::from(self.limits.forgotten_for);
+        let entry = self.entries.get_mut(&key).filter(|entry| entry.expires_at <= now)?;
         match entry.state {
-            State::Running(_) => None,
-            State::Answered(_) => {
-                let longer = entry.remember.0.saturating_mul(i64::from(limits.forgotten_for));
-                entry.until = Micros(now.0.saturating_add(longer));
-                let until = entry.until;
-                self.drop_result(key);
-                if let Some(entry) = self.entries.get_mut(&key) {
-                    entry.state = State::Forgotten;
-                }
-                // Results leave the queue in its order; those dropped out of turn are skipped there.
-                while self.results.front().is_some_and(|k| !self.holds_result(k)) {
-                    self.results.pop_front();
-                }
-                Some(until)
+            EntryState::Running(_) => None,
+            EntryState::Completed(_) => {
+                let used_for = entry.retention.0.saturating_mul(forgotten_for);
+                entry.expires_at = Micros(now.0.saturating_add(used_for));
+                let expires_at = entry.expires_at;
+                self.forget_answer(key);
+                Some(expires_at)
             }
-            State::Forgotten => {
+            EntryState::Forgotten => {
                 self.entries.remove(&key);
                 None
             }
         }
     }
 
-    fn holds_result(&self, key: &KeyDigest) -> bool {
-        let state = self.entries.get(key).map(|e| &e.state);
-        matches!(state, Some(State::Answered(Answer { verdict: Verdict::Served { .. }, .. })))
-    }
-
-    /// Lets a recorded result go and keeps how the call ended.
-    fn drop_result(&mut self, key: KeyDigest) {
-        let Some(Entry { state: State::Answered(answer), .. }) = self.entries.get_mut(&key) else { return };
-        if let Verdict::Served { payload, .. } = &answer.verdict {
-            self.result_bytes = self.result_bytes.saturating_sub(payload.len());
-            answer.verdict = Verdict::Failed(Reason::ResultForgotten);
+    fn forget_answer(&mut self, key: KeyDigest) {
+        self.evict_result(key);
+        if let Some(entry) = self.entries.get_mut(&key) {
+            entry.state = EntryState::Forgotten;
         }
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::sync::Arc;
-
-    fn key(n: u8) -> (KeyDigest, Fingerprint) {
-        (KeyDigest::new(None, ClassId(0), &[n]), Fingerprint::new("f", &[n]))
-    }
-
-    fn served(bytes: usize) -> Answer {
-        let payload: Arc<[u8]> = vec![7; bytes].into();
-        Answer {
-            verdict: Verdict::Served { payload, ran: None },
-            attempts: 1,
-            recorded: false,
-            version: None,
+        // Answers may expire in another order than they were stored; keys without a result leave the queue at its front.
+        while self.results.front().is_some_and(|oldest| !self.has_result(oldest)) {
+            self.results.pop_front();
         }
     }
 
-    fn table(result_bytes: usize) -> DuplicateTable {
-        DuplicateTable::new(DuplicateLimits { keys: 4, result_bytes, forgotten_for: 2 })
-    }
-
-    #[test]
-    fn a_key_is_running_then_on_record_then_forgotten_then_unknown() {
-        let (mut t, (k, f)) = (table(100), key(1));
-        assert_eq!(t.look(Micros(0), k, f), Seen::Unknown);
-        t.begin(k, f, RequestId(5), Micros(10));
-        assert_eq!(t.look(Micros(1_000), k, f), Seen::Running(RequestId(5)));
-        assert_eq!(t.record(Micros(20), k, served(3)), Some(Micros(30)));
-        assert_eq!(t.look(Micros(29), k, f), Seen::Answered(Answer { recorded: true, ..served(3) }));
-        assert_eq!(t.look(Micros(30), k, f), Seen::Forgotten, "also before its timer fires");
-        assert_eq!(t.expire(Micros(30), k), Some(Micros(50)));
-        assert_eq!(t.look(Micros(49), k, f), Seen::Forgotten);
-        assert_eq!(t.expire(Micros(50), k), None);
-        assert_eq!((t.look(Micros(50), k, f), t.len(), t.result_bytes), (Seen::Unknown, 0, 0));
-    }
-
-    #[test]
-    fn a_key_used_for_another_call_is_noticed_in_every_state() {
-        let (mut t, (k, f), (_, other)) = (table(100), key(1), key(2));
-        t.begin(k, f, RequestId(5), Micros(10));
-        assert_eq!(t.look(Micros(0), k, other), Seen::Other);
-        t.record(Micros(0), k, served(3));
-        assert_eq!(t.look(Micros(1), k, other), Seen::Other);
-        t.expire(Micros(10), k);
-        assert_eq!(t.look(Micros(11), k, other), Seen::Other);
-    }
-
-    #[test]
-    fn results_beyond_the_bytes_give_way_oldest_first_and_their_keys_stay() {
-        let mut t = table(100);
-        for n in 0..3 {
-            let (k, f) = key(n);
-            t.begin(k, f, RequestId(u64::from(n)), Micros(10));
-            t.record(Micros(0), k, served(45));
-        }
-        let (k, f) = key(0);
-        let Seen::Answered(answer) = t.look(Micros(1), k, f) else { panic!("the key is forgotten") };
-        assert_eq!(answer.verdict, Verdict::Failed(Reason::ResultForgotten));
-        let (k, f) = key(2);
-        assert!(matches!(t.look(Micros(1), k, f), Seen::Answered(a) if a.verdict.word() == "served"));
-        assert!(t.result_bytes <= 100);
+    fn has_result(&self, key: &KeyDigest) -> bool {
+        let state = self.entries.get(key).map(|entry| &entry.state);
+        matches!(state, Some(EntryState::Completed(Answer { verdict: Verdict::Served { .. }, .. })))
     }
 
-    #[test]
-    fn a_full_table_says_so_and_a_released_key_makes_room() {
-        let mut t = table(100);
-        for n in 0..4 {
-            let (k, f) = key(n);
-            t.begin(k, f, RequestId(u64::from(n)), Micros(10));
+    /// Drops the stored result of a key; the key remains completed, without its result.
+    fn evict_result(&mut self, key: KeyDigest) {
+        let Some(entry) = self.entries.get_mut(&key) else { return };
+        let EntryState::Completed(answer) = &mut entry.state else { return };
+        if let Verdict::Served { payload, .. } = &answer.verdict {
+            self.result_bytes = self.result_bytes.saturating_sub(payload.len());
+            answer.verdict = Verdict::Failed(Reason::ResultEvicted);
         }
-        assert!(t.is_full());
-        t.release(key(3).0);
-        assert!(!t.is_full());
-        assert_eq!(t.look(Micros(0), key(3).0, key(3).1), Seen::Unknown);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -6,7 +6,7 @@
 
 use crate::answer::{Answer, Reason, Verdict};
 use crate::call::{Call, ClientRef, Repeat, RunBody, Ticket, Version};
-use crate::duplicates::{DuplicateLimits, DuplicateTable, Fingerprint, KeyDigest, Seen};
+use crate::duplicates::{DuplicateLimits, DuplicateTable, Fingerprint, KeyDigest, KeyStatus};
 use crate::names::{function_id, Names};
 use crate::timers::Timers;
 use slatevalve::{
@@ -290,27 +290,27 @@
             return Err(Reason::KeyMissing);
         }
         if let Some((digest, fingerprint)) = key {
-            match self.keys.look(self.now, digest, fingerprint) {
-                Seen::Running(id) => {
+            match self.keys.lookup(self.now, digest, fingerprint) {
+                KeyStatus::Running(id) => {
                     self.statistics.repeats += 1;
                     self.join(id, call, out);
                     return Ok(());
                 }
-                Seen::Answered(answer) => {
+                KeyStatus::Completed(answer) => {
                     self.statistics.repeats += 1;
                     self.give(call.ticket, answer, out);
                     return Ok(());
                 }
-                Seen::Forgotten => return Err(Reason::UnknownRepeat),
+                KeyStatus::Forgotten => return Err(Reason::UnknownRepeat),
                 // Clients may count their correlation data anew; for a safe call that harms nobody.
-                Seen::Other if safe => key = None,
-                Seen::Other => return Err(Reason::KeyReused),
-                Seen::Unknown if !safe && self.may_be_forgotten(call.repeat, remember) => {
+                KeyStatus::Mismatch if safe => key = None,
+                KeyStatus::Mismatch => return Err(Reason::KeyReused),
+                KeyStatus::Unknown if !safe && self.may_be_forgotten(call.repeat, remember) => {
                     return Err(Reason::UnknownRepeat)
                 }
-                Seen::Unknown if self.keys.is_full() && safe => key = None,
-                Seen::Unknown if self.keys.is_full() => return Err(Reason::KeysFull),
-                Seen::Unknown => {}
+                KeyStatus::Unknown if self.keys.is_full() && safe => key = None,
+                KeyStatus::Unknown if self.keys.is_full() => return Err(Reason::KeysFull),
+                KeyStatus::Unknown => {}
             }
         }
         if self.stopping {
@@ -329,11 +329,11 @@
         }
         let version = call.version.clone()?;
         let run_name = version.as_ref().map_or(&call.function, |v| &v.function);
-        let function = self.names.open(run_name).map_err(|_| Reason::FunctionName)?;
+        let function = self.names.acquire(run_name).map_err(|_| Reason::FunctionName)?;
         let id = RequestId(self.next);
         self.next += 1;
         if let Some((key, fingerprint)) = key {
-            self.keys.begin(key, fingerprint, id, remember);
+            self.keys.insert_running(key, fingerprint, id, remember);
         }
         self.begin(id, call, (function, version), key.map(|k| k.0), budget, out);
         Ok(())
@@ -516,8 +516,8 @@
     ) -> usize {
         self.now = self.now.max(now);
         // Its name must be known for the orders that come back, also before its first call.
-        let Ok(function) = self.names.open(name) else { return 0 };
-        self.names.close(function);
+        let Ok(function) = self.names.acquire(name) else { return 0 };
+        self.names.release(function);
         let before = out.len();
         self.tell(Event::LoadExpected { function, like: function_id(like), most }, out);
         out[before..]
@@ -633,7 +633,7 @@
         if let Some(key) = open.key {
             // A key of which nothing ran is as good as new; a safe call's needs no record.
             if open.recorded && (open.may_have_run() || matches!(answer.verdict, Verdict::Served { .. })) {
-                if let Some(at) = self.keys.record(self.now, key, answer.clone()) {
+                if let Some(at) = self.keys.record_answer(self.now, key, answer.clone()) {
                     self.timers.set(at, Timer::Key(key));
                 }
             } else {
@@ -660,7 +660,7 @@
     fn sweep(&mut self, id: RequestId) {
         if self.open.get(&id).is_some_and(|o| o.answered && o.out().next().is_none()) {
             if let Some(open) = self.open.remove(&id) {
-                self.names.close(open.function);
+                self.names.release(open.function);
             }
         }
     }
@@ -692,7 +692,7 @@
                 self.sweep(id);
             }
             Action::Cancel { id, attempt } => out.push(Output::Cancel(AttemptRef { request: id, attempt })),
-            Action::Load { worker, function, copies } => match self.names.name(function) {
+            Action::Load { worker, function, copies } => match self.names.get(function) {
                 Some(name) => out.push(Output::Load { worker, function, name, copies }),
                 None => {
                     let (outcome, latency) = (Outcome::NotSent, Micros(0));
@@ -700,7 +700,7 @@
                 }
             },
             Action::Drop { worker, function } => {
-                let name = self.names.name(function);
+                let name = self.names.get(function);
                 out.extend(name.map(|name| Output::Unload { worker, name }));
             }
             Action::Probe { worker } => out.push(Output::Probe(worker)),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -20,9 +20,9 @@
 
 pub use answer::{Answer, Reason, Verdict};
 pub use call::{Call, ClientRef, Repeat, RunBody, Ticket, Version};
-pub use duplicates::{DuplicateLimits, DuplicateTable, Seen};
+pub use duplicates::DuplicateLimits;
 pub use engine::{
     AttemptEnd, AttemptRef, ClassPolicy, Engine, EngineSettings, FunctionTraits, Output, Statistics,
 };
-pub use names::{function_id, worker_id, NameError, Names};
+pub use names::{function_id, worker_id};
 pub use timers::Timers;
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -1,6 +1,8 @@
-//! Names and the module's ids. A worker's and a function's id is a hash of its name, so that all gateways agree
-//! without a word between them (the ring needs that); two names with one id are told apart here and the second is
-//! refused, as the module would mix their copies up. Called by the engine and, for workers, by the shell.
+//! Ids of functions and workers, derived from their names.
+//!
+//! An id is a hash of the name, so that all gateways agree on it without coordination, which the hash ring requires. Two
+//! function names with the same id are detected here and the second one is refused, because the balancer would take their
+//! replicas for one another.
 
 use sha2::{Digest, Sha256};
 use slatevalve::{FunctionId, WorkerId};
@@ -8,17 +10,20 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Why a name cannot be taken.
+/// When the names are at their limit, one of this many is evicted at once, so that the sort is amortised over many calls.
+const EVICTION_DIVISOR: usize = 8;
+
+/// Why a function name cannot be registered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NameError {
-    /// Its id is that of another name in use.
+pub(crate) enum NameError {
+    /// Another name in use has the same id.
     Collision {
-        /// The name asked for.
+        /// The name that was refused.
         name: String,
         /// The name that has the id.
         other: String,
     },
-    /// Every name that is held is in use.
+    /// The limit is reached and every name has open calls.
     Full,
 }
 
@@ -33,125 +38,102 @@
 
 impl std::error::Error for NameError {}
 
-/// The first eight bytes of SHA-256 over a kind and a name: stable over builds, machines and versions.
-fn stable(kind: &str, name: &str) -> u64 {
+/// The first eight bytes, big-endian, of SHA-256 over the kind, a zero byte and the name: the same in all builds, machines
+/// and versions.
+fn stable_hash(kind: &str, name: &str) -> u64 {
     let digest = Sha256::new().chain_update(kind).chain_update([0]).chain_update(name).finalize();
     digest.first_chunk::<8>().map_or(0, |bytes| u64::from_be_bytes(*bytes))
 }
 
-/// A function's id, the same at every gateway.
+/// Id of a function, the same at every gateway.
+#[must_use]
 pub fn function_id(name: &str) -> FunctionId {
-    FunctionId(stable("function", name))
+    FunctionId(stable_hash("function", name))
 }
 
-/// A worker's id, the same at every gateway and kept over restarts of the worker.
+/// Id of a worker, the same at every gateway and across restarts of the worker.
+#[must_use]
 pub fn worker_id(name: &str) -> WorkerId {
-    WorkerId(stable("worker", name))
+    WorkerId(stable_hash("worker", name))
 }
 
 #[derive(Debug)]
-struct Held {
+struct NameEntry {
     name: Arc<str>,
-    /// Calls open for it, and when it was last asked for (a count of askings).
-    open: usize,
-    last: u64,
+    open_calls: usize,
+    /// Value of `Names::uses` when the name was last acquired.
+    last_use: u64,
 }
 
-/// The names of functions, at most so many; the one unused for longest makes room.
+/// The function names in use, up to a limit; beyond it those unused for longest are evicted.
 #[derive(Debug)]
-pub struct Names {
+pub(crate) struct Names {
     hash: fn(&str) -> FunctionId,
-    held: HashMap<FunctionId, Held>,
-    most: usize,
-    clock: u64,
+    entries: HashMap<FunctionId, NameEntry>,
+    capacity: usize,
+    /// Number of acquisitions so far, a logical clock for the eviction order.
+    uses: u64,
 }
 
 impl Names {
-    /// Names of functions, `most` at a time.
-    pub fn new(most: usize) -> Self {
-        Names { hash: function_id, held: HashMap::new(), most: most.max(1), clock: 0 }
+    /// An empty table for at most `capacity` names, at least one.
+    #[must_use]
+    pub(crate) fn new(capacity: usize) -> Self {
+        Names { hash: function_id, entries: HashMap::new(), capacity: capacity.max(1), uses: 0 }
     }
 
-    /// Notes one more open call of a function.
+    /// Registers one more open call of a function and returns the id of the function.
     ///
     /// # Errors
-    /// When another name has the id, or every name held has open calls.
-    pub fn open(&mut self, name: &Arc<str>) -> Result<FunctionId, NameError> {
+    /// If another name has the same id, or the table is full of names with open calls.
+    pub(crate) fn acquire(&mut self, name: &Arc<str>) -> Result<FunctionId, NameError> {
         let id = (self.hash)(name);
-        self.clock += 1;
-        let clock = self.clock;
-        if let Some(held) = self.held.get_mut(&id) {
-            if held.name != *name {
-                return Err(NameError::Collision { name: name.to_string(), other: held.name.to_string() });
+        self.uses += 1;
+        let last_use = self.uses;
+        if let Some(entry) = self.entries.get_mut(&id) {
+            if entry.name != *name {
+                return Err(NameError::Collision { name: name.to_string(), other: entry.name.to_string() });
             }
-            held.open += 1;
-            held.last = clock;
+            entry.open_calls += 1;
+            entry.last_use = last_use;
             return Ok(id);
         }
-        if self.held.len() >= self.most {
-            self.make_room()?;
+        if self.entries.len() >= self.capacity {
+            self.evict_idle()?;
         }
-        self.held.insert(id, Held { name: name.clone(), open: 1, last: clock });
+        self.entries.insert(id, NameEntry { name: name.clone(), open_calls: 1, last_use });
         Ok(id)
     }
 
-    /// Notes that a call of a function ended.
-    pub fn close(&mut self, id: FunctionId) {
-        if let Some(held) = self.held.get_mut(&id) {
-            held.open = held.open.saturating_sub(1);
+    /// Records that a call of a function was closed.
+    pub(crate) fn release(&mut self, id: FunctionId) {
+        if let Some(entry) = self.entries.get_mut(&id) {
+            entry.open_calls = entry.open_calls.saturating_sub(1);
         }
     }
 
-    /// The name of a function that was asked for lately.
-    pub fn name(&self, id: FunctionId) -> Option<Arc<str>> {
-        self.held.get(&id).map(|h| h.name.clone())
+    /// Name of a function, unless it was evicted.
+    #[must_use]
+    pub(crate) fn get(&self, id: FunctionId) -> Option<Arc<str>> {
+        self.entries.get(&id).map(|entry| entry.name.clone())
     }
 
-    /// Lets an eighth of the names go, those unused for longest, so that making room costs little for each call.
-    fn make_room(&mut self) -> Result<(), NameError> {
+    /// Evicts the names without open calls that were unused for longest.
+    fn evict_idle(&mut self) -> Result<(), NameError> {
+        let idle_entries = self.entries.iter().filter(|(_, entry)| entry.open_calls == 0);
         let mut idle: Vec<(u64, FunctionId)> =
-            self.held.iter().filter(|(_, h)| h.open == 0).map(|(id, h)| (h.last, *id)).collect();
+            idle_entries.map(|(id, entry)| (entry.last_use, *id)).collect();
         if idle.is_empty() {
             return Err(NameError::Full);
         }
         idle.sort_unstable();
-        for (_, id) in idle.into_iter().take((self.most / 8).max(1)) {
-            self.held.remove(&id);
+        let evicted = (self.capacity / EVICTION_DIVISOR).max(1);
+        for (_, id) in idle.into_iter().take(evicted) {
+            self.entries.remove(&id);
         }
         Ok(())
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn ids_never_change_between_builds() {
-        // printf 'function\0fare-quote' | sha256sum
-        assert_eq!(function_id("fare-quote").0, 0xe53f_7a30_4fb7_0a85);
-        assert_ne!(function_id("a").0, worker_id("a").0);
-    }
-
-    #[test]
-    fn a_second_name_with_the_same_id_is_refused_and_the_first_goes_on() {
-        let mut names = Names::new(8);
-        names.hash = |name| FunctionId(name.len() as u64);
-        let (first, second) = (Arc::from("one"), Arc::from("two"));
-        assert_eq!(names.open(&first), Ok(FunctionId(3)));
-        assert!(matches!(names.open(&second), Err(NameError::Collision { .. })));
-        assert_eq!(names.open(&first), Ok(FunctionId(3)));
-    }
-
-    #[test]
-    fn names_in_use_stay_and_others_make_room() {
-        let mut names = Names::new(2);
-        let [a, b, c]: [Arc<str>; 3] = ["a", "b", "c"].map(Arc::from);
-        let first = names.open(&a).unwrap();
-        let second = names.open(&b).unwrap();
-        assert_eq!(names.open(&c), Err(NameError::Full));
-        names.close(second);
-        names.open(&c).unwrap();
-        assert_eq!((names.name(first), names.name(second)), (Some(a), None));
-    }
-}
+mod tests;
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -1,76 +1,86 @@
-//! Timers as a heap. Nothing is ever taken out early: who set a timer sees when it is stale, and a stale one costs
-//! one pop. Called by the engine and the fronts.
+//! A timer queue as a binary heap. Timers are not cancelled: whoever set one ignores it when it fires stale, which costs
+//! one `pop`. Used by the engine, the connection pool and the front ends.
 
 use slatevalve::Micros;
-use std::cmp::Reverse;
+use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// What is due at a time; of equal times the one set first.
+/// Timers ordered by due time; of equal times the one set first fires first.
 #[derive(Debug)]
 pub struct Timers<T> {
-    heap: BinaryHeap<Reverse<Due<T>>>,
-    next: u64,
+    heap: BinaryHeap<Reverse<Entry<T>>>,
+    next_sequence: u64,
 }
 
 #[derive(Debug)]
-struct Due<T> {
-    at: Micros,
-    order: u64,
-    what: T,
+struct Entry<T> {
+    due: Micros,
+    /// Position in the order of insertion, which breaks ties.
+    sequence: u64,
+    timer: T,
 }
 
-impl<T> PartialEq for Due<T> {
+impl<T> Entry<T> {
+    fn rank(&self) -> (Micros, u64) {
+        (self.due, self.sequence)
+    }
+}
+
+impl<T> PartialEq for Entry<T> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        self.rank() == other.rank()
     }
 }
 
-impl<T> Eq for Due<T> {}
+impl<T> Eq for Entry<T> {}
 
-impl<T> PartialOrd for Due<T> {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
+impl<T> PartialOrd for Entry<T> {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> Ord for Due<T> {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+impl<T> Ord for Entry<T> {
+    fn cmp(&self, other: &Self) -> Ordering {
+        self.rank().cmp(&other.rank())
     }
 }
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { heap: BinaryHeap::new(), next: 0 }
+        Timers { heap: BinaryHeap::new(), next_sequence: 0 }
     }
 }
 
 impl<T> Timers<T> {
-    /// Sets a timer.
-    pub fn set(&mut self, at: Micros, what: T) {
-        self.heap.push(Reverse(Due { at, order: self.next, what }));
-        self.next += 1;
+    /// Sets a timer that is due at `due`.
+    pub fn set(&mut self, due: Micros, timer: T) {
+        self.heap.push(Reverse(Entry { due, sequence: self.next_sequence, timer }));
+        self.next_sequence += 1;
     }
 
-    /// When the next one is due.
+    /// Due time of the next timer.
+    #[must_use]
     pub fn next(&self) -> Option<Micros> {
-        self.heap.peek().map(|d| d.0.at)
+        self.heap.peek().map(|Reverse(entry)| entry.due)
     }
 
-    /// The next one that is due by `now`.
+    /// Removes and returns the next timer that is due at `now` or before.
     pub fn pop(&mut self, now: Micros) -> Option<T> {
         if self.next()? > now {
             return None;
         }
-        self.heap.pop().map(|d| d.0.what)
+        self.heap.pop().map(|Reverse(entry)| entry.timer)
     }
 
-    /// How many are set, stale ones too.
+    /// Number of timers set, stale ones included.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether none is set.
+    /// Whether no timer is set.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
