--- a/crates/engine/src/answer.rs
+++ b/crates/engine/src/answer.rs
@@ -1,41 +1,43 @@
-//! Final answers: what a client is told, and why. Made by the engine, put into bytes by the fronts.
+//! The final answer to a call and the reasons for a call without a result. The engine creates answers, the front ends
+//! encode them.
 
-use crate::call::Version;
+use crate::version::Version;
 use std::fmt;
 use std::sync::Arc;
 
 /// The one final answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// How it ended.
+    /// How the call ended.
     pub verdict: Verdict,
-    /// Attempts that were sent to workers for it.
+    /// Number of attempts that were sent to workers.
     pub attempts: usize,
-    /// The call had ended before, and this repeats its answer from the record.
+    /// Whether this is the stored answer of a call that had ended before.
     pub recorded: bool,
-    /// The version that it was taken for, where functions have versions and it began a run.
+    /// The version that the call was accepted for, if functions have versions and the call started a run.
     pub version: Option<Version>,
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// A worker ran it.
+    /// A worker ran the call.
     Served {
-        /// Its result.
+        /// The result.
         payload: Arc<[u8]>,
-        /// Version or digest of the function that ran, where the worker told.
+        /// Version or digest of the function that ran, if the worker reported it.
         ran: Option<Arc<str>>,
     },
-    /// This asking started no run, and trying again does no harm. ([`Reason::UnknownRepeat`] says nothing of what an
-    /// earlier asking with the same key may have started.)
+    /// This submission started no run, and a retry is safe. [`Reason::UnknownRepeat`] does not exclude that an earlier
+    /// submission with the same key started one.
     Refused(Reason),
-    /// It ended without a result, and that promises nothing: it may have run.
+    /// The call ended without a result and may have run.
     Failed(Reason),
 }
 
 impl Verdict {
-    /// `served`, `refused` or `failed`, as clients read it.
+    /// `served`, `refused` or `failed`, as clients receive it.
+    #[must_use]
     pub fn word(&self) -> &'static str {
         match self {
             Verdict::Served { .. } => "served",
@@ -44,7 +46,8 @@
         }
     }
 
-    /// The reason, where it was not served.
+    /// The reason, unless the call was served.
+    #[must_use]
     pub fn reason(&self) -> Option<Reason> {
         match self {
             Verdict::Served { .. } => None,
@@ -53,63 +56,70 @@
     }
 }
 
+impl fmt::Display for Verdict {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.word())
+    }
+}
+
 /// Why a call was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// No worker can answer in time, or all are too busy (the module's refusal).
+    /// The balancer refused the call: no worker can answer in time, or all are overloaded.
     NoCapacity,
-    /// The class repeats by key or not at all, and the call has no key.
+    /// The class requires an idempotency key and the call has none.
     KeyMissing,
-    /// The key was used for another function or payload.
+    /// The key was used before for another function or payload.
     KeyReused,
-    /// A repeat of something that is no longer, or was never, in this gateway's memory.
+    /// The call repeats one that is not, or no longer, in the duplicate table.
     UnknownRepeat,
-    /// The table of keys is full.
-    KeysFull,
-    /// Too many calls are open.
+    /// The duplicate table has no room for another key.
+    KeyTableFull,
+    /// The maximum number of open calls is reached.
     TooManyOpen,
-    /// The time that the client gives is too short to answer in.
-    NoTime,
-    /// The function's name cannot be told apart from another's, or there is no room for its name.
-    FunctionName,
-    /// The function's name means no version that is here.
+    /// The client's budget is too short for an answer.
+    BudgetTooShort,
+    /// The id of the function's name collides with that of another name, or there is no room for another name.
+    InvalidFunctionName,
+    /// The name refers to no version that is available here.
     UnknownVersion,
-    /// The plug-in is of another class than the route's.
+    /// The plug-in belongs to another class than the route.
     WrongClass,
-    /// Its content was found corrupt; it runs again after a clean pull.
+    /// The content of the version is corrupt; it runs again after an intact copy was pulled.
     Quarantined,
-    /// No key that this site listens to has signed the version, or it claims a class that it may not have.
+    /// The version is not signed by a key that this site trusts, or it claims a class that it may not have.
     NotAllowed,
     /// No such tenant.
     UnknownTenant,
-    /// No route takes the topic, or the topic gives no usable name.
+    /// No route matches the topic, or the topic yields no valid name.
     NoRoute,
-    /// The gateway is stopping.
+    /// The gateway is shutting down.
     Stopping,
-    /// The gateway's right to act by its settings has ended.
-    NoRight,
-    /// Two documents of settings that are both in use differ on the topic.
+    /// The gateway's lease to act by its settings has expired.
+    LeaseExpired,
+    /// Two settings documents that are both in use differ about the topic.
     InChange,
-    /// No attempt gave a result in time; the call may have run.
+    /// No attempt returned a result in time; the call may have run.
     NoResult,
-    /// It was served, but the result is no longer held.
+    /// The call was served, but its result is no longer stored.
     ResultEvicted,
-    /// The client that asked first left, and the call was called off; it may have run.
-    ClientLeft,
+    /// The client disconnected and the call was cancelled; it may have run.
+    ClientDisconnected,
 }
 
 impl Reason {
-    /// The plain words that clients get.
+    /// The text that clients receive.
+    #[must_use]
     pub fn words(self) -> &'static str {
         match self {
             Reason::NoCapacity => "no worker can answer in time",
             Reason::KeyMissing => "this class needs a key and the call has none",
             Reason::KeyReused => "this key was used for another call",
             Reason::UnknownRepeat => "a repeat of a call that is not remembered here",
-            Reason::KeysFull => "no room to remember another key",
+            Reason::KeyTableFull => "no room to remember another key",
             Reason::TooManyOpen => "too many calls are open",
-            Reason::NoTime => "too little time is left to answer",
-            Reason::FunctionName => "the function's name cannot be taken",
+            Reason::BudgetTooShort => "too little time is left to answer",
+            Reason::InvalidFunctionName => "the function's name cannot be taken",
             Reason::UnknownVersion => "no such plug-in or version is here",
             Reason::WrongClass => "this plug-in is of another class than its topic",
             Reason::Quarantined => "this version is in quarantine: its content is not what its digest says",
@@ -119,11 +129,11 @@
             Reason::UnknownTenant => "unknown tenant",
             Reason::NoRoute => "no route takes this topic",
             Reason::Stopping => "the gateway is stopping",
-            Reason::NoRight => "not sent: the gateway cannot tell whether its settings still count",
+            Reason::LeaseExpired => "not sent: the gateway cannot tell whether its settings still count",
             Reason::InChange => "not sent: the settings of this topic are being changed",
             Reason::NoResult => "no result in time; it may have run",
             Reason::ResultEvicted => "it ran; its result is no longer held",
-            Reason::ClientLeft => "called off as its client left; it may have run",
+            Reason::ClientDisconnected => "called off as its client left; it may have run",
         }
     }
 }
--- a/crates/engine/src/call.rs
+++ b/crates/engine/src/call.rs
@@ -1,90 +1,80 @@
-//! A call as a front hands it in.
+//! A call as a front end submits it, and the part of it that is sent to workers.
 
 use crate::answer::Reason;
-use crate::engine::FunctionTraits;
+use crate::settings::FunctionTraits;
+use crate::version::Version;
 use slatevalve::{ClassId, Micros, TenantId};
 use std::sync::Arc;
 
-/// The front's own number for one thing that it owes an answer to; never used twice.
+/// Identifies one submission of a call, for which the front end expects one answer. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// A client as the front knows it, over all its connections. A repeat by the same client replaces its earlier
-/// ticket, one by another client joins it.
+/// Identifies a client across its connections. A repeat by the same client supersedes its earlier ticket; a repeat by
+/// another client joins the call with a ticket of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClientRef(pub u64);
 
-/// Whether a call may have been handed in before.
+/// Whether a call may have been submitted before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// Nothing marks it as a repeat.
+    /// Nothing marks the call as a repeat.
     Unmarked,
-    /// It is marked as a repeat (MQTT's DUP flag, a client's own mark). Where `covered_since` is known, the first
-    /// sending reached this gateway at that time or later, or never: if all that was taken since then is still
-    /// remembered, a key that is not known was never taken.
+    /// The call is marked as a repeat, by the DUP flag of MQTT or by the client itself.
     Marked {
-        /// See above; in the gateway's own time.
+        /// Earliest time, on this gateway's clock, at which the first submission may have arrived here, where that is
+        /// known. If everything accepted since then is still in the duplicate table, a key that is not in the table was
+        /// never accepted.
         covered_since: Option<Micros>,
     },
 }
 
-/// The version that a call's reference meant when it was taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Version {
-    /// Its name.
-    pub name: Arc<str>,
-    /// The digest of its content, which every worker that runs it must name.
-    pub digest: Arc<str>,
-    /// What the module and the workers know it by: one function for each digest.
-    pub function: Arc<str>,
-}
-
-/// What goes to a worker, shared by all attempts.
+/// The content of a request to a worker, shared by all attempts of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunBody {
-    /// The function's name, as workers know it.
+    /// Name of the function, as workers know it.
     pub function: Arc<str>,
-    /// Its version, where functions have any.
+    /// Version of the function, where functions have versions.
     pub version: Option<Version>,
     /// The payload.
     pub payload: Arc<[u8]>,
-    /// The key, where the class has one.
+    /// The idempotency key, where the class has one.
     pub key: Option<Arc<[u8]>>,
-    /// Its class.
+    /// The class of the call.
     pub class: ClassId,
-    /// The client's own id of the request, where workers are to see it.
+    /// The client's own id of the request, where it is passed on to workers.
     pub request_id: Option<Arc<str>>,
 }
 
-/// A call that a client brought.
+/// A call that a client submitted.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What the front will know the answer by.
+    /// Identifies the answer to the front end.
     pub ticket: Ticket,
-    /// Who asks.
+    /// The client.
     pub client: ClientRef,
-    /// Its class.
+    /// The class of the call.
     pub class: ClassId,
-    /// Its tenant, where the site has any.
+    /// The tenant, where the site has tenants.
     pub tenant: Option<TenantId>,
-    /// The function's name, as the client gave it.
+    /// Name of the function, as given by the client.
     pub function: Arc<str>,
-    /// What that name means now, or why it means nothing that may run. It counts only where the call begins a run:
-    /// a repeat stays with the version of the first.
+    /// The version that the name refers to now, or the reason why it refers to none that may run. Used only if the call
+    /// starts a run: a repeat keeps the version of the first submission.
     pub version: Result<Option<Version>, Reason>,
-    /// What the version says of itself; without it the settings count.
+    /// Properties that come with the version; without them those of the settings apply.
     pub traits: Option<FunctionTraits>,
-    /// The key by which repeats are known.
+    /// The idempotency key, by which repeats are recognised.
     pub key: Option<Arc<[u8]>>,
-    /// The client's own id of the request, where workers are to see it.
+    /// The client's own id of the request, where it is passed on to workers.
     pub request_id: Option<Arc<str>>,
     /// The payload.
     pub payload: Arc<[u8]>,
-    /// The client gives up after this; cut to the class's deadline.
+    /// Time after which the client stops waiting; limited to the deadline of the class.
     pub budget: Micros,
-    /// How long it may have waited unread before it was handed in: a gateway that stood still itself, or was busy,
-    /// takes this off the time that it has.
+    /// Upper bound of the time that the call waited unread before it was submitted, because the gateway was busy or its
+    /// process paused. It is subtracted from the budget.
     pub age: Micros,
-    /// Whether it may have been handed in before.
+    /// Whether the call may have been submitted before.
     pub repeat: Repeat,
 }
--- /dev/null
+++ b/crates/engine/src/engine/attempts.rs
@@ -0,0 +1,65 @@
+//! Ends of attempts: verification of the version that ran, and the report to the balancer.
+
+use super::Engine;
+use crate::answer::Verdict;
+use crate::attempt::{AttemptEnd, AttemptRef};
+use crate::output::Output;
+use slatevalve::{Answer as AttemptAnswer, Event, Micros, Outcome, RequestId, WorkerId};
+
+impl Engine {
+    /// An attempt ended. The end of an attempt that is unknown or has ended before is ignored.
+    pub fn attempt_ended(&mut self, now: Micros, of: AttemptRef, end: AttemptEnd, out: &mut Vec<Output>) {
+        self.advance_clock(now);
+        let id = of.request;
+        let Some(open_call) = self.open_calls.get(&id) else { return };
+        let Some(attempt) = open_call.attempts.get(of.attempt) else { return };
+        if attempt.outcome.is_some() {
+            return;
+        }
+        let (worker, sent_at) = (attempt.worker, attempt.sent_at);
+        let end = self.verify_version(id, worker, end, out);
+        self.set_outcome(of, end.outcome);
+        if end.outcome == Outcome::Ok {
+            self.finish(id, Verdict::Served { payload: end.payload, ran: end.ran }, out);
+        }
+        let answer = AttemptAnswer {
+            id,
+            attempt: of.attempt,
+            worker,
+            outcome: end.outcome,
+            closed: self.open_calls.get(&id).is_none_or(|call| call.answered),
+            latency: Micros(self.now.0.saturating_sub(sent_at.0)),
+            queue_depth: end.queue_depth,
+            load_failed: end.load_failed,
+            report: end.report,
+        };
+        self.dispatch(Event::Answer(answer), out);
+        self.remove_if_closed(id);
+    }
+
+    /// Turns the result of another version than the call's into an error: it is no result of this call, but something
+    /// ran.
+    fn verify_version(
+        &mut self,
+        id: RequestId,
+        worker: WorkerId,
+        end: AttemptEnd,
+        out: &mut Vec<Output>,
+    ) -> AttemptEnd {
+        let version = self.open_calls.get(&id).and_then(|call| call.body.version.as_ref());
+        let Some(version) = version.filter(|_| end.outcome == Outcome::Ok) else { return end };
+        if end.ran.as_ref() == Some(&version.digest) {
+            return end;
+        }
+        self.statistics.ran_other += 1;
+        out.push(Output::RanOther { worker, version: version.clone(), ran: end.ran });
+        AttemptEnd { report: end.report, ..AttemptEnd::without_payload(Outcome::Error) }
+    }
+
+    fn set_outcome(&mut self, of: AttemptRef, outcome: Outcome) {
+        let open_call = self.open_calls.get_mut(&of.request);
+        if let Some(attempt) = open_call.and_then(|call| call.attempts.get_mut(of.attempt)) {
+            attempt.outcome = Some(outcome);
+        }
+    }
+}
--- /dev/null
+++ b/crates/engine/src/engine/fleet.rs
@@ -0,0 +1,85 @@
+//! Events about workers, replicas and routers, and what the balancer knows of replicas.
+
+use super::Engine;
+use crate::names::function_id;
+use crate::output::Output;
+use slatevalve::{Event, FunctionId, Listing, Micros, Outcome, Report, WorkerId};
+use std::sync::Arc;
+
+impl Engine {
+    /// The worker list was received, or an update of it.
+    pub fn listed(&mut self, now: Micros, listing: Listing, out: &mut Vec<Output>) {
+        self.advance_clock(now);
+        self.dispatch(Event::WorkersListed(listing), out);
+    }
+
+    /// The number of routers changed; `routers` includes this one.
+    pub fn routers(&mut self, now: Micros, routers: usize, out: &mut Vec<Output>) {
+        self.advance_clock(now);
+        self.dispatch(Event::RouterCountChanged(routers), out);
+    }
+
+    /// A health check ended.
+    pub fn probed(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        outcome: Outcome,
+        latency: Micros,
+        report: Option<Report>,
+        out: &mut Vec<Output>,
+    ) {
+        self.advance_clock(now);
+        self.dispatch(Event::ProbeCompleted { worker, outcome, latency, report }, out);
+    }
+
+    /// A load request ended.
+    #[allow(clippy::too_many_arguments)] // The fields of the balancer's event, one by one.
+    pub fn loaded(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        function: FunctionId,
+        outcome: Outcome,
+        copies: u32,
+        latency: Micros,
+        out: &mut Vec<Output>,
+    ) {
+        self.advance_clock(now);
+        self.dispatch(Event::LoadCompleted { worker, function, outcome, copies, latency }, out);
+    }
+
+    /// Calls of the function `name` are about to replace those of `like`: the balancer may load up to `max_replicas` of it
+    /// ahead. Returns the number of load requests that were put out.
+    pub fn expect(
+        &mut self,
+        now: Micros,
+        name: &Arc<str>,
+        like: &str,
+        max_replicas: usize,
+        out: &mut Vec<Output>,
+    ) -> usize {
+        self.advance_clock(now);
+        // Registers the name before the first call, as the load requests need it.
+        let Ok(expected) = self.names.acquire(name) else { return 0 };
+        self.names.release(expected);
+        let outputs_before = out.len();
+        let like = function_id(like);
+        self.dispatch(Event::LoadExpected { function: expected, like, most: max_replicas }, out);
+        let is_load =
+            |output: &&Output| matches!(output, Output::Load { function, .. } if *function == expected);
+        out[outputs_before..].iter().filter(is_load).count()
+    }
+
+    /// Number of workers on which replicas of a function are known to be loaded.
+    #[must_use]
+    pub fn loaded_replicas(&self, name: &str) -> usize {
+        self.balancer.loaded_replicas(function_id(name))
+    }
+
+    /// Number of workers that serve a function; 0 for a function without calls.
+    #[must_use]
+    pub fn workers_serving(&self, name: &str) -> usize {
+        self.balancer.workers_serving(function_id(name))
+    }
+}
--- /dev/null
+++ b/crates/engine/src/engine/settings_change.rs
@@ -0,0 +1,65 @@
+//! Replacement of the settings while calls are open, and suspension of calls that may not be sent for lack of a lease.
+//!
+//! Every open call ends by the rules that it was accepted under, or by stricter ones. The rules of a class may become
+//! stricter under the same class id; a class whose rules are relaxed gets a new id, which the creator of the settings
+//! ensures. Used by a gateway whose settings come as versioned documents.
+
+use super::{DeferredAttemptLimit, Engine};
+use crate::settings::EngineSettings;
+use slatevalve::{ClassId, RequestId};
+use std::collections::BTreeSet;
+
+impl Engine {
+    /// Replaces the settings. The seed, the limits of the duplicate table and the maxima of open calls and of function
+    /// names stay as they were. A raised limit of attempts applies once all calls that are open now are closed.
+    pub fn update_settings(&mut self, settings: EngineSettings) {
+        let EngineSettings { mut module, classes, key_spaces, functions, other_functions, margin, .. } =
+            settings;
+        self.deferred_attempt_limit = None;
+        let current_limit = self.settings.module.limits.max_attempts;
+        let new_limit = module.limits.max_attempts;
+        if new_limit > current_limit && !self.open_calls.is_empty() {
+            module.limits.max_attempts = current_limit;
+            let first_request = RequestId(self.next_request);
+            self.deferred_attempt_limit =
+                Some(DeferredAttemptLimit { first_request, max_attempts: new_limit });
+        }
+        self.balancer.update_settings(module.clone());
+        self.settings.module = module;
+        self.settings.classes = classes;
+        self.settings.key_spaces = key_spaces;
+        self.settings.functions = functions;
+        self.settings.other_functions = other_functions;
+        self.settings.margin = margin;
+    }
+
+    /// Applies a raised limit of attempts once no call is open that was accepted under the lower one.
+    pub(super) fn apply_deferred_attempt_limit(&mut self) {
+        let Some(deferred) = &self.deferred_attempt_limit else { return };
+        let oldest = self.open_calls.keys().next();
+        if oldest.is_some_and(|id| *id < deferred.first_request) {
+            return;
+        }
+        self.settings.module.limits.max_attempts = deferred.max_attempts;
+        self.deferred_attempt_limit = None;
+        self.balancer.update_settings(self.settings.module.clone());
+    }
+
+    /// Suspends or resumes calls with side effects. While they are suspended, new ones are refused, because nothing of
+    /// them was sent, and attempts of open ones end as not sent. Stored answers are returned as before.
+    pub fn suspend_non_idempotent(&mut self, suspended: bool) {
+        self.non_idempotent_suspended = suspended;
+    }
+
+    /// Whether an open call is suspended, see [`Engine::suspend_non_idempotent`].
+    #[must_use]
+    pub fn is_suspended(&self, request: RequestId) -> bool {
+        self.non_idempotent_suspended && self.open_calls.get(&request).is_some_and(|call| call.recorded)
+    }
+
+    /// The classes of the open calls.
+    #[must_use]
+    pub fn open_classes(&self) -> BTreeSet<ClassId> {
+        self.open_calls.values().map(|call| call.body.class).collect()
+    }
+}
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,28 +1,33 @@
-//! Calls, names, timers and duplicates around the decision module, without I/O.
+//! Request engine: open calls, attempts, duplicates and timers around the load balancer, without I/O.
 //!
-//! It guards two promises: what was taken gets exactly one final answer, whatever the module, the workers or the
-//! clients do; and a key that was seen never starts a second run, be it still running, answered or forgotten. Both
-//! fronts hand it [`Call`]s and get [`Answer`]s; the shell carries out its [`Output`]s and tells what came of them.
-//! Where a call runs, whether it is tried again or refused for want of capacity is the module's to decide
-//! ([`slatevalve::Balancer`]); the engine tells it every event once and passes every action on.
+//! It guarantees that every accepted call gets exactly one final answer, whatever the balancer, the workers or the clients
+//! do, and that a used idempotency key never starts a second run, whether its call is running, answered or forgotten. The
+//! front ends submit [`Call`]s and receive [`Answer`]s; the event loop executes the [`Output`]s and reports the results.
+//! Where a call runs, and whether it is retried or refused for lack of capacity, is decided by the balancer
+//! ([`slatevalve::Balancer`]); the engine passes every event to it once and executes every action.
 //!
-//! Same inputs and times give the same outputs: the clock is an argument, the seed a setting.
+//! The engine is deterministic: the clock is an argument, the seed a setting, and the same inputs give the same outputs.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod answer;
+mod attempt;
 mod call;
 mod duplicates;
 mod engine;
 mod names;
-mod settings_change;
+mod output;
+mod settings;
 mod timers;
+mod version;
 
 pub use answer::{Answer, Reason, Verdict};
-pub use call::{Call, ClientRef, Repeat, RunBody, Ticket, Version};
+pub use attempt::{AttemptEnd, AttemptRef};
+pub use call::{Call, ClientRef, Repeat, RunBody, Ticket};
 pub use duplicates::DuplicateLimits;
-pub use engine::{
-    AttemptEnd, AttemptRef, ClassPolicy, Engine, EngineSettings, FunctionTraits, Output, Statistics,
-};
+pub use engine::{Engine, Statistics};
 pub use names::{function_id, worker_id};
+pub use output::Output;
+pub use settings::{ClassPolicy, EngineSettings, FunctionTraits};
 pub use timers::Timers;
+pub use version::Version;
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -380,7 +380,7 @@
         b.answer_first(Outcome::Ok);
     }
     let beyond = b.call(1, UNSAFE, Some("one more"), Repeat::Unmarked);
-    assert_eq!(b.reason(beyond), Some(Reason::KeysFull));
+    assert_eq!(b.reason(beyond), Some(Reason::KeyTableFull));
 }
 
 #[derive(Clone, Debug)]
@@ -606,7 +606,7 @@
     let record = b.call(1, UNSAFE, Some("old"), Repeat::Unmarked);
     let new = b.call(1, UNSAFE, Some("new"), Repeat::Unmarked);
     let safe = b.call(1, SAFE, None, Repeat::Unmarked);
-    assert_eq!((b.words(record), b.reason(new)), (vec!["served"], Some(Reason::NoRight)));
+    assert_eq!((b.words(record), b.reason(new)), (vec!["served"], Some(Reason::LeaseExpired)));
     assert_eq!(b.sent.len(), 3, "the safe one");
     b.answer_first(Outcome::Full);
     b.pass(300_000);
