--- a/crates/worker-protocol/src/headers.rs
+++ b/crates/worker-protocol/src/headers.rs
@@ -1,34 +1,36 @@
-//! The names of the headers that the profile uses; both sides take them from here.
+//! Names of the headers of the profile, used by both sides.
 
-/// Request: the key of a keyed or unsafe call, hexadecimal.
+/// Request: the idempotency key of a call with side effects, hexadecimal.
 pub const KEY: &str = "Idempotency-Key";
-/// Request: the gateway's number of the call.
+/// Request: the gateway's id of the call.
 pub const REQUEST_ID: &str = "X-Request-Id";
-/// Request: which attempt of the call this is, from 0.
+/// Request: number of the attempt of the call, from 0.
 pub const ATTEMPT: &str = "X-Attempt";
-/// Request: milliseconds until the client gives up.
-pub const TIME_LEFT: &str = "X-Time-Left-Ms";
+/// Request: milliseconds until the client's deadline.
+pub const TIME_REMAINING: &str = "X-Time-Left-Ms";
 /// Request: the class of the call.
 pub const CLASS: &str = "X-Class";
-/// Request: numbers of the settings documents that the call was sent by, with commas between; none where there are none.
+/// Request: versions of the settings documents by which the call was sent, separated by commas; absent without documents.
 pub const SETTINGS: &str = "X-Settings";
-/// Request: the gateway that asks, for the worker's own logs.
+/// Request: name of the gateway, for the worker's logs.
 pub const GATEWAY: &str = "X-Gateway";
-/// Request and response: bytes of the JSON part before the binary tensors (binary-data extension).
+/// Request and response: length in bytes of the JSON part before the binary tensors (binary-tensor-data extension).
 pub const JSON_LENGTH: &str = "Inference-Header-Content-Length";
-/// Response: the call was never begun and never will be: [`NEVER_RAN_FULL`] or [`NEVER_RAN_MISS`].
-pub const NEVER_RAN: &str = "X-Never-Ran";
-/// Value of [`NEVER_RAN`]: turned away for want of room or time.
-pub const NEVER_RAN_FULL: &str = "full";
-/// Value of [`NEVER_RAN`]: the function is not loaded here.
-pub const NEVER_RAN_MISS: &str = "miss";
-/// Response: calls of the same function that the worker held when this one came.
+/// Response: the call was never started and never will be: [`NOT_EXECUTED_FULL`] or [`NOT_EXECUTED_MISS`].
+pub const NOT_EXECUTED: &str = "X-Never-Ran";
+/// Value of [`NOT_EXECUTED`]: rejected for lack of capacity or time.
+pub const NOT_EXECUTED_FULL: &str = "full";
+/// Value of [`NOT_EXECUTED`]: the function is not loaded.
+pub const NOT_EXECUTED_MISS: &str = "miss";
+/// Response: calls of the same function that were queued or running at the worker on arrival.
 pub const QUEUE_DEPTH: &str = "X-Crowd";
-/// Response: copies of the function that stand.
+/// Response: replicas of the function that are loaded.
 pub const COPIES: &str = "X-Copies";
-/// Response: the load behind an error failed.
+/// Response: the load of the function failed, which caused the error.
 pub const LOAD_FAILED: &str = "X-Load-Failed";
+/// Value of [`LOAD_FAILED`].
+pub(crate) const LOAD_FAILED_TRUE: &str = "1";
 /// Response: version or digest of the function that ran.
 pub const RAN: &str = "X-Ran";
-/// Response: the worker's load report, an ORCA load report in its JSON form.
+/// Response: the worker's load report, an ORCA load report in JSON form.
 pub const LOAD: &str = "endpoint-load-metrics";
--- /dev/null
+++ b/crates/worker-protocol/src/http_protocol.rs
@@ -0,0 +1,82 @@
+//! The Open Inference Protocol over HTTP/1.1 as a [`WorkerProtocol`].
+
+use crate::protocol::{CompletedRequest, MalformedReply, Reader, Tag, WorkerProtocol};
+use crate::reply;
+use crate::request::WorkerRequest;
+use slatevalve_http::{Limits, MessageReader, Side};
+
+/// The Open Inference Protocol over HTTP/1.1, one request at a time on a connection.
+#[derive(Clone, Debug)]
+pub struct Http {
+    /// Name of the gateway, sent to the workers.
+    pub gateway: String,
+    /// Limits of a response.
+    pub limits: Limits,
+}
+
+impl WorkerProtocol for Http {
+    fn streams(&self) -> usize {
+        1
+    }
+
+    fn partial_request_may_run(&self) -> bool {
+        true
+    }
+
+    fn reader(&self) -> Box<dyn Reader> {
+        let messages = MessageReader::new(Side::Response, self.limits);
+        Box::new(HttpReader { messages, pending: None, is_closing: false })
+    }
+
+    fn encode(&self, host: &str, _: Tag, request: &WorkerRequest) -> Vec<u8> {
+        request.encode(host, &self.gateway)
+    }
+
+    fn give_up(&self, _: &WorkerRequest) -> Option<Vec<u8>> {
+        None
+    }
+}
+
+/// The request whose response is awaited.
+struct PendingRequest {
+    tag: Tag,
+    request: WorkerRequest,
+}
+
+struct HttpReader {
+    messages: MessageReader,
+    pending: Option<PendingRequest>,
+    /// Whether the worker closes the connection after the last response.
+    is_closing: bool,
+}
+
+impl Reader for HttpReader {
+    fn expect(&mut self, tag: Tag, request: &WorkerRequest) {
+        self.pending = Some(PendingRequest { tag, request: request.clone() });
+    }
+
+    fn forget(&mut self, _: Tag) {
+        self.pending = None;
+    }
+
+    fn feed(&mut self, bytes: &[u8], out: &mut Vec<CompletedRequest>) -> Result<(), MalformedReply> {
+        // Bytes that come without a pending request are the response to none.
+        let PendingRequest { tag, request } = self.pending.as_ref().ok_or(MalformedReply)?;
+        if let Some(message) = self.messages.feed(bytes).map_err(|_| MalformedReply)? {
+            self.is_closing = message.head.last;
+            out.push(CompletedRequest { tag: *tag, understood: reply::read(request, message) });
+            self.pending = None;
+        }
+        Ok(())
+    }
+
+    fn end(&mut self) -> Option<CompletedRequest> {
+        let PendingRequest { tag, request } = self.pending.take()?;
+        let message = self.messages.end().ok()??;
+        Some(CompletedRequest { tag, understood: reply::read(&request, message) })
+    }
+
+    fn is_clean(&self) -> bool {
+        !self.is_closing && self.messages.is_idle()
+    }
+}
--- a/crates/worker-protocol/src/lib.rs
+++ b/crates/worker-protocol/src/lib.rs
@@ -1,24 +1,29 @@
-//! The workers' protocol without I/O: Open Inference Protocol v2 with the model-repository extension, over
-//! HTTP/1.1, both sides.
+//! The workers' protocol, both sides, without I/O: Open Inference Protocol v2 with the model-repository extension, over
+//! HTTP/1.1.
 //!
-//! It guards the one fact that the safety of charges hangs on: what proves that a call never ran. Only an answer
-//! that says so in the profile's own header does ([`reply::read`]); every other one may have run. The gateway calls
-//! the client side ([`WorkerRequest::encode`], [`MessageReader`], [`reply::read`]), the stand-in worker the server side
-//! ([`ParsedRequest::read`], [`Reply::encode`]). The table of headers stands in `docs/worker-protocol.md`.
+//! Calls with side effects rely on one property: what proves that a call never ran. Only a response with the profile's own
+//! header does ([`reply::read`]); after any other response the call may have run. The gateway uses the client side
+//! ([`WorkerRequest::encode`], [`MessageReader`], [`reply::read`]), the test worker the server side
+//! ([`ParsedRequest::read`], [`Reply::encode`]). The headers are listed in `docs/worker-protocol.md`.
 //!
 //! Sources: KServe "Open Inference Protocol" v2 (inference, health), its model-repository extension and
 //! binary-tensor-data extension; RFC 9112 (HTTP/1.1 messages); ORCA load reports (`endpoint-load-metrics`).
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 pub mod headers;
-mod order;
+mod http_protocol;
+mod load_report;
+mod protocol;
 pub mod reply;
+mod request;
 mod tensor;
-mod wire;
+mod text_encoding;
 
-pub use order::{Call, ParsedRequest, RequestError, WorkerRequest};
-pub use reply::{LoadReport, Reply};
+pub use http_protocol::Http;
+pub use load_report::LoadReport;
+pub use protocol::{CompletedRequest, MalformedReply, Reader, Tag, WorkerProtocol};
+pub use reply::Reply;
+pub use request::{Call, ParsedRequest, RequestError, WorkerRequest};
 pub use slatevalve_http::{Head, Limits, Message, MessageError, MessageReader, Side};
 pub use tensor::TensorError;
-pub use wire::{CompletedRequest, Http, MalformedReply, Reader, Tag, WorkerProtocol};
--- /dev/null
+++ b/crates/worker-protocol/src/protocol.rs
@@ -0,0 +1,64 @@
+//! The interface between the connection pool and a worker protocol: requests to bytes, bytes to completed requests.
+//!
+//! The pool depends on these traits only. [`Http`](crate::Http) implements the Open Inference Protocol with one request at
+//! a time on a connection; the platform's line protocol is another implementation.
+
+use crate::reply::ParsedReply;
+use crate::request::WorkerRequest;
+use std::fmt;
+
+/// Identifies a request on one connection. The pool assigns it and never reuses it on the same connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Tag(pub u64);
+
+/// A request whose reply was received.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CompletedRequest {
+    /// The request.
+    pub tag: Tag,
+    /// Its reply.
+    pub understood: ParsedReply,
+}
+
+/// The received bytes violate the protocol; the connection cannot be used any more.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MalformedReply;
+
+impl fmt::Display for MalformedReply {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("the reply violates the worker protocol")
+    }
+}
+
+impl std::error::Error for MalformedReply {}
+
+/// A worker protocol.
+pub trait WorkerProtocol {
+    /// Maximum number of concurrent requests on one connection.
+    fn streams(&self) -> usize;
+    /// Whether a worker may run a request of which it received only a part.
+    fn partial_request_may_run(&self) -> bool;
+    /// Creates the reader of a new connection.
+    fn reader(&self) -> Box<dyn Reader>;
+    /// Encodes a request; `host` is the worker's address.
+    fn encode(&self, host: &str, tag: Tag, request: &WorkerRequest) -> Vec<u8>;
+    /// Encodes the cancellation of a request, if the protocol has one.
+    fn give_up(&self, request: &WorkerRequest) -> Option<Vec<u8>>;
+}
+
+/// Parses the replies on one connection.
+pub trait Reader {
+    /// Registers a request that is sent on the connection.
+    fn expect(&mut self, tag: Tag, request: &WorkerRequest);
+    /// Discards a request; a reply to it will be ignored.
+    fn forget(&mut self, tag: Tag);
+    /// Parses received bytes and appends the requests that they complete.
+    ///
+    /// # Errors
+    /// If the bytes violate the protocol. What was appended before is valid.
+    fn feed(&mut self, bytes: &[u8], out: &mut Vec<CompletedRequest>) -> Result<(), MalformedReply>;
+    /// The peer closed the connection: returns the request whose reply ends with the connection, if any.
+    fn end(&mut self) -> Option<CompletedRequest>;
+    /// Whether the connection can carry further requests: no reply is partly received, and the worker does not close it.
+    fn is_clean(&self) -> bool;
+}
--- /dev/null
+++ b/crates/worker-protocol/src/request.rs
@@ -0,0 +1,107 @@
+//! Requests of the gateway to a worker: encoded by the gateway, parsed by the test worker.
+
+mod encode;
+mod parse;
+
+use crate::TensorError;
+use std::error::Error;
+use std::fmt;
+
+/// A call of a function, as it is sent to a worker.
+#[derive(Clone, Debug, PartialEq, Eq, Default)]
+pub struct Call {
+    /// Name of the function.
+    pub function: String,
+    /// The requested version; `None` for the worker's current one.
+    pub version: Option<String>,
+    /// The payload, opaque to the gateway.
+    pub payload: Vec<u8>,
+    /// The idempotency key by which workers drop duplicates, for classes with side effects.
+    pub key: Option<Vec<u8>>,
+    /// The gateway's id of the call.
+    pub request_id: String,
+    /// Number of the attempt, from 0.
+    pub attempt: usize,
+    /// Milliseconds until the client's deadline.
+    pub time_left_ms: u64,
+    /// Name of the class.
+    pub class: String,
+    /// Versions of the settings documents by which the call is sent: one, two during a change of settings, or none.
+    pub settings: Vec<u64>,
+}
+
+/// A request to a worker.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum WorkerRequest {
+    /// Run a call.
+    Infer(Call),
+    /// Load replicas of a function.
+    Load {
+        /// Name of the function.
+        function: String,
+        /// Number of replicas that are to be loaded in total.
+        copies: u32,
+    },
+    /// Report how many replicas of a function are loaded.
+    Count {
+        /// Name of the function.
+        function: String,
+    },
+    /// Unload the idle replicas of a function.
+    Unload {
+        /// Name of the function.
+        function: String,
+    },
+    /// Health check.
+    Ready,
+}
+
+/// Why a message is no request of this profile. The worker responds with 400 or 404, without [`NOT_EXECUTED`].
+///
+/// [`NOT_EXECUTED`]: crate::headers::NOT_EXECUTED
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RequestError {
+    /// The method and path, separated by a space, are unknown.
+    Unknown(String),
+    /// The header with this name is missing or malformed.
+    Header(&'static str),
+    /// The body contains no payload.
+    Tensor(TensorError),
+    /// The JSON body lacks a required member.
+    Body,
+}
+
+impl fmt::Display for RequestError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            RequestError::Unknown(target) => write!(f, "no such method and path: {target}"),
+            RequestError::Header(name) => write!(f, "header {name} is missing or malformed"),
+            RequestError::Tensor(error) => error.fmt(f),
+            RequestError::Body => f.write_str("the JSON body is malformed"),
+        }
+    }
+}
+
+impl Error for RequestError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            RequestError::Tensor(error) => Some(error),
+            RequestError::Unknown(_) | RequestError::Header(_) | RequestError::Body => None,
+        }
+    }
+}
+
+impl From<TensorError> for RequestError {
+    fn from(error: TensorError) -> Self {
+        RequestError::Tensor(error)
+    }
+}
+
+/// A request as a worker receives it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ParsedRequest {
+    /// The request.
+    pub order: WorkerRequest,
+    /// Name of the gateway that sent it, if given.
+    pub gateway: Option<String>,
+}
--- /dev/null
+++ b/crates/worker-protocol/tests/requests.rs
@@ -0,0 +1,61 @@
+//! Requests to workers: what is encoded is parsed as the same, and malformed requests are rejected with their reason.
+
+use slatevalve_worker_protocol::{
+    headers, Call, Limits, MessageReader, ParsedRequest, RequestError, Side, TensorError, WorkerRequest,
+};
+
+fn through(order: WorkerRequest) -> ParsedRequest {
+    let bytes = order.encode("127.0.0.1:9", "gw");
+    let message = MessageReader::new(Side::Request, Limits::default()).feed(&bytes).unwrap();
+    ParsedRequest::read(message.expect("whole")).unwrap()
+}
+
+#[test]
+fn every_order_arrives_as_it_was_meant() {
+    let call = Call {
+        function: "taxa påslag/1%".into(),
+        version: Some("3".into()),
+        payload: vec![0, 13, 10, 255],
+        key: Some(vec![1, 254]),
+        request_id: "77".into(),
+        attempt: 2,
+        time_left_ms: 900,
+        class: "charge".into(),
+        settings: vec![7, 8],
+    };
+    let orders = [
+        WorkerRequest::Infer(call.clone()),
+        WorkerRequest::Infer(Call {
+            key: None,
+            version: None,
+            payload: Vec::new(),
+            settings: vec![],
+            ..call
+        }),
+        WorkerRequest::Load { function: "a b".into(), copies: 3 },
+        WorkerRequest::Count { function: "a\"b".into() },
+        WorkerRequest::Unload { function: "a".into() },
+        WorkerRequest::Ready,
+    ];
+    for order in orders {
+        assert_eq!(through(order.clone()), ParsedRequest { order, gateway: Some("gw".into()) });
+    }
+}
+
+#[test]
+fn a_payload_that_is_not_what_its_head_says_is_refused() {
+    let read = |bytes: &[u8]| {
+        let message = MessageReader::new(Side::Request, Limits::default()).feed(bytes).unwrap();
+        ParsedRequest::read(message.expect("whole"))
+    };
+    let call = Call { function: "f".into(), request_id: "1".into(), class: "c".into(), ..Call::default() };
+    let good = WorkerRequest::Infer(Call { payload: b"four".to_vec(), ..call }).encode("h", "g");
+    let text = String::from_utf8_lossy(&good).replace("\"binary_data_size\":8", "\"binary_data_size\":9");
+    assert_eq!(read(text.as_bytes()), Err(RequestError::Tensor(TensorError::Binary)));
+    let text = String::from_utf8_lossy(&good).replace("BYTES", "INT32");
+    assert_eq!(read(text.as_bytes()), Err(RequestError::Tensor(TensorError::Shape)));
+    let text = String::from_utf8_lossy(&good).replace("X-Attempt: 0", "X-Attempt: -1");
+    assert_eq!(read(text.as_bytes()), Err(RequestError::Header(headers::ATTEMPT)));
+    let text = String::from_utf8_lossy(&good).replace("X-Attempt: 0", "X-Attempt: 0\r\nX-Settings: 1,");
+    assert_eq!(read(text.as_bytes()), Err(RequestError::Header(headers::SETTINGS)));
+}
