--- a/crates/engine/src/output.rs
+++ b/crates/engine/src/output.rs
@@ -10,7 +10,7 @@
 /// A command for the event loop, the connection pool or a front end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send an attempt. It must be followed by exactly one [`Engine::attempt_ended`](crate::Engine::attempt_ended).
+    /// Send an attempt. It must be followed by exactly one [`crate::Engine::attempt_ended`].
     Send {
         /// The attempt.
         attempt: AttemptRef,
@@ -28,7 +28,7 @@
     Withhold(AttemptRef),
     /// The deadline of the call passed. The attempt ends as timed out, or as not sent if no byte of it was written.
     Expire(AttemptRef),
-    /// Load replicas of a function. It must be followed by one [`Engine::loaded`](crate::Engine::loaded). With 0 copies
+    /// Load replicas of a function. It must be followed by one [`crate::Engine::loaded`]. With 0 copies
     /// the worker only reports how many are loaded.
     Load {
         /// The worker.
@@ -47,7 +47,7 @@
         /// Name of the function.
         name: Arc<str>,
     },
-    /// Send a health check. It must be followed by one [`Engine::probed`](crate::Engine::probed).
+    /// Send a health check. It must be followed by one [`crate::Engine::probed`].
     Probe(WorkerId),
     /// Subscribe to the worker list and its changes.
     Subscribe,
--- a/crates/worker-protocol/tests/stored_forms.rs
+++ b/crates/worker-protocol/tests/stored_forms.rs
@@ -42,7 +42,7 @@
     assert_eq!(read(order, message(Side::Response, literal)), wanted);
 }
 
-fn understood(outcome: Outcome) -> ParsedReply {
+fn parsed_reply(outcome: Outcome) -> ParsedReply {
     ParsedReply {
         outcome,
         payload: Vec::new(),
@@ -173,7 +173,7 @@
         queue_depth: Some(4),
         ran: Some("sha256:ab".into()),
         report: Some(Report { queue: Some(3.0), inflight: Some(2.5), util: Some(0.5) }),
-        ..understood(Outcome::Ok)
+        ..parsed_reply(Outcome::Ok)
     };
     is_reply(&reply, Some(load), Some(4), &infer(), b"HTTP/1.1 200 OK\r\nContent-Length: 121\r\nInference-Header-Content-Length: 115\r\nX-Ran: sha256:ab\r\nX-Crowd: 4\r\nendpoint-load-metrics: JSON {\"cpu_utilization\":0.5,\"named_metrics\":{\"inflight\":2.5,\"queue\":3.0}}\r\n\r\n{\"model_name\":\"\",\"outputs\":[{\"datatype\":\"BYTES\",\"name\":\"payload\",\"parameters\":{\"binary_data_size\":6},\"shape\":[1]}]}\x02\x00\x00\x00\x00\xff", wanted);
 }
@@ -182,7 +182,7 @@
 fn the_load_report_keeps_its_header_where_only_a_part_is_known() {
     let load = LoadReport { inflight: Some(2.0), ..LoadReport::default() };
     let report = Report { inflight: Some(2.0), ..Report::default() };
-    let wanted = ParsedReply { report: Some(report), ..understood(Outcome::Ok) };
+    let wanted = ParsedReply { report: Some(report), ..parsed_reply(Outcome::Ok) };
     is_reply(
         &Reply::Ready,
         Some(load),
@@ -198,7 +198,7 @@
 
 #[test]
 fn the_reply_of_a_full_worker_keeps_its_bytes() {
-    let wanted = ParsedReply { queue_depth: Some(12), ..understood(Outcome::Full) };
+    let wanted = ParsedReply { queue_depth: Some(12), ..parsed_reply(Outcome::Full) };
     is_reply(
         &Reply::Full,
         None,
@@ -224,7 +224,7 @@
         Content-Length: 22\r\n\
         X-Never-Ran: miss\r\n\r\n\
         {\"error\":\"not loaded\"}",
-        understood(Outcome::Miss),
+        parsed_reply(Outcome::Miss),
     );
 }
 
@@ -239,7 +239,7 @@
         b"HTTP/1.1 500 Internal Server Error\r\n\
         Content-Length: 27\r\n\r\n\
         {\"error\":\"broken \\\"here\\\"\"}",
-        understood(Outcome::Error),
+        parsed_reply(Outcome::Error),
     );
 }
 
@@ -254,13 +254,13 @@
         b"HTTP/1.1 400 Bad Request\r\n\
         Content-Length: 25\r\n\r\n\
         {\"error\":\"no such thing\"}",
-        understood(Outcome::Error),
+        parsed_reply(Outcome::Error),
     );
 }
 
 #[test]
 fn the_reply_with_the_copies_that_stand_keeps_its_bytes() {
-    let wanted = ParsedReply { copies: 2, ..understood(Outcome::Ok) };
+    let wanted = ParsedReply { copies: 2, ..parsed_reply(Outcome::Ok) };
     is_reply(
         &Reply::Copies(2),
         None,
@@ -285,13 +285,13 @@
         Content-Length: 19\r\n\
         X-Never-Ran: full\r\n\r\n\
         {\"error\":\"no room\"}",
-        understood(Outcome::Full),
+        parsed_reply(Outcome::Full),
     );
 }
 
 #[test]
 fn the_reply_of_a_load_that_failed_keeps_its_bytes() {
-    let wanted = ParsedReply { load_failed: true, ..understood(Outcome::Error) };
+    let wanted = ParsedReply { load_failed: true, ..parsed_reply(Outcome::Error) };
     is_reply(
         &Reply::LoadFailed,
         None,
@@ -308,6 +308,6 @@
 #[test]
 fn header_names_are_read_in_any_case() {
     let literal = b"HTTP/1.1 503 x\r\nx-never-ran: miss\r\nX-CROWD: 7\r\ncontent-length: 0\r\n\r\n";
-    let wanted = ParsedReply { queue_depth: Some(7), ..understood(Outcome::Miss) };
+    let wanted = ParsedReply { queue_depth: Some(7), ..parsed_reply(Outcome::Miss) };
     assert_eq!(read(&infer(), message(Side::Response, literal)), wanted);
 }
