--- a/crates/engine/src/names/tests.rs
+++ b/crates/engine/src/names/tests.rs
@@ -22,11 +22,11 @@
 #[test]
 fn names_in_use_stay_and_others_make_room() {
     let mut names = Names::new(2);
-    let [a, b, c]: [Arc<str>; 3] = ["a", "b", "c"].map(Arc::from);
-    let first = names.acquire(&a).unwrap();
-    let second = names.acquire(&b).unwrap();
-    assert_eq!(names.acquire(&c), Err(NameError::Full));
+    let [first_name, second_name, third_name]: [Arc<str>; 3] = ["a", "b", "c"].map(Arc::from);
+    let first = names.acquire(&first_name).unwrap();
+    let second = names.acquire(&second_name).unwrap();
+    assert_eq!(names.acquire(&third_name), Err(NameError::Full));
     names.release(second);
-    names.acquire(&c).unwrap();
-    assert_eq!((names.get(first), names.get(second)), (Some(a), None));
+    names.acquire(&third_name).unwrap();
+    assert_eq!((names.get(first), names.get(second)), (Some(first_name), None));
 }
--- a/crates/worker-protocol/src/protocol.rs
+++ b/crates/worker-protocol/src/protocol.rs
@@ -1,6 +1,6 @@
 //! The interface between the connection pool and a worker protocol: requests to bytes, bytes to completed requests.
 //!
-//! The pool depends on these traits only. [`Http`](crate::Http) implements the Open Inference Protocol with one request at
+//! The pool depends on these traits only. [`crate::Http`] implements the Open Inference Protocol with one request at
 //! a time on a connection; the platform's line protocol is another implementation.
 
 use crate::reply::ParsedReply;
