--- /dev/null
+++ b/crates/gateway/src/server/pool/connections.rs
@@ -0,0 +1,259 @@
+//! Connections to workers: which one a request takes, and what happens when one opens, receives bytes or closes.
+
+use super::requests::{without_payload, PendingRequest};
+use super::timers::after;
+use super::{Pool, Purpose, RequestEnd};
+use slatevalve::{Micros, Outcome, RequestId, WorkerId};
+use slatevalve_reactor::{Id, Reactor};
+use slatevalve_worker_protocol::{CompletedRequest, Reader, Tag};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Number of calls remembered of those that a connection carried last.
+const RECENT_CALLS_MAX: usize = 8;
+
+/// A connection to a worker, established or being opened.
+pub(super) struct Connection {
+    pub(super) worker: WorkerId,
+    pub(super) reader: Box<dyn Reader>,
+    /// Whether the connection is established.
+    pub(super) connected: bool,
+    /// Whether it closes once its requests have completed, instead of being reused.
+    pub(super) retired: bool,
+    /// Requests queued or in flight.
+    pub(super) requests: BTreeMap<Tag, PendingRequest>,
+    pub(super) next_tag: u64,
+    /// Total bytes passed to the reactor, not counting discarded ones.
+    pub(super) bytes_submitted: u64,
+    /// When the connect timeout or the idle timeout expires; none while an established connection carries a request.
+    pub(super) deadline: Option<Micros>,
+    /// The calls whose attempts completed here last, the latest first. A worker may send a duplicate of such a reply under
+    /// the same id.
+    recent_calls: VecDeque<RequestId>,
+}
+
+/// Outcomes of the requests of a connection that is given up.
+#[derive(Clone, Copy)]
+pub(super) struct FailureOutcomes {
+    /// For requests that may have run.
+    pub(super) sent: Outcome,
+    /// For requests that cannot have run.
+    pub(super) unsent: Outcome,
+}
+
+impl Connection {
+    fn new(worker: WorkerId, reader: Box<dyn Reader>, deadline: Micros) -> Self {
+        Connection {
+            worker,
+            reader,
+            connected: false,
+            retired: false,
+            requests: BTreeMap::new(),
+            next_tag: 0,
+            bytes_submitted: 0,
+            deadline: Some(deadline),
+            recent_calls: VecDeque::new(),
+        }
+    }
+
+    /// Whether an attempt of the same call completed here recently: a duplicate of that reply could be mistaken for the
+    /// reply to this one.
+    fn has_carried(&self, purpose: Purpose) -> bool {
+        matches!(purpose, Purpose::Attempt(attempt) if self.recent_calls.contains(&attempt.request))
+    }
+
+    pub(super) fn remember_call(&mut self, call: RequestId) {
+        self.recent_calls.truncate(RECENT_CALLS_MAX - 1);
+        self.recent_calls.push_front(call);
+    }
+
+    fn can_share(&self, purpose: Purpose, max_requests: usize) -> bool {
+        let same_kind = self.requests.values().all(|r| r.purpose.can_share_with(purpose));
+        !self.retired && same_kind && self.requests.len() < max_requests && !self.has_carried(purpose)
+    }
+}
+
+impl Pool {
+    /// Selects a connection for a request: an idle one, else a new one, else one that carries requests of the same kind.
+    ///
+    /// # Errors
+    /// The outcome of the request where no connection can be had: [`Outcome::NotSent`] for an unlisted worker or when the
+    /// pool is full, [`Outcome::ConnectFailed`] when the worker accepts no further connection or cannot be reached.
+    pub(super) fn acquire(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        worker: WorkerId,
+        purpose: Purpose,
+    ) -> Result<Id, Outcome> {
+        self.peers.get(&worker).filter(|p| p.listed).ok_or(Outcome::NotSent)?;
+        if let Some(id) = self.take_idle(now, reactor, worker, purpose) {
+            return Ok(id);
+        }
+        let peer = self.peers.get(&worker).ok_or(Outcome::NotSent)?;
+        if peer.connections.len() >= self.settings.most {
+            return self.find_shareable(worker, purpose).ok_or(Outcome::ConnectFailed);
+        }
+        if self.connections.len() >= self.settings.total && !self.close_longest_idle(reactor) {
+            return self.find_shareable(worker, purpose).ok_or(Outcome::NotSent);
+        }
+        self.open_connection(now, reactor, worker, purpose)
+    }
+
+    /// Opens a connection; shares one where no descriptor is available or the address is unreachable.
+    fn open_connection(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        worker: WorkerId,
+        purpose: Purpose,
+    ) -> Result<Id, Outcome> {
+        let peer = self.peers.get_mut(&worker).ok_or(Outcome::NotSent)?;
+        let Ok(id) = reactor.connect(peer.address) else {
+            return self.find_shareable(worker, purpose).ok_or(Outcome::ConnectFailed);
+        };
+        peer.connections.push(id);
+        let deadline = after(now, self.settings.connect_timeout);
+        self.connections.insert(id, Connection::new(worker, self.protocol.reader(), deadline));
+        self.set_connection_timer(id);
+        Ok(id)
+    }
+
+    /// Takes the most recently used idle connection that is fit for a request.
+    ///
+    /// Connections whose idle timeout has expired or on which bytes or an end of stream are waiting are closed: an event not
+    /// yet handled would be attributed to the new request.
+    fn take_idle(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        worker: WorkerId,
+        purpose: Purpose,
+    ) -> Option<Id> {
+        for id in self.peers.get(&worker)?.idle.clone().into_iter().rev() {
+            let Some(connection) = self.connections.get(&id) else { continue };
+            let expired = connection.deadline.is_some_and(|at| at <= now);
+            if expired || (connection.connected && !reactor.is_quiet(id)) {
+                self.close_connection(reactor, id);
+            } else if !connection.has_carried(purpose) {
+                self.peers.get_mut(&worker)?.idle.retain(|i| *i != id);
+                return Some(id);
+            }
+        }
+        None
+    }
+
+    /// The connection to a worker with the fewest requests of the same kind, among those with room for another.
+    fn find_shareable(&self, worker: WorkerId, purpose: Purpose) -> Option<Id> {
+        let max_requests = self.protocol.streams();
+        let ids = self.peers.get(&worker)?.connections.iter();
+        ids.filter_map(|id| Some((*id, self.connections.get(id)?)))
+            .filter(|(_, connection)| connection.can_share(purpose, max_requests))
+            .min_by_key(|(id, connection)| (connection.requests.len(), *id))
+            .map(|(id, _)| id)
+    }
+
+    /// Handles an established connection: its queued requests are written at the next poll unless cancelled before.
+    pub fn connected(&mut self, now: Micros, reactor: &mut Reactor, id: Id) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.connected = true;
+        connection.deadline = None;
+        self.release(now, reactor, id);
+    }
+
+    /// Handles received bytes; returns the requests that they complete.
+    pub fn received(&mut self, now: Micros, reactor: &mut Reactor, id: Id, bytes: &[u8]) -> Vec<RequestEnd> {
+        let Some(connection) = self.connections.get_mut(&id) else { return Vec::new() };
+        let mut completed = Vec::new();
+        let parsed = connection.reader.feed(bytes, &mut completed);
+        let mut ends: Vec<RequestEnd> = Vec::new();
+        for CompletedRequest { tag, understood } in completed {
+            ends.extend(self.complete(now, id, tag, understood));
+        }
+        if parsed.is_err() {
+            // The worker received the requests and replied with something else, so they may have run.
+            let outcomes = FailureOutcomes { sent: Outcome::Error, unsent: Outcome::NotSent };
+            ends.extend(self.complete_all(now, id, reactor.written(id), outcomes));
+            self.close_connection(reactor, id);
+            return ends;
+        }
+        self.release(now, reactor, id);
+        ends
+    }
+
+    /// Handles a closed connection. `written` is the number of bytes that the kernel accepted on it in total.
+    pub fn closed(&mut self, now: Micros, id: Id, connected: bool, written: u64) -> Vec<RequestEnd> {
+        let Some(connection) = self.connections.get_mut(&id) else { return Vec::new() };
+        connection.connected = connected;
+        let last = connection.reader.end().filter(|_| connected);
+        let mut ends: Vec<RequestEnd> =
+            last.and_then(|l| self.complete(now, id, l.tag, l.understood)).into_iter().collect();
+        let outcomes = FailureOutcomes { sent: Outcome::Reset, unsent: Outcome::ConnectFailed };
+        ends.extend(self.complete_all(now, id, written, outcomes));
+        self.remove_connection(id);
+        ends
+    }
+
+    /// Makes a connection without requests idle, or closes it if it cannot be reused. Others are left as they are.
+    pub(super) fn release(&mut self, now: Micros, reactor: &mut Reactor, id: Id) {
+        let Some(connection) = self.connections.get_mut(&id).filter(|c| c.requests.is_empty()) else {
+            return;
+        };
+        let peer = self.peers.get_mut(&connection.worker).filter(|p| p.listed);
+        match peer.filter(|_| connection.reader.is_clean() && !connection.retired) {
+            // Idle already, with its timer running.
+            Some(peer) if peer.idle.contains(&id) && connection.deadline.is_some() => {}
+            Some(peer) => {
+                if !peer.idle.contains(&id) {
+                    peer.idle.push(id);
+                }
+                // One that is still being opened keeps its connect timeout.
+                if connection.connected {
+                    connection.deadline = Some(after(now, self.settings.idle));
+                    self.set_connection_timer(id);
+                }
+            }
+            None => self.close_connection(reactor, id),
+        }
+    }
+
+    /// Completes all requests of a connection, by whether `written` bytes may have let them run.
+    pub(super) fn complete_all(
+        &mut self,
+        now: Micros,
+        id: Id,
+        written: u64,
+        outcomes: FailureOutcomes,
+    ) -> Vec<RequestEnd> {
+        let Some(connection) = self.connections.get(&id) else { return Vec::new() };
+        let outcome =
+            |r: &PendingRequest| if self.may_have_run(r, written) { outcomes.sent } else { outcomes.unsent };
+        let all: Vec<(Tag, Outcome)> =
+            connection.requests.iter().map(|(tag, r)| (*tag, outcome(r))).collect();
+        all.into_iter()
+            .filter_map(|(tag, outcome)| self.complete(now, id, tag, without_payload(outcome)))
+            .collect()
+    }
+
+    /// Closes a connection once its requests have completed; at once if it has none.
+    pub(super) fn close_when_empty(&mut self, reactor: &mut Reactor, id: Id) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if connection.requests.is_empty() {
+            return self.close_connection(reactor, id);
+        }
+        connection.retired = true;
+    }
+
+    pub(super) fn close_connection(&mut self, reactor: &mut Reactor, id: Id) {
+        reactor.close(id);
+        self.remove_connection(id);
+    }
+
+    fn remove_connection(&mut self, id: Id) {
+        let Some(connection) = self.connections.remove(&id) else { return };
+        if let Some(peer) = self.peers.get_mut(&connection.worker) {
+            peer.connections.retain(|i| *i != id);
+            peer.idle.retain(|i| *i != id);
+        }
+        self.remove_peer_if_unused(connection.worker);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/server/pool/outputs.rs
@@ -0,0 +1,174 @@
+//! Execution of the engine's outputs that concern workers, and the report of completed requests to the engine.
+
+use super::requests::OutgoingRequest;
+use super::{Pool, Purpose, RequestEnd};
+use slatevalve::{FunctionId, Micros, Outcome, WorkerId};
+use slatevalve_engine::{AttemptEnd, AttemptRef, Engine, Output, RunBody};
+use slatevalve_reactor::Reactor;
+use slatevalve_worker_protocol::{Call, WorkerRequest};
+use tracing::debug;
+
+const MICROS_PER_MILLISECOND: i64 = 1_000;
+
+impl Pool {
+    /// Executes an output of the engine that concerns workers, and returns any other. `classes` are the names of the
+    /// classes in the order of their ids; outputs that follow are appended to `out`.
+    pub fn execute(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        engine: &mut Engine,
+        output: Output,
+        classes: &[String],
+        out: &mut Vec<Output>,
+    ) -> Option<Output> {
+        let end = match output {
+            Output::Send { attempt, worker, body, time_left } => {
+                let request = self.attempt_request(now, worker, attempt, &body, time_left, classes);
+                self.submit(now, reactor, request)
+            }
+            Output::Load { worker, function, name, copies } => {
+                let request = self.load_request(now, worker, function, &name, copies);
+                self.submit(now, reactor, request)
+            }
+            Output::Unload { worker, name } => {
+                let message = WorkerRequest::Unload { function: name.to_string() };
+                self.submit(now, reactor, OutgoingRequest { worker, purpose: Purpose::Unload, message })
+            }
+            Output::Probe(worker) => {
+                let message = WorkerRequest::Ready;
+                self.submit(now, reactor, OutgoingRequest { worker, purpose: Purpose::Probe, message })
+            }
+            Output::Cancel(attempt) => {
+                self.end_attempt(now, reactor, engine, attempt, Outcome::Cancelled, out);
+                None
+            }
+            Output::Expire(attempt) => {
+                self.end_attempt(now, reactor, engine, attempt, Outcome::TimedOut, out);
+                None
+            }
+            Output::Withhold(attempt) => self.cancel_attempt_if_unsent(now, reactor, attempt),
+            other => return Some(other),
+        };
+        if let Some(end) = end {
+            self.tell(now, end, engine, out);
+        }
+        None
+    }
+
+    fn attempt_request(
+        &self,
+        now: Micros,
+        worker: WorkerId,
+        attempt: AttemptRef,
+        body: &RunBody,
+        time_left: Micros,
+        classes: &[String],
+    ) -> OutgoingRequest {
+        debug!(
+            now_us = now.0,
+            worker = self.name(worker),
+            request_id = attempt.request.0,
+            attempt = attempt.attempt,
+            time_left_us = time_left.0,
+            "attempt submitted"
+        );
+        let call = worker_call(classes, &self.document_versions, attempt, body, time_left);
+        OutgoingRequest { worker, purpose: Purpose::Attempt(attempt), message: WorkerRequest::Infer(call) }
+    }
+
+    /// A request for a number of loaded replicas; for none, the worker is only asked to count them.
+    fn load_request(
+        &self,
+        now: Micros,
+        worker: WorkerId,
+        function: FunctionId,
+        name: &str,
+        copies: u32,
+    ) -> OutgoingRequest {
+        debug!(
+            now_us = now.0,
+            worker = self.name(worker),
+            function = name,
+            replicas = copies,
+            "load submitted"
+        );
+        let message = match copies {
+            0 => WorkerRequest::Count { function: name.to_string() },
+            _ => WorkerRequest::Load { function: name.to_string(), copies },
+        };
+        OutgoingRequest { worker, purpose: Purpose::Load(function), message }
+    }
+
+    fn end_attempt(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        engine: &mut Engine,
+        attempt: AttemptRef,
+        outcome: Outcome,
+        out: &mut Vec<Output>,
+    ) {
+        match self.cancel_attempt(now, reactor, attempt, outcome) {
+            Some(end) => self.tell(now, end, engine, out),
+            // The attempt has completed already, in which case the engine ignores this, or was never submitted.
+            None => engine.attempt_ended(now, attempt, AttemptEnd::without_payload(outcome), out),
+        }
+    }
+
+    /// Reports a completed request to the engine.
+    pub fn tell(&self, now: Micros, end: RequestEnd, engine: &mut Engine, out: &mut Vec<Output>) {
+        let RequestEnd { worker, purpose, latency, reply } = end;
+        debug!(
+            now_us = now.0,
+            worker = self.name(worker),
+            ?purpose,
+            outcome = ?reply.outcome,
+            latency_us = latency.0,
+            queue_depth = reply.queue_depth,
+            replicas = reply.copies,
+            report = ?reply.report,
+            "request completed"
+        );
+        match purpose {
+            Purpose::Attempt(attempt) => {
+                let end = AttemptEnd {
+                    outcome: reply.outcome,
+                    payload: reply.payload.into(),
+                    ran: reply.ran.map(Into::into),
+                    queue_depth: reply.queue_depth,
+                    load_failed: reply.load_failed,
+                    report: reply.report,
+                };
+                engine.attempt_ended(now, attempt, end, out);
+            }
+            Purpose::Probe => engine.probed(now, worker, reply.outcome, latency, reply.report, out),
+            Purpose::Load(function) => {
+                engine.loaded(now, worker, function, reply.outcome, reply.copies, latency, out);
+            }
+            Purpose::Unload => {}
+        }
+    }
+}
+
+/// A call as the worker protocol carries it, under the client's own request id where it has one.
+fn worker_call(
+    classes: &[String],
+    document_versions: &[u64],
+    attempt: AttemptRef,
+    body: &RunBody,
+    time_left: Micros,
+) -> Call {
+    let client_id = body.request_id.as_deref();
+    Call {
+        function: body.function.to_string(),
+        version: None,
+        payload: body.payload.to_vec(),
+        key: body.key.as_ref().map(|k| k.to_vec()),
+        request_id: client_id.map_or_else(|| attempt.request.0.to_string(), String::from),
+        attempt: attempt.attempt,
+        time_left_ms: (time_left.0 / MICROS_PER_MILLISECOND).max(0) as u64,
+        class: classes.get(body.class.0).cloned().unwrap_or_default(),
+        settings: document_versions.to_vec(),
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/server/pool/peers.rs
@@ -0,0 +1,97 @@
+//! The workers that the pool knows: their addresses and connections.
+
+use super::Pool;
+use slatevalve::{Micros, WorkerId};
+use slatevalve_reactor::{Id, Reactor};
+use std::net::SocketAddr;
+
+/// A worker that is listed or still has a connection.
+pub(super) struct Peer {
+    /// The worker's name, for logs.
+    pub(super) name: String,
+    pub(super) address: SocketAddr,
+    /// The address as sent in the requests' `Host` header.
+    pub(super) host: String,
+    /// Connections without a request; the one used last is at the end.
+    pub(super) idle: Vec<Id>,
+    /// All connections, in the order they were opened.
+    pub(super) connections: Vec<Id>,
+    /// Whether new requests may be sent to the worker.
+    pub(super) listed: bool,
+}
+
+impl Pool {
+    /// Adds a worker or updates its address.
+    ///
+    /// Returns true if the address of a known worker changed: new requests go to the new address, and the caller is to
+    /// cancel those not yet sent to the old one with [`Pool::cancel_unsent`].
+    pub fn list(&mut self, reactor: &mut Reactor, worker: WorkerId, name: &str, address: SocketAddr) -> bool {
+        let peer = self.peers.entry(worker).or_insert_with(|| Peer {
+            name: name.into(),
+            address,
+            host: address.to_string(),
+            idle: Vec::new(),
+            connections: Vec::new(),
+            listed: true,
+        });
+        peer.listed = true;
+        let moved = peer.address != address;
+        if moved {
+            peer.address = address;
+            peer.host = address.to_string();
+            self.close_idle(reactor, worker);
+            self.retire_connections(worker);
+        }
+        moved
+    }
+
+    /// Removes a worker: no new request is sent to it, and those in flight run to their end.
+    pub fn unlist(&mut self, reactor: &mut Reactor, worker: WorkerId) {
+        if let Some(peer) = self.peers.get_mut(&worker) {
+            peer.listed = false;
+        }
+        self.close_idle(reactor, worker);
+        self.remove_peer_if_unused(worker);
+    }
+
+    /// A worker's name for logs; `?` for an unknown one.
+    pub fn name(&self, worker: WorkerId) -> &str {
+        self.peers.get(&worker).map_or("?", |p| &p.name)
+    }
+
+    /// A worker's connections, in the order they were opened.
+    pub(super) fn connections_of(&self, worker: WorkerId) -> Vec<Id> {
+        self.peers.get(&worker).map(|p| p.connections.clone()).unwrap_or_default()
+    }
+
+    fn close_idle(&mut self, reactor: &mut Reactor, worker: WorkerId) {
+        let idle = self.peers.get_mut(&worker).map(|p| std::mem::take(&mut p.idle)).unwrap_or_default();
+        for id in idle {
+            self.close_connection(reactor, id);
+        }
+    }
+
+    /// Lets a worker's connections complete their requests and close instead of being reused.
+    fn retire_connections(&mut self, worker: WorkerId) {
+        for id in self.connections_of(worker) {
+            if let Some(connection) = self.connections.get_mut(&id) {
+                connection.retired = true;
+            }
+        }
+    }
+
+    pub(super) fn remove_peer_if_unused(&mut self, worker: WorkerId) {
+        if self.peers.get(&worker).is_some_and(|p| !p.listed && p.connections.is_empty()) {
+            self.peers.remove(&worker);
+        }
+    }
+
+    /// Closes the connection that has been idle for the longest time. Returns whether there was one.
+    pub(super) fn close_longest_idle(&mut self, reactor: &mut Reactor) -> bool {
+        let idle = self.peers.values().flat_map(|p| &p.idle);
+        let deadline = |id: &&Id| -> Option<Micros> { self.connections.get(id).and_then(|c| c.deadline) };
+        let Some(id) = idle.min_by_key(deadline).copied() else { return false };
+        self.close_connection(reactor, id);
+        true
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/server/pool/requests.rs
@@ -0,0 +1,242 @@
+//! The requests of each connection: queueing, completion, and cancellation while nothing of them has been written.
+
+use super::timers::{after, Timer};
+use super::{Pool, Purpose, RequestEnd};
+use slatevalve::{Micros, Outcome, WorkerId};
+use slatevalve_engine::AttemptRef;
+use slatevalve_reactor::{Id, Reactor};
+use slatevalve_worker_protocol::reply::ParsedReply;
+use slatevalve_worker_protocol::{Tag, WorkerRequest};
+use std::cmp::Reverse;
+use std::ops::Range;
+
+/// A request to be submitted.
+pub(super) struct OutgoingRequest {
+    pub(super) worker: WorkerId,
+    pub(super) purpose: Purpose,
+    pub(super) message: WorkerRequest,
+}
+
+/// A request queued or in flight on a connection.
+pub(super) struct PendingRequest {
+    pub(super) purpose: Purpose,
+    pub(super) message: WorkerRequest,
+    pub(super) submitted_at: Micros,
+    /// Its place among all bytes of the connection, counted as [`Reactor::written`] does.
+    pub(super) bytes: Range<u64>,
+    /// When the request times out; none for attempts, whose deadlines the engine keeps.
+    pub(super) deadline: Option<Micros>,
+}
+
+/// Where a request is: its connection and its tag there.
+#[derive(Clone, Copy)]
+pub(super) struct RequestKey {
+    pub(super) connection: Id,
+    pub(super) tag: Tag,
+}
+
+/// A reply that has an outcome and nothing else.
+pub(super) fn without_payload(outcome: Outcome) -> ParsedReply {
+    ParsedReply {
+        outcome,
+        payload: Vec::new(),
+        copies: 0,
+        queue_depth: None,
+        load_failed: false,
+        ran: None,
+        report: None,
+    }
+}
+
+impl Pool {
+    /// Submits a request. Returns its end if no connection can be had for it.
+    pub(super) fn submit(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        request: OutgoingRequest,
+    ) -> Option<RequestEnd> {
+        let OutgoingRequest { worker, purpose, message } = request;
+        match self.acquire(now, reactor, worker, purpose) {
+            Ok(id) => {
+                self.enqueue(now, reactor, id, purpose, message);
+                None
+            }
+            Err(outcome) => {
+                Some(RequestEnd { worker, purpose, latency: Micros(0), reply: without_payload(outcome) })
+            }
+        }
+    }
+
+    /// Queues a request on a connection; its bytes are written at the next poll once the connection is established.
+    fn enqueue(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        id: Id,
+        purpose: Purpose,
+        message: WorkerRequest,
+    ) {
+        let deadline = self.timeout(purpose).map(|timeout| after(now, timeout));
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let host = self.peers.get(&connection.worker).map_or("", |p| &p.host);
+        let tag = Tag(connection.next_tag);
+        connection.next_tag += 1;
+        let bytes = self.protocol.encode(host, tag, &message);
+        let start = connection.bytes_submitted;
+        connection.bytes_submitted += bytes.len() as u64;
+        connection.reader.expect(tag, &message);
+        if connection.connected {
+            connection.deadline = None;
+        }
+        if let Purpose::Attempt(attempt) = purpose {
+            self.attempts.insert(attempt, RequestKey { connection: id, tag });
+        }
+        if let Some(at) = deadline {
+            self.timers.set(at, Timer::Request(RequestKey { connection: id, tag }));
+        }
+        let range = start..connection.bytes_submitted;
+        let request = PendingRequest { purpose, message, submitted_at: now, bytes: range, deadline };
+        connection.requests.insert(tag, request);
+        reactor.write(id, &bytes);
+    }
+
+    /// The timeout of a request; none for attempts, whose deadlines the engine keeps.
+    fn timeout(&self, purpose: Purpose) -> Option<Micros> {
+        match purpose {
+            Purpose::Attempt(_) => None,
+            Purpose::Probe | Purpose::Unload => Some(self.settings.probe_timeout),
+            Purpose::Load(_) => Some(self.load_timeout),
+        }
+    }
+
+    /// Completes a request; returns none if it has completed before.
+    pub(super) fn complete(
+        &mut self,
+        now: Micros,
+        id: Id,
+        tag: Tag,
+        reply: ParsedReply,
+    ) -> Option<RequestEnd> {
+        let connection = self.connections.get_mut(&id)?;
+        let request = connection.requests.remove(&tag)?;
+        connection.reader.forget(tag);
+        if let Purpose::Attempt(attempt) = request.purpose {
+            self.attempts.remove(&attempt);
+            connection.remember_call(attempt.request);
+        }
+        let latency = Micros(now.0.saturating_sub(request.submitted_at.0));
+        Some(RequestEnd { worker: connection.worker, purpose: request.purpose, latency, reply })
+    }
+
+    /// Cancels a worker's requests of which no byte has been written. Connections left without a request are closed.
+    pub fn cancel_unsent(&mut self, now: Micros, reactor: &mut Reactor, worker: WorkerId) -> Vec<RequestEnd> {
+        let mut ends = Vec::new();
+        for id in self.connections_of(worker) {
+            let tags: Vec<Tag> =
+                self.connections.get(&id).into_iter().flat_map(|c| c.requests.keys().copied()).collect();
+            // The last request first, so that discarding one moves no other that is discarded next.
+            for tag in tags.into_iter().rev() {
+                ends.extend(self.discard_unsent(now, reactor, RequestKey { connection: id, tag }));
+            }
+            if self.connections.get(&id).is_some_and(|c| c.requests.is_empty()) {
+                self.close_connection(reactor, id);
+            }
+        }
+        ends
+    }
+
+    /// Cancels the attempts that a predicate selects and of which no byte has been written.
+    pub fn cancel_unsent_where(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        is_selected: impl Fn(&AttemptRef) -> bool,
+    ) -> Vec<RequestEnd> {
+        let mut found: Vec<RequestKey> = self
+            .attempts
+            .iter()
+            .filter(|(attempt, _)| is_selected(attempt))
+            .map(|(_, request)| *request)
+            .collect();
+        // The last request of a connection first, so that discarding one moves no other that is discarded next.
+        found.sort_unstable_by_key(|request| Reverse(request.tag));
+        found.into_iter().filter_map(|request| self.discard_unsent(now, reactor, request)).collect()
+    }
+
+    /// Cancels an attempt. It ends with `outcome` if it may have run, else as not sent; returns none for an unknown one.
+    pub(super) fn cancel_attempt(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        attempt: AttemptRef,
+        outcome: Outcome,
+    ) -> Option<RequestEnd> {
+        let key = *self.attempts.get(&attempt)?;
+        let id = key.connection;
+        if let Some(end) = self.discard_unsent(now, reactor, key) {
+            self.release(now, reactor, id);
+            return Some(end);
+        }
+        let connection = self.connections.get(&id)?;
+        let request = connection.requests.get(&key.tag)?;
+        // A shared connection stays open for the others, and a request that was partly written is written to its end.
+        let is_shared = connection.requests.len() > 1;
+        let cancellation = self.protocol.give_up(&request.message).filter(|_| is_shared);
+        let may_have_run = is_shared || self.may_have_run(request, reactor.written(id));
+        let outcome = if may_have_run { outcome } else { Outcome::NotSent };
+        let end = self.complete(now, id, key.tag, without_payload(outcome));
+        match cancellation {
+            Some(bytes) => {
+                let connection = self.connections.get_mut(&id)?;
+                connection.retired = true;
+                connection.bytes_submitted += bytes.len() as u64;
+                reactor.write(id, &bytes);
+            }
+            None => self.close_when_empty(reactor, id),
+        }
+        end
+    }
+
+    /// Cancels an attempt if no byte of it has been written; one that is in flight goes on.
+    pub(super) fn cancel_attempt_if_unsent(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        attempt: AttemptRef,
+    ) -> Option<RequestEnd> {
+        let key = *self.attempts.get(&attempt)?;
+        let end = self.discard_unsent(now, reactor, key);
+        self.release(now, reactor, key.connection);
+        end
+    }
+
+    /// Removes a request of which no byte has been written, as if it had never been submitted; returns none for any other.
+    /// The other requests of the connection are not affected.
+    fn discard_unsent(&mut self, now: Micros, reactor: &mut Reactor, key: RequestKey) -> Option<RequestEnd> {
+        let connection = self.connections.get_mut(&key.connection)?;
+        let discarded = connection.requests.get(&key.tag)?.bytes.clone();
+        if !reactor.discard_unsent(key.connection, discarded.start, discarded.end) {
+            return None;
+        }
+        let length = discarded.end - discarded.start;
+        connection.bytes_submitted -= length;
+        for later in connection.requests.values_mut().filter(|r| r.bytes.start >= discarded.end) {
+            later.bytes.start -= length;
+            later.bytes.end -= length;
+        }
+        self.complete(now, key.connection, key.tag, without_payload(Outcome::NotSent))
+    }
+
+    /// Whether the kernel accepted enough of a request for a worker to run it.
+    ///
+    /// Only the reactor's count decides: a connection that was established in this loop iteration may have been written
+    /// to before the pool handles its event.
+    pub(super) fn may_have_run(&self, request: &PendingRequest, written: u64) -> bool {
+        if self.protocol.partial_request_may_run() {
+            written > request.bytes.start
+        } else {
+            written >= request.bytes.end
+        }
+    }
+}
