--- a/crates/gateway/src/server/pool/connections.rs
+++ b/crates/gateway/src/server/pool/connections.rs
@@ -132,7 +132,7 @@
         for id in self.peers.get(&worker)?.idle.clone().into_iter().rev() {
             let Some(connection) = self.connections.get(&id) else { continue };
             let expired = connection.deadline.is_some_and(|at| at <= now);
-            if expired || (connection.connected && !reactor.is_quiet(id)) {
+            if expired || (connection.connected && !reactor.is_reusable(id)) {
                 self.close_connection(reactor, id);
             } else if !connection.has_carried(purpose) {
                 self.peers.get_mut(&worker)?.idle.retain(|i| *i != id);
--- /dev/null
+++ b/crates/reactor/src/reactor/connections.rs
@@ -0,0 +1,205 @@
+//! Connections: connecting, reading and writing.
+
+use super::Reactor;
+use crate::connection::{ClosePhase, Connection};
+use crate::event::{Id, ReactorEvent};
+use crate::registry::Source;
+use crate::write_buffer::is_transient;
+use polling::Event;
+use socket2::{Domain, Protocol, Socket, Type};
+use std::io::{self, Read};
+use std::mem::MaybeUninit;
+use std::net::SocketAddr;
+use std::time::Instant;
+
+/// Number of reads of a connection whose write failed, before its end is reported.
+const READS_BEFORE_CLOSE_MAX: usize = 16;
+
+/// Whether a flush offered all scheduled connections to the kernel.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Flush {
+    /// All bytes were offered to the kernel.
+    Complete,
+    /// The time limit was reached before.
+    TimedOut,
+}
+
+impl Reactor {
+    /// Opens a TCP connection; [`ReactorEvent::Connected`] or [`ReactorEvent::Closed`] reports the result.
+    ///
+    /// # Errors
+    /// When no socket is available or the address is unreachable.
+    pub fn connect(&mut self, address: SocketAddr) -> io::Result<Id> {
+        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        socket.set_nonblocking(true)?;
+        socket.set_tcp_nodelay(true)?;
+        match socket.connect(&address.into()) {
+            Ok(()) => {}
+            Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => {}
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+            Err(e) => return Err(e),
+        }
+        self.registry.register(Source::Connection(Connection::opening(socket)), Event::all)
+    }
+
+    /// Buffers bytes, which are written when the next poll begins: one write for many messages costs little more than one
+    /// for each. A connection whose buffer would exceed the limit or whose write fails is closed, which that poll reports.
+    /// Unknown ids are ignored.
+    pub fn write(&mut self, id: Id, bytes: &[u8]) {
+        let max_buffered = self.max_buffered;
+        let Some(connection) = self.registry.connection_mut(id) else { return };
+        if connection.is_lingering() {
+            return;
+        }
+        if connection.output.pending() + bytes.len() > max_buffered {
+            return self.close_and_report(id);
+        }
+        connection.output.push(bytes);
+        if connection.connected && !connection.watches_writes && !bytes.is_empty() {
+            self.schedule_write(id);
+        }
+    }
+
+    /// Discards buffered bytes, if none of them has been written: those from position `from` to before `to`, counted from
+    /// the first byte of the connection as [`Reactor::written`] does. Later bytes move up. Returns whether they were
+    /// discarded; it is all or nothing.
+    #[must_use]
+    pub fn discard_unsent(&mut self, id: Id, from: u64, to: u64) -> bool {
+        self.registry.connection_mut(id).is_some_and(|c| c.output.discard(from..to))
+    }
+
+    /// Whether a connection is established and neither bytes nor an end of stream are waiting to be read from it. Only
+    /// such a connection is safe to reuse for another request.
+    #[must_use]
+    pub fn is_reusable(&self, id: Id) -> bool {
+        let Some(connection) = self.registry.connection(id) else { return false };
+        let peeked = connection.stream.peek(&mut [MaybeUninit::uninit()]);
+        connection.connected && matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+    }
+
+    /// Number of bytes buffered for a connection; 0 for an unknown one.
+    #[must_use]
+    pub fn pending(&self, id: Id) -> usize {
+        self.registry.connection(id).map_or(0, |c| c.output.pending())
+    }
+
+    /// Whether bytes are buffered for any connection.
+    #[must_use]
+    pub fn has_pending(&self) -> bool {
+        self.registry.connections().any(|c| c.output.pending() > 0)
+    }
+
+    /// Total bytes of a connection that the kernel accepted; 0 for an unknown one.
+    #[must_use]
+    pub fn written(&self, id: Id) -> u64 {
+        self.registry.connection(id).map_or(0, |c| c.output.written())
+    }
+
+    fn schedule_write(&mut self, id: Id) {
+        if let Some(connection) = self.registry.connection_mut(id) {
+            if !std::mem::replace(&mut connection.write_scheduled, true) {
+                self.scheduled_writes.push(id);
+            }
+        }
+    }
+
+    /// Writes the scheduled connections in the order they were scheduled. Stops before the first one for which `until` has
+    /// passed; the rest stays scheduled.
+    pub(super) fn flush(&mut self, until: Option<Instant>, out: &mut Vec<ReactorEvent>) -> Flush {
+        let scheduled = std::mem::take(&mut self.scheduled_writes);
+        for (index, id) in scheduled.iter().copied().enumerate() {
+            if until.is_some_and(|until| Instant::now() >= until) {
+                self.scheduled_writes.extend_from_slice(&scheduled[index..]);
+                return Flush::TimedOut;
+            }
+            if let Some(connection) = self.registry.connection_mut(id) {
+                connection.write_scheduled = false;
+                self.write_pending(id, out);
+            }
+        }
+        Flush::Complete
+    }
+
+    /// Offers the buffered bytes to the kernel, and watches for writability while some are left.
+    fn write_pending(&mut self, id: Id, out: &mut Vec<ReactorEvent>) {
+        let Some(connection) = self.registry.connection_mut(id) else { return };
+        if connection.output.pending() > 0 {
+            if connection.output.write_to(&mut connection.stream).is_err() {
+                return self.read_then_close(id);
+            }
+            if connection.output.pending() == 0 {
+                if connection.close_phase == ClosePhase::Flushing {
+                    return self.half_close(id);
+                }
+                if connection.watches_writes {
+                    out.push(ReactorEvent::Drained(id));
+                }
+            }
+        }
+        if connection.watches_writes != connection.needs_writability() {
+            self.update_interest(id);
+        }
+    }
+
+    /// Handles writability: completes a connection that is being opened, and schedules the buffered bytes.
+    pub(super) fn handle_writable(&mut self, id: Id, out: &mut Vec<ReactorEvent>) {
+        let Some(connection) = self.registry.connection_mut(id) else { return };
+        if !connection.connected {
+            match connection.stream.take_error() {
+                Ok(None) if connection.stream.peer_addr().is_ok() => {}
+                Ok(None) => return,
+                _ => return self.close_and_report(id),
+            }
+            connection.connected = true;
+            out.push(ReactorEvent::Connected(id));
+        }
+        // Not written at once: another event of this poll may discard the bytes.
+        self.schedule_write(id);
+    }
+
+    /// Handles readability: reports what one read returns.
+    pub(super) fn handle_readable(&mut self, id: Id, out: &mut Vec<ReactorEvent>) {
+        let Some(connection) = self.registry.connection_mut(id) else { return };
+        if !connection.connected {
+            return;
+        }
+        match connection.close_phase {
+            ClosePhase::Open => {}
+            ClosePhase::Flushing => return,
+            ClosePhase::Lingering { remaining } => return self.read_lingering(id, remaining),
+        }
+        match connection.stream.read(&mut self.read_buffer) {
+            Ok(0) => self.close_and_report(id),
+            Ok(count) => out.push(ReactorEvent::Received(id, self.read_buffer[..count].to_vec())),
+            Err(e) if is_transient(&e) => {}
+            Err(_) => self.close_and_report(id),
+        }
+    }
+
+    /// Closes a connection whose write failed; what its peer sent before is reported first.
+    fn read_then_close(&mut self, id: Id) {
+        for _ in 0..READS_BEFORE_CLOSE_MAX {
+            let Some(connection) = self.registry.connection_mut(id) else { return };
+            if connection.close_phase != ClosePhase::Open {
+                break;
+            }
+            match connection.stream.read(&mut self.read_buffer) {
+                Ok(count) if count > 0 => {
+                    let bytes = self.read_buffer[..count].to_vec();
+                    self.deferred_events.push(ReactorEvent::Received(id, bytes));
+                }
+                _ => break,
+            }
+        }
+        self.close_and_report(id);
+    }
+
+    /// Polls a connection for readability unless it is flushing, and for writability as needed.
+    pub(super) fn update_interest(&mut self, id: Id) {
+        let Some(connection) = self.registry.connection_mut(id) else { return };
+        connection.watches_writes = connection.needs_writability();
+        let readable = connection.close_phase != ClosePhase::Flushing;
+        let interest = Event::new(id.0, readable, connection.watches_writes);
+        self.registry.set_interest(id, interest);
+    }
+}
--- /dev/null
+++ b/crates/reactor/src/reactor/graceful_close.rs
@@ -0,0 +1,136 @@
+//! Graceful close: a connection is closed once its buffered bytes are written, then read to its end for a bounded time
+//! (lingering close), so that the peer can read everything that was sent to it.
+
+use super::Reactor;
+use crate::connection::ClosePhase;
+use crate::event::{Id, ReactorEvent};
+use crate::write_buffer::is_transient;
+use std::collections::VecDeque;
+use std::io::Read;
+use std::net::Shutdown;
+use std::time::{Duration, Instant};
+
+/// Default number of connections in lingering close at a time; beyond it, the one lingering for the longest is closed.
+pub const MAX_LINGERING: usize = 16;
+/// Longest time for which a half-closed connection is read.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Number of bytes read and discarded of a half-closed connection, at most.
+const LINGER_BYTES_MAX: usize = 1024 * 1024;
+/// Longest time for which a closing connection's buffered bytes may take to be written: its peer may never read them.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// A connection in graceful close, and since when.
+struct Closing {
+    id: Id,
+    since: Instant,
+}
+
+/// Connections in graceful close. Both queues hold the earliest first.
+pub(super) struct GracefulClose {
+    /// Connections whose buffered bytes are being written. Some have been written or closed already.
+    flushing: VecDeque<Closing>,
+    lingering: VecDeque<Closing>,
+    max_lingering: usize,
+}
+
+impl Default for GracefulClose {
+    fn default() -> Self {
+        GracefulClose { flushing: VecDeque::new(), lingering: VecDeque::new(), max_lingering: MAX_LINGERING }
+    }
+}
+
+impl GracefulClose {
+    /// Time until the next timeout of a closing connection.
+    pub(super) fn time_left(&self) -> Option<Duration> {
+        let lingering = self.lingering.front().map(|c| LINGER_TIMEOUT.saturating_sub(c.since.elapsed()));
+        let flushing = self.flushing.front().map(|c| FLUSH_TIMEOUT.saturating_sub(c.since.elapsed()));
+        lingering.into_iter().chain(flushing).min()
+    }
+
+    pub(super) fn forget_lingering(&mut self, id: Id) {
+        self.lingering.retain(|c| c.id != id);
+    }
+}
+
+impl Reactor {
+    /// Closes a connection gracefully.
+    ///
+    /// Its buffered bytes are written first, for at most 5 s. Then it is half-closed, the next poll reports
+    /// [`ReactorEvent::Closed`], and what the peer still sends is read and discarded, for at most 0.5 s and 1 MiB.
+    pub fn finish(&mut self, id: Id) {
+        let Some(connection) = self.registry.connection_mut(id) else { return };
+        if connection.close_phase != ClosePhase::Open {
+            return;
+        }
+        if connection.output.pending() == 0 {
+            return self.half_close(id);
+        }
+        connection.close_phase = ClosePhase::Flushing;
+        self.closing.flushing.push_back(Closing { id, since: Instant::now() });
+        self.update_interest(id);
+    }
+
+    /// Sets the number of connections in lingering close at a time; [`MAX_LINGERING`] by default.
+    pub fn set_max_lingering(&mut self, max_lingering: usize) {
+        self.closing.max_lingering = max_lingering;
+    }
+
+    /// Number of connections in lingering close.
+    #[must_use]
+    pub fn lingering(&self) -> usize {
+        self.closing.lingering.len()
+    }
+
+    /// Reports the end of a connection to the owner, shuts down its write side and lets it linger.
+    pub(super) fn half_close(&mut self, id: Id) {
+        let Some(connection) = self.registry.connection_mut(id) else { return };
+        if !connection.connected || connection.stream.shutdown(Shutdown::Write).is_err() {
+            return self.close_and_report(id);
+        }
+        let written = connection.output.written();
+        connection.close_phase = ClosePhase::Lingering { remaining: LINGER_BYTES_MAX };
+        self.deferred_events.push(ReactorEvent::Closed { id, connected: true, written });
+        self.update_interest(id);
+        self.closing.lingering.push_back(Closing { id, since: Instant::now() });
+        while self.closing.lingering.len() > self.closing.max_lingering {
+            self.close_longest_lingering();
+        }
+    }
+
+    /// Reads and discards what the peer of a lingering connection sends; closes it at its end or limit.
+    pub(super) fn read_lingering(&mut self, id: Id, remaining: usize) {
+        let Some(connection) = self.registry.connection_mut(id) else { return };
+        match connection.stream.read(&mut self.read_buffer) {
+            Ok(count) if count > 0 && count < remaining => {
+                connection.close_phase = ClosePhase::Lingering { remaining: remaining - count };
+            }
+            Err(e) if is_transient(&e) => {}
+            _ => self.close(id),
+        }
+    }
+
+    /// Closes the connections whose lingering or flushing has timed out.
+    pub(super) fn expire_closing(&mut self) {
+        while self.closing.lingering.front().is_some_and(|c| c.since.elapsed() >= LINGER_TIMEOUT) {
+            self.close_longest_lingering();
+        }
+        while let Some(Closing { id, since }) = self.closing.flushing.front() {
+            let (id, since) = (*id, *since);
+            let is_flushing =
+                self.registry.connection(id).is_some_and(|c| c.close_phase == ClosePhase::Flushing);
+            if is_flushing && since.elapsed() < FLUSH_TIMEOUT {
+                break;
+            }
+            self.closing.flushing.pop_front();
+            if is_flushing {
+                self.close_and_report(id);
+            }
+        }
+    }
+
+    fn close_longest_lingering(&mut self) {
+        if let Some(connection) = self.closing.lingering.pop_front() {
+            self.close(connection.id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/reactor/src/reactor/listeners.rs
@@ -0,0 +1,105 @@
+//! Listening on TCP and Unix sockets, and accepting connections.
+
+use super::Reactor;
+use crate::connection::Connection;
+use crate::event::{Id, ReactorEvent};
+use crate::registry::Source;
+use polling::Event;
+use socket2::{Domain, Protocol, SockAddr, Socket, Type};
+use std::fs::{self, Permissions};
+use std::io;
+use std::net::SocketAddr;
+use std::os::unix::fs::PermissionsExt;
+use std::os::unix::net::UnixStream;
+use std::path::Path;
+
+/// Connections accepted from one listener in one poll, so that other sources are served in between.
+const ACCEPTS_PER_POLL: usize = 64;
+/// Length of the kernel's accept queue.
+const LISTEN_BACKLOG: i32 = 1024;
+/// Permissions of a Unix socket: only its owner may connect.
+const UNIX_SOCKET_MODE: u32 = 0o600;
+
+impl Reactor {
+    /// Listens on a TCP address; port 0 lets the kernel choose. Returns the listener and the address that was bound.
+    ///
+    /// # Errors
+    /// When the address cannot be bound.
+    pub fn listen(&mut self, address: SocketAddr) -> io::Result<(Id, SocketAddr)> {
+        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        socket.set_reuse_address(true)?;
+        socket.bind(&address.into())?;
+        socket.listen(LISTEN_BACKLOG)?;
+        socket.set_nonblocking(true)?;
+        let bound = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
+        Ok((self.registry.register(Source::Listener(socket), Event::readable)?, bound))
+    }
+
+    /// Listens on a Unix socket to which only its owner may connect (mode 0600). A socket file left behind by an earlier
+    /// process is replaced; one that a process listens on is not.
+    ///
+    /// # Errors
+    /// When the path cannot be bound, or a process listens there.
+    pub fn listen_unix(&mut self, path: &Path) -> io::Result<Id> {
+        match UnixStream::connect(path) {
+            Ok(_) => return Err(io::ErrorKind::AddrInUse.into()),
+            Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => fs::remove_file(path)?,
+            Err(_) => {}
+        }
+        let socket = Socket::new(Domain::UNIX, Type::STREAM, None)?;
+        socket.bind(&SockAddr::unix(path)?)?;
+        // Set before `listen`, until which no process can connect.
+        fs::set_permissions(path, Permissions::from_mode(UNIX_SOCKET_MODE))?;
+        socket.listen(LISTEN_BACKLOG)?;
+        socket.set_nonblocking(true)?;
+        self.registry.register(Source::Listener(socket), Event::readable)
+    }
+
+    /// Lets a listener accept again after [`ReactorEvent::AcceptFailed`].
+    pub fn resume(&mut self, listener: Id) {
+        if self.registry.listener(listener).is_some() {
+            self.registry.set_interest(listener, Event::readable(listener.0));
+        }
+    }
+
+    /// Closes a listener after accepting the connections in its queue, as far as possible. The events are appended to `out`.
+    pub fn close_listener(&mut self, listener: Id, out: &mut Vec<ReactorEvent>) {
+        for _ in 0..LISTEN_BACKLOG as usize / ACCEPTS_PER_POLL {
+            let before = out.len();
+            self.accept(listener, out);
+            if out.len() == before {
+                break;
+            }
+        }
+        self.close(listener);
+    }
+
+    /// Accepts the connections that are waiting, up to the limit of one poll.
+    pub(super) fn accept(&mut self, listener: Id, out: &mut Vec<ReactorEvent>) {
+        for _ in 0..ACCEPTS_PER_POLL {
+            let Some(socket) = self.registry.listener(listener) else { return };
+            match socket.accept() {
+                Ok((stream, peer)) => out.extend(self.register_accepted(listener, stream, &peer)),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
+                Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => {
+                    // Polling is level-triggered: without this the error would be reported again at every poll.
+                    self.registry.set_interest(listener, Event::none(listener.0));
+                    out.push(ReactorEvent::AcceptFailed { listener, error });
+                    return;
+                }
+            }
+        }
+    }
+
+    /// Registers an accepted connection. One that cannot be set up is closed without an event.
+    fn register_accepted(&mut self, listener: Id, stream: Socket, peer: &SockAddr) -> Option<ReactorEvent> {
+        // Fails on Unix sockets, which do not delay small writes.
+        let _ = stream.set_tcp_nodelay(true);
+        stream.set_nonblocking(true).ok()?;
+        let source = Source::Connection(Connection::established(stream));
+        let connection = self.registry.register(source, Event::readable).ok()?;
+        Some(ReactorEvent::Accepted { listener, connection, peer: peer.as_socket() })
+    }
+}
--- /dev/null
+++ b/crates/reactor/src/reactor/mod.rs
@@ -0,0 +1,142 @@
+//! The reactor: polling for readiness, and its dispatch to the sources.
+
+mod connections;
+mod graceful_close;
+mod listeners;
+mod signals;
+
+pub use graceful_close::MAX_LINGERING;
+
+use crate::event::{Id, ReactorEvent};
+use crate::registry::{Registry, Source};
+use crate::signal::read_to_empty;
+use connections::Flush;
+use graceful_close::GracefulClose;
+use polling::Event;
+use std::io;
+use std::time::{Duration, Instant};
+
+/// Bytes read from one connection in one poll, so that a flood from one peer does not starve the others.
+const READ_BYTES_PER_POLL: usize = 64 * 1024;
+
+/// The event loop's sockets and signals; [`Reactor::poll`] waits for their next events.
+pub struct Reactor {
+    registry: Registry,
+    read_buffer: Vec<u8>,
+    /// Bytes buffered for writing on one connection, at most.
+    max_buffered: usize,
+    /// Events noticed outside a poll, or while writing, and reported by the next poll.
+    deferred_events: Vec<ReactorEvent>,
+    /// Connections with bytes that have not been offered to the kernel yet.
+    scheduled_writes: Vec<Id>,
+    closing: GracefulClose,
+}
+
+impl Reactor {
+    /// Creates a reactor whose connections buffer at most `max_buffered` bytes each; one that would exceed it is closed.
+    ///
+    /// # Errors
+    /// When no poller can be created.
+    pub fn new(max_buffered: usize) -> io::Result<Self> {
+        Ok(Reactor {
+            registry: Registry::new()?,
+            read_buffer: vec![0; READ_BYTES_PER_POLL],
+            max_buffered,
+            deferred_events: Vec::new(),
+            scheduled_writes: Vec::new(),
+            closing: GracefulClose::default(),
+        })
+    }
+
+    /// Writes the buffered bytes, waits for events for at most `timeout` (`None`: without limit) and appends them to `out`.
+    ///
+    /// # Errors
+    /// When the poller fails.
+    pub fn poll(&mut self, timeout: Option<Duration>, out: &mut Vec<ReactorEvent>) -> io::Result<()> {
+        self.poll_until(timeout, None, out)
+    }
+
+    /// Like [`Reactor::poll`], but stops writing once `until` has passed, and then polls without waiting: what is left can
+    /// still be discarded. The clock is read before each connection, as the process may be paused between two writes.
+    ///
+    /// # Errors
+    /// When the poller fails.
+    pub fn poll_until(
+        &mut self,
+        timeout: Option<Duration>,
+        until: Option<Instant>,
+        out: &mut Vec<ReactorEvent>,
+    ) -> io::Result<()> {
+        let before = out.len();
+        if self.flush(until, out) == Flush::TimedOut {
+            return self.look(Some(Duration::ZERO), out);
+        }
+        let timeout = if out.len() == before { timeout } else { Some(Duration::ZERO) };
+        self.look(timeout, out)
+    }
+
+    /// Like [`Reactor::poll`], but writes nothing: buffered bytes can still be discarded because of the events. For a loop
+    /// whose process was paused between deciding and writing.
+    ///
+    /// # Errors
+    /// When the poller fails.
+    pub fn look(&mut self, timeout: Option<Duration>, out: &mut Vec<ReactorEvent>) -> io::Result<()> {
+        self.expire_closing();
+        let timeout = if self.deferred_events.is_empty() { timeout } else { Some(Duration::ZERO) };
+        let timeout = self.closing.time_left().into_iter().chain(timeout).min();
+        let ready = self.registry.wait(timeout)?;
+        out.append(&mut self.deferred_events);
+        for event in ready {
+            self.dispatch(event, out);
+        }
+        out.append(&mut self.deferred_events);
+        Ok(())
+    }
+
+    fn dispatch(&mut self, event: Event, out: &mut Vec<ReactorEvent>) {
+        let id = Id(event.key);
+        match self.registry.get_mut(id) {
+            Some(Source::Listener(_)) => self.accept(id, out),
+            Some(Source::Signal(pipe)) => {
+                read_to_empty(&mut pipe.stream);
+                out.push(ReactorEvent::Signal(pipe.signal));
+            }
+            Some(Source::Waker(stream)) => {
+                read_to_empty(stream);
+                out.push(ReactorEvent::Woken);
+            }
+            Some(Source::Connection(_)) => {
+                if event.writable || event.is_err() == Some(true) {
+                    self.handle_writable(id, out);
+                }
+                if event.readable {
+                    self.handle_readable(id, out);
+                }
+            }
+            None => {}
+        }
+    }
+
+    /// Closes a connection or listener at once, without an event.
+    pub fn close(&mut self, id: Id) {
+        self.remove(id);
+    }
+
+    /// Closes a connection at once. The next poll reports it, unless its end was reported when it began to linger.
+    fn close_and_report(&mut self, id: Id) {
+        if let Some(Source::Connection(connection)) = self.remove(id) {
+            if !connection.is_lingering() {
+                let (connected, written) = (connection.connected, connection.output.written());
+                self.deferred_events.push(ReactorEvent::Closed { id, connected, written });
+            }
+        }
+    }
+
+    fn remove(&mut self, id: Id) -> Option<Source> {
+        let source = self.registry.remove(id)?;
+        if matches!(&source, Source::Connection(c) if c.is_lingering()) {
+            self.closing.forget_lingering(id);
+        }
+        Some(source)
+    }
+}
--- /dev/null
+++ b/crates/reactor/src/write_buffer.rs
@@ -0,0 +1,72 @@
+//! Bytes queued for writing on one connection.
+
+use socket2::Socket;
+use std::io::{self, Write};
+use std::ops::Range;
+
+/// Written bytes at the front of the buffer are removed once there are more than this many.
+const COMPACTION_THRESHOLD: usize = 64 * 1024;
+
+/// Bytes that the kernel has not accepted yet, and the count of those that it has.
+#[derive(Debug, Default)]
+pub(crate) struct WriteBuffer {
+    bytes: Vec<u8>,
+    /// Start of the unwritten bytes in `bytes`.
+    start: usize,
+    /// Total bytes that the kernel accepted.
+    written: u64,
+}
+
+impl WriteBuffer {
+    /// Number of bytes not written yet.
+    pub(crate) fn pending(&self) -> usize {
+        self.bytes.len() - self.start
+    }
+
+    /// Total bytes that the kernel accepted.
+    pub(crate) fn written(&self) -> u64 {
+        self.written
+    }
+
+    pub(crate) fn push(&mut self, bytes: &[u8]) {
+        self.bytes.extend_from_slice(bytes);
+    }
+
+    /// Removes a range of bytes, counted from the first byte of the connection, if none of them has been written. Returns
+    /// whether it did; later bytes move up.
+    pub(crate) fn discard(&mut self, range: Range<u64>) -> bool {
+        let end = self.written + self.pending() as u64;
+        if range.start < self.written || range.start > range.end || range.end > end {
+            return false;
+        }
+        let index = |position: u64| self.start + (position - self.written) as usize;
+        self.bytes.drain(index(range.start)..index(range.end));
+        true
+    }
+
+    /// Writes as many bytes as the kernel accepts now.
+    ///
+    /// # Errors
+    /// When the connection is broken.
+    pub(crate) fn write_to(&mut self, stream: &mut Socket) -> io::Result<()> {
+        let count = match stream.write(&self.bytes[self.start..]) {
+            Err(e) if is_transient(&e) => 0,
+            other => other?,
+        };
+        self.written += count as u64;
+        self.start += count;
+        if self.pending() == 0 {
+            self.bytes.clear();
+            self.start = 0;
+        } else if self.start > COMPACTION_THRESHOLD {
+            self.bytes.drain(..self.start);
+            self.start = 0;
+        }
+        Ok(())
+    }
+}
+
+/// Whether an operation on a non-blocking socket is to be repeated later, rather than having failed.
+pub(crate) fn is_transient(error: &io::Error) -> bool {
+    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
+}
--- /dev/null
+++ b/crates/reactor/tests/signals.rs
@@ -0,0 +1,24 @@
+//! Registration of signals.
+
+use signal_hook::consts::SIGUSR1;
+use slatevalve_reactor::{Reactor, ReactorEvent};
+use std::time::Duration;
+
+fn open_descriptors() -> usize {
+    std::fs::read_dir("/proc/self/fd").unwrap().count()
+}
+
+#[test]
+fn a_dropped_reactor_leaves_no_descriptor_of_a_registered_signal() {
+    let before = open_descriptors();
+    let mut reactor = Reactor::new(1 << 20).unwrap();
+    reactor.signal(SIGUSR1).unwrap();
+    let mut events = Vec::new();
+    let own_pid = std::process::id().to_string();
+    let sent = std::process::Command::new("kill").args(["-USR1", &own_pid]).status().unwrap();
+    assert!(sent.success());
+    reactor.poll(Some(Duration::from_secs(5)), &mut events).unwrap();
+    assert!(matches!(events.as_slice(), [ReactorEvent::Signal(SIGUSR1)]), "{events:?}");
+    drop(reactor);
+    assert_eq!(open_descriptors(), before);
+}
