--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,13 +1,24 @@
-//! HTTP/1.1 messages without I/O (RFC 9112): bytes in, heads and bodies out, within limits.
+//! HTTP/1.1 message parsing without I/O (RFC 9112): bytes in, heads and bodies out, within limits.
 //!
-//! It guards whoever reads a socket against heads and bodies without end and against framing that two readers could take
-//! differently. [`PartReader`] hands a body on as it comes (layers of plug-ins, a registry's watch), [`MessageReader`]
-//! gathers whole messages (the workers' protocol). `worker-wire`, `oci` and the stand-ins call it.
+//! [`PartReader`] decodes a message incrementally and passes its body on as it arrives (layers of plug-ins, a registry's
+//! watch); [`MessageReader`] collects whole messages (the worker protocol). Both bound the size of head and body, and reject
+//! framing that two parsers could interpret differently (request smuggling).
+//!
+//! | module | concern |
+//! | --- | --- |
+//! | `decoder` | incremental decoding of one message after another |
+//! | `reader` | whole messages |
+//! | `head` | start line, headers and body framing |
+//! | `error` | why bytes are rejected |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod message;
-mod parts;
+mod decoder;
+mod error;
+mod head;
+mod reader;
 
-pub use message::{Message, MessageReader};
-pub use parts::{Head, Limits, MessageError, Part, PartReader, Side};
+pub use decoder::{Limits, Part, PartReader};
+pub use error::MessageError;
+pub use head::{Head, Side};
+pub use reader::{Message, MessageReader};
