--- a/crates/gateway/src/server/pool/connections.rs
+++ b/crates/gateway/src/server/pool/connections.rs
@@ -225,8 +225,13 @@
         outcomes: FailureOutcomes,
     ) -> Vec<RequestEnd> {
         let Some(connection) = self.connections.get(&id) else { return Vec::new() };
-        let outcome =
-            |r: &PendingRequest| if self.may_have_run(r, written) { outcomes.sent } else { outcomes.unsent };
+        let outcome = |r: &PendingRequest| {
+            if self.has_possibly_run(r, written) {
+                outcomes.sent
+            } else {
+                outcomes.unsent
+            }
+        };
         let all: Vec<(Tag, Outcome)> =
             connection.requests.iter().map(|(tag, r)| (*tag, outcome(r))).collect();
         all.into_iter()
--- a/crates/http/src/decoder.rs
+++ b/crates/http/src/decoder.rs
@@ -208,7 +208,7 @@
     /// Appends the buffered bytes of the body to `out`, at most `max_length`; returns their number.
     fn take_body_piece(&mut self, max_length: usize, out: &mut Vec<Part>) -> Result<usize, MessageError> {
         let length = self.buffer.len().min(max_length);
-        if length > self.body_limit_left() {
+        if length > self.remaining_body_limit() {
             return Err(MessageError::BodyTooLong);
         }
         self.body_length += length;
@@ -220,7 +220,7 @@
         Ok(length)
     }
 
-    fn body_limit_left(&self) -> usize {
+    fn remaining_body_limit(&self) -> usize {
         self.limits.body.saturating_sub(self.body_length)
     }
 
@@ -234,7 +234,7 @@
             Err(_) => return Err(MessageError::Chunk),
         };
         let size = usize::try_from(size).map_err(|_| MessageError::BodyTooLong)?;
-        if size > self.body_limit_left() {
+        if size > self.remaining_body_limit() {
             return Err(MessageError::BodyTooLong);
         }
         self.buffer.drain(..line_length);
--- a/crates/reactor/src/reactor/graceful_close.rs
+++ b/crates/reactor/src/reactor/graceful_close.rs
@@ -13,9 +13,9 @@
 /// Default number of connections in lingering close at a time; beyond it, the one lingering for the longest is closed.
 pub const MAX_LINGERING: usize = 16;
 /// Longest time for which a half-closed connection is read.
-const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+const LINGERING_TIMEOUT: Duration = Duration::from_millis(500);
 /// Number of bytes read and discarded of a half-closed connection, at most.
-const LINGER_BYTES_MAX: usize = 1024 * 1024;
+const LINGERING_BYTES_MAX: usize = 1024 * 1024;
 /// Longest time for which a closing connection's buffered bytes may take to be written: its peer may never read them.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -41,8 +41,8 @@
 
 impl GracefulClose {
     /// Time until the next timeout of a closing connection.
-    pub(super) fn time_left(&self) -> Option<Duration> {
-        let lingering = self.lingering.front().map(|c| LINGER_TIMEOUT.saturating_sub(c.since.elapsed()));
+    pub(super) fn next_timeout(&self) -> Option<Duration> {
+        let lingering = self.lingering.front().map(|c| LINGERING_TIMEOUT.saturating_sub(c.since.elapsed()));
         let flushing = self.flushing.front().map(|c| FLUSH_TIMEOUT.saturating_sub(c.since.elapsed()));
         lingering.into_iter().chain(flushing).min()
     }
@@ -88,7 +88,7 @@
             return self.close_and_report(id);
         }
         let written = connection.output.written();
-        connection.close_phase = ClosePhase::Lingering { remaining: LINGER_BYTES_MAX };
+        connection.close_phase = ClosePhase::Lingering { remaining: LINGERING_BYTES_MAX };
         self.deferred_events.push(ReactorEvent::Closed { id, connected: true, written });
         self.update_interest(id);
         self.closing.lingering.push_back(Closing { id, since: Instant::now() });
@@ -111,7 +111,7 @@
 
     /// Closes the connections whose lingering or flushing has timed out.
     pub(super) fn expire_closing(&mut self) {
-        while self.closing.lingering.front().is_some_and(|c| c.since.elapsed() >= LINGER_TIMEOUT) {
+        while self.closing.lingering.front().is_some_and(|c| c.since.elapsed() >= LINGERING_TIMEOUT) {
             self.close_longest_lingering();
         }
         while let Some(Closing { id, since }) = self.closing.flushing.front() {
--- a/crates/reactor/src/reactor/mod.rs
+++ b/crates/reactor/src/reactor/mod.rs
@@ -83,7 +83,7 @@
     pub fn look(&mut self, timeout: Option<Duration>, out: &mut Vec<ReactorEvent>) -> io::Result<()> {
         self.expire_closing();
         let timeout = if self.deferred_events.is_empty() { timeout } else { Some(Duration::ZERO) };
-        let timeout = self.closing.time_left().into_iter().chain(timeout).min();
+        let timeout = self.closing.next_timeout().into_iter().chain(timeout).min();
         let ready = self.registry.wait(timeout)?;
         out.append(&mut self.deferred_events);
         for event in ready {
