--- a/crates/config-versioning/src/compare.rs
+++ b/crates/config-versioning/src/compare.rs
@@ -1,15 +1,16 @@
 //! Whether two sets of terms contradict each other, field by field and with a reason.
 //!
-//! Two terms contradict where one *does* what the other does not *bear*; see [`Terms`]. What is unknown to one side contradicts
-//! nothing: it refuses there. Worth, aims and the like are no terms. Called by drivers and by the commands that show a change.
+//! Two terms contradict where one *applies* what the other does not *tolerate*; see [`Terms`]. What is unknown to one side
+//! contradicts nothing, as that side refuses it. Priority weights, objectives and the like are no terms. Used by coordinators
+//! and by the commands that show a change.
 
-use crate::terms::{first, Route, Terms};
-use crate::topics::{shared, standing_for};
+use crate::terms::{find_route, Route, Terms};
+use crate::topics::{intersection, representative_topics};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Filters that are compared before routes are said to be too entangled to tell.
-const MOST_FILTERS: usize = 20_000;
+/// The number of filters above which routes are taken to contradict without a full comparison, which bounds its cost.
+const MAX_COMPARED_FILTERS: usize = 20_000;
 
 /// One field in which two terms contradict each other.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,90 +27,118 @@
     }
 }
 
-/// All fields in which two terms contradict each other, in order; the same whichever comes first.
-pub fn contradictions(a: &Terms, b: &Terms) -> Vec<Contradiction> {
-    let mut found = BTreeSet::new();
-    for (one, other) in [(a, b), (b, a)] {
-        classes(one, other, &mut found);
-        plain(one, other, &mut found);
-        routes(one, other, &mut found);
+/// All fields in which two terms contradict each other, in order. The result is symmetric.
+#[must_use]
+pub fn contradictions(one: &Terms, two: &Terms) -> Vec<Contradiction> {
+    let mut found = Contradictions::default();
+    for (applied, tolerant) in [(one, two), (two, one)] {
+        found.compare_classes(applied, tolerant);
+        found.compare_bounds(applied, tolerant);
+        found.compare_facts(applied, tolerant);
+        found.compare_routes(applied, tolerant);
     }
-    found.into_iter().collect()
+    found.0.into_iter().collect()
 }
 
-type Found = BTreeSet<Contradiction>;
+/// What `applied` does and `tolerant` does not tolerate, for both directions.
+#[derive(Default)]
+struct Contradictions(BTreeSet<Contradiction>);
 
-fn tell(found: &mut Found, field: String, reason: impl Into<String>) {
-    found.insert(Contradiction { field, reason: reason.into() });
-}
+impl Contradictions {
+    fn add(&mut self, field: impl Into<String>, reason: impl Into<String>) {
+        self.0.insert(Contradiction { field: field.into(), reason: reason.into() });
+    }
 
-fn classes(one: &Terms, other: &Terms, found: &mut Found) {
-    for (name, class) in &one.classes {
-        let Some(borne) = other.classes.get(name) else { continue };
-        if !borne.borne.iter().any(|b| class.repeat.is_inside(b)) {
-            let reason = "one side sends a call again where the other holds that it must not run twice";
-            tell(found, format!("class \"{name}\" effect"), reason);
-        }
-        let counted = !class.repeat.is_unconditional() || !borne.repeat.is_unconditional();
-        if counted && class.attempts.most > borne.attempts.borne {
-            tell(
-                found,
-                format!("class \"{name}\" attempts"),
-                "one side makes more attempts than the other allows",
-            );
+    fn compare_classes(&mut self, applied: &Terms, tolerant: &Terms) {
+        for (name, class) in &applied.classes {
+            let Some(other) = tolerant.classes.get(name) else { continue };
+            if !other.tolerated.iter().any(|rule| class.retry.is_within(rule)) {
+                let reason = "one side sends a call again where the other holds that it must not run twice";
+                self.add(format!("class \"{name}\" effect"), reason);
+            }
+            let attempts_count = !class.retry.is_unconditional() || !other.retry.is_unconditional();
+            if attempts_count && class.attempts.applied > other.attempts.tolerated {
+                let reason = "one side makes more attempts than the other allows";
+                self.add(format!("class \"{name}\" attempts"), reason);
+            }
         }
     }
-}
 
-fn plain(one: &Terms, other: &Terms, found: &mut Found) {
-    for (name, bound) in &one.bounds {
-        if other.bounds.get(name).is_some_and(|b| bound.most > b.borne) {
-            tell(found, name.clone(), "one side goes further than the other allows");
+    fn compare_bounds(&mut self, applied: &Terms, tolerant: &Terms) {
+        for (name, bound) in &applied.bounds {
+            if tolerant.bounds.get(name).is_some_and(|other| bound.applied > other.tolerated) {
+                self.add(name, "one side goes further than the other allows");
+            }
         }
     }
-    for name in one.facts.keys() {
-        let (Some(value), Some(values)) = (one.fact(name), other.facts.get(name)) else { continue };
-        if !values.iter().any(|v| v.as_deref().is_none_or(|v| v == value)) {
-            tell(found, name.clone(), "the sides hold different things for true");
+
+    fn compare_facts(&mut self, applied: &Terms, tolerant: &Terms) {
+        for name in applied.facts.keys() {
+            let (Some(value), Some(others)) = (applied.fact(name), tolerant.facts.get(name)) else {
+                continue;
+            };
+            if !others.iter().any(|other| other.as_deref().is_none_or(|other| other == value)) {
+                self.add(name, "the sides hold different things for true");
+            }
         }
     }
-}
 
-/// A topic that one side takes, and for which every table of the other side names something else.
-fn routes(one: &Terms, other: &Terms, found: &mut Found) {
-    // A table of both bears all that either does.
-    if one.tables.is_empty() || other.tables.is_empty() || !one.tables.is_disjoint(&other.tables) {
-        return;
-    }
-    let all: Vec<&Vec<Route>> = one.tables.iter().chain(&other.tables).collect();
-    let levels = all.iter().flat_map(|t| t.iter()).map(|r| r.filter.split('/').count()).max().unwrap_or(0);
-    // Each topic is stood for by one of the filters that some routes of all tables share.
-    let mut filters: BTreeSet<String> = all[0].iter().map(|r| r.filter.clone()).collect();
-    for table in &all[1..] {
-        let pairs = filters.iter().flat_map(|f| table.iter().filter_map(move |r| shared(f, &r.filter)));
-        filters = pairs.take(MOST_FILTERS + 1).collect();
-        if filters.len() > MOST_FILTERS {
+    /// Finds topics that one side accepts and for which every table of the other side has another target.
+    fn compare_routes(&mut self, applied: &Terms, tolerant: &Terms) {
+        // Sides that share a table tolerate each other: a meet tolerates all that either of its documents applies.
+        let shares_table = !applied.tables.is_disjoint(&tolerant.tables);
+        if applied.tables.is_empty() || tolerant.tables.is_empty() || shares_table {
+            return;
+        }
+        let tables: Vec<&[Route]> =
+            applied.tables.iter().chain(&tolerant.tables).map(Vec::as_slice).collect();
+        let Some(filters) = shared_filters(&tables) else {
             let reason = "too many filters share topics to be compared; they are taken to contradict";
-            return tell(found, "routes".into(), reason);
+            return self.add("routes", reason);
+        };
+        let levels = tables.iter().copied().flatten().map(|route| route.filter.split('/').count()).max();
+        let levels = levels.unwrap_or(0);
+        for topic in filters.iter().flat_map(|filter| representative_topics(filter, levels)) {
+            self.compare_topic(&topic, applied, tolerant);
         }
     }
-    for topic in filters.iter().flat_map(|f| standing_for(f, levels)) {
-        let Some(route) = one.route(&topic) else { continue };
-        let others = other.tables.iter().map(|t| first(t, &topic));
-        let differs =
-            |r: Option<&Route>| r.is_some_and(|r| (&r.class, &r.rest) != (&route.class, &route.rest));
-        if others.clone().all(differs) {
-            let seconds: BTreeSet<&str> = others.flatten().map(|r| r.class.as_str()).collect();
-            let (a, b) = (
-                format!("\"{}\"", route.class),
-                format!("\"{}\"", seconds.into_iter().collect::<Vec<_>>().join("\", \"")),
-            );
-            let (low, high) = if a <= b { (a, b) } else { (b, a) };
-            let reason = match low == high {
-                true => format!("function, tenant or key of class {low} follow from it differently"),
-                false => format!("it belongs to class {low} on one side and to {high} on the other"),
-            };
-            tell(found, format!("topic \"{topic}\""), reason);
+
+    fn compare_topic(&mut self, topic: &str, applied: &Terms, tolerant: &Terms) {
+        let Some(route) = applied.route(topic) else { return };
+        let others: Option<Vec<&Route>> =
+            tolerant.tables.iter().map(|table| find_route(table, topic)).collect();
+        // A table without a route for the topic refuses it, and so contradicts nothing.
+        let Some(others) = others else { return };
+        if others.iter().any(|other| other.has_same_target(route)) {
+            return;
+        }
+        let classes: BTreeSet<&str> = others.iter().map(|other| other.class.as_str()).collect();
+        let classes: Vec<&str> = classes.into_iter().collect();
+        let mut sides = [format!("\"{}\"", route.class), format!("\"{}\"", classes.join("\", \""))];
+        sides.sort();
+        let [low, high] = sides;
+        let reason = if low == high {
+            format!("function, tenant or key of class {low} follow from it differently")
+        } else {
+            format!("it belongs to class {low} on one side and to {high} on the other")
+        };
+        self.add(format!("topic \"{topic}\""), reason);
+    }
+}
+
+/// The filters that routes of all tables share, by which each topic that all tables match is represented; `None` if they are
+/// more than [`MAX_COMPARED_FILTERS`].
+fn shared_filters(tables: &[&[Route]]) -> Option<BTreeSet<String>> {
+    let (first, others) = tables.split_first()?;
+    let mut filters: BTreeSet<String> = first.iter().map(|route| route.filter.clone()).collect();
+    for table in others {
+        let shared = filters
+            .iter()
+            .flat_map(|filter| table.iter().filter_map(move |route| intersection(filter, &route.filter)));
+        filters = shared.take(MAX_COMPARED_FILTERS + 1).collect();
+        if filters.len() > MAX_COMPARED_FILTERS {
+            return None;
         }
     }
+    Some(filters)
 }
--- a/crates/config-versioning/src/lib.rs
+++ b/crates/config-versioning/src/lib.rs
@@ -1,27 +1,36 @@
-//! Settings with versions on which a fleet of routers agrees, without I/O.
+//! Versioned settings that a fleet of routers switches to together, without I/O.
 //!
-//! It guards one thing: no two routers act at the same time on rules that contradict each other. [`Terms`] are the rules of a
-//! document that can contradict, with their *meet*; [`Document`], [`State`] and [`ActLease`] are what stands in the key-value
-//! registry; a [`LeaseHolder`] is one router's right to act and the [`ActiveSettings`] it acts on; a [`RolloutCoordinator`] carries a change from
-//! prepared to committed, and any number of drivers may do so at once. Commands call the driver's side, routers the holder's.
-//! The protocol, its assumptions and why the bound holds: `docs/design-config-versioning.md`.
+//! Invariant: no two routers act at the same time by rules that contradict each other. [`Terms`] are the rules of a document
+//! that can contradict another document's, with their *meet*, the strictest common rules. [`Document`], [`State`] and
+//! [`ActLease`] are the records in the key-value registry, and a [`Snapshot`] is all of them at one revision. A [`LeaseHolder`]
+//! keeps one router's lease to act and the [`ActiveSettings`] it acts by; a [`RolloutCoordinator`] takes a change from prepared
+//! to committed, and several coordinators may work on one change. Commands run a coordinator, routers run both.
+//!
+//! The protocol, its assumptions and the argument for the invariant: `docs/design-config-versioning.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod compare;
+mod coordinator;
 mod document;
-mod driver;
-mod holder;
-mod patrol;
+mod keys;
+mod lease_holder;
+mod publish;
+mod snapshot;
+mod takeover;
 mod terms;
 mod topics;
+mod transaction;
 
 pub use compare::{contradictions, Contradiction};
+pub use coordinator::{PendingAck, RolloutCoordinator, RolloutStep, WaitReason};
 pub use document::{
-    ActLease, ActiveSettings, Document, DocumentVersion, Entry, Keys, LeaseExpiryPolicy, PublishError,
-    Reading, RecordError, State, Txn, TxnEnd,
+    ActLease, ActiveSettings, Document, DocumentVersion, LeaseExpiryPolicy, LeaseTerms, State,
 };
-pub use driver::{Next, PendingAck, RolloutCoordinator, Wait};
-pub use holder::{Ask, LeaseFault, LeaseHolder, LeaseHolderSettings, SendPermission};
-pub use patrol::TakeoverTimer;
+pub use keys::{Keys, RouterId};
+pub use lease_holder::{LeaseFault, LeaseHolder, LeaseHolderSettings, LeaseRequest, SendPermission};
+pub use publish::{PublishError, MAX_DOCUMENT_BYTES};
+pub use snapshot::{RecordError, RecordFault, Snapshot};
+pub use takeover::TakeoverTimer;
 pub use terms::{Bound, Class, RetryCondition, RetryRule, Route, Terms};
+pub use transaction::{Entry, Txn, TxnOutcome};
--- /dev/null
+++ b/crates/config-versioning/src/publish.rs
@@ -0,0 +1,134 @@
+//! Transactions of operators: publish a document, withdraw a prepared one, declare a router gone.
+//!
+//! Invariants: one publication is one document, a number is never assigned twice, and at most two successive documents are in
+//! use. Each transaction compares the revisions of what it builds on.
+
+use crate::document::{ActiveSettings, Document, State};
+use crate::keys::{Keys, RouterId};
+use crate::snapshot::Snapshot;
+use crate::transaction::{to_json, Entry, Txn};
+use std::fmt;
+
+/// The largest text of a document, in bytes. A registry takes 1.5 MiB a transaction.
+pub const MAX_DOCUMENT_BYTES: usize = 512 * 1024;
+
+/// Why a text cannot be published now.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum PublishError {
+    /// A change to this document is prepared and not yet committed.
+    ChangeInProgress(u64),
+    /// The committed document, with this number, has the same text.
+    Unchanged(u64),
+    /// The text is longer than [`MAX_DOCUMENT_BYTES`]: its length in bytes.
+    TooLong(usize),
+}
+
+impl fmt::Display for PublishError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            PublishError::ChangeInProgress(number) => {
+                write!(f, "document {number} is prepared and not yet committed")
+            }
+            PublishError::Unchanged(number) => write!(f, "document {number}, which counts, has this text"),
+            PublishError::TooLong(bytes) => {
+                write!(f, "{bytes} bytes; a document has at most {MAX_DOCUMENT_BYTES}")
+            }
+        }
+    }
+}
+
+impl std::error::Error for PublishError {}
+
+impl Snapshot {
+    /// The document made from a draft, and the transaction that publishes it. The first document is committed at once, each
+    /// other one is prepared. Of the draft, number, parent and digest are replaced. The number is above all that were assigned
+    /// here and above `above`, which counts where the registry was restored from a backup.
+    ///
+    /// # Errors
+    /// If it cannot be published now.
+    pub fn publish(
+        &self,
+        keys: &Keys,
+        draft: &Document,
+        above: u64,
+    ) -> Result<(Document, Txn), PublishError> {
+        if draft.text.len() > MAX_DOCUMENT_BYTES {
+            return Err(PublishError::TooLong(draft.text.len()));
+        }
+        let digest = Document::digest_of(&draft.text);
+        let current = self.state.as_ref();
+        if let Some(entry) = current {
+            check_replaceable(&entry.value.active_settings, &digest)?;
+        }
+        let committed = current.map(|entry| &entry.value.active_settings.committed);
+        let parent = committed.map_or(0, |version| version.number);
+        let document = Document { number: self.next_number(above), parent, digest, ..draft.clone() };
+        let active_settings = match committed {
+            None => ActiveSettings::committed(document.version()),
+            Some(committed) => {
+                ActiveSettings { committed: committed.clone(), prepared: Some(document.version()) }
+            }
+        };
+        let state = State {
+            step: current.map_or(0, |entry| entry.value.step) + 1,
+            active_settings,
+            last_number: document.number,
+        };
+        let key = keys.document(document.number);
+        let txn = Txn {
+            compares: vec![(keys.state(), current.map_or(0, |entry| entry.revision)), (key.clone(), 0)],
+            puts: vec![(key, to_json(&document)), (keys.state(), to_json(&state))],
+            deletes: Vec::new(),
+        };
+        Ok((document, txn))
+    }
+
+    /// A number above all that were assigned and above `above`.
+    fn next_number(&self, above: u64) -> u64 {
+        let referenced = self.referenced_versions().into_iter().map(|version| version.number);
+        let last = self.state.as_ref().map_or(0, |entry| entry.value.last_number);
+        let known = referenced.chain(self.documents.keys().copied()).chain([above, last]);
+        known.max().unwrap_or(0) + 1
+    }
+
+    /// The transaction that withdraws a prepared change, if one is: nobody acts by the prepared document alone yet.
+    #[must_use]
+    pub fn withdraw(&self, keys: &Keys) -> Option<Txn> {
+        let Entry { value: state, revision } = self.state.as_ref()?;
+        state.active_settings.prepared.as_ref()?;
+        let withdrawn = state.successor(state.active_settings.committed.clone());
+        Some(Txn {
+            compares: vec![(keys.state(), *revision)],
+            puts: vec![(keys.state(), to_json(&withdrawn))],
+            deletes: Vec::new(),
+        })
+    }
+
+    /// The transaction that deletes a router's leases on an operator's assurance that it sends nothing any more: those of one
+    /// incarnation, or all. `None` if it has none.
+    #[must_use]
+    pub fn declare_gone(&self, keys: &Keys, name: &str, incarnation: Option<&str>) -> Option<Txn> {
+        let selected = |id: &RouterId| id.name == name && incarnation.is_none_or(|one| id.incarnation == one);
+        let readable = self.leases.iter().map(|(id, entry)| (id, Some(entry.revision)));
+        let unreadable = self.unreadable_leases.iter().map(|id| (id, None));
+        let mut txn = Txn::default();
+        for (id, revision) in readable.chain(unreadable).filter(|(id, _)| selected(id)) {
+            let key = keys.lease(name, &id.incarnation);
+            txn.compares.extend(revision.map(|revision| (key.clone(), revision)));
+            txn.deletes.push(key);
+        }
+        (!txn.deletes.is_empty()).then_some(txn)
+    }
+}
+
+/// Whether a text with this digest may be prepared to replace these settings.
+fn check_replaceable(active_settings: &ActiveSettings, digest: &str) -> Result<(), PublishError> {
+    if let Some(prepared) = &active_settings.prepared {
+        return Err(PublishError::ChangeInProgress(prepared.number));
+    }
+    let committed = &active_settings.committed;
+    if committed.digest == digest {
+        return Err(PublishError::Unchanged(committed.number));
+    }
+    Ok(())
+}
--- a/crates/config-versioning/src/terms.rs
+++ b/crates/config-versioning/src/terms.rs
@@ -1,8 +1,8 @@
 //! The rules of a document that can contradict another's, and the strictest rules that contradict neither of two.
 //!
-//! It guards what a router does while a change is under way. Each rule has two sides: what a router by these terms *does*, and
-//! what it *bears* of others. In one document they are the same; in a meet, what is done is what both documents allow, and what
-//! is borne is what either does. Called by [`crate::contradictions`] and by whoever makes a router's rules of a stance.
+//! Each rule has two sides: what a router by these terms *applies*, and what it *tolerates* of other routers. In one document
+//! both are the same; in the meet of two, what both allow is applied, and what either applies is tolerated. Used by
+//! [`crate::contradictions`] and by whoever derives a router's rules from its active settings.
 
 use crate::document::{ActiveSettings, DocumentVersion};
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 /// What must hold where a call is repeated that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RetryCondition {
-    /// It carries a key.
+    /// The call carries a key.
     Key,
     /// The worker is in the zone of the first one.
     Zone,
@@ -21,135 +21,156 @@
 /// When a call that may have run may be sent again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RetryRule {
-    needs: BTreeSet<RetryCondition>,
-    within_us: i64,
+    conditions: BTreeSet<RetryCondition>,
+    window_us: i64,
 }
 
 impl RetryRule {
-    /// Always: the effect is safe.
+    /// Retries without condition: the call is idempotent.
+    #[must_use]
     pub fn always() -> Self {
-        RetryRule { needs: BTreeSet::new(), within_us: i64::MAX }
+        RetryRule { conditions: BTreeSet::new(), window_us: i64::MAX }
     }
 
-    /// Not at all: the effect is unsafe.
-    pub fn never() -> Self {
+    /// No retries: the call is not idempotent.
+    #[must_use]
+    pub fn forbidden() -> Self {
         RetryRule {
-            needs: [RetryCondition::Key, RetryCondition::Zone, RetryCondition::Cell].into(),
-            within_us: 0,
+            conditions: [RetryCondition::Key, RetryCondition::Zone, RetryCondition::Cell].into(),
+            window_us: 0,
         }
     }
 
-    /// With its key, where `group` holds (nothing for all workers), for so many microseconds after the first sending.
-    pub fn keyed(group: Option<RetryCondition>, within_us: i64) -> Self {
-        let needs: BTreeSet<RetryCondition> = group.into_iter().chain([RetryCondition::Key]).collect();
-        if within_us <= 0 {
-            return RetryRule::never();
+    /// Retries of a call with its key, to workers for which `group` holds (`None` for all workers), within so many
+    /// microseconds of the first send.
+    #[must_use]
+    pub fn keyed(group: Option<RetryCondition>, window_us: i64) -> Self {
+        if window_us <= 0 {
+            return RetryRule::forbidden();
         }
-        RetryRule { needs, within_us }
+        RetryRule { conditions: group.into_iter().chain([RetryCondition::Key]).collect(), window_us }
     }
 
     /// Whether it is [`RetryRule::always`].
+    #[must_use]
     pub fn is_unconditional(&self) -> bool {
-        self.needs.is_empty() && self.within_us == i64::MAX
+        self.conditions.is_empty() && self.window_us == i64::MAX
     }
 
-    /// What must hold.
-    pub fn needs(&self) -> &BTreeSet<RetryCondition> {
-        &self.needs
+    /// What must hold for a retry.
+    #[must_use]
+    pub fn conditions(&self) -> &BTreeSet<RetryCondition> {
+        &self.conditions
     }
 
-    /// For how long after the first sending, in microseconds; 0 where it may never be sent again.
-    pub fn within_us(&self) -> i64 {
-        self.within_us
+    /// How long after the first send a retry may be made, in microseconds; 0 if none is allowed.
+    #[must_use]
+    pub fn window_us(&self) -> i64 {
+        self.window_us
     }
 
-    /// Whether whatever this allows is allowed by the other as well.
-    pub fn is_inside(&self, other: &RetryRule) -> bool {
-        other.needs.is_subset(&self.needs) && self.within_us <= other.within_us
+    /// Whether the other rule allows each retry that this one allows.
+    #[must_use]
+    pub fn is_within(&self, other: &RetryRule) -> bool {
+        other.conditions.is_subset(&self.conditions) && self.window_us <= other.window_us
     }
 
-    /// What both allow.
+    /// The rule that allows the retries that both allow.
+    #[must_use]
     pub fn meet(&self, other: &RetryRule) -> RetryRule {
-        let within_us = self.within_us.min(other.within_us);
-        if within_us == 0 {
-            return RetryRule::never();
+        let window_us = self.window_us.min(other.window_us);
+        if window_us == 0 {
+            return RetryRule::forbidden();
         }
-        RetryRule { needs: self.needs.union(&other.needs).copied().collect(), within_us }
+        RetryRule { conditions: self.conditions.union(&other.conditions).copied().collect(), window_us }
     }
 }
 
 /// A number of which less is stricter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Bound {
-    /// What a router by these terms keeps to.
-    pub most: i64,
-    /// What it bears of others.
-    pub borne: i64,
+    /// The maximum that a router by these terms observes.
+    pub applied: i64,
+    /// The maximum that it tolerates of other routers.
+    pub tolerated: i64,
 }
 
 impl Bound {
     /// The bound of one document.
-    pub fn of(most: i64) -> Self {
-        Bound { most, borne: most }
+    #[must_use]
+    pub fn new(maximum: i64) -> Self {
+        Bound { applied: maximum, tolerated: maximum }
     }
 
-    /// Beside terms that do not know it, whose others may do anything.
-    fn alone(self) -> Bound {
-        Bound { borne: i64::MAX, ..self }
+    /// The meet with terms that do not have this bound, under which other routers may do anything.
+    fn meet_unknown(self) -> Bound {
+        Bound { tolerated: i64::MAX, ..self }
     }
 
     fn meet(self, other: Bound) -> Bound {
-        Bound { most: self.most.min(other.most), borne: self.borne.max(other.borne) }
+        Bound { applied: self.applied.min(other.applied), tolerated: self.tolerated.max(other.tolerated) }
     }
 }
 
-/// The rules of a class.
+/// The rules of a class of calls.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Class {
-    /// How its calls are repeated.
-    pub repeat: RetryRule,
-    /// How others may repeat them: each alternative by itself.
-    pub borne: BTreeSet<RetryRule>,
-    /// Attempts of a call, at most; counts where the class is not safe.
+    /// How its calls are retried.
+    pub retry: RetryRule,
+    /// How other routers may retry them: each alternative by itself.
+    pub tolerated: BTreeSet<RetryRule>,
+    /// The maximum of attempts of a call; it counts where the class is not idempotent.
     pub attempts: Bound,
-    /// For how long a key is remembered, in microseconds. More is stricter, and contradicts nothing.
+    /// How long a key is remembered, in microseconds. More is stricter, and contradicts nothing.
     pub remember_us: i64,
 }
 
 impl Class {
     /// The class of one document.
-    pub fn of(repeat: RetryRule, attempts: i64, remember_us: i64) -> Self {
-        Class { borne: [repeat.clone()].into(), repeat, attempts: Bound::of(attempts), remember_us }
+    #[must_use]
+    pub fn new(retry: RetryRule, attempts: i64, remember_us: i64) -> Self {
+        Class { tolerated: [retry.clone()].into(), retry, attempts: Bound::new(attempts), remember_us }
     }
 
-    /// Beside terms that do not know it: nothing of it is done, and everything is borne.
-    fn alone(&self) -> Class {
-        let mut borne = self.borne.clone();
-        borne.insert(RetryRule::always());
-        let attempts = Bound { most: 0, borne: i64::MAX };
-        Class { repeat: RetryRule::never(), borne, attempts, remember_us: self.remember_us }
+    /// The meet with terms that do not have this class: none of its calls is made, and everything is tolerated.
+    fn meet_unknown(&self) -> Class {
+        let mut tolerated = self.tolerated.clone();
+        tolerated.insert(RetryRule::always());
+        Class {
+            retry: RetryRule::forbidden(),
+            tolerated,
+            attempts: Bound { applied: 0, tolerated: i64::MAX },
+            remember_us: self.remember_us,
+        }
     }
 
     fn meet(&self, other: &Class) -> Class {
         Class {
-            repeat: self.repeat.meet(&other.repeat),
-            borne: self.borne.union(&other.borne).cloned().collect(),
+            retry: self.retry.meet(&other.retry),
+            tolerated: self.tolerated.union(&other.tolerated).cloned().collect(),
             attempts: self.attempts.meet(other.attempts),
             remember_us: self.remember_us.max(other.remember_us),
         }
     }
 }
 
-/// Where the calls of some topics go. The first route of a table that matches takes a topic.
+/// Where the calls of some topics go. The first route of a table that matches a topic takes it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Route {
     /// The topics, as an MQTT topic filter.
     pub filter: String,
     /// Their class.
     pub class: String,
-    /// What else must be the same at all routers: how function, tenant and key follow from the topic, where the class is not
-    /// safe. Empty for a safe class.
-    pub rest: String,
+    /// How function, tenant and key follow from the topic, which must be the same at all routers where the class is not
+    /// idempotent. Empty for an idempotent class.
+    pub templates: String,
+}
+
+impl Route {
+    /// Whether both routes treat a topic alike.
+    pub(crate) fn has_same_target(&self, other: &Route) -> bool {
+        self.class == other.class && self.templates == other.templates
+    }
 }
 
 /// The rules of a document, or of the meet of several.
@@ -157,20 +178,23 @@
 pub struct Terms {
     /// Classes by name.
     pub classes: BTreeMap<String, Class>,
-    /// The tables of routes: one of a document, several of a meet. A topic is taken only where all tables agree on it.
+    /// The routing tables: one of a document, several of a meet. A topic is accepted only where all tables agree on it.
     pub tables: BTreeSet<Vec<Route>>,
-    /// Plain facts by name, such as the cell of a worker or what an alias names: the values that documents give, nothing for one
-    /// that does not know it. A fact that is not the same in all is not acted on.
+    /// Plain facts by name, such as the cell of a worker or the target of an alias: the values in the documents, `None` for a
+    /// document without it. A fact that is not the same in all is not acted on.
     pub facts: BTreeMap<String, BTreeSet<Option<String>>>,
     /// Numbers by name, such as the grace of a drain.
     pub bounds: BTreeMap<String, Bound>,
 }
 
 impl Terms {
-    /// The rules by a stance, from those of its documents; nothing where one of them is not known.
-    pub fn of(stance: &ActiveSettings, terms: impl Fn(&DocumentVersion) -> Option<Terms>) -> Option<Terms> {
-        let prepared = stance.prepared.as_ref().map(&terms);
-        let committed = terms(&stance.committed)?;
+    /// The rules of active settings, from those of their documents; `None` if one of these is not known.
+    pub fn of_settings(
+        active_settings: &ActiveSettings,
+        terms: impl Fn(&DocumentVersion) -> Option<Terms>,
+    ) -> Option<Terms> {
+        let prepared = active_settings.prepared.as_ref().map(&terms);
+        let committed = terms(&active_settings.committed)?;
         match prepared {
             None => Some(committed),
             Some(prepared) => Some(committed.meet(&prepared?)),
@@ -178,51 +202,53 @@
     }
 
     /// The strictest rules that contradict neither side.
+    #[must_use]
     pub fn meet(&self, other: &Terms) -> Terms {
         Terms {
-            classes: both(&self.classes, &other.classes, Class::meet, Class::alone),
+            classes: merge(&self.classes, &other.classes, Class::meet, Class::meet_unknown),
             tables: self.tables.union(&other.tables).cloned().collect(),
-            facts: both(
+            facts: merge(
                 &self.facts,
                 &other.facts,
-                |a, b| a.union(b).cloned().collect(),
-                |a| a.iter().cloned().chain([None]).collect(),
+                |one, two| one.union(two).cloned().collect(),
+                |one| one.iter().cloned().chain([None]).collect(),
             ),
-            bounds: both(&self.bounds, &other.bounds, |a, b| a.meet(*b), |a| a.alone()),
+            bounds: merge(&self.bounds, &other.bounds, |one, two| one.meet(*two), |one| one.meet_unknown()),
         }
     }
 
-    /// A fact that may be acted on.
+    /// The value of a fact, if it may be acted on.
+    #[must_use]
     pub fn fact(&self, name: &str) -> Option<&str> {
         let values = self.facts.get(name)?;
         values.first().filter(|_| values.len() == 1)?.as_deref()
     }
 
-    /// The route of a topic that may be acted on: all tables give it the same class and rest.
+    /// The route of a topic, if it may be acted on: all tables give it the same class and templates.
+    #[must_use]
     pub fn route(&self, topic: &str) -> Option<&Route> {
-        let mut found = self.tables.iter().map(|table| first(table, topic));
-        let one = found.next()??;
-        let same = |r: Option<&Route>| r.is_some_and(|r| (&r.class, &r.rest) == (&one.class, &one.rest));
-        found.all(same).then_some(one)
+        let mut routes = self.tables.iter().map(|table| find_route(table, topic));
+        let first = routes.next()??;
+        routes.all(|route| route.is_some_and(|route| route.has_same_target(first))).then_some(first)
     }
 }
 
-/// The route of a table that takes a topic.
-pub(crate) fn first<'a>(table: &'a [Route], topic: &str) -> Option<&'a Route> {
-    table.iter().find(|r| crate::topics::matches(&r.filter, topic))
+/// The first route of a table that matches a topic.
+pub(crate) fn find_route<'a>(table: &'a [Route], topic: &str) -> Option<&'a Route> {
+    table.iter().find(|route| crate::topics::matches(&route.filter, topic))
 }
 
-/// What two sides know, each entry met where both know it, and changed by `alone` where one does.
-fn both<V: Clone>(
-    a: &BTreeMap<String, V>,
-    b: &BTreeMap<String, V>,
+/// Merges two maps: entries of both by `meet`, entries of one of them by `meet_unknown`.
+fn merge<V: Clone>(
+    one: &BTreeMap<String, V>,
+    two: &BTreeMap<String, V>,
     meet: impl Fn(&V, &V) -> V,
-    alone: impl Fn(&V) -> V,
+    meet_unknown: impl Fn(&V) -> V,
 ) -> BTreeMap<String, V> {
-    let names: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
-    let value = |name: &String| match (a.get(name), b.get(name)) {
-        (Some(a), Some(b)) => Some(meet(a, b)),
-        (one, other) => one.or(other).map(&alone),
+    let names: BTreeSet<&String> = one.keys().chain(two.keys()).collect();
+    let merged = |name: &String| match (one.get(name), two.get(name)) {
+        (Some(left), Some(right)) => Some(meet(left, right)),
+        (left, right) => left.or(right).map(&meet_unknown),
     };
-    names.into_iter().filter_map(|n| Some((n.clone(), value(n)?))).collect()
+    names.into_iter().filter_map(|name| Some((name.clone(), merged(name)?))).collect()
 }
--- a/crates/config-versioning/tests/model.rs
+++ b/crates/config-versioning/tests/model.rs
@@ -18,20 +18,20 @@
 
 /// Rules of the documents by number; each contradicts the others.
 fn rules(number: u64) -> Terms {
-    let repeat = if number == 1 { RetryRule::never() } else { RetryRule::keyed(None, number as i64) };
-    Terms { classes: [("charge".to_string(), Class::of(repeat, 1, 1))].into(), ..Terms::default() }
+    let repeat = if number == 1 { RetryRule::forbidden() } else { RetryRule::keyed(None, number as i64) };
+    Terms { classes: [("charge".to_string(), Class::new(repeat, 1, 1))].into(), ..Terms::default() }
 }
 
-fn terms(edition: &DocumentVersion) -> Option<Terms> {
-    Some(rules(edition.number))
+fn terms(version: &DocumentVersion) -> Option<Terms> {
+    Some(rules(version.number))
 }
 
 type Store = BTreeMap<String, (Vec<u8>, i64)>;
 
-fn apply(store: &mut Store, txn: &Txn) -> TxnEnd {
+fn apply(store: &mut Store, txn: &Txn) -> TxnOutcome {
     let version = |key: &String| store.get(key).filter(|e| !e.0.is_empty()).map_or(0, |e| e.1);
     if txn.compares.iter().any(|(key, revision)| version(key) != *revision) {
-        return TxnEnd::Conflict;
+        return TxnOutcome::Conflict;
     }
     // An entry that is taken out keeps its version below its empty value: no revision is given twice.
     let mut written = 0;
@@ -45,18 +45,21 @@
             entry.0.clear();
         }
     }
-    TxnEnd::Done(written)
+    TxnOutcome::Succeeded(written)
 }
 
-fn reading(store: &Store) -> Reading {
+fn snapshot(store: &Store) -> Snapshot {
     let stands = store.iter().filter(|(_, e)| !e.0.is_empty());
-    Reading::of(&keys(), stands.map(|(key, (value, version))| (key.as_str(), value.as_slice(), *version)))
+    Snapshot::from_entries(
+        &keys(),
+        stands.map(|(key, (value, version))| (key.as_str(), value.as_slice(), *version)),
+    )
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Flight {
     Write(Txn),
-    Written(TxnEnd),
+    Written(TxnOutcome),
     Read,
     Answer(Option<Entry<State>>, Option<Entry<ActLease>>),
 }
@@ -74,7 +77,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Drive {
-    driver: RolloutCoordinator,
+    coordinator: RolloutCoordinator,
     commit: Option<Txn>,
 }
 
@@ -102,7 +105,7 @@
     Withdraw,
     /// Hears the state, and asks for a right by it where nothing is under way.
     Hear(usize),
-    Ask(usize),
+    LeaseRequest(usize),
     /// Hears, asks, and is answered.
     Prompt(usize),
     Take(usize),
@@ -147,17 +150,17 @@
     /// Questions of all routers that are not prompt, and readings of all drivers.
     asks: u8,
     looks: u8,
-    doubt: LeaseExpiryPolicy,
+    expiry_policy: LeaseExpiryPolicy,
     planted: Planted,
 }
 
 fn holder(name: usize, life: u8) -> LeaseHolder {
-    let before = (0..life).map(|l| l.to_string()).collect();
+    let previous_incarnations = (0..life).map(|l| l.to_string()).collect();
     LeaseHolder::new(LeaseHolderSettings {
         keys: keys(),
         name: format!("r{name}"),
-        life: format!("{life}"),
-        before,
+        incarnation: format!("{life}"),
+        previous_incarnations,
     })
 }
 
@@ -170,34 +173,41 @@
             text: text.into(),
             who: "op".into(),
             why: "why".into(),
-            doubt: self.doubt,
-            right_us: RIGHT_US,
+            expiry_policy: self.expiry_policy,
+            lease_us: RIGHT_US,
         }
     }
 
-    fn driver(&self) -> RolloutCoordinator {
+    fn coordinator(&self) -> RolloutCoordinator {
         RolloutCoordinator::new(keys(), if self.planted == Planted::NoDrift { 0 } else { DRIFT_PPM })
     }
 
     fn hear(&self, router: &mut Router, state: &Entry<State>) {
-        let documents: Vec<_> = state.value.stance.editions().map(|_| (self.doubt, RIGHT_US)).collect();
-        let _ = router.holder.heard(state, &documents);
+        let documents: Vec<_> = state
+            .value
+            .active_settings
+            .versions()
+            .map(|_| LeaseTerms { lease_us: RIGHT_US, expiry_policy: self.expiry_policy })
+            .collect();
+        let _ = router.holder.observe_state(state, &documents);
     }
 
     fn acts(&self, world: &World, at: usize) -> Option<ActiveSettings> {
         let router = &world.routers[at];
-        let may = router.holder.may(world.tick * ROUTER_RATE) == SendPermission::All;
+        let may = router.holder.send_permission(world.tick * ROUTER_RATE) == SendPermission::All;
         let blind = self.planted == Planted::NoLook && at == 0;
-        router.holder.stance().filter(|_| may || blind).cloned()
+        router.holder.active_settings().filter(|_| may || blind).cloned()
     }
 
     /// Every two routers that may act do so by rules that do not contradict, and share a document.
     fn agrees(&self, world: &World) -> bool {
-        let stances: Vec<ActiveSettings> = (0..self.routers).filter_map(|at| self.acts(world, at)).collect();
-        stances.iter().enumerate().all(|(at, one)| {
-            stances[at + 1..].iter().filter(|other| *other != one).all(|other| {
-                let shared = one.editions().any(|e| other.editions().any(|o| o == e));
-                let (one, other) = (Terms::of(one, terms).unwrap(), Terms::of(other, terms).unwrap());
+        let all_settings: Vec<ActiveSettings> =
+            (0..self.routers).filter_map(|at| self.acts(world, at)).collect();
+        all_settings.iter().enumerate().all(|(at, one)| {
+            all_settings[at + 1..].iter().filter(|other| *other != one).all(|other| {
+                let shared = one.versions().any(|e| other.versions().any(|o| o == e));
+                let (one, other) =
+                    (Terms::of_settings(one, terms).unwrap(), Terms::of_settings(other, terms).unwrap());
                 shared && contradictions(&one, &other).is_empty()
             })
         })
@@ -209,57 +219,57 @@
             Move::Tick => world.tick += 1,
             Move::Publish => {
                 let draft = self.draft(&format!("document {}", world.publishes));
-                let Ok((_, mut txn)) = reading(&world.store).publish(&keys(), &draft, 0) else {
+                let Ok((_, mut txn)) = snapshot(&world.store).publish(&keys(), &draft, 0) else {
                     return false;
                 };
                 if self.planted == Planted::NoMeet {
                     let (_, value) = &mut txn.puts[1];
                     let mut state: State = serde_json::from_slice(value).unwrap();
-                    state.stance.committed = state.stance.prepared.take().unwrap();
+                    state.active_settings.committed = state.active_settings.prepared.take().unwrap();
                     *value = serde_json::to_vec(&state).unwrap();
                 }
                 world.publishes -= 1;
                 apply(&mut world.store, &txn);
             }
             Move::Withdraw => {
-                let Some(txn) = reading(&world.store).withdraw(&keys()) else { return false };
+                let Some(txn) = snapshot(&world.store).withdraw(&keys()) else { return false };
                 world.withdraws -= 1;
                 apply(&mut world.store, &txn);
             }
             Move::Hear(at) => {
-                let Some(state) = reading(&world.store).state else { return false };
+                let Some(state) = snapshot(&world.store).state else { return false };
                 self.hear(&mut world.routers[at], &state);
                 if world.routers[at].flight.is_none() && world.asks > 0 {
-                    self.step(world, Move::Ask(at));
+                    self.step(world, Move::LeaseRequest(at));
                 }
             }
             Move::Prompt(at) => {
                 let before = std::mem::replace(&mut world.asks, u8::MAX);
-                for what in [Move::Hear(at), Move::Ask(at), Move::Take(at), Move::Deliver(at)] {
+                for what in [Move::Hear(at), Move::LeaseRequest(at), Move::Take(at), Move::Deliver(at)] {
                     self.step(world, what);
                 }
                 world.asks = before;
             }
-            Move::Ask(at) => {
+            Move::LeaseRequest(at) => {
                 let router = &mut world.routers[at];
                 let before = router.holder.clone();
-                let Some(ask) = router.holder.ask(mine) else { return false };
+                let Some(ask) = router.holder.next_request(mine) else { return false };
                 world.asks -= 1;
                 if self.planted == Planted::RightFromTheAnswer {
                     router.before_asking = Some(before);
                 }
                 router.flight = Some(match ask {
-                    Ask::Write(txn) => Flight::Write(txn),
-                    Ask::Read => Flight::Read,
+                    LeaseRequest::Write(txn) => Flight::Write(txn),
+                    LeaseRequest::Read => Flight::Read,
                 });
             }
             Move::Take(at) => {
                 let flight = match &world.routers[at].flight {
                     Some(Flight::Write(txn)) => Flight::Written(apply(&mut world.store, txn)),
                     Some(Flight::Read) => {
-                        let now = reading(&world.store);
-                        let id = (format!("r{at}"), format!("{}", world.routers[at].life));
-                        Flight::Answer(now.state, now.rights.get(&id).cloned())
+                        let now = snapshot(&world.store);
+                        let id = RouterId::new(format!("r{at}"), format!("{}", world.routers[at].life));
+                        Flight::Answer(now.state, now.leases.get(&id).cloned())
                     }
                     _ => return false,
                 };
@@ -271,13 +281,13 @@
                     Some(Flight::Written(end)) => {
                         if let Some(before) = router.before_asking.take() {
                             router.holder = before;
-                            router.holder.ask(mine);
+                            router.holder.next_request(mine);
                         }
-                        router.holder.written(end);
+                        router.holder.on_written(end);
                     }
                     Some(Flight::Answer(state, own)) => {
                         state.iter().for_each(|s| self.hear(router, s));
-                        let _ = router.holder.read(own.as_ref());
+                        let _ = router.holder.on_read(own.as_ref());
                     }
                     _ => return false,
                 }
@@ -286,7 +296,7 @@
                 world.losses -= 1;
                 // A read that is lost is asked for again once patience ends.
                 if let Some(Flight::Write(_) | Flight::Written(_)) = world.routers[at].flight.take() {
-                    world.routers[at].holder.written(TxnEnd::Unknown);
+                    world.routers[at].holder.on_written(TxnOutcome::Unknown);
                 }
             }
             Move::Delay(at) => {
@@ -294,7 +304,7 @@
                 let Some(Flight::Write(txn)) = router.flight.take() else { return false };
                 world.losses -= 1;
                 router.late = Some(txn);
-                router.holder.written(TxnEnd::Unknown);
+                router.holder.on_written(TxnOutcome::Unknown);
             }
             Move::Late(at) => {
                 let Some(txn) = world.routers[at].late.take() else { return false };
@@ -310,15 +320,15 @@
             Move::DriverReads(at) => {
                 // An answer that comes later only makes it wait longer; its commit may be late, however.
                 let drive = &mut world.drives[at];
-                let mut now = reading(&world.store);
-                if now.state.as_ref().is_none_or(|s| s.value.stance.prepared.is_none()) {
+                let mut now = snapshot(&world.store);
+                if now.state.as_ref().is_none_or(|s| s.value.active_settings.prepared.is_none()) {
                     return false;
                 }
                 world.looks -= 1;
                 if self.planted == Planted::CommitSkipsOne {
-                    now.rights.retain(|id, _| id.0 != "r0");
+                    now.leases.retain(|id, _| id.name != "r0");
                 }
-                if let Next::Commit(txn) = drive.driver.look(theirs, &now, terms) {
+                if let RolloutStep::Commit(txn) = drive.coordinator.advance(theirs, &now, terms) {
                     drive.commit = Some(txn);
                 }
             }
@@ -328,17 +338,17 @@
             }
             Move::DriverStartsAnew(at) => {
                 world.crashes -= 1;
-                world.drives[at] = Drive { driver: self.driver(), commit: None };
+                world.drives[at] = Drive { coordinator: self.coordinator(), commit: None };
             }
         }
         if matches!(
             what,
             Move::Publish | Move::Withdraw | Move::Take(_) | Move::Late(_) | Move::DriverWrites(_)
         ) {
-            let now = reading(&world.store);
-            let stance = now.state.as_ref().map(|s| &s.value.stance);
-            let committed = stance.map_or(0, |s| s.committed.number);
-            let whole = stance.is_some_and(|s| s.editions().all(|e| now.document(e).is_some()));
+            let now = snapshot(&world.store);
+            let active_settings = now.state.as_ref().map(|s| &s.value.active_settings);
+            let committed = active_settings.map_or(0, |s| s.committed.number);
+            let whole = active_settings.is_some_and(|s| s.versions().all(|e| now.document(e).is_some()));
             world.lost |= committed < world.highest || !whole;
             world.highest = world.highest.max(committed);
         }
@@ -352,11 +362,11 @@
 
     fn init_states(&self) -> Vec<World> {
         let mut store = Store::new();
-        let (_, txn) = reading(&store).publish(&keys(), &self.draft("the first"), 0).unwrap();
+        let (_, txn) = snapshot(&store).publish(&keys(), &self.draft("the first"), 0).unwrap();
         apply(&mut store, &txn);
         let router =
             |at| Router { before_asking: None, holder: holder(at, 0), life: 0, flight: None, late: None };
-        let drive = Drive { driver: self.driver(), commit: None };
+        let drive = Drive { coordinator: self.coordinator(), commit: None };
         let mut world = World {
             tick: 0,
             store,
@@ -388,7 +398,7 @@
         for (at, router) in world.routers.iter().enumerate().take(slow) {
             moves.push(Move::Hear(at));
             match &router.flight {
-                None => moves.extend((world.asks > 0).then_some(Move::Ask(at))),
+                None => moves.extend((world.asks > 0).then_some(Move::LeaseRequest(at))),
                 Some(flight) => {
                     let there = matches!(flight, Flight::Write(_) | Flight::Read);
                     moves.push(if there { Move::Take(at) } else { Move::Deliver(at) });
@@ -438,7 +448,7 @@
     crashes: 0,
     asks: 2,
     looks: 2,
-    doubt: LeaseExpiryPolicy::GiveUp,
+    expiry_policy: LeaseExpiryPolicy::GiveUp,
     planted: Planted::Nothing,
 };
 
@@ -469,7 +479,7 @@
 #[test]
 fn no_move_of_a_small_fleet_breaks_the_agreement() {
     checked("rights that end", SHORT);
-    checked("rights that go on", Fleet { doubt: LeaseExpiryPolicy::GoOn, ..SHORT });
+    checked("rights that go on", Fleet { expiry_policy: LeaseExpiryPolicy::GoOn, ..SHORT });
     checked("an answer lost, or late", Fleet { losses: 1, ..SHORT });
     checked("a router or a driver that starts anew", Fleet { crashes: 1, ..SHORT });
     checked("two documents, one after the other", Fleet { publishes: 2, ..SHORT });
@@ -489,7 +499,7 @@
 #[test]
 fn a_change_ends_once_faults_end() {
     for seed in 0..400 {
-        let doubt = if seed % 2 == 0 { LeaseExpiryPolicy::GiveUp } else { LeaseExpiryPolicy::GoOn };
+        let expiry_policy = if seed % 2 == 0 { LeaseExpiryPolicy::GiveUp } else { LeaseExpiryPolicy::GoOn };
         let fleet = Fleet {
             prompt: 0,
             routers: 3,
@@ -500,7 +510,7 @@
             crashes: 2,
             ..SMALL
         };
-        let fleet = Fleet { asks: u8::MAX, looks: u8::MAX, withdraws: 1, doubt, ..fleet };
+        let fleet = Fleet { asks: u8::MAX, looks: u8::MAX, withdraws: 1, expiry_policy, ..fleet };
         let (mut world, mut random) = (fleet.init_states().remove(0), seed);
         for _ in 0..60 {
             let mut moves = Vec::new();
@@ -525,10 +535,10 @@
                 assert!(fleet.agrees(&world), "seed {seed}: {what:?}");
             }
         }
-        let stance = reading(&world.store).state.unwrap().value.stance;
-        assert_eq!(stance.prepared, None, "seed {seed}: the change does not end");
+        let active_settings = snapshot(&world.store).state.unwrap().value.active_settings;
+        assert_eq!(active_settings.prepared, None, "seed {seed}: the change does not end");
         for at in 0..3 {
-            assert_eq!(fleet.acts(&world, at).as_ref(), Some(&stance), "seed {seed}: router {at}");
+            assert_eq!(fleet.acts(&world, at).as_ref(), Some(&active_settings), "seed {seed}: router {at}");
         }
     }
 }
@@ -537,9 +547,9 @@
 #[test]
 #[ignore = "large: run by hand with --release -- --ignored"]
 fn no_move_of_a_larger_fleet_breaks_the_agreement() {
-    for doubt in [LeaseExpiryPolicy::GiveUp, LeaseExpiryPolicy::GoOn] {
-        let fleet = Fleet { doubt, ..SMALL };
-        checked("two slow routers", Fleet { prompt: 0, asks: 3, doubt, ..SHORT });
+    for expiry_policy in [LeaseExpiryPolicy::GiveUp, LeaseExpiryPolicy::GoOn] {
+        let fleet = Fleet { expiry_policy, ..SMALL };
+        checked("two slow routers", Fleet { prompt: 0, asks: 3, expiry_policy, ..SHORT });
         checked("losses", Fleet { losses: 1, ..fleet.clone() });
         checked("crashes", Fleet { crashes: 1, ..fleet.clone() });
         checked("two documents", Fleet { publishes: 2, ..fleet.clone() });
--- a/crates/config-versioning/tests/relations.rs
+++ b/crates/config-versioning/tests/relations.rs
@@ -9,13 +9,13 @@
     let group = prop_oneof![Just(None), Just(Some(RetryCondition::Zone)), Just(Some(RetryCondition::Cell))];
     prop_oneof![
         Just(RetryRule::always()),
-        Just(RetryRule::never()),
+        Just(RetryRule::forbidden()),
         (group, 1..4i64).prop_map(|(group, seconds)| RetryRule::keyed(group, seconds * 1_000_000)),
     ]
 }
 
 fn class() -> impl Strategy<Value = Class> {
-    (repeat(), 1..4i64, 1..4i64).prop_map(|(repeat, most, remember)| Class::of(repeat, most, remember))
+    (repeat(), 1..4i64, 1..4i64).prop_map(|(repeat, most, remember)| Class::new(repeat, most, remember))
 }
 
 const LEVELS: [&str; 3] = ["a", "b", "$c"];
@@ -36,7 +36,7 @@
     (filter(), class, rest).prop_map(|(filter, class, rest)| Route {
         filter,
         class: class.into(),
-        rest: rest.into(),
+        templates: rest.into(),
     })
 }
 
@@ -44,7 +44,7 @@
     let name = || prop_oneof![Just("x".to_string()), Just("y".to_string())];
     let value = prop_oneof![Just("1".to_string()), Just("2".to_string())];
     let facts = btree_map(name(), value.prop_map(|v| BTreeSet::from([Some(v)])), 0..3);
-    let bounds = btree_map(name(), (0..3i64).prop_map(Bound::of), 0..3);
+    let bounds = btree_map(name(), (0..3i64).prop_map(Bound::new), 0..3);
     (btree_map(name(), class(), 0..3), vec(route(), 0..4), facts, bounds)
         .prop_map(|(classes, table, facts, bounds)| Terms { classes, tables: [table].into(), facts, bounds })
 }
@@ -83,7 +83,7 @@
         let (a, b) = (table(&a), table(&b));
         let differs = |topic: &String| {
             let (one, other) = (a.route(topic), b.route(topic));
-            one.zip(other).is_some_and(|(x, y)| (&x.class, &x.rest) != (&y.class, &y.rest))
+            one.zip(other).is_some_and(|(x, y)| (&x.class, &x.templates) != (&y.class, &y.templates))
         };
         prop_assert_eq!(!contradictions(&a, &b).is_empty(), topics().iter().any(differs));
     }
@@ -93,15 +93,15 @@
         let both = a.meet(&b);
         for (name, class) in &both.classes {
             for side in [&a, &b].into_iter().filter_map(|t| t.classes.get(name)) {
-                prop_assert!(class.repeat.is_inside(&side.repeat) && class.attempts.most <= side.attempts.most);
+                prop_assert!(class.retry.is_within(&side.retry) && class.attempts.applied <= side.attempts.applied);
                 prop_assert!(class.remember_us >= side.remember_us);
             }
         }
         for topic in topics().iter().take(100) {
             if let Some(route) = both.route(topic) {
                 for side in [&a, &b] {
-                    let same = side.route(topic).map(|r| (&r.class, &r.rest));
-                    prop_assert_eq!(same, Some((&route.class, &route.rest)));
+                    let same = side.route(topic).map(|r| (&r.class, &r.templates));
+                    prop_assert_eq!(same, Some((&route.class, &route.templates)));
                 }
             }
         }
@@ -109,8 +109,8 @@
 }
 
 fn with_class(repeat: RetryRule, attempts: i64) -> Terms {
-    let classes = [("charge".to_string(), Class::of(repeat, attempts, 1))].into();
-    let route = Route { filter: "charge/+".into(), class: "charge".into(), rest: "{2}".into() };
+    let classes = [("charge".to_string(), Class::new(repeat, attempts, 1))].into();
+    let route = Route { filter: "charge/+".into(), class: "charge".into(), templates: "{2}".into() };
     Terms { classes, tables: [vec![route]].into(), ..Terms::default() }
 }
 
@@ -121,8 +121,8 @@
 #[test]
 fn each_field_that_can_contradict_is_named() {
     let second = 1_000_000;
-    let base = with_class(RetryRule::never(), 3);
-    assert_eq!(fields(&base, &with_class(RetryRule::never(), 2)), ["class \"charge\" attempts"]);
+    let base = with_class(RetryRule::forbidden(), 3);
+    assert_eq!(fields(&base, &with_class(RetryRule::forbidden(), 2)), ["class \"charge\" attempts"]);
     for other in [
         RetryRule::always(),
         RetryRule::keyed(None, second),
@@ -139,12 +139,12 @@
     }
     let mut moved = base.clone();
     moved.tables =
-        [vec![Route { filter: "+/visa".into(), class: "quote".into(), rest: String::new() }]].into();
+        [vec![Route { filter: "+/visa".into(), class: "quote".into(), templates: String::new() }]].into();
     assert_eq!(fields(&base, &moved), ["topic \"charge/visa\""]);
     let (mut one, mut other) = (base.clone(), base.clone());
     for (terms, cell, grace) in [(&mut one, "1", 5), (&mut other, "2", 9)] {
         terms.facts.insert("worker \"w\" cell".into(), [Some(cell.to_string())].into());
-        terms.bounds.insert("drain-grace".into(), Bound::of(grace));
+        terms.bounds.insert("drain-grace".into(), Bound::new(grace));
     }
     assert_eq!(fields(&one, &other), ["drain-grace", "worker \"w\" cell"]);
     assert_eq!(one.meet(&other).fact("worker \"w\" cell"), None, "what is in doubt is not acted on");
@@ -156,22 +156,22 @@
 
 #[test]
 fn a_meet_that_takes_the_looser_side_is_caught() {
-    let (strict, loose) = (with_class(RetryRule::never(), 1), with_class(RetryRule::always(), 5));
+    let (strict, loose) = (with_class(RetryRule::forbidden(), 1), with_class(RetryRule::always(), 5));
     let mut wrong = strict.meet(&loose);
-    wrong.classes.get_mut("charge").unwrap().repeat = RetryRule::always();
+    wrong.classes.get_mut("charge").unwrap().retry = RetryRule::always();
     assert_eq!(fields(&wrong, &strict), ["class \"charge\" effect"]);
     let mut wrong = strict.meet(&loose);
-    wrong.classes.get_mut("charge").unwrap().attempts.most = 5;
+    wrong.classes.get_mut("charge").unwrap().attempts.applied = 5;
     assert_eq!(fields(&wrong, &strict), ["class \"charge\" attempts"]);
     let mut wrong = strict.meet(&loose);
-    wrong.classes.get_mut("charge").unwrap().borne.clear();
+    wrong.classes.get_mut("charge").unwrap().tolerated.clear();
     assert_eq!(fields(&wrong, &loose), ["class \"charge\" effect"], "what is borne counts as well");
 }
 
 #[test]
 fn too_many_filters_are_taken_to_contradict_and_end_in_time() {
     let table = |class: &str, shape: fn(usize) -> String| -> Vec<Route> {
-        let route = |n| Route { filter: shape(n), class: class.into(), rest: String::new() };
+        let route = |n| Route { filter: shape(n), class: class.into(), templates: String::new() };
         (0..300).map(route).collect()
     };
     let terms = |table| Terms { tables: [table].into(), ..Terms::default() };
--- a/crates/config-versioning/tests/stored_forms.rs
+++ b/crates/config-versioning/tests/stored_forms.rs
@@ -35,8 +35,8 @@
         text: "[class.booking]\neffect = \"keyed\"\n".into(),
         who: "operator".into(),
         why: "the first one, für alle".into(),
-        doubt: LeaseExpiryPolicy::GoOn,
-        right_us: 3_000_000,
+        expiry_policy: LeaseExpiryPolicy::GoOn,
+        lease_us: 3_000_000,
     }
 }
 
@@ -48,29 +48,30 @@
         text: "two".into(),
         who: "operator".into(),
         why: "a change".into(),
-        doubt: LeaseExpiryPolicy::GiveUp,
-        right_us: 2_000_000,
+        expiry_policy: LeaseExpiryPolicy::GiveUp,
+        lease_us: 2_000_000,
     }
 }
 
-fn stance(prepared: Option<DocumentVersion>) -> ActiveSettings {
+fn active_settings(prepared: Option<DocumentVersion>) -> ActiveSettings {
     ActiveSettings { committed: DocumentVersion { number: 1, digest: FIRST_DIGEST.into() }, prepared }
 }
 
 fn state() -> State {
-    State { step: 1, stance: stance(None), last: 1 }
+    State { step: 1, active_settings: active_settings(None), last_number: 1 }
 }
 
 fn prepared_state() -> State {
     let prepared = DocumentVersion { number: 2, digest: SECOND_DIGEST.into() };
-    State { step: 2, stance: stance(Some(prepared)), last: 2 }
+    State { step: 2, active_settings: active_settings(Some(prepared)), last_number: 2 }
 }
 
 /// What the registry holds by these entries, all of which must be read.
-fn reading(entries: &[(&str, &str)]) -> Reading {
-    let reading = Reading::of(&keys(), entries.iter().map(|(key, value)| (*key, value.as_bytes(), 7)));
-    assert_eq!(reading.unread, []);
-    reading
+fn snapshot(entries: &[(&str, &str)]) -> Snapshot {
+    let snapshot =
+        Snapshot::from_entries(&keys(), entries.iter().map(|(key, value)| (*key, value.as_bytes(), 7)));
+    assert_eq!(snapshot.unreadable, []);
+    snapshot
 }
 
 /// What a transaction writes, as texts.
@@ -79,49 +80,54 @@
 }
 
 /// What a router writes as its right by this state.
-fn right_written(state: State, documents: &[(LeaseExpiryPolicy, i64)]) -> Txn {
-    let (name, life) = ("zone-a/router-1".into(), "life-1".into());
-    let mut holder = LeaseHolder::new(LeaseHolderSettings { keys: keys(), name, life, before: vec![] });
-    holder.heard(&Entry { value: state, revision: 7 }, documents).unwrap();
-    let Some(Ask::Write(txn)) = holder.ask(0) else { panic!("it wants its right") };
+fn right_written(state: State, documents: &[LeaseTerms]) -> Txn {
+    let (name, incarnation) = ("zone-a/router-1".into(), "life-1".into());
+    let mut holder = LeaseHolder::new(LeaseHolderSettings {
+        keys: keys(),
+        name,
+        incarnation,
+        previous_incarnations: vec![],
+    });
+    holder.observe_state(&Entry { value: state, revision: 7 }, documents).unwrap();
+    let Some(LeaseRequest::Write(txn)) = holder.next_request(0) else { panic!("it wants its right") };
     txn
 }
 
 fn right_read(literal: &str) -> ActLease {
-    let mut rights = reading(&[(RIGHT_KEY, literal)]).rights;
-    rights.remove(&("zone-a/router-1".to_string(), "life-1".to_string())).unwrap().value
+    let mut leases = snapshot(&[(RIGHT_KEY, literal)]).leases;
+    leases.remove(&RouterId::new("zone-a/router-1", "life-1")).unwrap().value
 }
 
 #[test]
 fn the_keys_of_documents_state_and_rights_stand() {
-    assert_eq!(keys().all(), "/slatevalve/agreement/");
+    assert_eq!(keys().prefix(), "/slatevalve/agreement/");
     assert_eq!(keys().state(), STATE_KEY);
     assert_eq!(keys().document(2), SECOND_KEY);
-    assert_eq!(keys().rights(), "/slatevalve/agreement/rights/");
-    assert_eq!(keys().right("zone-a/router-1", "life-1"), RIGHT_KEY);
+    assert_eq!(keys().leases(), "/slatevalve/agreement/rights/");
+    assert_eq!(keys().lease("zone-a/router-1", "life-1"), RIGHT_KEY);
 }
 
 #[test]
 fn documents_are_read_as_they_stand() {
-    let documents = reading(&[(FIRST_KEY, FIRST), (SECOND_KEY, SECOND)]).documents;
+    let documents = snapshot(&[(FIRST_KEY, FIRST), (SECOND_KEY, SECOND)]).documents;
     assert_eq!(documents, [(1, first()), (2, second())].into());
 }
 
 #[test]
 fn states_are_read_as_they_stand() {
-    let read = |literal| reading(&[(STATE_KEY, literal)]).state.unwrap().value;
+    let read = |literal| snapshot(&[(STATE_KEY, literal)]).state.unwrap().value;
     assert_eq!((read(STATE), read(PREPARED_STATE)), (state(), prepared_state()));
 }
 
 #[test]
 fn the_first_document_and_its_state_are_written_as_they_stand() {
-    let txn = Reading::default().publish(&keys(), &first(), 0).unwrap().1;
+    let txn = Snapshot::default().publish(&keys(), &first(), 0).unwrap().1;
     assert_eq!(written(&txn), [(FIRST_KEY, FIRST), (STATE_KEY, STATE)]);
 }
 
 #[test]
 fn the_next_document_and_its_prepared_state_are_written_as_they_stand() {
-    let now = reading(&[(FIRST_KEY, FIRST), (STATE_KEY, STATE)]);
+    let now = snapshot(&[(FIRST_KEY, FIRST), (STATE_KEY, STATE)]);
     let txn = now.publish(&keys(), &second(), 0).unwrap().1;
     assert_eq!(written(&txn), [(SECOND_KEY, SECOND), (STATE_KEY, PREPARED_STATE)]);
 }
@@ -129,29 +135,40 @@
 #[test]
 fn a_right_of_a_router_that_goes_on_in_doubt_stands() {
     assert_eq!(
-        written(&right_written(state(), &[(LeaseExpiryPolicy::GoOn, 3_000_000)])),
+        written(&right_written(
+            state(),
+            &[LeaseTerms { lease_us: 3_000_000, expiry_policy: LeaseExpiryPolicy::GoOn }]
+        )),
         [(RIGHT_KEY, RIGHT)]
     );
-    let right =
-        ActLease { step: 1, stance: stance(None), right_us: 3_000_000, doubt: LeaseExpiryPolicy::GoOn };
+    let right = ActLease {
+        step: 1,
+        active_settings: active_settings(None),
+        lease_us: 3_000_000,
+        expiry_policy: LeaseExpiryPolicy::GoOn,
+    };
     assert_eq!(right_read(RIGHT), right);
 }
 
 #[test]
 fn a_right_by_a_prepared_change_of_a_router_that_gives_up_in_doubt_stands() {
-    let documents = [(LeaseExpiryPolicy::GoOn, 3_000_000), (LeaseExpiryPolicy::GiveUp, 2_000_000)];
+    let documents = [
+        LeaseTerms { lease_us: 3_000_000, expiry_policy: LeaseExpiryPolicy::GoOn },
+        LeaseTerms { lease_us: 2_000_000, expiry_policy: LeaseExpiryPolicy::GiveUp },
+    ];
     assert_eq!(written(&right_written(prepared_state(), &documents)), [(RIGHT_KEY, PREPARED_RIGHT)]);
-    let stance = prepared_state().stance;
-    let right = ActLease { step: 2, stance, right_us: 2_000_000, doubt: LeaseExpiryPolicy::GiveUp };
+    let active_settings = prepared_state().active_settings;
+    let right =
+        ActLease { step: 2, active_settings, lease_us: 2_000_000, expiry_policy: LeaseExpiryPolicy::GiveUp };
     assert_eq!(right_read(PREPARED_RIGHT), right);
 }
 
 #[test]
 fn the_remembered_settings_stand() {
     let now = Entry { value: prepared_state(), revision: 7 };
-    let kept = Reading::keep(&keys(), &now, [&first(), &second()]);
+    let kept = Snapshot::encode(&keys(), &now, [&first(), &second()]);
     assert_eq!(String::from_utf8(kept).unwrap(), REMEMBERED);
-    let read = Reading::kept(&keys(), REMEMBERED.as_bytes()).unwrap();
+    let read = Snapshot::decode(&keys(), REMEMBERED.as_bytes()).unwrap();
     let documents = [(1, first()), (2, second())].into();
-    assert_eq!(read, Reading { state: Some(now), documents, ..Reading::default() });
+    assert_eq!(read, Snapshot { state: Some(now), documents, ..Snapshot::default() });
 }
--- a/crates/gateway/src/commands/settings.rs
+++ b/crates/gateway/src/commands/settings.rs
@@ -6,13 +6,13 @@
 use super::session::{RegistryArguments, Res, Session};
 use super::Outcome;
 use crate::clock::Clock;
-use crate::documents::{reading, request, Conductor};
+use crate::documents::{request, snapshot, Conductor};
 use crate::settings::{self, SharedSettings};
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
 use slatevalve_config_versioning::{
-    contradictions, ActLease, Document, DocumentVersion, Entry, Keys, Next, PendingAck, Reading, State,
-    Terms, Txn, Wait,
+    contradictions, ActLease, Document, DocumentVersion, Entry, Keys, PendingAck, RolloutStep, RouterId,
+    Snapshot, State, Terms, Txn, WaitReason,
 };
 use slatevalve_registry::wire::{
     prefix_end, Bytes, KeyValue, PlainResponse, RangeRequest, RangeResponse, RANGE, TXN,
@@ -125,8 +125,8 @@
         SettingsCommand::Drive { wait_s } => return SettingsClient::new(registry, json)?.drive(None, wait_s),
         SettingsCommand::Status => {
             let mut desk = SettingsClient::new(registry, json)?;
-            let reading = desk.read()?;
-            let rows = desk.status(&reading);
+            let snapshot = desk.read()?;
+            let rows = desk.status(&snapshot);
             print(rows.clone(), status_words(&rows));
         }
         SettingsCommand::History => {
@@ -143,15 +143,15 @@
         }
         SettingsCommand::Rollback { number, wait_s } => {
             let mut desk = SettingsClient::new(registry, json)?;
-            let reading = desk.read()?;
-            if let (Some(txn), None) = (reading.withdraw(&desk.keys), number) {
+            let snapshot = desk.read()?;
+            if let (Some(txn), None) = (snapshot.withdraw(&desk.keys), number) {
                 desk.must(&txn)?;
                 print(json!({"withdrawn": true}), "the prepared change is taken back".into());
                 return Ok(ExitCode::SUCCESS);
             }
-            let state = reading.state.as_ref().ok_or("nothing was published yet")?;
-            let committed = &state.value.stance.committed;
-            let parent = reading.document(committed).map_or(0, |d| d.parent);
+            let state = snapshot.state.as_ref().ok_or("nothing was published yet")?;
+            let committed = &state.value.active_settings.committed;
+            let parent = snapshot.document(committed).map_or(0, |d| d.parent);
             let wanted = desk.document(number.unwrap_or(parent))?;
             let shared = read_text("document", &wanted.text)?;
             let why = format!("back to document {}", wanted.number);
@@ -160,8 +160,8 @@
         }
         SettingsCommand::DeclareGone { name, life } => {
             let mut desk = SettingsClient::new(registry, json)?;
-            let reading = desk.read()?;
-            let txn = reading.declare_gone(&desk.keys, &name, life.as_deref());
+            let snapshot = desk.read()?;
+            let txn = snapshot.declare_gone(&desk.keys, &name, life.as_deref());
             let txn = txn.ok_or_else(|| format!("{name} has no right to act in the registry"))?;
             desk.must(&txn)?;
             let lives = txn.deletes.len();
@@ -203,7 +203,7 @@
     let stricter = meet.classes.iter().filter(|(name, class)| {
         let sides = [old.classes.get(*name), new.classes.get(*name)];
         sides.iter().any(|side| {
-            side.is_none_or(|s| s.repeat != class.repeat || s.attempts.most != class.attempts.most)
+            side.is_none_or(|s| s.retry != class.retry || s.attempts.applied != class.attempts.applied)
         })
     });
     let stricter: Vec<&String> = stricter.map(|(name, _)| name).collect();
@@ -245,17 +245,17 @@
     }
 
     /// State and rights at one revision, and the documents that they name.
-    fn read(&mut self) -> Res<Reading> {
-        let (mut entries, revision) = self.range(&self.keys.rights(), true, 0)?;
+    fn read(&mut self) -> Res<Snapshot> {
+        let (mut entries, revision) = self.range(&self.keys.leases(), true, 0)?;
         entries.extend(self.range(&self.keys.state(), false, revision)?.0);
-        let mut reading = reading(&self.keys, &entries);
-        let named: Vec<u64> = reading.named().into_iter().map(|e| e.number).collect();
+        let mut snapshot = snapshot(&self.keys, &entries);
+        let named: Vec<u64> = snapshot.referenced_versions().into_iter().map(|e| e.number).collect();
         for number in named {
             if let Ok(document) = self.document(number) {
-                reading.documents.insert(document.number, document);
+                snapshot.documents.insert(document.number, document);
             }
         }
-        Ok(reading)
+        Ok(snapshot)
     }
 
     fn document(&mut self, number: u64) -> Res<Document> {
@@ -263,19 +263,20 @@
             return Ok(document.clone());
         }
         let (found, _) = self.range(&self.keys.document(number), false, 0)?;
-        let mut reading = reading(&self.keys, &found);
-        let document = reading.documents.remove(&number).ok_or_else(|| match reading.unread.first() {
-            Some(error) => error.to_string(),
-            None => format!("there is no document {number}"),
-        })?;
+        let mut snapshot = snapshot(&self.keys, &found);
+        let document =
+            snapshot.documents.remove(&number).ok_or_else(|| match snapshot.unreadable.first() {
+                Some(error) => error.to_string(),
+                None => format!("there is no document {number}"),
+            })?;
         self.documents.insert(number, document.clone());
         Ok(document)
     }
 
     fn history(&mut self) -> Res<Vec<Document>> {
         // One after the other: an answer with all of them may be larger than any limit.
-        let reading = self.read()?;
-        let last = reading.state.map_or(0, |s| s.value.last);
+        let snapshot = self.read()?;
+        let last = snapshot.state.map_or(0, |s| s.value.last_number);
         Ok((1..=last).filter_map(|number| self.document(number).ok()).collect())
     }
 
@@ -301,11 +302,11 @@
         (who, why): (String, String),
         above: u64,
     ) -> Res<u64> {
-        let reading = self.read()?;
-        let (doubt, right_us) = (shared.doubt, shared.right.0);
+        let snapshot = self.read()?;
+        let (expiry_policy, lease_us) = (shared.doubt, shared.right.0);
         let (digest, text) = (String::new(), text.to_string());
-        let draft = Document { number: 0, parent: 0, digest, text, who, why, doubt, right_us };
-        let (document, txn) = reading.publish(&self.keys, &draft, above)?;
+        let draft = Document { number: 0, parent: 0, digest, text, who, why, expiry_policy, lease_us };
+        let (document, txn) = snapshot.publish(&self.keys, &draft, above)?;
         self.must(&txn).map_err(|e| format!("document {} may not be published: {e}", document.number))?;
         Ok(document.number)
     }
@@ -317,19 +318,19 @@
         let (mut shown, mut wait) = (Vec::new(), LOOK.0);
         loop {
             let waits = match self.read() {
-                Ok(reading) => {
-                    let state = reading.state.as_ref().ok_or("nothing was published yet")?;
-                    if state.value.stance.prepared.is_none() {
+                Ok(snapshot) => {
+                    let state = snapshot.state.as_ref().ok_or("nothing was published yet")?;
+                    if state.value.active_settings.prepared.is_none() {
                         return self.ended(wanted, &state.value);
                     }
-                    match conductor.look(&self.session.clock, &reading) {
-                        Next::Commit(txn) => {
+                    match conductor.look(&self.session.clock, &snapshot) {
+                        RolloutStep::Commit(txn) => {
                             // Whether it was done shows at the next look, whoever did it.
                             self.write(&txn)?;
                             continue;
                         }
-                        Next::Wait(awaited) => (awaited, reading.rights.len()),
-                        Next::Nothing => (Vec::new(), 0),
+                        RolloutStep::Wait(awaited) => (awaited, snapshot.leases.len()),
+                        RolloutStep::Idle => (Vec::new(), 0),
                     }
                 }
                 // The registry may come back; the change stays as it is.
@@ -353,7 +354,7 @@
     }
 
     fn ended(&self, wanted: Option<u64>, state: &State) -> Outcome {
-        let committed = state.stance.committed.number;
+        let committed = state.active_settings.committed.number;
         if wanted.is_some_and(|number| number > committed) {
             return Err("the change was taken back by somebody else".into());
         }
@@ -383,33 +384,33 @@
         shown.clone_from(awaited);
     }
 
-    fn status(&mut self, reading: &Reading) -> Value {
-        let Some(state) = &reading.state else { return json!({"published": false}) };
-        let stance = &state.value.stance;
+    fn status(&mut self, snapshot: &Snapshot) -> Value {
+        let Some(state) = &snapshot.state else { return json!({"published": false}) };
+        let active_settings = &state.value.active_settings;
         let known = |e: &DocumentVersion| {
-            let document = reading.document(e);
+            let document = snapshot.document(e);
             let words = |f: fn(&Document) -> String| document.map(f);
             json!({"number": e.number, "digest": e.digest, "who": words(|d| d.who.clone()),
-                "why": words(|d| d.why.clone()), "in-doubt": document.map(|d| d.doubt)})
+                "why": words(|d| d.why.clone()), "in-doubt": document.map(|d| d.expiry_policy)})
         };
-        let right = |((name, life), entry): (&(String, String), &Entry<ActLease>)| {
+        let right = |(RouterId { name, incarnation }, entry): (&RouterId, &Entry<ActLease>)| {
             let right = &entry.value;
             let yes = right.acknowledges(&state.value);
-            let numbers: Vec<u64> = right.stance.editions().map(|e| e.number).collect();
-            json!({"router": name, "life": life, "acts-by": numbers, "said-yes": yes, "in-doubt": right.doubt})
+            let numbers: Vec<u64> = right.active_settings.versions().map(|e| e.number).collect();
+            json!({"router": name, "life": incarnation, "acts-by": numbers, "said-yes": yes, "in-doubt": right.expiry_policy})
         };
-        let unread: Vec<String> = reading.unread.iter().map(ToString::to_string).collect();
-        json!({"published": true, "step": state.value.step, "committed": known(&stance.committed),
-            "prepared": stance.prepared.as_ref().map(known),
-            "routers": reading.rights.iter().map(right).collect::<Vec<_>>(), "unread": unread})
+        let unreadable: Vec<String> = snapshot.unreadable.iter().map(ToString::to_string).collect();
+        json!({"published": true, "step": state.value.step, "committed": known(&active_settings.committed),
+            "prepared": active_settings.prepared.as_ref().map(known),
+            "routers": snapshot.leases.iter().map(right).collect::<Vec<_>>(), "unread": unreadable})
     }
 }
 
 fn awaited_words(awaited: &PendingAck) -> String {
-    let why = match awaited.wait {
-        Wait::ForItsWord => "goes on by the rules it has",
-        Wait::UntilItsRightEnds(_) => "until its right ends",
-        Wait::Unread => "what it wrote cannot be read here",
+    let why = match awaited.reason {
+        WaitReason::Acknowledgement => "goes on by the rules it has",
+        WaitReason::LeaseExpiry(_) => "until its right ends",
+        WaitReason::UnreadableLease => "what it wrote cannot be read here",
     };
     format!("{} ({why})", awaited.name)
 }
@@ -418,18 +419,18 @@
     if rows["published"] == false {
         return "nothing is published".into();
     }
-    let edition = |v: &Value| format!("document {} ({}: {})", v["number"], v["who"], v["why"]);
-    let mut lines = vec![format!("counts: {}", edition(&rows["committed"]))];
+    let version = |v: &Value| format!("document {} ({}: {})", v["number"], v["who"], v["why"]);
+    let mut lines = vec![format!("counts: {}", version(&rows["committed"]))];
     if !rows["prepared"].is_null() {
-        lines.push(format!("prepared: {}", edition(&rows["prepared"])));
+        lines.push(format!("prepared: {}", version(&rows["prepared"])));
     }
     for router in rows["routers"].as_array().into_iter().flatten() {
         let word = if router["said-yes"] == true { "yes" } else { "awaited" };
         let name = router["router"].as_str().unwrap_or_default();
         lines.push(format!("router {name:<32} {word:<8} acts by {}", router["acts-by"]));
     }
-    for unread in rows["unread"].as_array().into_iter().flatten() {
-        lines.push(format!("cannot be read: {unread}"));
+    for unreadable in rows["unread"].as_array().into_iter().flatten() {
+        lines.push(format!("cannot be read: {unreadable}"));
     }
     lines.join("\n")
 }
--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::settings::SharedSettings;
 use slatevalve_config_versioning::{
-    Document, DocumentVersion, Keys, Next, Reading, RolloutCoordinator, Terms, Txn,
+    Document, DocumentVersion, Keys, RolloutCoordinator, RolloutStep, Snapshot, Terms, Txn,
 };
 use slatevalve_registry::wire::{Bytes, Compare, DeleteRequest, KeyValue, PutRequest, RequestOp, TxnRequest};
 use std::collections::BTreeMap;
@@ -30,11 +30,11 @@
 }
 
 /// What the registry's entries say.
-pub fn reading(keys: &Keys, entries: &[KeyValue]) -> Reading {
+pub fn snapshot(keys: &Keys, entries: &[KeyValue]) -> Snapshot {
     let text = |kv: &KeyValue| String::from_utf8_lossy(&kv.key.0).into_owned();
     let names: Vec<String> = entries.iter().map(text).collect();
     let each = names.iter().zip(entries).map(|(k, e)| (k.as_str(), e.value.0.as_slice(), e.mod_revision));
-    Reading::of(keys, each)
+    Snapshot::from_entries(keys, each)
 }
 
 /// A driver of one change after the other, with the rules of the documents that it met.
@@ -52,25 +52,26 @@
     }
 
     /// Looks at a reading, with the documents that are known of those it names, as [`RolloutCoordinator::look`] does.
-    pub(crate) fn look(&mut self, clock: &Clock, reading: &Reading) -> Next {
-        let Some(state) = &reading.state else { return Next::Nothing };
-        let named = reading.named();
-        self.rules.retain(|edition, _| named.contains(edition));
-        for edition in named {
-            if let Some(document) = reading.document(edition) {
-                self.rules.entry(edition.clone()).or_insert_with(|| rules(document, clock));
+    pub(crate) fn look(&mut self, clock: &Clock, snapshot: &Snapshot) -> RolloutStep {
+        let Some(state) = &snapshot.state else { return RolloutStep::Idle };
+        let named = snapshot.referenced_versions();
+        self.rules.retain(|version, _| named.contains(version));
+        for version in named {
+            if let Some(document) = snapshot.document(version) {
+                self.rules.entry(version.clone()).or_insert_with(|| rules(document, clock));
             }
         }
         let known = |e: &DocumentVersion| self.rules.get(e).and_then(Option::as_ref);
         let step = state.value.step;
         if self.driver.as_ref().is_none_or(|d| d.0 != step) {
-            let errors = state.value.stance.editions().map(|e| known(e).map_or(UNKNOWN_ERROR_PPM, |r| r.1));
+            let errors =
+                state.value.active_settings.versions().map(|e| known(e).map_or(UNKNOWN_ERROR_PPM, |r| r.1));
             let error = errors.max().unwrap_or(UNKNOWN_ERROR_PPM);
             self.driver = Some((step, RolloutCoordinator::new(self.keys.clone(), error)));
         }
         let terms = |e: &DocumentVersion| known(e).map(|r| r.0.clone());
         let driver = self.driver.as_mut();
-        driver.map_or(Next::Nothing, |(_, driver)| driver.look(clock.now().0, reading, terms))
+        driver.map_or(RolloutStep::Idle, |(_, driver)| driver.advance(clock.now().0, snapshot, terms))
     }
 }
 
@@ -83,7 +84,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use slatevalve_config_versioning::{Ask, LeaseExpiryPolicy, LeaseHolder, LeaseHolderSettings, Wait};
+    use slatevalve_config_versioning::{
+        LeaseExpiryPolicy, LeaseHolder, LeaseHolderSettings, LeaseRequest, LeaseTerms, WaitReason,
+    };
 
     const RIGHT_US: i64 = 3_600_000_000;
 
@@ -94,9 +97,11 @@
              (route \"charge/+\" (class \"charge\") (function \"{{2}}\"))
              (agreement (in-doubt give-up) (clock-error-ppm {clock_error_ppm}))"
         );
-        let (digest, who, why, doubt) = (String::new(), "op".into(), "why".into(), LeaseExpiryPolicy::GiveUp);
-        let draft = Document { number: 0, parent: 0, digest, text, who, why, doubt, right_us: RIGHT_US };
-        let (_, txn) = reading(keys, entries).publish(keys, &draft, 0).unwrap();
+        let (digest, who, why, expiry_policy) =
+            (String::new(), "op".into(), "why".into(), LeaseExpiryPolicy::GiveUp);
+        let draft =
+            Document { number: 0, parent: 0, digest, text, who, why, expiry_policy, lease_us: RIGHT_US };
+        let (_, txn) = snapshot(keys, entries).publish(keys, &draft, 0).unwrap();
         put(entries, &txn);
     }
 
@@ -115,22 +120,28 @@
             let settings = LeaseHolderSettings {
                 keys: keys.clone(),
                 name: "r".into(),
-                life: "1".into(),
-                before: vec![],
+                incarnation: "1".into(),
+                previous_incarnations: vec![],
             };
             let mut still = LeaseHolder::new(settings);
             still
-                .heard(&reading(&keys, &entries).state.unwrap(), &[(LeaseExpiryPolicy::GiveUp, RIGHT_US)])
+                .observe_state(
+                    &snapshot(&keys, &entries).state.unwrap(),
+                    &[LeaseTerms { lease_us: RIGHT_US, expiry_policy: LeaseExpiryPolicy::GiveUp }],
+                )
                 .unwrap();
-            let Some(Ask::Write(txn)) = still.ask(0) else { panic!("it asks for its right") };
+            let Some(LeaseRequest::Write(txn)) = still.next_request(0) else {
+                panic!("it asks for its right")
+            };
             put(&mut entries, &txn);
             publish(&keys, &mut entries, new);
             let from = clock.now().0;
-            let Next::Wait(awaited) = Conductor::new(keys.clone()).look(&clock, &reading(&keys, &entries))
+            let RolloutStep::Wait(awaited) =
+                Conductor::new(keys.clone()).look(&clock, &snapshot(&keys, &entries))
             else {
                 panic!("its right stands")
             };
-            let Wait::UntilItsRightEnds(until) = awaited[0].wait else { panic!("{awaited:?}") };
+            let WaitReason::LeaseExpiry(until) = awaited[0].reason else { panic!("{awaited:?}") };
             // 1.4 / 0.6 of the right.
             assert!(until - from >= RIGHT_US / 6 * 14, "{old} then {new}: {}", until - from);
         }
--- a/crates/gateway/src/server/agreement.rs
+++ b/crates/gateway/src/server/agreement.rs
@@ -12,8 +12,8 @@
 use crate::settings::{Agreed, AgreedSettings, Site};
 use slatevalve::{ClassId, Micros, Scope};
 use slatevalve_config_versioning::{
-    Ask, Document, DocumentVersion, Entry, Keys, LeaseHolder, LeaseHolderSettings, Next, Reading,
-    SendPermission, State, TakeoverTimer, Txn, TxnEnd,
+    Document, DocumentVersion, Entry, Keys, LeaseHolder, LeaseHolderSettings, LeaseRequest, RolloutStep,
+    SendPermission, Snapshot, State, TakeoverTimer, Txn, TxnOutcome,
 };
 use slatevalve_reactor::{Reactor, ReactorEvent};
 use slatevalve_registry::wire::{prefix_end, Bytes, PlainResponse, RangeRequest, RangeResponse, RANGE, TXN};
@@ -92,10 +92,15 @@
             None => (None, Vec::new()),
         };
         let keys = Keys::new(&prefix);
-        let own_key = keys.right(&name, &life);
+        let own_key = keys.lease(&name, &life);
         let known = remember.as_deref().and_then(|path| remembered(path, &keys)).unwrap_or_default();
         let conductor = Conductor::new(keys.clone());
-        let holder = LeaseHolder::new(LeaseHolderSettings { keys: keys.clone(), name, life, before });
+        let holder = LeaseHolder::new(LeaseHolderSettings {
+            keys: keys.clone(),
+            name,
+            incarnation: life,
+            previous_incarnations: before,
+        });
         Ok(Agreement {
             link: Link::new(client, addresses),
             keys,
@@ -150,18 +155,22 @@
 
     /// What may be sent now.
     pub(crate) fn may(&self, now: Micros) -> SendPermission {
-        self.holder.may(now.0)
+        self.holder.send_permission(now.0)
     }
 
     /// Until when all may be written that is buffered, where that ends; nothing is left to be kept back once it has ended.
     pub(crate) fn writes_until(&self) -> Option<Micros> {
-        self.holder.until_us().filter(|_| self.may == SendPermission::All).map(Micros)
+        self.holder.expires_us().filter(|_| self.may == SendPermission::All).map(Micros)
     }
 
     /// When [`Agreement::advance`] is due.
     pub(crate) fn next_wake(&self, now: Micros) -> Micros {
-        let due =
-            [Some(self.link.next_wake(now.0)), self.holder.due_us(), self.state_due(), self.patrol_due()];
+        let due = [
+            Some(self.link.next_wake(now.0)),
+            self.holder.next_request_us(),
+            self.state_due(),
+            self.patrol_due(),
+        ];
         Micros(due.into_iter().flatten().min().unwrap_or(i64::MAX).max(now.0))
     }
 
@@ -197,15 +206,15 @@
             return site;
         }
         if self.patrol_due().is_some_and(|at| at <= now.0) {
-            let rights = self.keys.rights();
+            let rights = self.keys.leases();
             self.ask_range(&rights, Bytes(prefix_end(rights.as_bytes())), For::Rights);
         }
-        match self.holder.ask(now.0) {
-            Some(Ask::Read) => {
+        match self.holder.next_request(now.0) {
+            Some(LeaseRequest::Read) => {
                 self.holder_reads = true;
                 self.read_at = Some(now.0);
             }
-            Some(Ask::Write(txn)) => self.ask_write(&txn, For::Write),
+            Some(LeaseRequest::Write(txn)) => self.ask_write(&txn, For::Write),
             None => {}
         }
         self.link.advance(now.0, reactor);
@@ -219,7 +228,7 @@
 
     /// When to look for a change that waits for a driver; not while one look is under way.
     fn patrol_due(&self) -> Option<i64> {
-        self.patrol.due_us().filter(|_| !self.asks(|f| matches!(f, For::Rights | For::Commit)))
+        self.patrol.next_check_us().filter(|_| !self.asks(|f| matches!(f, For::Rights | For::Commit)))
     }
 
     fn asks(&self, what: impl Fn(&For) -> bool) -> bool {
@@ -248,9 +257,9 @@
         match what {
             For::State => match body.as_ref().and_then(range) {
                 Some(found) => {
-                    let reading = self.reading(&found);
-                    reading.unread.iter().for_each(|error| error!(%error, "the state of the settings"));
-                    self.news = reading.state.or(self.news.take());
+                    let snapshot = self.snapshot(&found);
+                    snapshot.unreadable.iter().for_each(|error| error!(%error, "the state of the settings"));
+                    self.news = snapshot.state.or(self.news.take());
                     if std::mem::take(&mut self.holder_reads) {
                         self.ask_key(&self.own_key.clone(), For::Own);
                     }
@@ -259,9 +268,9 @@
             },
             For::Document(number) => match body.as_ref().and_then(range) {
                 Some(found) => {
-                    let mut reading = self.reading(&found);
-                    reading.unread.iter().for_each(|error| error!(%error, "a document of the settings"));
-                    match reading.documents.remove(&number) {
+                    let mut snapshot = self.snapshot(&found);
+                    snapshot.unreadable.iter().for_each(|error| error!(%error, "a document of the settings"));
+                    match snapshot.documents.remove(&number) {
                         Some(document) => drop(self.documents.insert(number, document)),
                         None => (self.news, self.read_at) = (None, Some(now.0 + AGAIN)),
                     }
@@ -271,29 +280,30 @@
             For::Own => {
                 // Without an answer the holder asks again by itself.
                 let Some(found) = body.as_ref().and_then(range) else { return };
-                let reading = self.reading(&found);
-                let (own, unread) = (reading.rights.values().next(), !reading.unread_rights.is_empty());
-                if unread {
+                let snapshot = self.snapshot(&found);
+                let (own, unreadable) =
+                    (snapshot.leases.values().next(), !snapshot.unreadable_leases.is_empty());
+                if unreadable {
                     error!(key = self.own_key, "the own right in the registry cannot be read");
                 }
-                if let Err(trouble) = self.holder.read(own) {
+                if let Err(trouble) = self.holder.on_read(own) {
                     warn!(%trouble, "settings");
                 }
             }
             For::Write => {
                 let read = |body: Vec<u8>| serde_json::from_slice::<PlainResponse>(&body).ok();
-                self.holder.written(match body.and_then(read) {
-                    Some(answer) if answer.succeeded => TxnEnd::Done(answer.header.revision),
-                    Some(_) => TxnEnd::Conflict,
-                    None => TxnEnd::Unknown,
+                self.holder.on_written(match body.and_then(read) {
+                    Some(answer) if answer.succeeded => TxnOutcome::Succeeded(answer.header.revision),
+                    Some(_) => TxnOutcome::Conflict,
+                    None => TxnOutcome::Unknown,
                 });
             }
             For::Rights => {
                 let found = body.as_ref().and_then(range);
-                self.patrol.looked(now.0, found.as_ref().map_or(1, |f| f.kvs.len()));
+                self.patrol.on_checked(now.0, found.as_ref().map_or(1, |f| f.kvs.len()));
                 if let Some(found) = found {
-                    let reading = self.reading(&found);
-                    self.drive(reading, clock);
+                    let snapshot = self.snapshot(&found);
+                    self.drive(snapshot, clock);
                 }
             }
             // Whether it was done shows in the state, as with any other's.
@@ -304,26 +314,26 @@
 
     /// Commits the change that is prepared, where nobody is waited for any more. The state that the rights are held against is
     /// the newest one heard: a commit on an older one is refused by the registry.
-    fn drive(&mut self, mut reading: Reading, clock: &Clock) {
+    fn drive(&mut self, mut snapshot: Snapshot, clock: &Clock) {
         let Some(state) = self.holder.state().cloned() else { return };
         let step = state.value.step;
-        reading.state = Some(state);
-        reading.documents.clone_from(&self.documents);
-        match self.conductor.look(clock, &reading) {
-            Next::Commit(txn) => {
+        snapshot.state = Some(state);
+        snapshot.documents.clone_from(&self.documents);
+        match self.conductor.look(clock, &snapshot) {
+            RolloutStep::Commit(txn) => {
                 info!(step, "driving the change that is prepared to its commit");
                 self.ask_write(&txn, For::Commit);
             }
-            Next::Wait(awaited) => {
+            RolloutStep::Wait(awaited) => {
                 let names: Vec<&str> = awaited.iter().take(5).map(|a| a.name.as_str()).collect();
                 info!(step, awaited = awaited.len(), first = ?names, "a change of the settings waits");
             }
-            Next::Nothing => {}
+            RolloutStep::Idle => {}
         }
     }
 
-    fn reading(&self, found: &RangeResponse) -> Reading {
-        documents::reading(&self.keys, &found.kvs)
+    fn snapshot(&self, found: &RangeResponse) -> Snapshot {
+        documents::snapshot(&self.keys, &found.kvs)
     }
 
     /// Acts by the newest state that is known, once its documents are.
@@ -339,7 +349,7 @@
         }
         let known = |e: &DocumentVersion| self.documents.get(&e.number).filter(|d| d.digest == e.digest);
         let missing: Vec<u64> =
-            state.value.stance.editions().filter(|e| known(e).is_none()).map(|e| e.number).collect();
+            state.value.active_settings.versions().filter(|e| known(e).is_none()).map(|e| e.number).collect();
         if !missing.is_empty() {
             for number in missing {
                 if !self.asks(|f| matches!(f, For::Document(n) if *n == number)) {
@@ -349,17 +359,18 @@
             self.news = Some(state);
             return None;
         }
-        let documents: Vec<Document> = state.value.stance.editions().filter_map(known).cloned().collect();
-        let terms: Vec<_> = documents.iter().map(|d| (d.doubt, d.right_us)).collect();
-        let before = self.holder.stance().cloned();
+        let documents: Vec<Document> =
+            state.value.active_settings.versions().filter_map(known).cloned().collect();
+        let terms: Vec<_> = documents.iter().map(|d| d.lease_terms()).collect();
+        let before = self.holder.active_settings().cloned();
         let mut holder = self.holder.clone();
-        match holder.heard(&state, &terms) {
+        match holder.observe_state(&state, &terms) {
             Err(trouble) => {
                 warn!(%trouble, "settings");
                 self.refused = Some(state.value.step);
                 return None;
             }
-            Ok(_) if before.as_ref() == Some(&state.value.stance) => {
+            Ok(_) if before.as_ref() == Some(&state.value.active_settings) => {
                 self.holder = holder;
                 return None;
             }
@@ -377,20 +388,20 @@
         };
         let numbers: Vec<u64> = documents.iter().map(|d| d.number).collect();
         info!(documents = ?numbers, step = state.value.step, "settings");
-        let right_us = terms.iter().map(|t| t.1).max().unwrap_or(0);
-        let prepared = state.value.stance.prepared.as_ref().map(|_| state.value.step);
-        self.patrol.heard(now.0, prepared, HEAD_START.max(2 * right_us));
+        let right_us = terms.iter().map(|t| t.lease_us).max().unwrap_or(0);
+        let prepared = state.value.active_settings.prepared.as_ref().map(|_| state.value.step);
+        self.patrol.observe_state(now.0, prepared, HEAD_START.max(2 * right_us));
         (self.holder, self.refused) = (holder, None);
         self.documents.retain(|number, _| numbers.contains(number));
         if let Some(file) = &self.remembered_file {
-            file.write(Reading::keep(&self.keys, &state, self.documents.values()));
+            file.write(Snapshot::encode(&self.keys, &state, self.documents.values()));
         }
         Some(site)
     }
 
     /// Takes the right to act out of the registry.
     pub(crate) fn leave(&mut self) {
-        match self.holder.leave() {
+        match self.holder.release() {
             Some(txn) => self.ask_write(&txn, For::Leave),
             None => self.left = true,
         }
@@ -402,7 +413,7 @@
 }
 
 /// What was acted by when this name ran last. Where there is nothing that can be read the registry is waited for.
-fn remembered(path: &Path, keys: &Keys) -> Option<Reading> {
+fn remembered(path: &Path, keys: &Keys) -> Option<Snapshot> {
     let bytes = match std::fs::read(path) {
         Ok(bytes) => bytes,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
@@ -411,14 +422,14 @@
             return None;
         }
     };
-    match Reading::kept(keys, &bytes) {
-        Ok(reading) if reading.unread.is_empty() => {
+    match Snapshot::decode(keys, &bytes) {
+        Ok(snapshot) if snapshot.unreadable.is_empty() => {
             info!(path = %path.display(), "the settings are remembered until the registry answers");
-            Some(reading)
+            Some(snapshot)
         }
-        Ok(reading) => {
-            reading
-                .unread
+        Ok(snapshot) => {
+            snapshot
+                .unreadable
                 .iter()
                 .for_each(|error| warn!(path = %path.display(), %error, "remembered settings"));
             None
--- a/crates/gateway/src/settings/agreed.rs
+++ b/crates/gateway/src/settings/agreed.rs
@@ -162,7 +162,7 @@
             let place = Place { name: name.clone(), class: class.clone(), remember: *remember };
             let keeps = self.current.get(name).copied().filter(|at| {
                 let before = repeat(self.places[*at].class.effect);
-                !open.contains(&ClassId(*at)) || repeat(class.effect).is_inside(&before)
+                !open.contains(&ClassId(*at)) || repeat(class.effect).is_within(&before)
             });
             let used: BTreeSet<usize> = self.current.values().copied().collect();
             let free = |at: &usize| !used.contains(at) && !open.contains(&ClassId(*at));
@@ -216,7 +216,7 @@
 fn strictest(site: &mut Site, others: &[Site], terms: &Terms) {
     for (at, name) in site.classes.iter().enumerate() {
         let Some(class) = terms.classes.get(name) else { continue };
-        site.engine.module.classes[at].effect = effect(&class.repeat);
+        site.engine.module.classes[at].effect = effect(&class.retry);
         site.engine.classes[at].remember = Micros(class.remember_us);
     }
     let module = &mut site.engine.module;
@@ -246,15 +246,15 @@
 /// The effect that allows no more than this; unsafe where the module knows no nearer one.
 fn effect(repeat: &RetryRule) -> Effect {
     let group = match (
-        repeat.needs().contains(&RetryCondition::Zone),
-        repeat.needs().contains(&RetryCondition::Cell),
+        repeat.conditions().contains(&RetryCondition::Zone),
+        repeat.conditions().contains(&RetryCondition::Cell),
     ) {
         (false, false) => Group::All,
         (true, false) => Group::Zone,
         (false, true) => Group::Cell,
         (true, true) => return Effect::Unsafe,
     };
-    match repeat.within_us() {
+    match repeat.window_us() {
         _ if repeat.is_unconditional() => Effect::Safe,
         0 => Effect::Unsafe,
         within => Effect::Keyed { group, memory: Micros(within) },
--- a/crates/gateway/src/settings/document.rs
+++ b/crates/gateway/src/settings/document.rs
@@ -79,7 +79,7 @@
         let attempts = i64::try_from(module.limits.max_attempts).unwrap_or(i64::MAX);
         let class = |(at, name): (usize, &String)| {
             let remember = engine.classes.get(at).map_or(0, |c| c.remember.0);
-            (name.clone(), Class::of(repeat(module.classes[at].effect), attempts, remember))
+            (name.clone(), Class::new(repeat(module.classes[at].effect), attempts, remember))
         };
         let route = |r: &slatevalve_mqtt::Route| {
             let templates = [Some(&r.function), r.tenant.as_ref(), r.key.as_ref()];
@@ -87,7 +87,11 @@
                 |t: &Option<&slatevalve_mqtt::Template>| t.map_or("-".to_string(), ToString::to_string);
             let safe = module.classes[r.class.0].effect == Effect::Safe;
             let rest = if safe { Vec::new() } else { templates.iter().map(text).collect() };
-            Route { filter: r.filter.to_string(), class: classes[r.class.0].clone(), rest: rest.join(" ") }
+            Route {
+                filter: r.filter.to_string(),
+                class: classes[r.class.0].clone(),
+                templates: rest.join(" "),
+            }
         };
         let mut facts = BTreeMap::new();
         for worker in workers {
@@ -116,7 +120,7 @@
             ("loading ration share", rationed(loading.ration_share)),
             ("loading ration windows an hour", rationed(windows)),
         ];
-        bounds.map(|(name, most)| (name.to_string(), Bound::of(most))).into()
+        bounds.map(|(name, most)| (name.to_string(), Bound::new(most))).into()
     }
 }
 
@@ -131,7 +135,7 @@
 pub(super) fn repeat(effect: Effect) -> RetryRule {
     match effect {
         Effect::Safe => RetryRule::always(),
-        Effect::Unsafe => RetryRule::never(),
+        Effect::Unsafe => RetryRule::forbidden(),
         Effect::Keyed { group, memory } => {
             let need = match group {
                 Group::All => None,
--- a/crates/gateway/tests/agreed.rs
+++ b/crates/gateway/tests/agreed.rs
@@ -625,7 +625,7 @@
         let document = |(n, text): (usize, &&str)| {
             let (text, digest, who, why) =
                 (format!("{text}{COMMON}"), String::new(), String::new(), String::new());
-            let (number, doubt, right_us) =
+            let (number, expiry_policy, lease_us) =
                 (n as u64 + 1, slatevalve_config_versioning::LeaseExpiryPolicy::GoOn, 1);
             slatevalve_config_versioning::Document {
                 number,
@@ -634,8 +634,8 @@
                 text,
                 who,
                 why,
-                doubt,
-                right_us,
+                expiry_policy,
+                lease_us,
             }
         };
         let documents: Vec<_> = texts.iter().enumerate().map(document).collect();
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -4,9 +4,10 @@
 
 use serde_json::{json, Value};
 use slatevalve_config_versioning::{
-    Ask, Keys, LeaseExpiryPolicy, LeaseHolder, LeaseHolderSettings, Reading, SendPermission, Txn, TxnEnd,
+    Document, Keys, LeaseHolder, LeaseHolderSettings, LeaseRequest, LeaseTerms, RouterId, SendPermission,
+    Snapshot, Txn, TxnOutcome,
 };
-use slatevalve_gateway::documents::{reading, request};
+use slatevalve_gateway::documents::{request, snapshot};
 use slatevalve_registry::wire::{Bytes, PlainResponse, RangeRequest, RangeResponse, RANGE, TXN};
 use std::time::Instant;
 use support::documents::{Documents as Fleet, UNSAFE};
@@ -21,9 +22,10 @@
     }
 
     fn router(&self, name: &str) -> Router<'_> {
-        let (keys, life) = (Keys::new("/slatevalve/"), format!("life-of-{}", name.replace('/', "-")));
-        let id = (name.to_string(), life.clone());
-        let settings = LeaseHolderSettings { keys, name: name.into(), life, before: vec![] };
+        let (keys, incarnation) = (Keys::new("/slatevalve/"), format!("life-of-{}", name.replace('/', "-")));
+        let id = RouterId::new(name, incarnation.clone());
+        let settings =
+            LeaseHolderSettings { keys, name: name.into(), incarnation, previous_incarnations: vec![] };
         Router { fleet: self, began: Instant::now(), holder: LeaseHolder::new(settings), id }
     }
 }
@@ -33,8 +35,7 @@
     fleet: &'a Fleet,
     began: Instant,
     holder: LeaseHolder,
-    /// Name and life.
-    id: (String, String),
+    id: RouterId,
 }
 
 impl Router<'_> {
@@ -43,52 +44,51 @@
     }
 
     fn may(&self) -> SendPermission {
-        self.holder.may(self.now())
+        self.holder.send_permission(self.now())
     }
 
     /// Numbers of the documents that it acts by.
     fn acts_by(&self) -> Vec<u64> {
-        self.holder.stance().unwrap().editions().map(|e| e.number).collect()
+        self.holder.active_settings().unwrap().versions().map(|e| e.number).collect()
     }
 
-    fn read(&self) -> Reading {
+    fn read(&self) -> Snapshot {
         let (key, range_end) = (Bytes::of("/slatevalve/agreement/"), Bytes::of("/slatevalve/agreement0"));
         let ask = RangeRequest { key, range_end, ..RangeRequest::default() };
         let body = ask_registry(&self.fleet.registry_address(), RANGE, &ask);
         let answer: RangeResponse = serde_json::from_slice(&body).unwrap();
-        reading(&Keys::new("/slatevalve/"), &answer.kvs)
+        snapshot(&Keys::new("/slatevalve/"), &answer.kvs)
     }
 
     /// Hears what stands there, and asks for what it wants until it wants nothing.
     fn poll(&mut self) {
         loop {
-            let reading = self.read();
-            if let Some(state) = &reading.state {
-                let of = |e| reading.document(e).map(|d| (d.doubt, d.right_us)).unwrap();
-                let documents: Vec<(LeaseExpiryPolicy, i64)> =
-                    state.value.stance.editions().map(of).collect();
-                let _ = self.holder.heard(state, &documents);
+            let snapshot = self.read();
+            if let Some(state) = &snapshot.state {
+                let of = |e| snapshot.document(e).map(Document::lease_terms).unwrap();
+                let documents: Vec<LeaseTerms> = state.value.active_settings.versions().map(of).collect();
+                let _ = self.holder.observe_state(state, &documents);
             }
-            match self.holder.ask(self.now()) {
+            match self.holder.next_request(self.now()) {
                 None => return,
-                Some(Ask::Read) => {
-                    let _ = self.holder.read(reading.rights.get(&self.id));
+                Some(LeaseRequest::Read) => {
+                    let _ = self.holder.on_read(snapshot.leases.get(&self.id));
                 }
-                Some(Ask::Write(txn)) => {
+                Some(LeaseRequest::Write(txn)) => {
                     let end = self.write(txn);
-                    self.holder.written(end);
+                    self.holder.on_written(end);
                 }
             }
         }
     }
 
-    fn write(&self, txn: Txn) -> TxnEnd {
+    fn write(&self, txn: Txn) -> TxnOutcome {
         let body = ask_registry(&self.fleet.registry_address(), TXN, &request(&txn));
         let answer: PlainResponse = serde_json::from_slice(&body).unwrap();
         if answer.succeeded {
-            TxnEnd::Done(answer.header.revision)
+            TxnOutcome::Succeeded(answer.header.revision)
         } else {
-            TxnEnd::Conflict
+            TxnOutcome::Conflict
         }
     }
 }
