--- a/crates/gateway/src/commands/settings.rs
+++ b/crates/gateway/src/commands/settings.rs
@@ -6,7 +6,7 @@
 use super::session::{RegistryArguments, Res, Session};
 use super::Outcome;
 use crate::clock::Clock;
-use crate::documents::{request, snapshot, Conductor};
+use crate::documents::{request, snapshot, DocumentRollout};
 use crate::settings::{self, SharedSettings};
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
@@ -303,7 +303,7 @@
         above: u64,
     ) -> Res<u64> {
         let snapshot = self.read()?;
-        let (expiry_policy, lease_us) = (shared.doubt, shared.right.0);
+        let (expiry_policy, lease_us) = (shared.expiry_policy, shared.lease.0);
         let (digest, text) = (String::new(), text.to_string());
         let draft = Document { number: 0, parent: 0, digest, text, who, why, expiry_policy, lease_us };
         let (document, txn) = snapshot.publish(&self.keys, &draft, above)?;
@@ -314,7 +314,7 @@
     /// Drives a change until it is committed, or time is up.
     fn drive(&mut self, wanted: Option<u64>, wait_s: f64) -> Outcome {
         let until = Instant::now() + Duration::from_secs_f64(wait_s.clamp(0.0, 86_400.0));
-        let mut conductor = Conductor::new(self.keys.clone());
+        let mut rollout = DocumentRollout::new(self.keys.clone());
         let (mut shown, mut wait) = (Vec::new(), LOOK.0);
         loop {
             let waits = match self.read() {
@@ -323,7 +323,7 @@
                     if state.value.active_settings.prepared.is_none() {
                         return self.ended(wanted, &state.value);
                     }
-                    match conductor.look(&self.session.clock, &snapshot) {
+                    match rollout.advance(&self.session.clock, &snapshot) {
                         RolloutStep::Commit(txn) => {
                             // Whether it was done shows at the next look, whoever did it.
                             self.write(&txn)?;
--- /dev/null
+++ b/crates/gateway/src/documents/tests.rs
@@ -0,0 +1,62 @@
+//! The waiting time of a rollout whose documents state other clock errors.
+
+use super::*;
+use slatevalve_config_versioning::{
+    LeaseExpiryPolicy, LeaseHolder, LeaseHolderSettings, LeaseRequest, LeaseTerms, WaitReason,
+};
+
+const RIGHT_US: i64 = 3_600_000_000;
+
+/// Publishes a document into entries; a router that stands still has said yes to the one before.
+fn publish(keys: &Keys, entries: &mut Vec<KeyValue>, clock_error_ppm: i64) {
+    let text = format!(
+        "(class \"charge\" (effect keyed (group all) (window-ms {clock_error_ppm})) (aim-ms 1) (deadline-ms 1))
+         (route \"charge/+\" (class \"charge\") (function \"{{2}}\"))
+         (agreement (in-doubt give-up) (clock-error-ppm {clock_error_ppm}))"
+    );
+    let (digest, who, why, expiry_policy) =
+        (String::new(), "op".into(), "why".into(), LeaseExpiryPolicy::GiveUp);
+    let draft = Document { number: 0, parent: 0, digest, text, who, why, expiry_policy, lease_us: RIGHT_US };
+    let (_, txn) = snapshot(keys, entries).publish(keys, &draft, 0).unwrap();
+    put(entries, &txn);
+}
+
+fn put(entries: &mut Vec<KeyValue>, txn: &Txn) {
+    for put in request(txn).success.into_iter().filter_map(|op| op.request_put) {
+        entries.retain(|e| e.key != put.key);
+        entries.push(KeyValue { key: put.key, value: put.value, mod_revision: 1, ..KeyValue::default() });
+    }
+}
+
+#[test]
+fn a_right_is_waited_for_by_the_larger_clock_error_of_both_documents() {
+    for (old, new) in [(400_000, 1), (1, 400_000)] {
+        let (keys, clock, mut entries) = (Keys::new("/t/"), Clock::start(), Vec::new());
+        publish(&keys, &mut entries, old);
+        let settings = LeaseHolderSettings {
+            keys: keys.clone(),
+            name: "r".into(),
+            incarnation: "1".into(),
+            previous_incarnations: vec![],
+        };
+        let mut still = LeaseHolder::new(settings);
+        still
+            .observe_state(
+                &snapshot(&keys, &entries).state.unwrap(),
+                &[LeaseTerms { lease_us: RIGHT_US, expiry_policy: LeaseExpiryPolicy::GiveUp }],
+            )
+            .unwrap();
+        let Some(LeaseRequest::Write(txn)) = still.next_request(0) else { panic!("it asks for its right") };
+        put(&mut entries, &txn);
+        publish(&keys, &mut entries, new);
+        let from = clock.now().0;
+        let RolloutStep::Wait(awaited) =
+            DocumentRollout::new(keys.clone()).advance(&clock, &snapshot(&keys, &entries))
+        else {
+            panic!("its right stands")
+        };
+        let WaitReason::LeaseExpiry(until) = awaited[0].reason else { panic!("{awaited:?}") };
+        // 1.4 / 0.6 of the right.
+        assert!(until - from >= RIGHT_US / 6 * 14, "{old} then {new}: {}", until - from);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/server/config_versioning/mod.rs
@@ -0,0 +1,288 @@
+//! The gateway's part in config versioning: it reads documents, acts by them, holds the lease to act and checks the lease
+//! before each loop iteration writes.
+//!
+//! Invariants: a state is acknowledged only after the router acts by it, and nothing non-idempotent or keyed is written after
+//! the lease has ended. The decisions are made elsewhere: [`LeaseHolder`] decides what may be sent and what is requested,
+//! [`Agreed`] what a document means here. Called by the event loop once an iteration, and at the start before clients can
+//! connect.
+
+mod incarnation;
+mod integration;
+mod requests;
+mod rollout;
+
+use crate::clock::Clock;
+use crate::documents::DocumentRollout;
+use crate::remembered_file::RememberedFile;
+use crate::settings::{Agreed, AgreedSettings, Site};
+use incarnation::IncarnationFile;
+use requests::{RegistryRequests, RequestPurpose};
+use slatevalve::{ClassId, Micros};
+use slatevalve_config_versioning::{
+    Document, Entry, Keys, LeaseHolder, LeaseHolderSettings, LeaseRequest, SendPermission, State,
+    TakeoverTimer, TxnOutcome,
+};
+use slatevalve_reactor::{Reactor, ReactorEvent};
+use slatevalve_registry::wire::{PlainResponse, RangeResponse};
+use slatevalve_registry::ClientEvent;
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+use std::time::Duration;
+use tracing::{error, info, warn};
+
+/// A read that failed is repeated after this, in microseconds.
+const RETRY_DELAY_US: i64 = 300_000;
+/// How long a gateway that starts waits for its lease, in microseconds; after that it serves what needs none.
+const FIRST_LEASE_TIMEOUT_US: i64 = 2_000_000;
+/// The longest wait for events during the start, in microseconds.
+const STARTUP_POLL_US: i64 = 100_000;
+
+/// Config versioning in one gateway; see the module's documentation.
+pub(crate) struct Agreement {
+    requests: RegistryRequests,
+    keys: Keys,
+    own_key: String,
+    lease_holder: LeaseHolder,
+    agreed: Agreed,
+    /// Documents of the active settings and of a state that is about to be adopted.
+    documents: BTreeMap<u64, Document>,
+    /// The active settings, written for the next start.
+    remembered_file: Option<RememberedFile>,
+    /// The newest state that was read, until it is adopted or rejected.
+    new_state: Option<Entry<State>>,
+    /// When the state is to be read.
+    read_state_us: Option<i64>,
+    /// Whether the lease holder waits for the state and its own lease.
+    lease_read_requested: bool,
+    /// The step of a state that cannot be acted by, so that this is logged once.
+    rejected_step: Option<u64>,
+    /// The permission that the engine was last set to.
+    send_permission: SendPermission,
+    takeover_timer: TakeoverTimer,
+    rollout: DocumentRollout,
+    has_left: bool,
+    /// Locked for as long as this incarnation lasts.
+    _incarnation_file: Option<IncarnationFile>,
+}
+
+impl Agreement {
+    /// Begins a new incarnation, which acts by what an earlier one remembered until the registry answers.
+    ///
+    /// # Errors
+    /// If no random incarnation can be drawn, or the incarnation file cannot be opened or is held by another process.
+    pub(crate) fn new(settings: AgreedSettings, agreed: Agreed) -> io::Result<Self> {
+        let AgreedSettings { client, addresses, prefix, incarnation_file, remembered_file, name } = settings;
+        let mut seed = [0; 8];
+        getrandom::fill(&mut seed).map_err(|e| io::Error::other(e.to_string()))?;
+        let incarnation: String = seed.iter().map(|byte| format!("{byte:02x}")).collect();
+        let incarnation_file =
+            incarnation_file.map(|path| IncarnationFile::begin(&path, &incarnation)).transpose()?;
+        let previous_incarnations =
+            incarnation_file.as_ref().map(|file| file.previous.clone()).unwrap_or_default();
+        let keys = Keys::new(&prefix);
+        let own_key = keys.lease(&name, &incarnation);
+        let remembered = remembered_file.as_deref().and_then(|path| incarnation::remembered(path, &keys));
+        let remembered = remembered.unwrap_or_default();
+        let lease_holder = LeaseHolder::new(LeaseHolderSettings {
+            keys: keys.clone(),
+            name,
+            incarnation,
+            previous_incarnations,
+        });
+        Ok(Agreement {
+            requests: RegistryRequests::new(client, addresses),
+            own_key,
+            lease_holder,
+            agreed,
+            documents: remembered.documents,
+            remembered_file: remembered_file.map(|path| RememberedFile::open(path, "settings")),
+            new_state: remembered.state,
+            read_state_us: Some(i64::MIN),
+            lease_read_requested: false,
+            rejected_step: None,
+            send_permission: SendPermission::Nothing,
+            takeover_timer: TakeoverTimer::new(u64::from_be_bytes(seed)),
+            rollout: DocumentRollout::new(keys.clone()),
+            keys,
+            has_left: false,
+            _incarnation_file: incarnation_file,
+        })
+    }
+
+    /// Waits for the committed documents and, for a bounded time, for the lease to act by them; returns the settings by them.
+    /// Meanwhile signals have their default effect on the process.
+    ///
+    /// # Errors
+    /// If the poller fails.
+    fn first_site(&mut self, clock: &Clock, reactor: &mut Reactor) -> io::Result<Site> {
+        info!("waiting for the settings");
+        let (mut site, mut deadline): (Option<Site>, Option<Micros>) = (None, None);
+        loop {
+            let now = clock.now();
+            if let Some(newer) = self.advance(now, reactor, BTreeSet::new, clock) {
+                deadline.get_or_insert(Micros(now.0 + FIRST_LEASE_TIMEOUT_US));
+                site = Some(newer);
+            }
+            let may_start = self.current_permission(now) == SendPermission::All
+                || deadline.is_some_and(|deadline| deadline <= now);
+            if let Some(site) = site.take_if(|_| may_start) {
+                // A gateway that was ready once can start again without the registry, also when it is killed at once.
+                self.remembered_file.iter().for_each(RememberedFile::flush);
+                return Ok(site);
+            }
+            let wait_us = (self.next_wake(now).0 - now.0).clamp(0, STARTUP_POLL_US) as u64;
+            let mut events = Vec::new();
+            reactor.poll(Some(Duration::from_micros(wait_us)), &mut events)?;
+            let now = clock.now();
+            for event in &events {
+                self.handle_event(now, reactor, event);
+            }
+        }
+    }
+
+    /// What may be sent now.
+    fn current_permission(&self, now: Micros) -> SendPermission {
+        self.lease_holder.send_permission(now.0)
+    }
+
+    /// Until when everything that is buffered may be written, if a lease ends; after its end nothing unsent is left to hold
+    /// back.
+    pub(crate) fn writes_until(&self) -> Option<Micros> {
+        self.lease_holder.expires_us().filter(|_| self.send_permission == SendPermission::All).map(Micros)
+    }
+
+    /// When [`Agreement::advance`] is due.
+    pub(crate) fn next_wake(&self, now: Micros) -> Micros {
+        let due = [
+            Some(self.requests.next_wake_us(now)),
+            self.lease_holder.next_request_us(),
+            self.state_read_due_us(),
+            self.takeover_check_due_us(),
+        ];
+        Micros(due.into_iter().flatten().min().unwrap_or(i64::MAX).max(now.0))
+    }
+
+    /// Takes an event on one of its sockets; returns whether it was one.
+    pub(crate) fn handle_event(&mut self, now: Micros, reactor: &mut Reactor, event: &ReactorEvent) -> bool {
+        self.requests.handle_event(now, reactor, event)
+    }
+
+    /// Advances to `now`. Returns other settings if the documents in force have changed; they must be acted by before the next
+    /// call, which acknowledges them. `open_classes` gives the classes of open calls.
+    pub(crate) fn advance(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        open_classes: impl FnOnce() -> BTreeSet<ClassId>,
+        clock: &Clock,
+    ) -> Option<Site> {
+        for event in self.requests.take_events() {
+            match event {
+                // The watch only triggers a read of the state, which has its revision.
+                ClientEvent::Changes(_) => self.read_state_us = Some(now.0),
+                ClientEvent::Answered(ticket, response) => {
+                    if let Some(purpose) = self.requests.complete(ticket) {
+                        self.handle_response(now, purpose, response.ok(), clock);
+                    }
+                }
+                _ => {}
+            }
+        }
+        if self.state_read_due_us().is_some_and(|due_us| due_us <= now.0) {
+            self.read_state_us = None;
+            self.requests.read_key(&self.keys.state(), RequestPurpose::State);
+        }
+        let site = self.adopt_new_state(now, open_classes, clock);
+        if !self.has_left {
+            self.check_for_takeover(now);
+            self.request_lease(now);
+        }
+        self.requests.advance(now, reactor);
+        site
+    }
+
+    fn check_for_takeover(&mut self, now: Micros) {
+        if self.takeover_check_due_us().is_some_and(|due_us| due_us <= now.0) {
+            self.requests.read_prefix(&self.keys.leases(), RequestPurpose::Leases);
+        }
+    }
+
+    fn request_lease(&mut self, now: Micros) {
+        match self.lease_holder.next_request(now.0) {
+            Some(LeaseRequest::Read) => {
+                self.lease_read_requested = true;
+                self.read_state_us = Some(now.0);
+            }
+            Some(LeaseRequest::Write(txn)) => self.requests.write(&txn, RequestPurpose::WriteLease),
+            None => {}
+        }
+    }
+
+    /// When the state is to be read next; not while it is being read.
+    fn state_read_due_us(&self) -> Option<i64> {
+        self.read_state_us.filter(|_| !self.requests.is_pending(&RequestPurpose::State))
+    }
+
+    /// When to check for a change that waits for a coordinator; not while a check or a commit is under way.
+    fn takeover_check_due_us(&self) -> Option<i64> {
+        let is_checking = || {
+            self.requests.is_pending(&RequestPurpose::Leases)
+                || self.requests.is_pending(&RequestPurpose::Commit)
+        };
+        self.takeover_timer.next_check_us().filter(|_| !is_checking())
+    }
+
+    /// Takes the response to a request; `None` if the request failed.
+    fn handle_response(
+        &mut self,
+        now: Micros,
+        purpose: RequestPurpose,
+        response: Option<Vec<u8>>,
+        clock: &Clock,
+    ) {
+        let response = response.as_deref();
+        match purpose {
+            RequestPurpose::State => self.on_state(now, requests::decode(response)),
+            RequestPurpose::Document(number) => self.on_document(now, number, requests::decode(response)),
+            RequestPurpose::OwnLease => self.on_own_lease(requests::decode(response)),
+            RequestPurpose::WriteLease => self.on_lease_written(requests::decode(response)),
+            RequestPurpose::Leases => self.on_leases(now, requests::decode(response), clock),
+            // Whether it was done shows in the state, as with a commit by anybody else.
+            RequestPurpose::Commit => self.read_state_us = Some(now.0),
+            RequestPurpose::ReleaseLease => self.has_left = true,
+        }
+    }
+
+    /// Takes the router's own lease in the registry. Without a response the lease holder repeats the request by itself.
+    fn on_own_lease(&mut self, response: Option<RangeResponse>) {
+        let Some(response) = response else { return };
+        let snapshot = self.decode_snapshot(&response);
+        if !snapshot.unreadable_leases.is_empty() {
+            error!(key = self.own_key, "the own right in the registry cannot be read");
+        }
+        if let Err(fault) = self.lease_holder.on_read(snapshot.leases.values().next()) {
+            warn!(%fault, "settings");
+        }
+    }
+
+    fn on_lease_written(&mut self, response: Option<PlainResponse>) {
+        self.lease_holder.on_written(match response {
+            Some(response) if response.succeeded => TxnOutcome::Succeeded(response.header.revision),
+            Some(_) => TxnOutcome::Conflict,
+            None => TxnOutcome::Unknown,
+        });
+    }
+
+    /// Releases the lease to act.
+    pub(crate) fn leave(&mut self) {
+        match self.lease_holder.release() {
+            Some(txn) => self.requests.write(&txn, RequestPurpose::ReleaseLease),
+            None => self.has_left = true,
+        }
+    }
+
+    /// Whether the lease has been released.
+    pub(crate) fn has_left(&self) -> bool {
+        self.has_left
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/server/config_versioning/rollout.rs
@@ -0,0 +1,177 @@
+//! Adoption of a new state and its documents, and takeover of a change that lost its coordinator.
+
+use super::requests::RequestPurpose;
+use super::{Agreement, RETRY_DELAY_US};
+use crate::clock::Clock;
+use crate::documents;
+use crate::settings::Site;
+use slatevalve::{ClassId, Micros};
+use slatevalve_config_versioning::{
+    ActiveSettings, Document, DocumentVersion, Entry, LeaseTerms, RolloutStep, Snapshot, State,
+};
+use slatevalve_registry::wire::RangeResponse;
+use std::collections::BTreeSet;
+use tracing::{error, info, warn};
+
+/// The shortest head start, in microseconds, of whoever began a change before others check on it.
+const MIN_HEAD_START_US: i64 = 2_000_000;
+/// The head start lasts at least so many leases.
+const HEAD_START_LEASES: i64 = 2;
+/// At most so many awaited routers are named in a log line.
+const MAX_LOGGED_ROUTERS: usize = 5;
+
+impl Agreement {
+    /// Takes the state in the registry.
+    pub(super) fn on_state(&mut self, now: Micros, response: Option<RangeResponse>) {
+        let Some(response) = response else {
+            self.read_state_us = Some(now.0 + RETRY_DELAY_US);
+            return;
+        };
+        let snapshot = self.decode_snapshot(&response);
+        snapshot.unreadable.iter().for_each(|error| error!(%error, "the state of the settings"));
+        self.new_state = snapshot.state.or(self.new_state.take());
+        if std::mem::take(&mut self.lease_read_requested) {
+            self.requests.read_key(&self.own_key, RequestPurpose::OwnLease);
+        }
+    }
+
+    /// Takes a document in the registry. If it is missing there, the state is read anew.
+    pub(super) fn on_document(&mut self, now: Micros, number: u64, response: Option<RangeResponse>) {
+        let Some(response) = response else {
+            self.read_state_us = Some(now.0 + RETRY_DELAY_US);
+            return;
+        };
+        let mut snapshot = self.decode_snapshot(&response);
+        snapshot.unreadable.iter().for_each(|error| error!(%error, "a document of the settings"));
+        match snapshot.documents.remove(&number) {
+            Some(document) => {
+                self.documents.insert(number, document);
+            }
+            None => {
+                self.new_state = None;
+                self.read_state_us = Some(now.0 + RETRY_DELAY_US);
+            }
+        }
+    }
+
+    /// Takes the leases of all routers, for a check whether a change waits for a coordinator.
+    pub(super) fn on_leases(&mut self, now: Micros, response: Option<RangeResponse>, clock: &Clock) {
+        let routers = response.as_ref().map_or(1, |response| response.kvs.len());
+        self.takeover_timer.on_checked(now.0, routers);
+        if let Some(response) = response {
+            let snapshot = self.decode_snapshot(&response);
+            self.advance_rollout(snapshot, clock);
+        }
+    }
+
+    /// Commits the prepared change if no acknowledgement is awaited any more. The leases are compared with the newest state
+    /// that was accepted: the registry refuses a commit that builds on an older one.
+    fn advance_rollout(&mut self, mut snapshot: Snapshot, clock: &Clock) {
+        let Some(state) = self.lease_holder.state().cloned() else { return };
+        let step = state.value.step;
+        snapshot.state = Some(state);
+        snapshot.documents.clone_from(&self.documents);
+        match self.rollout.advance(clock, &snapshot) {
+            RolloutStep::Commit(txn) => {
+                info!(step, "driving the change that is prepared to its commit");
+                self.requests.write(&txn, RequestPurpose::Commit);
+            }
+            RolloutStep::Wait(awaited) => {
+                let names: Vec<&str> =
+                    awaited.iter().take(MAX_LOGGED_ROUTERS).map(|ack| ack.name.as_str()).collect();
+                info!(step, awaited = awaited.len(), first = ?names, "a change of the settings waits");
+            }
+            RolloutStep::Idle => {}
+        }
+    }
+
+    pub(super) fn decode_snapshot(&self, response: &RangeResponse) -> Snapshot {
+        documents::snapshot(&self.keys, &response.kvs)
+    }
+
+    /// Acts by the newest state that was read, once its documents are known. Returns the settings if they are others.
+    pub(super) fn adopt_new_state(
+        &mut self,
+        now: Micros,
+        open_classes: impl FnOnce() -> BTreeSet<ClassId>,
+        clock: &Clock,
+    ) -> Option<Site> {
+        let state = self.new_state.take()?;
+        if self.rejected_step == Some(state.value.step) {
+            return None;
+        }
+        let Some(documents) = self.known_documents(&state.value.active_settings) else {
+            self.request_missing_documents(&state.value.active_settings);
+            self.new_state = Some(state);
+            return None;
+        };
+        let terms: Vec<LeaseTerms> = documents.iter().map(Document::lease_terms).collect();
+        let mut lease_holder = self.lease_holder.clone();
+        if let Err(fault) = lease_holder.observe_state(&state, &terms) {
+            warn!(%fault, "settings");
+            self.rejected_step = Some(state.value.step);
+            return None;
+        }
+        if self.lease_holder.active_settings() == Some(&state.value.active_settings) {
+            self.lease_holder = lease_holder;
+            return None;
+        }
+        let documents_by_age: Vec<&Document> = documents.iter().collect();
+        let site = match self.agreed.site(&documents_by_age, &open_classes(), clock) {
+            Ok(site) => site,
+            Err(error) => {
+                error!(%error, step = state.value.step, "settings that cannot be acted by here; the rules stay as they are");
+                self.reject(now, state.value.step);
+                return None;
+            }
+        };
+        let numbers: Vec<u64> = documents.iter().map(|document| document.number).collect();
+        info!(documents = ?numbers, step = state.value.step, "settings");
+        self.lease_holder = lease_holder;
+        self.rejected_step = None;
+        self.start_takeover_timer(now, &state.value, &terms);
+        self.documents.retain(|number, _| numbers.contains(number));
+        self.remember(&state);
+        Some(site)
+    }
+
+    fn find_document(&self, version: &DocumentVersion) -> Option<&Document> {
+        self.documents.get(&version.number).filter(|document| document.digest == version.digest)
+    }
+
+    /// The documents of these settings, the committed one first; `None` if one of them is not known.
+    fn known_documents(&self, active_settings: &ActiveSettings) -> Option<Vec<Document>> {
+        active_settings.versions().map(|version| self.find_document(version).cloned()).collect()
+    }
+
+    fn request_missing_documents(&mut self, active_settings: &ActiveSettings) {
+        for version in active_settings.versions() {
+            let purpose = RequestPurpose::Document(version.number);
+            if self.find_document(version).is_none() && !self.requests.is_pending(&purpose) {
+                self.requests.read_key(&self.keys.document(version.number), purpose);
+            }
+        }
+    }
+
+    /// Keeps the active settings in place of a state that cannot be acted by here.
+    fn reject(&mut self, now: Micros, step: u64) {
+        self.rejected_step = Some(step);
+        // A router that starts has no active settings to keep: it reads the state again until there are others.
+        let is_starting = self.lease_holder.active_settings().is_none();
+        self.read_state_us = is_starting.then_some(now.0 + RETRY_DELAY_US);
+    }
+
+    fn start_takeover_timer(&mut self, now: Micros, state: &State, terms: &[LeaseTerms]) {
+        let longest_lease_us = terms.iter().map(|terms| terms.lease_us).max().unwrap_or(0);
+        let head_start_us = MIN_HEAD_START_US.max(HEAD_START_LEASES * longest_lease_us);
+        let prepared_step = state.active_settings.prepared.as_ref().map(|_| state.step);
+        self.takeover_timer.observe_state(now.0, prepared_step, head_start_us);
+    }
+
+    /// Writes the active settings for the next start.
+    fn remember(&self, state: &Entry<State>) {
+        if let Some(file) = &self.remembered_file {
+            file.write(Snapshot::encode(&self.keys, state, self.documents.values()));
+        }
+    }
+}
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -4,7 +4,7 @@
 //! a gateway that stood still finds the answers that were there in time before it finds that time is up.
 
 mod admin;
-mod agreement;
+mod config_versioning;
 mod members;
 mod plugins;
 pub(crate) mod pool;
@@ -15,7 +15,7 @@
 use crate::plugins::folder::FolderError;
 use crate::settings::{Site, WorkerLine};
 use admin::Admin;
-use agreement::Agreement;
+use config_versioning::Agreement;
 use plugins::PluginHost;
 use pool::{Pool, RequestEnd};
 use slatevalve::{Listing, Micros, Scope, WorkerId, WorkerState};
--- a/crates/gateway/src/settings/document.rs
+++ b/crates/gateway/src/settings/document.rs
@@ -1,7 +1,7 @@
-//! A settings document: the part of a settings file that a whole fleet shares, and its rules for the agreement.
+//! A settings document: the part of a settings file that a whole fleet shares, and its rules for config versioning.
 //!
-//! It guards what is published: a document is read by the same text as a router's own file, whole, or it is an error with its
-//! place. Called by the `settings` commands. Source: `docs/design-config-versioning.md`.
+//! A document is read by the same code as a router's own file: whole, or it is an error with its place. Used by the `settings`
+//! commands and by gateways that act by documents. Source: `docs/design-config-versioning.md`.
 
 use super::{Named, Res, Site};
 use crate::clock::Clock;
@@ -9,24 +9,33 @@
 use slatevalve_config_versioning::{
     Bound, Class, LeaseExpiryPolicy, RetryCondition, RetryRule, Route, Terms,
 };
+use slatevalve_mqtt::Template;
 use slatevalve_sexpr::{Fields, File, Form};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Forms that are one router's own and stand in no document.
-const OWN: [&str; 6] = ["agreed", "gateway", "mqtt", "bridge", "members", "plugins"];
-/// What is read in their place.
-const NOBODY: &str = "(gateway (name \"document\"))\n(mqtt (listen \"127.0.0.1:0\"))\n";
+/// Forms of one router that must not occur in a document.
+const ROUTER_FORMS: [&str; 6] = ["agreed", "gateway", "mqtt", "bridge", "members", "plugins"];
+/// The forms of a router that complete a document where it is read for none.
+const PLACEHOLDER_ROUTER: &str = "(gateway (name \"document\"))\n(mqtt (listen \"127.0.0.1:0\"))\n";
+/// The default length of a lease to act.
+const DEFAULT_LEASE: Micros = Micros(3_000_000);
+/// The shortest lease that a document may state.
+const MIN_LEASE: Micros = Micros(100_000);
+/// The default error of a clock's rate, in parts per million.
+const DEFAULT_CLOCK_ERROR_PPM: u64 = 20_000;
+/// The largest error of a clock's rate that a document may state, in parts per million.
+const MAX_CLOCK_ERROR_PPM: u64 = 500_000;
 
-/// What a document says.
+/// The content of a document.
 #[derive(Clone, Debug)]
 pub struct SharedSettings {
-    /// The settings, with nobody's own.
+    /// The settings, with those of one router left at placeholders.
     pub site: Site,
-    /// What routers do that cannot renew their right to act.
-    pub doubt: LeaseExpiryPolicy,
-    /// How long such a right lasts.
-    pub right: Micros,
-    /// How far off a clock's rate may be, in parts of a million.
+    /// What routers do that cannot renew their lease to act.
+    pub expiry_policy: LeaseExpiryPolicy,
+    /// The length of such a lease.
+    pub lease: Micros,
+    /// The largest error of a clock's rate, in parts per million.
     pub clock_error_ppm: i64,
 }
 
@@ -34,97 +43,130 @@
     /// Reads and checks the text of a document.
     ///
     /// # Errors
-    /// With the first thing that is wrong, and where.
+    /// The first fault, with its place.
     pub fn parse(name: &str, text: &str, clock: &Clock) -> Res<Self> {
-        SharedSettings::with_own(name, text, NOBODY, clock, Named::default())
+        SharedSettings::parse_for_router(name, text, PLACEHOLDER_ROUTER, clock, Named::default())
     }
 
-    /// The same with the text of a router's own forms, and with the names that it knows already.
+    /// Reads and checks the text of a document together with a router's own forms, and with the names that it knows already.
     ///
     /// # Errors
-    /// With the first thing that is wrong, and where.
-    pub(crate) fn with_own(name: &str, text: &str, own: &str, clock: &Clock, named: Named) -> Res<Self> {
-        let alone = File::parse(name, text)?;
-        let mut forms = alone.forms()?;
-        if let Some(own) = OWN.iter().flat_map(|n| forms.take_all(n)).next() {
-            return Err(own.error("is a router's own and stands in no document"));
+    /// The first fault, with its place.
+    pub(crate) fn parse_for_router(
+        name: &str,
+        text: &str,
+        router_forms: &str,
+        clock: &Clock,
+        named: Named,
+    ) -> Res<Self> {
+        let document = File::parse(name, text)?;
+        let mut forms = document.forms()?;
+        if let Some(form) = ROUTER_FORMS.iter().flat_map(|name| forms.take_all(name)).next() {
+            return Err(form.error("is a router's own and stands in no document"));
         }
-        let whole = File::parse(name, &format!("{text}\n{own}"))?;
-        let mut top = whole.forms()?;
+        let complete = File::parse(name, &format!("{text}\n{router_forms}"))?;
+        let mut top = complete.forms()?;
         top.take("agreed")?;
-        let (mut doubt, mut right, mut clock_error_ppm) =
-            (LeaseExpiryPolicy::GoOn, Micros(3_000_000), 20_000_u64);
-        if let Some(form) = top.take("agreement")? {
-            let mut fields = form.fields()?;
-            doubt = fields.or("in-doubt", doubt, read_doubt)?;
-            right = fields.or("right-ms", right, Form::millis)?;
-            clock_error_ppm = fields.or("clock-error-ppm", clock_error_ppm, |f| f.whole(500_000))?;
-            Fields::finish(fields)?;
-            if right < Micros(100_000) {
-                return Err(form.error("a right lasts for 100 ms at least"));
-            }
-        }
-        Ok(SharedSettings {
-            site: Site::of_forms(top, clock, named)?,
-            doubt,
-            right,
-            clock_error_ppm: clock_error_ppm as i64,
-        })
+        let AgreementForm { expiry_policy, lease, clock_error_ppm } = AgreementForm::read(&mut top)?;
+        let site = Site::of_forms(top, clock, named)?;
+        Ok(SharedSettings { site, expiry_policy, lease, clock_error_ppm: clock_error_ppm as i64 })
     }
 
     /// The rules that can contradict another document's.
+    #[must_use]
     pub fn terms(&self) -> Terms {
-        let Site { engine, classes, front, workers, named, .. } = &self.site;
-        let module = &engine.module;
-        let attempts = i64::try_from(module.limits.max_attempts).unwrap_or(i64::MAX);
-        let class = |(at, name): (usize, &String)| {
-            let remember = engine.classes.get(at).map_or(0, |c| c.remember.0);
-            (name.clone(), Class::new(repeat(module.classes[at].effect), attempts, remember))
-        };
-        let route = |r: &slatevalve_mqtt::Route| {
-            let templates = [Some(&r.function), r.tenant.as_ref(), r.key.as_ref()];
-            let text =
-                |t: &Option<&slatevalve_mqtt::Template>| t.map_or("-".to_string(), ToString::to_string);
-            let safe = module.classes[r.class.0].effect == Effect::Safe;
-            let rest = if safe { Vec::new() } else { templates.iter().map(text).collect() };
-            Route {
-                filter: r.filter.to_string(),
-                class: classes[r.class.0].clone(),
-                templates: rest.join(" "),
-            }
-        };
+        let routes = &self.site.front.routes.routes;
+        Terms {
+            classes: self.class_rules(),
+            tables: [routes.iter().map(|route| self.route_rule(route)).collect()].into(),
+            facts: self.worker_facts(),
+            bounds: self.bounds(),
+        }
+    }
+
+    fn class_rules(&self) -> BTreeMap<String, Class> {
+        let Site { engine, classes, .. } = &self.site;
+        let attempts = i64::try_from(engine.module.limits.max_attempts).unwrap_or(i64::MAX);
+        let rules = classes.iter().enumerate().map(|(id, name)| {
+            let remember_us = engine.classes.get(id).map_or(0, |policy| policy.remember.0);
+            let retry = retry_rule(engine.module.classes[id].effect);
+            (name.clone(), Class::new(retry, attempts, remember_us))
+        });
+        rules.collect()
+    }
+
+    fn route_rule(&self, route: &slatevalve_mqtt::Route) -> Route {
+        let text = |template: Option<&Template>| template.map_or("-".to_string(), ToString::to_string);
+        let templates = [Some(&route.function), route.tenant.as_ref(), route.key.as_ref()];
+        let is_idempotent = self.site.engine.module.classes[route.class.0].effect == Effect::Safe;
+        Route {
+            filter: route.filter.to_string(),
+            class: self.site.classes[route.class.0].clone(),
+            templates: if is_idempotent { String::new() } else { templates.map(text).join(" ") },
+        }
+    }
+
+    fn worker_facts(&self) -> BTreeMap<String, BTreeSet<Option<String>>> {
         let mut facts = BTreeMap::new();
-        for worker in workers {
-            let (cell, zone) = (worker.entry.cell.0.to_string(), named.zones.name(worker.entry.zone.0));
-            let known = [("cell", cell), ("zone", zone.into()), ("address", worker.address.to_string())];
+        for worker in &self.site.workers {
+            let zone = self.site.named.zones.name(worker.entry.zone.0);
+            let known = [
+                ("cell", worker.entry.cell.0.to_string()),
+                ("zone", zone.to_string()),
+                ("address", worker.address.to_string()),
+            ];
             for (what, value) in known {
                 facts.insert(format!("worker \"{}\" {what}", worker.name), [Some(value)].into());
             }
         }
-        Terms {
-            classes: classes.iter().enumerate().map(class).collect(),
-            tables: [front.routes.routes.iter().map(route).collect()].into(),
-            facts,
-            bounds: self.bounds(),
-        }
+        facts
     }
 
     fn bounds(&self) -> BTreeMap<String, Bound> {
         let (rules, loading) = (&self.site.engine.module.rules, &self.site.engine.module.loading);
-        // Without a window there is no ration; a longer window is the stricter one.
-        let rationed = |most: f64| if loading.ration_window.0 > 0 { (most * 1e6) as i64 } else { i64::MAX };
-        let windows = 3.6e9 / loading.ration_window.0.max(1) as f64;
+        // Without a window there is no quota; a longer window is the stricter one.
+        let has_quota = loading.ration_window.0 > 0;
+        let quota = |maximum: f64| if has_quota { (maximum * 1e6) as i64 } else { i64::MAX };
+        let windows_per_hour = 3.6e9 / loading.ration_window.0.max(1) as f64;
         let bounds = [
             ("rules drain-grace", rules.drain_grace.0),
-            ("loading ration free", rationed(loading.ration_free)),
-            ("loading ration share", rationed(loading.ration_share)),
-            ("loading ration windows an hour", rationed(windows)),
+            ("loading ration free", quota(loading.ration_free)),
+            ("loading ration share", quota(loading.ration_share)),
+            ("loading ration windows an hour", quota(windows_per_hour)),
         ];
-        bounds.map(|(name, most)| (name.to_string(), Bound::new(most))).into()
+        bounds.map(|(name, maximum)| (name.to_string(), Bound::new(maximum))).into()
+    }
+}
+
+/// The form `(agreement ...)` of a document.
+struct AgreementForm {
+    expiry_policy: LeaseExpiryPolicy,
+    lease: Micros,
+    clock_error_ppm: u64,
+}
+
+impl AgreementForm {
+    fn read(top: &mut Fields<'_>) -> Res<Self> {
+        let mut agreement = AgreementForm {
+            expiry_policy: LeaseExpiryPolicy::GoOn,
+            lease: DEFAULT_LEASE,
+            clock_error_ppm: DEFAULT_CLOCK_ERROR_PPM,
+        };
+        let Some(form) = top.take("agreement")? else { return Ok(agreement) };
+        let mut fields = form.fields()?;
+        agreement.expiry_policy = fields.or("in-doubt", agreement.expiry_policy, expiry_policy)?;
+        agreement.lease = fields.or("right-ms", agreement.lease, Form::millis)?;
+        agreement.clock_error_ppm = fields
+            .or("clock-error-ppm", agreement.clock_error_ppm, |field| field.whole(MAX_CLOCK_ERROR_PPM))?;
+        fields.finish()?;
+        if agreement.lease < MIN_LEASE {
+            return Err(form.error("a right lasts for 100 ms at least"));
+        }
+        Ok(agreement)
     }
 }
 
-fn read_doubt(form: &Form<'_>) -> Res<LeaseExpiryPolicy> {
+fn expiry_policy(form: &Form<'_>) -> Res<LeaseExpiryPolicy> {
     match form.text()?.as_str() {
         "go-on" => Ok(LeaseExpiryPolicy::GoOn),
         "give-up" => Ok(LeaseExpiryPolicy::GiveUp),
@@ -132,17 +174,18 @@
     }
 }
 
-pub(super) fn repeat(effect: Effect) -> RetryRule {
+/// When calls of this effect may be retried.
+pub(super) fn retry_rule(effect: Effect) -> RetryRule {
     match effect {
         Effect::Safe => RetryRule::always(),
         Effect::Unsafe => RetryRule::forbidden(),
         Effect::Keyed { group, memory } => {
-            let need = match group {
+            let condition = match group {
                 Group::All => None,
                 Group::Zone => Some(RetryCondition::Zone),
                 Group::Cell => Some(RetryCondition::Cell),
             };
-            RetryRule::keyed(need, memory.0)
+            RetryRule::keyed(condition, memory.0)
         }
     }
 }
--- a/crates/gateway/src/settings/mod.rs
+++ b/crates/gateway/src/settings/mod.rs
@@ -3,17 +3,17 @@
 //! Forms and their meaning are listed in `docs/operators/router.md`. Read at the start and, for its worker list,
 //! again on SIGHUP.
 
-mod agreed;
 mod classes;
 mod document;
 mod members;
 mod plugins;
+mod versioned;
 mod workers;
 
-pub use agreed::{Agreed, AgreedError, AgreedSettings};
 pub use document::SharedSettings;
 pub use members::MemberSource;
 pub use plugins::PluginSettings;
+pub use versioned::{ActivationError, Agreed, AgreedSettings};
 pub use workers::WorkerLine;
 
 use crate::clock::Clock;
--- a/crates/gateway/tests/stored_forms.rs
+++ b/crates/gateway/tests/stored_forms.rs
@@ -267,15 +267,15 @@
     let printed = files.check(&["settings", "--json", "check"], &document);
     assert!(printed.starts_with("{\"classes\":5,\"digest\":\""), "{printed}");
     let read = SharedSettings::parse("document", &document, &Clock::start()).unwrap();
-    assert_eq!((read.right, read.clock_error_ppm), (Micros(701_000), 702));
-    assert_eq!(read.doubt, slatevalve_config_versioning::LeaseExpiryPolicy::GiveUp);
+    assert_eq!((read.lease, read.clock_error_ppm), (Micros(701_000), 702));
+    assert_eq!(read.expiry_policy, slatevalve_config_versioning::LeaseExpiryPolicy::GiveUp);
     let own = r#"(agreed (registry "127.0.0.1:2379") (prefix "/site/") (user "reader") (password-file "DIR/password") (timeout-ms 594)
         (look-ms 91) (silence-ms 1592) (lives "DIR/lives") (remember "DIR/last"))"#;
     let file = files.write("own.scm", &format!("{OWN}{own}"));
     let (agreed, _) = Agreed::read(Path::new(&file)).unwrap().unwrap();
     assert_eq!((agreed.name.as_str(), agreed.prefix.as_str()), ("gw-1", "/site/"));
-    assert_eq!(agreed.lives.as_deref(), Some(Path::new(&files.here("DIR/lives"))));
-    assert_eq!(agreed.remember.as_deref(), Some(Path::new(&files.here("DIR/last"))));
+    assert_eq!(agreed.incarnation_file.as_deref(), Some(Path::new(&files.here("DIR/lives"))));
+    assert_eq!(agreed.remembered_file.as_deref(), Some(Path::new(&files.here("DIR/last"))));
 }
 
 /// A command, and the line of JSON that says it.
