--- a/crates/gateway/src/settings/classes.rs
+++ b/crates/gateway/src/settings/classes.rs
@@ -1,50 +1,123 @@
-//! Classes, tenants and routes.
+//! The `class`, `tenant` and `route` forms.
 
+use super::forms::{optional, Res};
 use slatevalve::{Class, ClassId, Effect, Group, Micros, Tenant, TenantId};
-use slatevalve_mqtt::{Route, Template, TopicFilter};
-use slatevalve_sexpr::{Fields, Form, FormError};
+use slatevalve_engine::ClassPolicy;
+use slatevalve_mqtt::{Route, Routes, Template, TopicFilter};
+use slatevalve_plugins::ClassRights;
+use slatevalve_sexpr::{Fields, Form};
 use std::collections::BTreeSet;
 
-type Res<T> = Result<T, FormError>;
+/// How long keys are remembered by default: ten minutes, and never less than the workers' own memory.
+const DEFAULT_REMEMBER: Micros = Micros(600_000_000);
 
-pub(crate) struct NamedClass {
-    pub(crate) name: String,
-    pub(crate) class: Class,
-    pub(crate) remember: Micros,
+/// A class with its name; its id is its place in the file.
+pub(super) struct NamedClass {
+    pub(super) name: String,
+    pub(super) class: Class,
+    /// How long its keys are remembered.
+    pub(super) remember: Micros,
 }
 
-pub(crate) fn classes(top: &mut Fields<'_>) -> Res<Vec<NamedClass>> {
-    let mut classes: Vec<NamedClass> = Vec::new();
-    for form in top.take_all("class") {
-        let (name, mut fields) = form.named_fields()?;
-        if name.is_empty() || !name.chars().all(|c| c.is_ascii_graphic()) {
-            return Err(form.error("a class's name is made of visible ASCII characters without spaces"));
-        }
-        if classes.iter().any(|c| c.name == name) {
-            return Err(form.error(format!("class \"{name}\" stands twice")));
+/// A tenant with its name and id.
+pub(super) struct NamedTenant {
+    pub(super) name: String,
+    pub(super) tenant: Tenant,
+    pub(super) id: TenantId,
+    /// The classes that its plug-ins may claim; `None` for all.
+    pub(super) classes: Option<BTreeSet<String>>,
+}
+
+/// The classes and tenants that a file declares, which other forms refer to.
+pub(super) struct Declarations {
+    pub(super) classes: Vec<NamedClass>,
+    pub(super) tenants: Vec<NamedTenant>,
+}
+
+impl Declarations {
+    pub(super) fn read(top: &mut Fields<'_>) -> Res<Self> {
+        let classes = classes(top)?;
+        let tenants = tenants(top, &classes)?;
+        Ok(Declarations { classes, tenants })
+    }
+
+    pub(super) fn routes(&self, top: &mut Fields<'_>) -> Res<Routes> {
+        let mut routes = Vec::new();
+        for form in top.take_all("route") {
+            routes.push(self.route(&form)?);
         }
-        let base = Class::default();
-        let effect = effect(&fields.need("effect")?)?;
-        let class = Class {
-            latency_objective: fields.need("aim-ms")?.millis()?,
-            objective_stretch: fields.or("aim-stretch", 0.0, Form::number)?,
-            deadline: fields.need("deadline-ms")?.millis()?,
-            priority_weight: fields.or("worth", base.priority_weight, Form::number)?,
-            late_value: fields.or("late-worth", base.late_value, Form::number)?,
-            effect,
-            stream: false,
-        };
-        if class.latency_objective > class.deadline || class.latency_objective.0 == 0 {
-            return Err(form.error("the aim lies between 0 and the deadline"));
+        if routes.is_empty() {
+            return Err(top.error("there is no (route ...)"));
         }
-        // What repeats are remembered for: ten minutes, and never less than the workers' own memory.
-        let least = if let Effect::Keyed { memory, .. } = effect { memory } else { Micros(0) };
-        let remember = fields.or("remember-ms", Micros(600_000_000).max(least), Form::millis)?;
-        if remember < least || (effect != Effect::Safe && remember < class.deadline) {
-            return Err(form.error("remember-ms is less than the key's window or the deadline"));
+        let tenants = self.tenants.iter().map(|tenant| (tenant.name.clone(), tenant.id)).collect();
+        Ok(Routes { routes, tenants, ..Routes::default() })
+    }
+
+    fn route(&self, form: &Form<'_>) -> Res<Route> {
+        let (filter, mut fields) = form.named_fields()?;
+        let filter = TopicFilter::parse(&filter).map_err(|e| form.error(e.to_string()))?;
+        let class = self.class_id(&fields.need("class")?, form)?;
+        let function = template(&fields.need("function")?)?;
+        let tenant = optional(&mut fields, "tenant", template)?;
+        match (&tenant, self.tenants.is_empty()) {
+            (None, false) => return Err(form.error("(tenant ...) is missing")),
+            (Some(_), true) => return Err(form.error("there is no (tenant ...) at the top")),
+            _ => {}
         }
+        let key = optional(&mut fields, "key", template)?;
         fields.finish()?;
-        classes.push(NamedClass { name, class, remember });
+        let route = Route { filter, class, tenant, function, key };
+        route.check().map_err(|e| form.error(e.to_string()))?;
+        Ok(route)
+    }
+
+    /// The class that a route names.
+    fn class_id(&self, class: &Form<'_>, route: &Form<'_>) -> Res<ClassId> {
+        let name = class.text()?;
+        let id = self.classes.iter().position(|class| class.name == name);
+        id.map(ClassId).ok_or_else(|| route.error(format!("there is no class \"{name}\"")))
+    }
+
+    pub(super) fn has_unsafe_class(&self) -> bool {
+        self.classes.iter().any(|class| class.class.effect == Effect::Unsafe)
+    }
+
+    pub(super) fn policies(&self) -> Vec<ClassPolicy> {
+        self.classes.iter().map(|class| ClassPolicy { remember: class.remember }).collect()
+    }
+
+    /// What plug-ins may claim: the effect of each class, and the classes of tenants that are limited to some.
+    pub(super) fn rights(&self) -> ClassRights {
+        let effects = self.classes.iter().map(|class| (class.name.clone(), effect_name(class).to_string()));
+        let limited = |tenant: &NamedTenant| Some((tenant.name.clone(), tenant.classes.clone()?));
+        ClassRights { effects: effects.collect(), tenants: self.tenants.iter().filter_map(limited).collect() }
+    }
+
+    /// The names of the classes and of the tenants, in the order of their ids.
+    pub(super) fn into_names(self) -> (Vec<String>, Vec<String>) {
+        let classes = self.classes.into_iter().map(|class| class.name).collect();
+        let tenants = self.tenants.into_iter().map(|tenant| tenant.name).collect();
+        (classes, tenants)
+    }
+}
+
+fn effect_name(class: &NamedClass) -> &'static str {
+    match class.class.effect {
+        Effect::Safe => "safe",
+        Effect::Keyed { .. } => "keyed",
+        Effect::Unsafe => "unsafe",
+    }
+}
+
+fn template(form: &Form<'_>) -> Res<Template> {
+    Template::parse(&form.text()?).map_err(|e| form.error(e.to_string()))
+}
+
+fn classes(top: &mut Fields<'_>) -> Res<Vec<NamedClass>> {
+    let mut classes: Vec<NamedClass> = Vec::new();
+    for form in top.take_all("class") {
+        let class = class(&form, &classes)?;
+        classes.push(class);
     }
     if classes.is_empty() {
         return Err(top.error("there is no (class ...)"));
@@ -52,6 +125,37 @@
     Ok(classes)
 }
 
+fn class(form: &Form<'_>, known: &[NamedClass]) -> Res<NamedClass> {
+    let (name, mut fields) = form.named_fields()?;
+    if name.is_empty() || !name.chars().all(|character| character.is_ascii_graphic()) {
+        return Err(form.error("a class's name is made of visible ASCII characters without spaces"));
+    }
+    if known.iter().any(|class| class.name == name) {
+        return Err(form.error(format!("class \"{name}\" stands twice")));
+    }
+    let base = Class::default();
+    let effect = effect(&fields.need("effect")?)?;
+    let class = Class {
+        latency_objective: fields.need("aim-ms")?.millis()?,
+        objective_stretch: fields.or("aim-stretch", 0.0, Form::number)?,
+        deadline: fields.need("deadline-ms")?.millis()?,
+        priority_weight: fields.or("worth", base.priority_weight, Form::number)?,
+        late_value: fields.or("late-worth", base.late_value, Form::number)?,
+        effect,
+        stream: false,
+    };
+    if class.latency_objective > class.deadline || class.latency_objective.0 == 0 {
+        return Err(form.error("the aim lies between 0 and the deadline"));
+    }
+    let window = if let Effect::Keyed { memory, .. } = effect { memory } else { Micros(0) };
+    let remember = fields.or("remember-ms", DEFAULT_REMEMBER.max(window), Form::millis)?;
+    if remember < window || (effect != Effect::Safe && remember < class.deadline) {
+        return Err(form.error("remember-ms is less than the key's window or the deadline"));
+    }
+    fields.finish()?;
+    Ok(NamedClass { name, class, remember })
+}
+
 fn effect(form: &Form<'_>) -> Res<Effect> {
     if let Ok(word) = form.text() {
         return match word.as_str() {
@@ -78,31 +182,15 @@
     Ok(Effect::Keyed { group, memory })
 }
 
-pub(crate) struct NamedTenant {
-    pub(crate) name: String,
-    pub(crate) tenant: Tenant,
-    pub(crate) id: TenantId,
-    /// The classes that its plug-ins may claim; all where none are named.
-    pub(crate) classes: Option<BTreeSet<String>>,
-}
-
-pub(crate) fn tenants(top: &mut Fields<'_>, known: &[NamedClass]) -> Res<Vec<NamedTenant>> {
+fn tenants(top: &mut Fields<'_>, known: &[NamedClass]) -> Res<Vec<NamedTenant>> {
     let mut tenants: Vec<NamedTenant> = Vec::new();
     for form in top.take_all("tenant") {
         let (name, mut fields) = form.named_fields()?;
-        if tenants.iter().any(|t| t.name == name) {
+        if tenants.iter().any(|tenant| tenant.name == name) {
             return Err(form.error(format!("tenant \"{name}\" stands twice")));
         }
         let quota_per_s = fields.or("per-second", 0.0, Form::number)?;
-        let classes = fields.take("plugin-classes")?;
-        let classes = classes.map(|f| {
-            let named: BTreeSet<String> = f.texts()?.into_iter().collect();
-            match named.iter().find(|n| !known.iter().any(|c| c.name == **n)) {
-                Some(other) => Err(f.error(format!("there is no class \"{other}\""))),
-                None => Ok(named),
-            }
-        });
-        let classes = classes.transpose()?;
+        let classes = optional(&mut fields, "plugin-classes", |form| class_names(form, known))?;
         fields.finish()?;
         let id = TenantId(tenants.len());
         tenants.push(NamedTenant { name, tenant: Tenant { quota_per_s }, id, classes });
@@ -110,31 +198,10 @@
     Ok(tenants)
 }
 
-pub(crate) fn routes(top: &mut Fields<'_>, classes: &[NamedClass], tenants: bool) -> Res<Vec<Route>> {
-    let mut routes = Vec::new();
-    for form in top.take_all("route") {
-        let (filter, mut fields) = form.named_fields()?;
-        let filter = TopicFilter::parse(&filter).map_err(|e| form.error(e.to_string()))?;
-        let class = fields.need("class")?;
-        let name = class.text()?;
-        let class = classes.iter().position(|c| c.name == name);
-        let class = class.ok_or_else(|| form.error(format!("there is no class \"{name}\"")))?;
-        let template = |f: &Form<'_>| Template::parse(&f.text()?).map_err(|e| f.error(e.to_string()));
-        let function = template(&fields.need("function")?)?;
-        let tenant = fields.take("tenant")?.map(|f| template(&f)).transpose()?;
-        if tenant.is_some() != tenants {
-            let words =
-                if tenants { "(tenant ...) is missing" } else { "there is no (tenant ...) at the top" };
-            return Err(form.error(words));
-        }
-        let key = fields.take("key")?.map(|f| template(&f)).transpose()?;
-        fields.finish()?;
-        let route = Route { filter, class: ClassId(class), tenant, function, key };
-        route.check().map_err(|e| form.error(e.to_string()))?;
-        routes.push(route);
-    }
-    if routes.is_empty() {
-        return Err(top.error("there is no (route ...)"));
+fn class_names(form: &Form<'_>, known: &[NamedClass]) -> Res<BTreeSet<String>> {
+    let names: BTreeSet<String> = form.texts()?.into_iter().collect();
+    match names.iter().find(|name| !known.iter().any(|class| class.name == **name)) {
+        Some(unknown) => Err(form.error(format!("there is no class \"{unknown}\""))),
+        None => Ok(names),
     }
-    Ok(routes)
 }
--- a/crates/gateway/src/settings/document.rs
+++ b/crates/gateway/src/settings/document.rs
@@ -3,7 +3,8 @@
 //! A document is read by the same code as a router's own file: whole, or it is an error with its place. Used by the `settings`
 //! commands and by gateways that act by documents. Source: `docs/design-config-versioning.md`.
 
-use super::{Named, Res, Site};
+use super::forms::Res;
+use super::{Named, Site};
 use crate::clock::Clock;
 use slatevalve::{Effect, Group, Micros};
 use slatevalve_config_versioning::{
--- a/crates/gateway/src/settings/members.rs
+++ b/crates/gateway/src/settings/members.rs
@@ -1,18 +1,29 @@
 //! The `members` form: where the list of workers comes from while the gateway runs.
 
+use super::forms::{credentials, millis_as_us, optional_path, whole, Res};
 use crate::members::MemberSettings;
-use slatevalve::Micros;
 use slatevalve_pacing::{seed_of, Limits};
 use slatevalve_registry::{
     ClientSettings, Login, RegistrationSettings, RouterCountSettings, WatchScope, WatchSettings,
 };
-use slatevalve_sexpr::{Fields, Form, FormError};
+use slatevalve_sexpr::{Fields, Form};
 use std::net::{SocketAddr, ToSocketAddrs};
 use std::path::PathBuf;
 
-type Res<T> = Result<T, FormError>;
+/// The shortest time between two liveness checks, in microseconds.
+const MIN_LIVENESS_CHECK_US: i64 = 1_000;
+/// The default time to live of a registration, in seconds.
+const DEFAULT_TTL_S: i64 = 30;
+/// The longest time to live of a registration, in seconds: a day.
+const MAX_TTL_S: u64 = 86_400;
+/// The default time after which a request to the registry is abandoned, in microseconds.
+const DEFAULT_TIMEOUT_US: i64 = 2_000_000;
+/// The default time within which a drain is known everywhere, in microseconds.
+const DEFAULT_DRAIN_WITHIN_US: i64 = 12_000_000;
+/// The largest number of routers that can be set.
+const MAX_ROUTERS: u64 = 1_000_000;
 
-/// Where the list of workers comes from, beside the settings file.
+/// The source of the list of workers, beside the settings file.
 #[derive(Clone, Debug)]
 pub enum MemberSource {
     /// A registry.
@@ -21,7 +32,7 @@
     Replay(PathBuf),
 }
 
-/// `name` and `routers` are the gateway's own: what is drawn follows from the name.
+/// Reads `(members ...)`. Name and number of routers are the gateway's own: random draws follow from the name.
 pub(super) fn members(
     top: &mut Fields<'_>,
     seed: u64,
@@ -36,19 +47,19 @@
         return Ok(Some(MemberSource::Replay(path)));
     }
     let (client, addresses) = client(&mut fields, &form, seed, name, routers)?;
-    let census_base = RouterCountSettings::default();
+    let base = RouterCountSettings::default();
     let census = RouterCountSettings {
-        least: fields.or("least-routers", 1, |f| f.whole(1_000_000))?.max(1) as usize,
-        hold_us: fields.or("fewer-routers-after-ms", Micros(census_base.hold_us), Form::millis)?.0,
-        ..census_base
+        least: whole(&mut fields, "least-routers", 1, MAX_ROUTERS)?.max(1),
+        hold_us: millis_as_us(&mut fields, "fewer-routers-after-ms", base.hold_us)?,
+        ..base
     };
-    let remember = fields.take("remember")?.map(|f| f.text()).transpose()?.map(PathBuf::from);
-    let record = fields.take("record")?.map(|f| f.text()).transpose()?.map(PathBuf::from);
+    let remember = optional_path(&mut fields, "remember")?;
+    let record = optional_path(&mut fields, "record")?;
     fields.finish()?;
     Ok(Some(MemberSource::Registry(Box::new(MemberSettings { client, addresses, census, remember, record }))))
 }
 
-/// What is said of the connection to a registry, and its members' addresses.
+/// The fields of a connection to a registry: the client's settings, and its members' addresses.
 pub(super) fn client(
     fields: &mut Fields<'_>,
     form: &Form<'_>,
@@ -56,58 +67,41 @@
     name: &str,
     routers: usize,
 ) -> Res<(ClientSettings, Vec<SocketAddr>)> {
-    let registry = fields.need("registry")?;
-    let mut endpoints = Vec::new();
-    let mut addresses = Vec::new();
-    let of_relays = fields.take("relays")?;
-    for form in of_relays.iter().chain([&registry]) {
-        let texts = form.texts()?;
-        if texts.is_empty() {
-            return Err(form.error("expected one HOST:PORT or more"));
-        }
-        for endpoint in texts {
-            let found = endpoint.to_socket_addrs().ok().and_then(|mut a| a.next());
-            addresses
-                .push(found.ok_or_else(|| form.error(format!("{endpoint} is no HOST:PORT that is known")))?);
-            endpoints.push(endpoint);
-        }
-    }
-    let relays = of_relays.map_or(Ok(0), |f| Ok(f.texts()?.len()))?;
+    let Endpoints { names: endpoints, addresses, relays } = Endpoints::read(fields)?;
     let prefix = fields.or("prefix", "/slatevalve/".to_string(), Form::text)?;
     if !prefix.ends_with('/') {
         return Err(form.error("the prefix ends with /"));
     }
-    let login = super::login(fields, form)?.map(|(name, password)| Login { name, password });
+    let login = credentials(fields, form)?;
     let base = WatchSettings::default();
     let watch_state = WatchSettings {
-        look_us: fields.or("look-ms", Micros(base.look_us), Form::millis)?.0.max(1_000),
-        silence_us: fields.or("silence-ms", Micros(base.silence_us), Form::millis)?.0,
+        look_us: millis_as_us(fields, "look-ms", base.look_us)?.max(MIN_LIVENESS_CHECK_US),
+        silence_us: millis_as_us(fields, "silence-ms", base.silence_us)?,
         ..base
     };
-    let ttl_s = fields.or("ttl-s", 30, |f| f.whole(86_400))?.max(1) as i64;
-    let timeout_us = fields.or("timeout-ms", Micros(2_000_000), Form::millis)?.0;
+    let ttl_s = whole(fields, "ttl-s", DEFAULT_TTL_S, MAX_TTL_S)?.max(1);
+    let timeout_us = millis_as_us(fields, "timeout-ms", DEFAULT_TIMEOUT_US)?;
     let base = Limits::default();
     let per_second = fields.or("service-per-second", base.per_second, Form::number)?;
     if per_second <= 0.0 {
         return Err(form.error("service-per-second is above 0"));
     }
-    let drain_within_us = fields.or("drain-within-ms", Micros(12_000_000), Form::millis)?.0;
-    // A wait, the time of an answer and that of a look that finds the watch behind lie within it.
+    let drain_within_us = millis_as_us(fields, "drain-within-ms", DEFAULT_DRAIN_WITHIN_US)?;
+    // It covers a wait, the time of an answer, and that of a liveness check that finds the watch behind.
     let longest_us = drain_within_us - timeout_us - watch_state.behind_us;
     if longest_us <= 0 {
         return Err(form.error("drain-within-ms is longer than timeout-ms and half a second together"));
     }
-    let pace = Limits { per_second, longest_us, few_us: base.few_us.min(longest_us), ..base };
     let client = ClientSettings {
         endpoints,
         relays,
         prefix,
-        login,
+        login: login.map(|login| Login { name: login.user, password: login.password }),
         follow: WatchScope::Workers,
         own: None,
         watch_state,
         registration: RegistrationSettings { ttl_s },
-        pace,
+        pace: Limits { per_second, longest_us, few_us: base.few_us.min(longest_us), ..base },
         askers: routers,
         drain_within_us,
         timeout_us,
@@ -115,3 +109,41 @@
     };
     Ok((client, addresses))
 }
+
+/// Relays and members of a registry, the relays first.
+struct Endpoints {
+    /// As `HOST:PORT`.
+    names: Vec<String>,
+    addresses: Vec<SocketAddr>,
+    /// The number of relays among them.
+    relays: usize,
+}
+
+impl Endpoints {
+    /// Reads `registry` and `relays`, and resolves their names.
+    fn read(fields: &mut Fields<'_>) -> Res<Self> {
+        let registry = fields.need("registry")?;
+        let relays = fields.take("relays")?;
+        let mut endpoints = Endpoints { names: Vec::new(), addresses: Vec::new(), relays: 0 };
+        if let Some(relays) = relays {
+            endpoints.add(&relays)?;
+            endpoints.relays = endpoints.names.len();
+        }
+        endpoints.add(&registry)?;
+        Ok(endpoints)
+    }
+
+    fn add(&mut self, form: &Form<'_>) -> Res<()> {
+        let names = form.texts()?;
+        if names.is_empty() {
+            return Err(form.error("expected one HOST:PORT or more"));
+        }
+        for name in names {
+            let resolved = name.to_socket_addrs().ok().and_then(|mut addresses| addresses.next());
+            let unknown = || form.error(format!("{name} is no HOST:PORT that is known"));
+            self.addresses.push(resolved.ok_or_else(unknown)?);
+            self.names.push(name);
+        }
+        Ok(())
+    }
+}
--- a/crates/gateway/src/settings/plugins.rs
+++ b/crates/gateway/src/settings/plugins.rs
@@ -1,77 +1,79 @@
-//! The `plugins` form: the folder, the registry, signatures, roll-out.
+//! The `plugins` form: folder, registry, signatures and rollout of plug-ins.
 
-use super::sub;
-use slatevalve::Micros;
+use super::forms::{credentials, millis_as_us, optional, optional_path, sub_form, whole, Res};
 use slatevalve_oci::{Credentials, Location, Policy, PullSettings};
 use slatevalve_plugins::{ClassRights, KeyList, RolloutSettings, Terms};
-use slatevalve_sexpr::{Fields, Form, FormError};
+use slatevalve_sexpr::{Fields, Form};
 use std::path::PathBuf;
 
-type Res<T> = Result<T, FormError>;
-
-/// Plug-ins.
+/// Plug-ins: functions that the gateway's operators install.
 #[derive(Clone, Debug)]
 pub struct PluginSettings {
     /// The folder of blobs and of the catalogue.
     pub folder: PathBuf,
     /// Whether functions that are no plug-ins run as well.
     pub unlisted: bool,
-    /// How an alias's move is carried out; `None` for a plain switch.
+    /// How an alias moves to another version; `None` for a plain switch.
     pub rollout: Option<RolloutSettings>,
-    /// Where the admin socket is, where there is one.
+    /// The path of the admin socket, if there is one.
     pub admin: Option<PathBuf>,
-    /// Where versions are pulled from.
+    /// Where versions are pulled from, if anywhere.
     pub registry: Option<PullSettings>,
     /// Whether a call that names a version of a known plug-in has it pulled.
     pub on_call: bool,
-    /// Bytes of content that are looked at again in a second; 0 for none.
+    /// Bytes of stored content that are verified again in a second; 0 for none.
     pub scrub_per_s: u64,
     /// What a version must fulfil to run.
     pub terms: Terms,
 }
 
+/// The default rate at which stored content is verified again, in megabytes a second.
+const DEFAULT_SCRUB_MB_PER_S: f64 = 8.0;
+/// The default of `range-kb`, in kilobytes.
+const DEFAULT_RANGE_KB: u64 = 1_024;
+/// The default of `most-mb`, in megabytes.
+const DEFAULT_MAX_SIZE_MB: u64 = 1_024;
+/// The largest value of `range-kb` and `most-mb`.
+const MAX_SIZE_FIELD: u64 = 1 << 20;
+
 pub(super) fn plugins(top: &mut Fields<'_>, rights: ClassRights, seed: u64) -> Res<Option<PluginSettings>> {
-    let Some(mut fields) = sub(top, "plugins")? else { return Ok(None) };
+    let Some(mut fields) = sub_form(top, "plugins")? else { return Ok(None) };
     let folder = PathBuf::from(fields.need("folder")?.text()?);
     let unlisted = fields.or("unlisted", false, Form::flag)?;
-    let plain = fields.or("plain-switch", false, Form::flag)?;
-    let admin = fields.take("admin")?.map(|f| f.text()).transpose()?.map(PathBuf::from);
-    let scrub = fields.or("scrub-mb-per-s", 8.0, Form::number)?;
+    let is_plain_switch = fields.or("plain-switch", false, Form::flag)?;
+    let admin = optional_path(&mut fields, "admin")?;
+    let scrub_mb_per_s = fields.or("scrub-mb-per-s", DEFAULT_SCRUB_MB_PER_S, Form::number)?;
     let rollout = rollout(&mut fields)?;
     let keys = keys(&mut fields)?;
-    let registry = fields.take("registry")?.map(|f| registry(&f, &rights, seed)).transpose()?;
+    let source = optional(&mut fields, "registry", |form| PullForm::read(form, &rights, seed))?;
     fields.finish()?;
-    let (registry, on_call) = registry.map_or((None, false), |(r, on_call)| (Some(r), on_call));
     Ok(Some(PluginSettings {
         folder,
         unlisted,
-        rollout: (!plain).then_some(rollout),
+        rollout: (!is_plain_switch).then_some(rollout),
         admin,
-        registry,
-        on_call,
-        scrub_per_s: (scrub * 1e6) as u64,
+        on_call: source.as_ref().is_some_and(|source| source.on_call),
+        registry: source.map(|source| source.settings),
+        scrub_per_s: (scrub_mb_per_s * 1e6) as u64,
         terms: Terms { keys, rights: Some(rights) },
     }))
 }
 
 fn rollout(fields: &mut Fields<'_>) -> Res<RolloutSettings> {
     let mut rollout = RolloutSettings::default();
-    if let Some(mut form) = sub(fields, "rollout")? {
-        rollout.orders_at_once =
-            form.or("orders-at-once", rollout.orders_at_once as u64, |f| f.whole(1_000))? as usize;
-        rollout.first_part = form.or("first-part", rollout.first_part, Form::number)?.clamp(0.001, 1.0);
-        rollout.step_us = form.or("step-ms", Micros(rollout.step_us), Form::millis)?.0;
-        rollout.judged_after =
-            form.or("judged-after", u64::from(rollout.judged_after), |f| f.whole(1_000_000))? as u32;
-        rollout.more_failures = form.or("more-failures", rollout.more_failures, Form::number)?;
-        rollout.more_late = form.or("more-late", rollout.more_late, Form::number)?;
-        rollout.give_up_us = form.or("give-up-ms", Micros(rollout.give_up_us), Form::millis)?.0;
-        form.finish()?;
-    }
+    let Some(mut form) = sub_form(fields, "rollout")? else { return Ok(rollout) };
+    rollout.orders_at_once = whole(&mut form, "orders-at-once", rollout.orders_at_once, 1_000)?;
+    rollout.first_part = form.or("first-part", rollout.first_part, Form::number)?.clamp(0.001, 1.0);
+    rollout.step_us = millis_as_us(&mut form, "step-ms", rollout.step_us)?;
+    rollout.judged_after = whole(&mut form, "judged-after", rollout.judged_after, 1_000_000)?;
+    rollout.more_failures = form.or("more-failures", rollout.more_failures, Form::number)?;
+    rollout.more_late = form.or("more-late", rollout.more_late, Form::number)?;
+    rollout.give_up_us = millis_as_us(&mut form, "give-up-ms", rollout.give_up_us)?;
+    form.finish()?;
     Ok(rollout)
 }
 
-/// `(signatures (key "ID" "PUBLIC") ...)`; the form without keys bars everything, which is said.
+/// Reads `(signatures (key "ID" "PUBLIC") ...)`. Without keys nothing could run, which is an error.
 fn keys(fields: &mut Fields<'_>) -> Res<Option<KeyList>> {
     let Some(form) = fields.take("signatures")? else { return Ok(None) };
     let mut inner = form.fields()?;
@@ -90,25 +92,46 @@
     Ok(Some(keys))
 }
 
-fn registry(form: &Form<'_>, rights: &ClassRights, seed: u64) -> Res<(PullSettings, bool)> {
-    let (address, mut fields) = form.named_fields()?;
-    let location = Location::parse(&address).map_err(|e| form.error(e.to_string()))?;
-    let login = super::login(&mut fields, form)?;
-    let credentials = login.map(|(user, password)| Credentials { user, password });
+/// The form `(registry ...)`.
+struct PullForm {
+    settings: PullSettings,
+    /// Whether a call that names a version has it pulled.
+    on_call: bool,
+}
+
+impl PullForm {
+    fn read(form: &Form<'_>, rights: &ClassRights, seed: u64) -> Res<Self> {
+        let (address, mut fields) = form.named_fields()?;
+        let location = Location::parse(&address).map_err(|e| form.error(e.to_string()))?;
+        let login = credentials(&mut fields, form)?;
+        let policy = policy(&mut fields)?;
+        let range = whole(&mut fields, "range-kb", DEFAULT_RANGE_KB, MAX_SIZE_FIELD)?.max(1) * 1_024;
+        let max_size = whole(&mut fields, "most-mb", DEFAULT_MAX_SIZE_MB, MAX_SIZE_FIELD)? * 1_000_000;
+        let on_call = fields.or("on-call", false, Form::flag)?;
+        fields.finish()?;
+        let settings = PullSettings {
+            location,
+            credentials: login.map(|login| Credentials { user: login.user, password: login.password }),
+            policy,
+            range,
+            max_size,
+            rights: Some(rights.clone()),
+            seed,
+        };
+        Ok(PullForm { settings, on_call })
+    }
+}
+
+/// When downloads are abandoned and retried.
+fn policy(fields: &mut Fields<'_>) -> Res<Policy> {
     let base = Policy::default();
-    let policy = Policy {
-        stall_us: fields.or("stall-ms", Micros(base.stall_us), Form::millis)?.0,
-        first_wait_us: fields.or("first-wait-ms", Micros(base.first_wait_us), Form::millis)?.0,
-        longest_wait_us: fields.or("longest-wait-ms", Micros(base.longest_wait_us), Form::millis)?.0,
-        tries: fields.or("tries", u64::from(base.tries), |f| f.whole(1_000))?.max(1) as u32,
-        within_us: fields.or("within-ms", Micros(base.within_us), Form::millis)?.0,
+    Ok(Policy {
+        stall_us: millis_as_us(fields, "stall-ms", base.stall_us)?,
+        first_wait_us: millis_as_us(fields, "first-wait-ms", base.first_wait_us)?,
+        longest_wait_us: millis_as_us(fields, "longest-wait-ms", base.longest_wait_us)?,
+        tries: whole(fields, "tries", base.tries, 1_000)?.max(1),
+        within_us: millis_as_us(fields, "within-ms", base.within_us)?,
         redirects: base.redirects,
         hosts: fields.or("hosts", Vec::new(), Form::texts)?,
-    };
-    let range = fields.or("range-kb", 1_024, |f| f.whole(1 << 20))?.max(1) * 1_024;
-    let max_size = fields.or("most-mb", 1_024, |f| f.whole(1 << 20))? * 1_000_000;
-    let on_call = fields.or("on-call", false, Form::flag)?;
-    fields.finish()?;
-    let rights = Some(rights.clone());
-    Ok((PullSettings { location, credentials, policy, range, max_size, rights, seed }, on_call))
+    })
 }
--- a/crates/gateway/src/settings/versioned.rs
+++ b/crates/gateway/src/settings/versioned.rs
@@ -6,14 +6,15 @@
 //! Used by the server's `config_versioning`, at the start and with each change.
 
 use super::document::retry_rule;
-use super::{header_text, members, read_text, Named, Res, SharedSettings, Site};
+use super::forms::{header_text, optional_path, read_text, Res};
+use super::{members, Named, SharedSettings, Site};
 use crate::clock::Clock;
 use slatevalve::{Class, ClassId, Effect, Group, Loading, Micros, Tenant, TenantId, WorkerState};
 use slatevalve_config_versioning::{Document, RetryCondition, RetryRule, Terms};
 use slatevalve_engine::ClassPolicy;
 use slatevalve_mqtt::{Route, Routes};
 use slatevalve_registry::{ClientSettings, WatchScope};
-use slatevalve_sexpr::{Fields, File, Form, FormError};
+use slatevalve_sexpr::{File, Form, FormError};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::SocketAddr;
@@ -244,12 +245,9 @@
 
 impl AgreedSettings {
     fn read(form: &Form<'_>, name: String) -> Res<Self> {
-        let path = |fields: &mut Fields<'_>, name: &str| -> Res<Option<PathBuf>> {
-            Ok(fields.take(name)?.map(|value| value.text()).transpose()?.map(PathBuf::from))
-        };
         let mut fields = form.fields()?;
-        let incarnation_file = path(&mut fields, "lives")?;
-        let remembered_file = path(&mut fields, "remember")?;
+        let incarnation_file = optional_path(&mut fields, "lives")?;
+        let remembered_file = optional_path(&mut fields, "remember")?;
         let (mut client, addresses) = members::client(&mut fields, form, 1, &name, 1)?;
         fields.finish()?;
         let prefix = client.prefix.clone();
--- a/crates/gateway/src/settings/workers.rs
+++ b/crates/gateway/src/settings/workers.rs
@@ -1,24 +1,26 @@
-//! The worker list.
+//! The `worker` forms: the list of workers.
 
-use super::{address, Named, Places};
+use super::forms::{address, optional, whole, Res};
+use super::names::Named;
 use crate::clock::Clock;
 use slatevalve::{CellId, KindId, WorkerEntry, WorkerState, ZoneId};
 use slatevalve_engine::worker_id;
 use slatevalve_registry::{MemberState, WorkerRecord};
-use slatevalve_sexpr::{Fields, Form, FormError};
+use slatevalve_sexpr::{Fields, Form};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-type Res<T> = Result<T, FormError>;
+/// The largest weight of a worker.
+const MAX_WEIGHT: f64 = 1e6;
 
-/// One worker, as the list has it.
+/// One worker in the list.
 #[derive(Clone, Debug)]
 pub struct WorkerLine {
-    /// Its name, the same at every gateway and over its restarts.
+    /// The worker's name, the same at all gateways and over its restarts.
     pub name: String,
     /// Where it is reached.
     pub address: SocketAddr,
-    /// What the module is told.
+    /// Its entry for the load balancer.
     pub entry: WorkerEntry,
 }
 
@@ -31,8 +33,8 @@
         };
         let entry = WorkerEntry {
             id: worker_id(name),
-            zone: ZoneId(named.zones.of(&record.zone)),
-            kind: KindId(named.kinds.of(&record.kind)),
+            zone: ZoneId(named.zones.number_of(&record.zone)),
+            kind: KindId(named.kinds.number_of(&record.kind)),
             cell: CellId(record.cell),
             state,
             weight: record.weight,
@@ -42,55 +44,57 @@
     }
 }
 
-pub(crate) fn workers(
-    top: &mut Fields<'_>,
-    zones: &mut Places,
-    kinds: &mut Places,
-    clock: &Clock,
-) -> Res<Vec<WorkerLine>> {
+pub(super) fn workers(top: &mut Fields<'_>, named: &mut Named, clock: &Clock) -> Res<Vec<WorkerLine>> {
     let mut workers = Vec::new();
-    let mut ids = HashMap::new();
+    let mut names_by_id = HashMap::new();
     for form in top.take_all("worker") {
-        let (name, mut fields) = form.named_fields()?;
-        let id = worker_id(&name);
-        if let Some(other) = ids.insert(id, name.clone()) {
-            let words = match other == name {
-                true => format!("worker \"{name}\" stands twice"),
-                false => format!("worker \"{name}\" has the same id as \"{other}\"; name one of them anew"),
+        let (name, fields) = form.named_fields()?;
+        if let Some(other) = names_by_id.insert(worker_id(&name), name.clone()) {
+            let message = if other == name {
+                format!("worker \"{name}\" stands twice")
+            } else {
+                format!("worker \"{name}\" has the same id as \"{other}\"; name one of them anew")
             };
-            return Err(form.error(words));
-        }
-        let state = fields.take("state")?;
-        let state = match state.as_ref().map(Form::text).transpose()?.as_deref() {
-            None | Some("ready") => WorkerState::Ready,
-            Some("draining") => WorkerState::Draining,
-            Some("gone") => WorkerState::Gone,
-            Some(other) => {
-                return Err(form.error(format!("expected state ready, draining or gone, found {other}")))
-            }
-        };
-        let zone = fields.or("zone", "default".to_string(), Form::text)?;
-        let kind = fields.or("kind", "default".to_string(), Form::text)?;
-        let weight = fields.or("weight", 1.0, Form::number)?;
-        if weight <= 0.0 || weight > 1e6 {
-            return Err(form.error("a weight lies between 0 and 1,000,000"));
+            return Err(form.error(message));
         }
-        let entry = WorkerEntry {
-            id,
-            zone: ZoneId(zones.of(&zone)),
-            kind: KindId(kinds.of(&kind)),
-            cell: CellId(fields.or("cell", 0, |f| f.whole(u64::from(u32::MAX)))?),
-            state,
-            weight,
-            up_since: fields
-                .take("up-since-unix-ms")?
-                .map(|f| f.number())
-                .transpose()?
-                .map(|ms| clock.at_unix_ms(ms)),
-        };
-        let address = address(&fields.need("address")?)?;
-        fields.finish()?;
-        workers.push(WorkerLine { name, address, entry });
+        workers.push(worker(&form, name, fields, named, clock)?);
     }
     Ok(workers)
 }
+
+fn worker(
+    form: &Form<'_>,
+    name: String,
+    mut fields: Fields<'_>,
+    named: &mut Named,
+    clock: &Clock,
+) -> Res<WorkerLine> {
+    let state = optional(&mut fields, "state", Form::text)?;
+    let state = match state.as_deref() {
+        None | Some("ready") => WorkerState::Ready,
+        Some("draining") => WorkerState::Draining,
+        Some("gone") => WorkerState::Gone,
+        Some(other) => {
+            return Err(form.error(format!("expected state ready, draining or gone, found {other}")))
+        }
+    };
+    let zone = fields.or("zone", "default".to_string(), Form::text)?;
+    let kind = fields.or("kind", "default".to_string(), Form::text)?;
+    let weight = fields.or("weight", 1.0, Form::number)?;
+    if weight <= 0.0 || weight > MAX_WEIGHT {
+        return Err(form.error("a weight lies between 0 and 1,000,000"));
+    }
+    let entry = WorkerEntry {
+        id: worker_id(&name),
+        zone: ZoneId(named.zones.number_of(&zone)),
+        kind: KindId(named.kinds.number_of(&kind)),
+        cell: CellId(whole(&mut fields, "cell", 0, u64::from(u32::MAX))?),
+        state,
+        weight,
+        up_since: optional(&mut fields, "up-since-unix-ms", Form::number)?
+            .map(|unix_ms| clock.at_unix_ms(unix_ms)),
+    };
+    let address = address(&fields.need("address")?)?;
+    fields.finish()?;
+    Ok(WorkerLine { name, address, entry })
+}
