--- a/crates/gateway/benches/settings.rs
+++ b/crates/gateway/benches/settings.rs
@@ -16,15 +16,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Changes measured without a fault; with one, a quarter of them.
 const CHANGES: usize = 20;
-const PATIENCE: Duration = Duration::from_secs(60);
+/// A change that has not reached all gateways after this time fails the benchmark.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-struct Process(Child, SocketAddr);
+/// A running process, killed on drop.
+struct Process {
+    child: Child,
+    address: SocketAddr,
+}
+
+impl Process {
+    fn signal(&self, name: &str) {
+        let pid = self.child.id().to_string();
+        assert!(Command::new("kill").args(["-s", name, &pid]).status().unwrap().success());
+    }
+}
 
 impl Drop for Process {
     fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
+        let _ = self.child.kill();
+        let _ = self.child.wait();
     }
 }
 
@@ -34,34 +47,44 @@
     let mut line = String::new();
     BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
     let address = line.trim().strip_prefix("ready ").unwrap().parse().unwrap();
-    Process(child, address)
+    Process { child, address }
 }
 
-/// What passed on the way to the registry.
+/// Traffic of the registry.
 #[derive(Default)]
 struct Counts {
     requests: AtomicU64,
     bytes: AtomicU64,
 }
 
-fn carry(mut from: TcpStream, mut to: TcpStream, counts: Arc<Counts>, asks: bool) {
-    let mut bytes = [0; 16_384];
-    while let Ok(count) =
-        from.read(&mut bytes).map_err(|_| ()).and_then(|n| if n == 0 { Err(()) } else { Ok(n) })
-    {
+/// Copies bytes from one connection to another until either ends.
+fn forward(mut from: TcpStream, mut to: TcpStream, counts: Arc<Counts>, direction: Direction) {
+    let mut buffer = [0; 16_384];
+    loop {
+        let count = match from.read(&mut buffer) {
+            Ok(0) | Err(_) => break,
+            Ok(count) => count,
+        };
         counts.bytes.fetch_add(count as u64, Ordering::Relaxed);
-        if asks && bytes.starts_with(b"POST ") {
+        if direction == Direction::ToRegistry && buffer.starts_with(b"POST ") {
             counts.requests.fetch_add(1, Ordering::Relaxed);
         }
-        if to.write_all(&bytes[..count]).is_err() {
+        if to.write_all(&buffer[..count]).is_err() {
             break;
         }
     }
     let _ = to.shutdown(std::net::Shutdown::Both);
 }
 
-/// A way to the registry that counts.
-fn counted(registry: SocketAddr) -> (SocketAddr, Arc<Counts>) {
+/// Which way a connection's bytes go.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Direction {
+    ToRegistry,
+    FromRegistry,
+}
+
+/// Starts a proxy of the registry that counts requests and bytes.
+fn counting_proxy(registry: SocketAddr) -> (SocketAddr, Arc<Counts>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, counts) = (listener.local_addr().unwrap(), Arc::new(Counts::default()));
     let all = counts.clone();
@@ -69,10 +92,10 @@
         for from in listener.incoming().flatten() {
             let Ok(to) = TcpStream::connect(registry) else { continue };
             let _ = (from.set_nodelay(true), to.set_nodelay(true));
-            let (back, forth) = (from.try_clone().unwrap(), to.try_clone().unwrap());
-            let (one, other) = (all.clone(), all.clone());
-            thread::spawn(move || carry(from, forth, one, true));
-            thread::spawn(move || carry(to, back, other, false));
+            let (client, server) = (from.try_clone().unwrap(), to.try_clone().unwrap());
+            let (requests, responses) = (all.clone(), all.clone());
+            thread::spawn(move || forward(from, server, requests, Direction::ToRegistry));
+            thread::spawn(move || forward(to, client, responses, Direction::FromRegistry));
         }
     });
     (address, counts)
@@ -101,18 +124,19 @@
 
 /// How many gateways act by a document alone.
 fn acting(registry: SocketAddr, number: u64) -> usize {
-    let rights =
-        entries(registry).into_iter().filter(|e| e.key.0.starts_with(b"/slatevalve/agreement/rights/"));
-    let rights = rights.filter_map(|e| serde_json::from_slice::<Value>(&e.value.0).ok());
-    rights
-        .filter(|r| r["stance"]["prepared"].is_null() && r["stance"]["committed"]["number"] == number)
-        .count()
+    let is_lease = |entry: &KeyValue| entry.key.0.starts_with(b"/slatevalve/agreement/rights/");
+    let leases = entries(registry).into_iter().filter(is_lease);
+    let leases = leases.filter_map(|entry| serde_json::from_slice::<Value>(&entry.value.0).ok());
+    let acts_alone = |lease: &Value| {
+        lease["stance"]["prepared"].is_null() && lease["stance"]["committed"]["number"] == number
+    };
+    leases.filter(acts_alone).count()
 }
 
 fn wait_for(registry: SocketAddr, number: u64, gateways: usize) {
     let began = Instant::now();
     while acting(registry, number) < gateways {
-        assert!(began.elapsed() < PATIENCE, "{} of {gateways} act by {number}", acting(registry, number));
+        assert!(began.elapsed() < TIMEOUT, "{} of {gateways} act by {number}", acting(registry, number));
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -140,58 +164,77 @@
     assert!(command.stdout(Stdio::null()).stderr(Stdio::null()).status().unwrap().success());
 }
 
+/// A registry, the proxy before it, and gateways that act by its documents.
+struct Fleet {
+    gateways: Vec<Process>,
+    registry: Process,
+    counts: Arc<Counts>,
+    directory: tempfile::TempDir,
+    /// The number of the last document.
+    number: u64,
+}
+
+impl Fleet {
+    /// A fleet in which all act by the first document.
+    fn start(gateways: usize) -> Self {
+        let directory = tempfile::tempdir().unwrap();
+        let registry = start(&["kv"]);
+        let (proxy, counts) = counting_proxy(registry.address);
+        publish(directory.path(), registry.address, 1_000);
+        let gateways: Vec<Process> =
+            (0..gateways).map(|index| start_gateway(directory.path(), index, proxy)).collect();
+        wait_for(registry.address, 1, gateways.len());
+        Fleet { gateways, registry, counts, directory, number: 1 }
+    }
+
+    /// Measures changes while so many gateways are stopped, and prints a row.
+    fn measure(&mut self, stopped: usize) {
+        let mut times = Histogram::<u64>::new(3).unwrap();
+        let (mut requests, mut bytes) = (0, 0);
+        let changes = if stopped > 0 { CHANGES / 4 } else { CHANGES };
+        for _ in 0..changes {
+            self.gateways[..stopped].iter().for_each(|gateway| gateway.signal("STOP"));
+            let requests_before = self.counts.requests.load(Ordering::Relaxed);
+            let bytes_before = self.counts.bytes.load(Ordering::Relaxed);
+            self.number += 1;
+            let began = Instant::now();
+            publish(self.directory.path(), self.registry.address, 1_000 + self.number as usize);
+            wait_for(self.registry.address, self.number, self.gateways.len() - stopped);
+            times.record(began.elapsed().as_micros() as u64).unwrap();
+            requests += self.counts.requests.load(Ordering::Relaxed) - requests_before;
+            bytes += self.counts.bytes.load(Ordering::Relaxed) - bytes_before;
+            self.gateways[..stopped].iter().for_each(|gateway| gateway.signal("CONT"));
+            wait_for(self.registry.address, self.number, self.gateways.len());
+        }
+        let millis = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1e3;
+        println!(
+            "| {} | {stopped} stand still | {:.0} | {:.0} | {:.0} | {} | {} |",
+            self.gateways.len(),
+            millis(0.5),
+            millis(0.99),
+            times.max() as f64 / 1e3,
+            requests / changes as u64,
+            bytes / changes as u64 / 1_000
+        );
+    }
+}
+
+fn start_gateway(directory: &Path, index: usize, proxy: SocketAddr) -> Process {
+    let file = directory.join(format!("g{index}.scm"));
+    let own = format!(
+        "(gateway (name \"g{index}\")) (mqtt (listen \"127.0.0.1:0\")) (agreed (registry \"{proxy}\"))"
+    );
+    fs::write(&file, own).unwrap();
+    start(&["run", file.to_str().unwrap()])
+}
+
 fn main() {
     println!("| gateways | fault | p50 ms | p99 ms | worst ms | requests a change | KB a change |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for gateways in [5, 20, 100, 200] {
-        let directory = tempfile::tempdir().unwrap();
-        let registry = start(&["kv"]);
-        let (way, counts) = counted(registry.1);
-        publish(directory.path(), registry.1, 1_000);
-        let all: Vec<Process> = (0..gateways)
-            .map(|n| {
-                let file = directory.path().join(format!("g{n}.scm"));
-                let own = format!(
-                    "(gateway (name \"g{n}\")) (mqtt (listen \"127.0.0.1:0\")) (agreed (registry \"{way}\"))"
-                );
-                fs::write(&file, own).unwrap();
-                start(&["run", file.to_str().unwrap()])
-            })
-            .collect();
-        wait_for(registry.1, 1, gateways);
-        let mut number = 1;
-        for still in [0, gateways / 10] {
-            let signal = |name: &str| {
-                for process in &all[..still] {
-                    let pid = process.0.id().to_string();
-                    assert!(Command::new("kill").args(["-s", name, &pid]).status().unwrap().success());
-                }
-            };
-            let mut times = Histogram::<u64>::new(3).unwrap();
-            let (mut requests, mut bytes) = (0, 0);
-            let changes = if still > 0 { CHANGES / 4 } else { CHANGES };
-            for _ in 0..changes {
-                signal("STOP");
-                let before = (counts.requests.load(Ordering::Relaxed), counts.bytes.load(Ordering::Relaxed));
-                number += 1;
-                let began = Instant::now();
-                publish(directory.path(), registry.1, 1_000 + number as usize);
-                wait_for(registry.1, number, gateways - still);
-                times.record(began.elapsed().as_micros() as u64).unwrap();
-                requests += counts.requests.load(Ordering::Relaxed) - before.0;
-                bytes += counts.bytes.load(Ordering::Relaxed) - before.1;
-                signal("CONT");
-                wait_for(registry.1, number, gateways);
-            }
-            let ms = |part: f64| times.value_at_quantile(part) as f64 / 1e3;
-            println!(
-                "| {gateways} | {still} stand still | {:.0} | {:.0} | {:.0} | {} | {} |",
-                ms(0.5),
-                ms(0.99),
-                times.max() as f64 / 1e3,
-                requests / changes as u64,
-                bytes / changes as u64 / 1_000
-            );
+        let mut fleet = Fleet::start(gateways);
+        for stopped in [0, gateways / 10] {
+            fleet.measure(stopped);
         }
     }
 }
