--- a/crates/config-versioning/src/lease_holder.rs
+++ b/crates/config-versioning/src/lease_holder.rs
@@ -17,7 +17,7 @@
 
 /// Whose lease it is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct LeaseHolderSettings {
+pub struct LeaseOwner {
     /// Keys of the records.
     pub keys: Keys,
     /// The router's name.
@@ -111,7 +111,7 @@
 /// The lease of one router; see the module's documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
-    settings: LeaseHolderSettings,
+    settings: LeaseOwner,
     /// The newest state that was accepted.
     state: Option<Entry<State>>,
     /// Terms of the next lease, by the documents of `state`.
@@ -133,7 +133,7 @@
 impl LeaseHolder {
     /// A holder without a lease that knows no state.
     #[must_use]
-    pub fn new(settings: LeaseHolderSettings) -> Self {
+    pub fn new(settings: LeaseOwner) -> Self {
         LeaseHolder {
             settings,
             state: None,
@@ -271,7 +271,7 @@
             lease_us: terms.lease_us,
             expiry_policy: terms.expiry_policy,
         };
-        let LeaseHolderSettings { keys, name, incarnation, previous_incarnations } = &self.settings;
+        let LeaseOwner { keys, name, incarnation, previous_incarnations } = &self.settings;
         let own_key = keys.lease(name, incarnation);
         let txn = Txn {
             compares: vec![(keys.state(), state.revision), (own_key.clone(), self.revision)],
--- a/crates/config-versioning/src/lib.rs
+++ b/crates/config-versioning/src/lib.rs
@@ -28,7 +28,7 @@
     ActLease, ActiveSettings, Document, DocumentVersion, LeaseExpiryPolicy, LeaseTerms, State,
 };
 pub use keys::{Keys, RouterId};
-pub use lease_holder::{LeaseFault, LeaseHolder, LeaseHolderSettings, LeaseRequest, SendPermission};
+pub use lease_holder::{LeaseFault, LeaseHolder, LeaseOwner, LeaseRequest, SendPermission};
 pub use publish::{PublishError, MAX_DOCUMENT_BYTES};
 pub use snapshot::{RecordError, RecordFault, Snapshot};
 pub use takeover::TakeoverTimer;
--- a/crates/config-versioning/src/publish.rs
+++ b/crates/config-versioning/src/publish.rs
@@ -107,7 +107,7 @@
     /// The transaction that deletes a router's leases on an operator's assurance that it sends nothing any more: those of one
     /// incarnation, or all. `None` if it has none.
     #[must_use]
-    pub fn declare_gone(&self, keys: &Keys, name: &str, incarnation: Option<&str>) -> Option<Txn> {
+    pub fn revoke_leases(&self, keys: &Keys, name: &str, incarnation: Option<&str>) -> Option<Txn> {
         let selected = |id: &RouterId| id.name == name && incarnation.is_none_or(|one| id.incarnation == one);
         let readable = self.leases.iter().map(|(id, entry)| (id, Some(entry.revision)));
         let unreadable = self.unreadable_leases.iter().map(|id| (id, None));
--- a/crates/config-versioning/tests/model.rs
+++ b/crates/config-versioning/tests/model.rs
@@ -156,7 +156,7 @@
 
 fn holder(name: usize, life: u8) -> LeaseHolder {
     let previous_incarnations = (0..life).map(|l| l.to_string()).collect();
-    LeaseHolder::new(LeaseHolderSettings {
+    LeaseHolder::new(LeaseOwner {
         keys: keys(),
         name: format!("r{name}"),
         incarnation: format!("{life}"),
--- a/crates/config-versioning/tests/records.rs
+++ b/crates/config-versioning/tests/records.rs
@@ -34,7 +34,7 @@
 }
 
 fn holder(life: &str) -> LeaseHolder {
-    LeaseHolder::new(LeaseHolderSettings {
+    LeaseHolder::new(LeaseOwner {
         keys: keys(),
         name: "r".into(),
         incarnation: life.into(),
@@ -114,8 +114,8 @@
     assert!(snapshot(&store).unreadable[0]
         .to_string()
         .starts_with("/slatevalve/agreement/rights/r/1: unknown field"));
-    assert_eq!(snapshot(&store).declare_gone(&keys(), "r", Some("2")), None);
-    let txn = snapshot(&store).declare_gone(&keys(), "r", None).unwrap();
+    assert_eq!(snapshot(&store).revoke_leases(&keys(), "r", Some("2")), None);
+    let txn = snapshot(&store).revoke_leases(&keys(), "r", None).unwrap();
     apply(&mut store, 5, txn);
     let RolloutStep::Commit(txn) = coordinator.advance(0, &snapshot(&store), rules) else {
         panic!("nobody is left")
--- a/crates/config-versioning/tests/stored_forms.rs
+++ b/crates/config-versioning/tests/stored_forms.rs
@@ -82,12 +82,8 @@
 /// What a router writes as its right by this state.
 fn right_written(state: State, documents: &[LeaseTerms]) -> Txn {
     let (name, incarnation) = ("zone-a/router-1".into(), "life-1".into());
-    let mut holder = LeaseHolder::new(LeaseHolderSettings {
-        keys: keys(),
-        name,
-        incarnation,
-        previous_incarnations: vec![],
-    });
+    let mut holder =
+        LeaseHolder::new(LeaseOwner { keys: keys(), name, incarnation, previous_incarnations: vec![] });
     holder.observe_state(&Entry { value: state, revision: 7 }, documents).unwrap();
     let Some(LeaseRequest::Write(txn)) = holder.next_request(0) else { panic!("it wants its right") };
     txn
--- a/crates/gateway/src/documents/tests.rs
+++ b/crates/gateway/src/documents/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use slatevalve_config_versioning::{
-    LeaseExpiryPolicy, LeaseHolder, LeaseHolderSettings, LeaseRequest, LeaseTerms, WaitReason,
+    LeaseExpiryPolicy, LeaseHolder, LeaseOwner, LeaseRequest, LeaseTerms, WaitReason,
 };
 
 const RIGHT_US: i64 = 3_600_000_000;
@@ -33,7 +33,7 @@
     for (old, new) in [(400_000, 1), (1, 400_000)] {
         let (keys, clock, mut entries) = (Keys::new("/t/"), Clock::start(), Vec::new());
         publish(&keys, &mut entries, old);
-        let settings = LeaseHolderSettings {
+        let settings = LeaseOwner {
             keys: keys.clone(),
             name: "r".into(),
             incarnation: "1".into(),
--- a/crates/gateway/src/server/config_versioning/mod.rs
+++ b/crates/gateway/src/server/config_versioning/mod.rs
@@ -19,8 +19,8 @@
 use requests::{RegistryRequests, RequestPurpose};
 use slatevalve::{ClassId, Micros};
 use slatevalve_config_versioning::{
-    Document, Entry, Keys, LeaseHolder, LeaseHolderSettings, LeaseRequest, SendPermission, State,
-    TakeoverTimer, TxnOutcome,
+    Document, Entry, Keys, LeaseHolder, LeaseOwner, LeaseRequest, SendPermission, State, TakeoverTimer,
+    TxnOutcome,
 };
 use slatevalve_reactor::{Reactor, ReactorEvent};
 use slatevalve_registry::wire::{PlainResponse, RangeResponse};
@@ -43,7 +43,7 @@
     keys: Keys,
     own_key: String,
     lease_holder: LeaseHolder,
-    agreed: Agreed,
+    versioned_settings: Agreed,
     /// Documents of the active settings and of a state that is about to be adopted.
     documents: BTreeMap<u64, Document>,
     /// The active settings, written for the next start.
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// If no random incarnation can be drawn, or the incarnation file cannot be opened or is held by another process.
-    pub(crate) fn new(settings: AgreedSettings, agreed: Agreed) -> io::Result<Self> {
+    pub(crate) fn new(settings: AgreedSettings, versioned_settings: Agreed) -> io::Result<Self> {
         let AgreedSettings { client, addresses, prefix, incarnation_file, remembered_file, name } = settings;
         let mut seed = [0; 8];
         getrandom::fill(&mut seed).map_err(|e| io::Error::other(e.to_string()))?;
@@ -83,17 +83,13 @@
         let own_key = keys.lease(&name, &incarnation);
         let remembered = remembered_file.as_deref().and_then(|path| incarnation::remembered(path, &keys));
         let remembered = remembered.unwrap_or_default();
-        let lease_holder = LeaseHolder::new(LeaseHolderSettings {
-            keys: keys.clone(),
-            name,
-            incarnation,
-            previous_incarnations,
-        });
+        let lease_holder =
+            LeaseHolder::new(LeaseOwner { keys: keys.clone(), name, incarnation, previous_incarnations });
         Ok(Agreement {
             requests: RegistryRequests::new(client, addresses),
             own_key,
             lease_holder,
-            agreed,
+            versioned_settings,
             documents: remembered.documents,
             remembered_file: remembered_file.map(|path| RememberedFile::open(path, "settings")),
             new_state: remembered.state,
--- a/crates/gateway/src/server/config_versioning/rollout.rs
+++ b/crates/gateway/src/server/config_versioning/rollout.rs
@@ -117,7 +117,7 @@
             return None;
         }
         let documents_by_age: Vec<&Document> = documents.iter().collect();
-        let site = match self.agreed.site(&documents_by_age, &open_classes(), clock) {
+        let site = match self.versioned_settings.site(&documents_by_age, &open_classes(), clock) {
             Ok(site) => site,
             Err(error) => {
                 error!(%error, step = state.value.step, "settings that cannot be acted by here; the rules stay as they are");
--- a/crates/gateway/tests/agreed.rs
+++ b/crates/gateway/tests/agreed.rs
@@ -28,9 +28,9 @@
 
 impl Fleet {
     /// With these workers in each document.
-    fn before(doubt: &'static str, workers: &[(&str, &Worker)]) -> Self {
+    fn before(expiry_policy: &'static str, workers: &[(&str, &Worker)]) -> Self {
         let workers = workers.iter().map(|(name, w)| (name.to_string(), w.address)).collect();
-        Fleet { workers, ..Fleet::start(doubt) }
+        Fleet { workers, ..Fleet::start(expiry_policy) }
     }
 
     /// All entries of the agreement, as the registry's protocol has them.
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -4,8 +4,8 @@
 
 use serde_json::{json, Value};
 use slatevalve_config_versioning::{
-    Document, Keys, LeaseHolder, LeaseHolderSettings, LeaseRequest, LeaseTerms, RouterId, SendPermission,
-    Snapshot, Txn, TxnOutcome,
+    Document, Keys, LeaseHolder, LeaseOwner, LeaseRequest, LeaseTerms, RouterId, SendPermission, Snapshot,
+    Txn, TxnOutcome,
 };
 use slatevalve_gateway::documents::{request, snapshot};
 use slatevalve_registry::wire::{Bytes, PlainResponse, RangeRequest, RangeResponse, RANGE, TXN};
@@ -24,8 +24,7 @@
     fn router(&self, name: &str) -> Router<'_> {
         let (keys, incarnation) = (Keys::new("/slatevalve/"), format!("life-of-{}", name.replace('/', "-")));
         let id = RouterId::new(name, incarnation.clone());
-        let settings =
-            LeaseHolderSettings { keys, name: name.into(), incarnation, previous_incarnations: vec![] };
+        let settings = LeaseOwner { keys, name: name.into(), incarnation, previous_incarnations: vec![] };
         Router { fleet: self, began: Instant::now(), holder: LeaseHolder::new(settings), id }
     }
 }
@@ -43,7 +42,7 @@
         self.began.elapsed().as_micros() as i64
     }
 
-    fn may(&self) -> SendPermission {
+    fn send_permission(&self) -> SendPermission {
         self.holder.send_permission(self.now())
     }
 
@@ -133,7 +132,7 @@
     assert_eq!(fleet.publish(UNSAFE, "5").1, json!({"committed": true, "number": 1}));
     let mut routers = ["a", "b/1", "c"].map(|name| fleet.router(name));
     routers.iter_mut().for_each(Router::poll);
-    assert!(routers.iter().all(|r| r.may() == SendPermission::All));
+    assert!(routers.iter().all(|r| r.send_permission() == SendPermission::All));
     let (code, told) = fleet.publish(KEYED, "0");
     assert_eq!((code, told["awaited"].clone()), (Some(3), json!(["a", "b/1", "c"])));
     routers[0].poll();
@@ -152,7 +151,7 @@
     routers[1..].iter_mut().for_each(Router::poll);
     assert_eq!(fleet.settings(&["drive"]).1, json!({"committed": true, "number": 2}));
     routers.iter_mut().for_each(Router::poll);
-    assert!(routers.iter().all(|r| r.acts_by() == [2] && r.may() == SendPermission::All));
+    assert!(routers.iter().all(|r| r.acts_by() == [2] && r.send_permission() == SendPermission::All));
     // Back to the document before, under a number of its own, while all say yes.
     let rollback = fleet.settings(&["rollback", "--wait-s", "0"]);
     assert_eq!(rollback.0, Some(3));
@@ -218,13 +217,13 @@
     assert_eq!((code, told["committed"].clone()), (Some(3), json!(false)));
     let (code, told) = fleet.settings(&["drive", "--wait-s", "1"]);
     assert_eq!((code, told["awaited"].clone()), (Some(3), json!(["gone"])), "longer than a right lasts");
-    assert_eq!(gone.may(), SendPermission::All, "it goes on by the rules it has");
+    assert_eq!(gone.send_permission(), SendPermission::All, "it goes on by the rules it has");
     assert_eq!(fleet.settings(&["declare-gone", "nobody"]).0, Some(2));
     assert_eq!(fleet.settings(&["declare-gone", "gone"]).1, json!({"gone": "gone", "lives": 1}));
     assert_eq!(fleet.settings(&["drive"]).1, json!({"committed": true, "number": 2}));
     // Should it be alive after all, it finds that out by its next question and acts by the new document alone.
     gone.poll();
-    assert_eq!((gone.acts_by(), gone.may()), (vec![2], SendPermission::All));
+    assert_eq!((gone.acts_by(), gone.send_permission()), (vec![2], SendPermission::All));
 }
 
 #[test]
@@ -233,7 +232,7 @@
     fleet.publish(UNSAFE, "5");
     let mut cut = fleet.router("cut");
     cut.poll();
-    let (asked, may) = (cut.now(), cut.may());
+    let (asked, may) = (cut.now(), cut.send_permission());
     assert_eq!(may, SendPermission::All);
     let (code, _) = fleet.publish(KEYED, "20");
     let committed = cut.now();
@@ -243,7 +242,11 @@
         "committed while the right may have stood: {} us",
         committed - asked
     );
-    assert_eq!(cut.may(), SendPermission::Safe, "what it may have been in doubt about it does not send");
+    assert_eq!(
+        cut.send_permission(),
+        SendPermission::Safe,
+        "what it may have been in doubt about it does not send"
+    );
     cut.poll();
-    assert_eq!((cut.acts_by(), cut.may()), (vec![2], SendPermission::All));
+    assert_eq!((cut.acts_by(), cut.send_permission()), (vec![2], SendPermission::All));
 }
--- a/crates/gateway/tests/support/documents.rs
+++ b/crates/gateway/tests/support/documents.rs
@@ -14,16 +14,16 @@
 pub struct Documents {
     pub registry: Process,
     pub directory: tempfile::TempDir,
-    /// What routers do in doubt by each of them.
-    pub doubt: &'static str,
+    /// What routers do, by each of them, that cannot renew their lease to act.
+    pub expiry_policy: &'static str,
     /// The workers of each of them.
     pub workers: Vec<(String, SocketAddr)>,
 }
 
 impl Documents {
-    pub fn start(doubt: &'static str) -> Self {
+    pub fn start(expiry_policy: &'static str) -> Self {
         let (registry, directory) = (Process::start(&["kv"], None), tempfile::tempdir().unwrap());
-        Documents { registry, directory, doubt, workers: Vec::new() }
+        Documents { registry, directory, expiry_policy, workers: Vec::new() }
     }
 
     pub fn registry_address(&self) -> String {
@@ -33,7 +33,7 @@
     /// A document of these forms.
     pub fn text(&self, forms: &str) -> String {
         let workers = self.workers.iter().map(|(n, a)| format!("(worker \"{n}\" (address \"{a}\"))"));
-        let agreement = format!("(agreement (right-ms 600) (in-doubt {}))", self.doubt);
+        let agreement = format!("(agreement (right-ms 600) (in-doubt {}))", self.expiry_policy);
         format!("{forms}{COMMON}{}{agreement}", workers.collect::<String>())
     }
 
