--- /dev/null
+++ b/crates/config-versioning/tests/model/registry.rs
@@ -0,0 +1,59 @@
+//! The model's registry, clocks and documents.
+
+use slatevalve_config_versioning::*;
+use std::collections::BTreeMap;
+
+/// Microseconds of a router's clock in a tick of true time: slow by a fifth.
+pub const ROUTER_RATE: i64 = 80;
+/// Microseconds of a coordinator's clock in a tick of true time: fast by a fifth.
+pub const COORDINATOR_RATE: i64 = 120;
+/// The drift that coordinators reckon with.
+pub const DRIFT_PPM: i64 = 200_000;
+/// A lease lasts two ticks and a half by a router's clock; a coordinator waits for three.
+pub const LEASE_US: i64 = 200;
+
+pub fn keys() -> Keys {
+    Keys::new("/t/")
+}
+
+/// Rules of the documents by number; each contradicts the others.
+fn rules(number: u64) -> Terms {
+    let retry = if number == 1 { RetryRule::forbidden() } else { RetryRule::keyed(None, number as i64) };
+    Terms { classes: [("charge".to_string(), Class::new(retry, 1, 1))].into(), ..Terms::default() }
+}
+
+pub fn terms(version: &DocumentVersion) -> Option<Terms> {
+    Some(rules(version.number))
+}
+
+/// Values by key, each with the number of its writes as its revision. A deleted entry keeps it below an empty value, so that
+/// no revision is given twice.
+pub type Store = BTreeMap<String, (Vec<u8>, i64)>;
+
+pub fn apply(store: &mut Store, txn: &Txn) -> TxnOutcome {
+    let current =
+        |key: &String| store.get(key).filter(|entry| !entry.0.is_empty()).map_or(0, |entry| entry.1);
+    if txn.compares.iter().any(|(key, revision)| current(key) != *revision) {
+        return TxnOutcome::Conflict;
+    }
+    let mut written = 0;
+    for (key, value) in &txn.puts {
+        let entry = store.entry(key.clone()).or_default();
+        *entry = (value.clone(), entry.1 + 1);
+        written = entry.1;
+    }
+    for key in &txn.deletes {
+        if let Some(entry) = store.get_mut(key) {
+            entry.0.clear();
+        }
+    }
+    TxnOutcome::Succeeded(written)
+}
+
+pub fn snapshot(store: &Store) -> Snapshot {
+    let present = store.iter().filter(|(_, entry)| !entry.0.is_empty());
+    Snapshot::from_entries(
+        &keys(),
+        present.map(|(key, (value, revision))| (key.as_str(), value.as_slice(), *revision)),
+    )
+}
