--- /dev/null
+++ b/crates/gateway/tests/agreed/drawn_faults.rs
@@ -0,0 +1,279 @@
+//! Faults while documents change, and what the workers' traces show of it.
+
+use super::support::documents::{Documents as Fleet, UNSAFE};
+use super::support::*;
+use super::{path, Router, KEYED};
+use serde_json::json;
+use slatevalve_trace_checker::trace::{self, Line, Seen};
+use slatevalve_trace_checker::*;
+use std::collections::BTreeSet;
+use std::process::Child;
+use std::time::Duration;
+
+/// Terms by which charges are checked, all documents up to `last` contradicting each other.
+fn terms(last: u64) -> Terms {
+    let class = |effect| ClassTerms { effect, aim_us: 1, worth: 1.0, late_worth: 1.0 };
+    let classes = [("quote", EffectTerms::Safe), ("charge", EffectTerms::Unsafe)];
+    let contradict = (1..=last).flat_map(|a| (a + 1..=last).map(move |b| (a, b))).collect();
+    Terms {
+        classes: classes.map(|(name, effect)| (name.to_string(), class(effect))).into(),
+        workers: Default::default(),
+        answer_slack_us: 0,
+        drain_grace_us: 1,
+        fall_multiple: 1e9,
+        fall_window_us: 1,
+        ration_window_us: 0,
+        ration_free: 0.0,
+        ration_share: 0.0,
+        settings: Some(SettingsTerms { contradict, bound_us: 1_000_000 }),
+    }
+}
+
+#[test]
+fn nothing_that_workers_saw_contradicts_through_changes_while_routers_stand_still_and_are_killed() {
+    let directory = tempfile::tempdir().unwrap();
+    let trace = |name: &str| directory.path().join(format!("{name}.trace"));
+    let worker = |name: &str| {
+        Process::start(
+            &["worker", "--name", name, "--load-on-call", "--load-ms", "1", "--trace", path(&trace(name))],
+            None,
+        )
+    };
+    let workers = ["w1", "w2"].map(worker);
+    let mut fleet = Fleet::before("give-up", &[]);
+    fleet.workers = workers.iter().zip(["w1", "w2"]).map(|(w, n)| (n.to_string(), w.address)).collect();
+    assert_eq!(fleet.publish(UNSAFE, "5").0, Some(0));
+    let mut routers = ["a", "b", "c"].map(|name| Some(fleet.router(name)));
+    let mut clients =
+        routers.each_ref().map(|r| Client::connect(r.as_ref().unwrap().process.address, "c", false));
+    let mut asked = [0u16; 3];
+    for round in 0..6u16 {
+        for (n, client) in clients.iter_mut().enumerate().filter(|(n, _)| routers[*n].is_some()) {
+            for _ in 0..8 {
+                asked[n] += 1;
+                let name = format!("call={n}-{} work-us=1000", asked[n]);
+                client.publish("charge/visa", asked[n], Some(&format!("k{n}-{}", asked[n])), &name, false);
+            }
+        }
+        match round {
+            1 => routers[2].as_ref().unwrap().process.signal("STOP"),
+            3 => {
+                // It stood still for longer than the bound, with charges that wait for it; what it asks now has no answer.
+                std::thread::sleep(Duration::from_millis(1_200));
+                fleet.registry.signal("STOP");
+                routers[2].as_ref().unwrap().process.signal("CONT");
+                std::thread::sleep(Duration::from_millis(100));
+                fleet.registry.signal("CONT");
+            }
+            4 => routers[1] = None,
+            _ => {}
+        }
+        let forms = KEYED.replace("9000", &(9_000 + round).to_string());
+        assert_eq!(fleet.publish(&forms, "20").0, Some(0), "round {round}");
+    }
+    let mut refused = 0;
+    for n in [0, 2] {
+        for _ in 0..asked[n] {
+            let heard = clients[n].answer();
+            assert!(heard.outcome == "served" || heard.outcome == "refused", "{heard:?}");
+            refused += usize::from(heard.reason.is_some_and(|r| r.starts_with("not sent")));
+        }
+    }
+    assert!(refused > 0, "what came while the router stood still was refused");
+    let text: String = ["w1", "w2"].iter().map(|n| std::fs::read_to_string(trace(n)).unwrap()).collect();
+    let lines = trace::read(&text).unwrap();
+    let found = check(&terms(7), &lines);
+    assert_eq!(found, [], "seen at the workers");
+    let by_last = |l: &Line| matches!(&l.seen, Seen::Received { settings, .. } if settings.contains(&6));
+    assert!(lines.iter().any(by_last), "attempts tell their documents");
+}
+
+/// A small fleet under drawn faults, its clients, and what was asked so far.
+struct FaultyFleet {
+    fleet: Fleet,
+    routers: Vec<Router>,
+    clients: Vec<Client>,
+    /// Calls whose answers are owed on each client's connection, by name; and the last one's key.
+    owed: Vec<BTreeSet<String>>,
+    last: Vec<Option<(String, String)>>,
+    stopped: Vec<bool>,
+    registry_stopped: bool,
+    publishers: Vec<Child>,
+    documents: u64,
+    calls: u16,
+    random: u64,
+}
+
+impl FaultyFleet {
+    fn draw(&mut self, most: usize) -> usize {
+        self.random =
+            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.random >> 33) as usize % most
+    }
+
+    fn call(&mut self, router: usize) {
+        self.calls += 1;
+        let new = (format!("call=c{} work-us=2000", self.calls), format!("k{}", self.calls));
+        // One in four repeats the last one, by its key.
+        let again = self.last[router].clone().filter(|_| self.draw(4) == 0);
+        let (name, key) = again.unwrap_or(new);
+        self.clients[router].publish("charge/visa", self.calls, Some(&key), &name, false);
+        self.owed[router].insert(name.clone());
+        self.last[router] = Some((name, key));
+    }
+
+    /// A command that publishes, and is not waited for.
+    fn begin_change(&mut self) {
+        self.documents += 1;
+        let forms = match self.draw(3) {
+            0 => UNSAFE.to_string(),
+            _ => KEYED.replace("9000", &(9_000 + self.documents).to_string()),
+        };
+        let file = self.fleet.file(&format!("{}.scm", self.documents), &forms);
+        self.publishers.push(self.fleet.spawn(&["publish", path(&file), "--why", "drawn"]));
+    }
+
+    fn set_registry_stopped(&mut self, stopped: bool) {
+        self.registry_stopped = stopped;
+        self.fleet.registry.signal(if stopped { "STOP" } else { "CONT" });
+    }
+
+    fn set_router_stopped(&mut self, router: usize, stopped: bool) {
+        self.stopped[router] = stopped;
+        self.routers[router].process.signal(if stopped { "STOP" } else { "CONT" });
+    }
+
+    fn step(&mut self) {
+        for router in 0..self.routers.len() {
+            let calls = 1 + self.draw(3);
+            (0..calls).for_each(|_| self.call(router));
+        }
+        let router = self.draw(self.routers.len());
+        match self.draw(10) {
+            0..=3 => self.begin_change(),
+            4 => {
+                let stopped = !self.stopped[router];
+                self.set_router_stopped(router, stopped);
+            }
+            5 => {
+                let stopped = !self.registry_stopped;
+                self.set_registry_stopped(stopped);
+            }
+            6 => {
+                // Killed and started again at once; what was asked of it is lost with its connection.
+                let _ = self.routers[router].process.child.kill();
+                let _ = self.routers[router].process.child.wait();
+                if self.registry_stopped {
+                    self.set_registry_stopped(false);
+                }
+                self.routers[router] = self.fleet.router(&format!("r{router}"));
+                self.clients[router] = Client::connect(self.routers[router].process.address, "c", false);
+                (self.stopped[router], self.last[router]) = (false, None);
+                self.owed[router].clear();
+            }
+            7 => {
+                if let Some(mut child) = self.publishers.pop() {
+                    let _ = child.kill();
+                    let _ = child.wait();
+                }
+            }
+            _ => {}
+        }
+        std::thread::sleep(Duration::from_millis(20 + self.draw(250) as u64));
+    }
+
+    /// Faults end: what is under way must end, and all answers come.
+    fn finish(&mut self) {
+        self.set_registry_stopped(false);
+        (0..self.routers.len()).for_each(|router| self.set_router_stopped(router, false));
+        for mut child in std::mem::take(&mut self.publishers) {
+            let _ = child.kill();
+            let _ = child.wait();
+        }
+        until("the change to end", || self.fleet.status()["prepared"].is_null());
+        let committed = self.fleet.status()["committed"]["number"].clone();
+        for router in 0..self.routers.len() {
+            let name = format!("r{router}");
+            until("all to act by it", || self.fleet.acts_by(&name) == [json!([committed])]);
+            while !self.owed[router].is_empty() {
+                let heard = self.clients[router].answer_or(|| self.routers[router].log());
+                assert_ne!(heard.outcome, "failed", "{heard:?} {}", self.routers[router].log());
+                self.owed[router].remove(&heard.call);
+            }
+        }
+    }
+}
+
+/// Gives how many attempts the workers saw, and what of them broke a rule.
+fn run(seed: u64) -> (usize, Vec<Violation>) {
+    let directory = tempfile::tempdir().unwrap();
+    let trace = |name: &str| directory.path().join(format!("{name}.trace"));
+    let names = ["w1", "w2"];
+    let workers = names.map(|name| {
+        Process::start(
+            &["worker", "--name", name, "--load-on-call", "--load-ms", "1", "--trace", path(&trace(name))],
+            None,
+        )
+    });
+    let mut fleet = Fleet::before(if seed.is_multiple_of(2) { "give-up" } else { "go-on" }, &[]);
+    fleet.workers = workers.iter().zip(names).map(|(w, n)| (n.to_string(), w.address)).collect();
+    assert_eq!(fleet.publish(UNSAFE, "5").0, Some(0));
+    let routers: Vec<Router> = (0..3).map(|n| fleet.router(&format!("r{n}"))).collect();
+    let clients = routers.iter().map(|r| Client::connect(r.process.address, "c", false)).collect();
+    let (stopped, owed, last, publishers) =
+        (vec![false; 3], vec![BTreeSet::new(); 3], vec![None; 3], Vec::new());
+    let mut run = FaultyFleet {
+        fleet,
+        routers,
+        clients,
+        owed,
+        last,
+        stopped,
+        registry_stopped: false,
+        publishers,
+        documents: 1,
+        calls: 0,
+        random: seed,
+    };
+    (0..14).for_each(|_| run.step());
+    run.finish();
+    let text: String = names.iter().map(|n| std::fs::read_to_string(trace(n)).unwrap()).collect();
+    let lines = trace::read(&text).unwrap();
+    let history = run.fleet.settings(&["history"]).1;
+    let history: Vec<(u64, String)> = history
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(|d| (d["number"].as_u64().unwrap(), d["digest"].to_string()))
+        .collect();
+    let differ = |a: &(u64, String), b: &(u64, String)| a.0 < b.0 && a.1 != b.1;
+    let pairs =
+        history.iter().flat_map(|a| history.iter().filter(move |b| differ(a, b)).map(move |b| (a.0, b.0)));
+    let mut terms = terms(0);
+    terms.settings = Some(SettingsTerms { contradict: pairs.collect(), bound_us: 1_000_000 });
+    let found = check(&terms, &lines);
+    let is_relevant = |v: &Violation| matches!(v.rule, Rule::Agreement | Rule::Effects);
+    (lines.len(), found.into_iter().filter(is_relevant).collect())
+}
+
+/// `AGREED_PLAYS=300` plays more seeds, four at a time.
+#[test]
+fn drawn_faults_leave_no_contradiction_and_every_change_ends() {
+    let plays: u64 = std::env::var("AGREED_PLAYS").ok().and_then(|n| n.parse().ok()).unwrap_or(3);
+    let next = std::sync::atomic::AtomicU64::new(1);
+    let threads = if plays > 3 { 4 } else { 1 };
+    std::thread::scope(|scope| {
+        for _ in 0..threads {
+            scope.spawn(|| loop {
+                let seed = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                if seed > plays {
+                    return;
+                }
+                let (lines, found) = run(seed);
+                println!("seed {seed}: {lines} lines, {} broken", found.len());
+                assert_eq!(found, [], "seed {seed}");
+                assert!(lines > 20, "seed {seed}: the workers saw next to nothing");
+            });
+        }
+    });
+}
