--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -4,9 +4,10 @@
 
 use serde_json::{json, Value};
 use slatevalve_config_versioning::{
-    Ask, Keys, LeaseExpiryPolicy, LeaseHolder, LeaseHolderSettings, Reading, SendPermission, Txn, TxnEnd,
+    Document, Keys, LeaseHolder, LeaseOwner, LeaseRequest, LeaseTerms, RouterId, SendPermission, Snapshot,
+    Txn, TxnOutcome,
 };
-use slatevalve_gateway::documents::{reading, request};
+use slatevalve_gateway::documents::{request, snapshot};
 use slatevalve_registry::wire::{Bytes, PlainResponse, RangeRequest, RangeResponse, RANGE, TXN};
 use std::time::Instant;
 use support::documents::{Documents as Fleet, UNSAFE};
@@ -21,9 +22,9 @@
     }
 
     fn router(&self, name: &str) -> Router<'_> {
-        let (keys, life) = (Keys::new("/slatevalve/"), format!("life-of-{}", name.replace('/', "-")));
-        let id = (name.to_string(), life.clone());
-        let settings = LeaseHolderSettings { keys, name: name.into(), life, before: vec![] };
+        let (keys, incarnation) = (Keys::new("/slatevalve/"), format!("life-of-{}", name.replace('/', "-")));
+        let id = RouterId::new(name, incarnation.clone());
+        let settings = LeaseOwner { keys, name: name.into(), incarnation, previous_incarnations: vec![] };
         Router { fleet: self, began: Instant::now(), holder: LeaseHolder::new(settings), id }
     }
 }
@@ -33,8 +34,7 @@
     fleet: &'a Fleet,
     began: Instant,
     holder: LeaseHolder,
-    /// Name and life.
-    id: (String, String),
+    id: RouterId,
 }
 
 impl Router<'_> {
@@ -42,53 +42,52 @@
         self.began.elapsed().as_micros() as i64
     }
 
-    fn may(&self) -> SendPermission {
-        self.holder.may(self.now())
+    fn send_permission(&self) -> SendPermission {
+        self.holder.send_permission(self.now())
     }
 
     /// Numbers of the documents that it acts by.
     fn acts_by(&self) -> Vec<u64> {
-        self.holder.stance().unwrap().editions().map(|e| e.number).collect()
+        self.holder.active_settings().unwrap().versions().map(|e| e.number).collect()
     }
 
-    fn read(&self) -> Reading {
+    fn read(&self) -> Snapshot {
         let (key, range_end) = (Bytes::of("/slatevalve/agreement/"), Bytes::of("/slatevalve/agreement0"));
         let ask = RangeRequest { key, range_end, ..RangeRequest::default() };
         let body = ask_registry(&self.fleet.registry_address(), RANGE, &ask);
         let answer: RangeResponse = serde_json::from_slice(&body).unwrap();
-        reading(&Keys::new("/slatevalve/"), &answer.kvs)
+        snapshot(&Keys::new("/slatevalve/"), &answer.kvs)
     }
 
     /// Hears what stands there, and asks for what it wants until it wants nothing.
     fn poll(&mut self) {
         loop {
-            let reading = self.read();
-            if let Some(state) = &reading.state {
-                let of = |e| reading.document(e).map(|d| (d.doubt, d.right_us)).unwrap();
-                let documents: Vec<(LeaseExpiryPolicy, i64)> =
-                    state.value.stance.editions().map(of).collect();
-                let _ = self.holder.heard(state, &documents);
+            let snapshot = self.read();
+            if let Some(state) = &snapshot.state {
+                let of = |e| snapshot.document(e).map(Document::lease_terms).unwrap();
+                let documents: Vec<LeaseTerms> = state.value.active_settings.versions().map(of).collect();
+                let _ = self.holder.observe_state(state, &documents);
             }
-            match self.holder.ask(self.now()) {
+            match self.holder.next_request(self.now()) {
                 None => return,
-                Some(Ask::Read) => {
-                    let _ = self.holder.read(reading.rights.get(&self.id));
+                Some(LeaseRequest::Read) => {
+                    let _ = self.holder.on_read(snapshot.leases.get(&self.id));
                 }
-                Some(Ask::Write(txn)) => {
+                Some(LeaseRequest::Write(txn)) => {
                     let end = self.write(txn);
-                    self.holder.written(end);
+                    self.holder.on_written(end);
                 }
             }
         }
     }
 
-    fn write(&self, txn: Txn) -> TxnEnd {
+    fn write(&self, txn: Txn) -> TxnOutcome {
         let body = ask_registry(&self.fleet.registry_address(), TXN, &request(&txn));
         let answer: PlainResponse = serde_json::from_slice(&body).unwrap();
         if answer.succeeded {
-            TxnEnd::Done(answer.header.revision)
+            TxnOutcome::Succeeded(answer.header.revision)
         } else {
-            TxnEnd::Conflict
+            TxnOutcome::Conflict
         }
     }
 }
@@ -133,7 +132,7 @@
     assert_eq!(fleet.publish(UNSAFE, "5").1, json!({"committed": true, "number": 1}));
     let mut routers = ["a", "b/1", "c"].map(|name| fleet.router(name));
     routers.iter_mut().for_each(Router::poll);
-    assert!(routers.iter().all(|r| r.may() == SendPermission::All));
+    assert!(routers.iter().all(|r| r.send_permission() == SendPermission::All));
     let (code, told) = fleet.publish(KEYED, "0");
     assert_eq!((code, told["awaited"].clone()), (Some(3), json!(["a", "b/1", "c"])));
     routers[0].poll();
@@ -152,7 +151,7 @@
     routers[1..].iter_mut().for_each(Router::poll);
     assert_eq!(fleet.settings(&["drive"]).1, json!({"committed": true, "number": 2}));
     routers.iter_mut().for_each(Router::poll);
-    assert!(routers.iter().all(|r| r.acts_by() == [2] && r.may() == SendPermission::All));
+    assert!(routers.iter().all(|r| r.acts_by() == [2] && r.send_permission() == SendPermission::All));
     // Back to the document before, under a number of its own, while all say yes.
     let rollback = fleet.settings(&["rollback", "--wait-s", "0"]);
     assert_eq!(rollback.0, Some(3));
@@ -218,13 +217,13 @@
     assert_eq!((code, told["committed"].clone()), (Some(3), json!(false)));
     let (code, told) = fleet.settings(&["drive", "--wait-s", "1"]);
     assert_eq!((code, told["awaited"].clone()), (Some(3), json!(["gone"])), "longer than a right lasts");
-    assert_eq!(gone.may(), SendPermission::All, "it goes on by the rules it has");
+    assert_eq!(gone.send_permission(), SendPermission::All, "it goes on by the rules it has");
     assert_eq!(fleet.settings(&["declare-gone", "nobody"]).0, Some(2));
     assert_eq!(fleet.settings(&["declare-gone", "gone"]).1, json!({"gone": "gone", "lives": 1}));
     assert_eq!(fleet.settings(&["drive"]).1, json!({"committed": true, "number": 2}));
     // Should it be alive after all, it finds that out by its next question and acts by the new document alone.
     gone.poll();
-    assert_eq!((gone.acts_by(), gone.may()), (vec![2], SendPermission::All));
+    assert_eq!((gone.acts_by(), gone.send_permission()), (vec![2], SendPermission::All));
 }
 
 #[test]
@@ -233,7 +232,7 @@
     fleet.publish(UNSAFE, "5");
     let mut cut = fleet.router("cut");
     cut.poll();
-    let (asked, may) = (cut.now(), cut.may());
+    let (asked, may) = (cut.now(), cut.send_permission());
     assert_eq!(may, SendPermission::All);
     let (code, _) = fleet.publish(KEYED, "20");
     let committed = cut.now();
@@ -243,7 +242,11 @@
         "committed while the right may have stood: {} us",
         committed - asked
     );
-    assert_eq!(cut.may(), SendPermission::Safe, "what it may have been in doubt about it does not send");
+    assert_eq!(
+        cut.send_permission(),
+        SendPermission::Safe,
+        "what it may have been in doubt about it does not send"
+    );
     cut.poll();
-    assert_eq!((cut.acts_by(), cut.may()), (vec![2], SendPermission::All));
+    assert_eq!((cut.acts_by(), cut.send_permission()), (vec![2], SendPermission::All));
 }
