--- a/crates/gateway/src/chaos_test/day.rs
+++ b/crates/gateway/src/chaos_test/day.rs
@@ -399,7 +399,7 @@
     }
 
     fn record_told(&mut self, gateway: usize, worker: usize) {
-        self.list.saw(Seen::Told {
+        self.list.saw(Seen::StateNotified {
             worker: format!("worker-{worker}"),
             state: self.workers[worker].state.into(),
             gateway: self.gateways[gateway].name.clone(),
--- a/crates/gateway/src/chaos_test/report.rs
+++ b/crates/gateway/src/chaos_test/report.rs
@@ -132,7 +132,7 @@
 }
 
 fn is_order(seen: &Seen) -> bool {
-    matches!(seen, Seen::Ordered { copies, .. } if *copies > 0)
+    matches!(seen, Seen::LoadRequested { copies, .. } if *copies > 0)
 }
 
 fn is_fetch(seen: &Seen) -> bool {
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -270,7 +270,7 @@
         let Some(report) = self.calls.get(&call) else { return };
         let gateway = self.gateways[self.clients[n].gateway].0.clone();
         let (class, budget_us) = (report.class.clone(), report.budget_us);
-        self.tap.saw(Seen::Asked { call, class, key: None, budget_us, gateway, again: true });
+        self.tap.saw(Seen::Published { call, class, key: None, budget_us, gateway, republished: true });
     }
 
     fn received(&mut self, id: Id, bytes: &[u8]) {
@@ -324,7 +324,7 @@
     /// The session is gone, and with it what was owed.
     fn forget_open(&mut self, n: usize) {
         for (call, _) in std::mem::take(&mut self.clients[n].open) {
-            self.tap.saw(Seen::Left { call: call.clone() });
+            self.tap.saw(Seen::Disconnected { call: call.clone() });
             self.calls.entry(call).or_default().left = true;
         }
     }
@@ -384,13 +384,13 @@
         let now = unix_micros();
         self.tap.saw_at(
             now,
-            Seen::Asked {
+            Seen::Published {
                 call: arrival.call.clone(),
                 class: arrival.class.clone(),
                 key: arrival.key.clone(),
                 budget_us: arrival.budget_us,
                 gateway: self.gateways[self.clients[n].gateway].0.clone(),
-                again: arrival.again,
+                republished: arrival.again,
             },
         );
         let report = self.calls.entry(arrival.call.clone()).or_default();
--- a/crates/test-servers/src/worker.rs
+++ b/crates/test-servers/src/worker.rs
@@ -161,8 +161,12 @@
 }
 
 fn started(plan: &ServicePlan, first: bool) -> Seen {
-    let (start_capacity, warm_us, lanes) = (plan.start_capacity, plan.warm_us, plan.lanes as f64);
-    Seen::Started { start_capacity, warm_us, lanes, first }
+    Seen::Started {
+        start_capacity: plan.start_capacity,
+        slow_start_us: plan.warm_us,
+        concurrency: plan.lanes as f64,
+        first,
+    }
 }
 
 impl Worker {
@@ -301,11 +305,11 @@
             _ if self.faults.acts(now, &FaultKind::Hang) => {}
             WorkerRequest::Ready => self.reply(id, &Reply::Ready, None),
             WorkerRequest::Count { function } => {
-                self.tap.saw(Seen::Ordered { function: function.clone(), copies: 0, gateway });
+                self.tap.saw(Seen::LoadRequested { function: function.clone(), copies: 0, gateway });
                 self.reply(id, &Reply::Copies(self.service.stands(&function, now)), None);
             }
             WorkerRequest::Load { function, copies } => {
-                self.tap.saw(Seen::Ordered { function: function.clone(), copies, gateway });
+                self.tap.saw(Seen::LoadRequested { function: function.clone(), copies, gateway });
                 let load = self.slow_loads(now);
                 match self.service.order(&function, copies, now, load) {
                     None => self.reply(id, &Reply::NoRoom, None),
--- a/crates/trace-checker/src/effects.rs
+++ b/crates/trace-checker/src/effects.rs
@@ -1,116 +1,157 @@
-//! Rule 2: unsafe effects at most once, keyed ones again only inside their group and window; and a refusal only
-//! where nothing may have run.
+//! Rule 2: an effect of a non-idempotent class happens at most once; one with a key is retried only inside its group and
+//! window; and a call is refused only where no attempt may have run.
 
 use crate::trace::{Line, Seen};
 use crate::{EffectTerms, GroupTerms, Rule, Terms, Violation};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// An attempt, as its gateway numbers it.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptId<'a> {
+    gateway: &'a str,
+    number: usize,
+}
+
+/// An attempt that reached a worker.
+struct ReceivedAttempt<'a> {
+    at_us: i64,
+    worker: &'a str,
+    id: AttemptId<'a>,
+}
+
+/// Everything recorded about one call, which all its repeated publications share.
 #[derive(Default)]
 struct Effect<'a> {
     class: &'a str,
-    /// Attempts that reached a worker: when, which worker, whose attempt.
-    received: Vec<(i64, &'a str, (&'a str, usize))>,
-    never_ran: BTreeSet<(&'a str, usize)>,
-    ran: Vec<(i64, &'a str)>,
-    refused: Option<i64>,
+    received: Vec<ReceivedAttempt<'a>>,
+    unexecuted: BTreeSet<AttemptId<'a>>,
+    /// Times at which the effect happened.
+    runs_us: Vec<i64>,
+    refused_us: Option<i64>,
+}
+
+impl Effect<'_> {
+    fn is_possibly_executed(&self, attempt: &ReceivedAttempt) -> bool {
+        !self.unexecuted.contains(&attempt.id)
+    }
+}
+
+pub(crate) fn check(terms: &Terms, lines: &[&Line], violations: &mut Vec<Violation>) {
+    for (call, effect) in collect(lines) {
+        match terms.classes.get(effect.class).map(|class| class.effect) {
+            Some(EffectTerms::Unsafe) => {
+                violations.extend(ran_twice(call, &effect));
+                check_retries(call, &effect, violations);
+                violations.extend(refused_after_run(call, &effect));
+            }
+            Some(EffectTerms::Keyed { group, window_us }) => {
+                check_keyed_retries(terms, call, &effect, group, window_us, violations);
+                violations.extend(refused_after_run(call, &effect));
+            }
+            Some(EffectTerms::Safe) | None => {}
+        }
+    }
 }
 
-pub(crate) fn check(terms: &Terms, lines: &[&Line], found: &mut Vec<Violation>) {
+/// Collects what was recorded about each call, by its name.
+fn collect<'a>(lines: &[&'a Line]) -> BTreeMap<&'a str, Effect<'a>> {
     let mut effects: BTreeMap<&str, Effect> = BTreeMap::new();
-    // A call is known by its name, which all its repeats share; its key stands for the same.
     for line in lines {
         match &line.seen {
             Seen::Received { call, class, gateway, attempt, .. } => {
+                let id = AttemptId { gateway, number: *attempt };
                 let effect = effects.entry(call).or_default();
                 effect.class = class;
-                effect.received.push((line.at_us, &line.who, (gateway, *attempt)));
+                effect.received.push(ReceivedAttempt { at_us: line.at_us, worker: &line.who, id });
             }
             Seen::NeverRan { call, gateway, attempt } => {
-                effects.entry(call).or_default().never_ran.insert((gateway, *attempt));
+                let id = AttemptId { gateway, number: *attempt };
+                effects.entry(call).or_default().unexecuted.insert(id);
             }
             Seen::Ran { call, class, .. } => {
                 let effect = effects.entry(call).or_default();
                 effect.class = class;
-                effect.ran.push((line.at_us, &line.who));
+                effect.runs_us.push(line.at_us);
             }
-            Seen::Answered { call, outcome, reason } if outcome == "refused" && !is_of_a_repeat(reason) => {
-                effects.entry(call).or_default().refused.get_or_insert(line.at_us);
+            Seen::Answered { call, outcome, reason }
+                if outcome == "refused" && !is_duplicate_refusal(reason.as_deref()) =>
+            {
+                effects.entry(call).or_default().refused_us.get_or_insert(line.at_us);
             }
             _ => {}
         }
     }
-    for (call, effect) in effects {
-        match terms.classes.get(effect.class).map(|c| c.effect) {
-            Some(EffectTerms::Unsafe) => {
-                if effect.ran.len() > 1 {
-                    let what = format!("{call} ({}) ran {} times", effect.class, effect.ran.len());
-                    found.push(Violation { rule: Rule::Effects, at_us: effect.ran[1].0, what });
-                }
-                sent_again(call, &effect, found);
-                refused_after_run(call, &effect, found);
-            }
-            Some(EffectTerms::Keyed { group, window_us }) => {
-                keyed(terms, call, &effect, (group, window_us), found);
-                refused_after_run(call, &effect, found);
-            }
-            Some(EffectTerms::Safe) | None => {}
-        }
-    }
+    effects
+}
+
+/// A refusal of a repeated publication as a duplicate is no statement about the attempts of the first one.
+fn is_duplicate_refusal(reason: Option<&str>) -> bool {
+    reason.is_some_and(|text| text.contains("repeat"))
 }
 
-/// A repeat that is refused as such says nothing of what the first asking started.
-fn is_of_a_repeat(reason: &Option<String>) -> bool {
-    reason.as_deref().is_some_and(|r| r.contains("repeat"))
+fn ran_twice(call: &str, effect: &Effect) -> Option<Violation> {
+    let at_us = *effect.runs_us.get(1)?;
+    let what = format!("{call} ({}) ran {} times", effect.class, effect.runs_us.len());
+    Some(Violation { rule: Rule::Effects, at_us, what })
 }
 
-fn sent_again(call: &str, effect: &Effect, found: &mut Vec<Violation>) {
-    let mut open: Option<&str> = None;
-    for (at_us, worker, attempt) in &effect.received {
-        if let Some(first) = open {
-            let what = format!("{call} came to {worker} though it may have run at {first}");
-            found.push(Violation { rule: Rule::Effects, at_us: *at_us, what });
+/// Checks that no attempt follows one that may have run.
+fn check_retries(call: &str, effect: &Effect, violations: &mut Vec<Violation>) {
+    let mut possibly_executed_at: Option<&str> = None;
+    for attempt in &effect.received {
+        if let Some(first) = possibly_executed_at {
+            let what = format!("{call} came to {} though it may have run at {first}", attempt.worker);
+            violations.push(Violation { rule: Rule::Effects, at_us: attempt.at_us, what });
         }
-        if !effect.never_ran.contains(attempt) {
-            open = Some(worker);
+        if effect.is_possibly_executed(attempt) {
+            possibly_executed_at = Some(attempt.worker);
         }
     }
 }
 
-/// A repeat outside the group of the first worker where it may have run, or past the window from its sending.
-fn keyed(
+/// Checks that retries stay in the group of the first worker where the call may have run, and within the window from that
+/// attempt.
+fn check_keyed_retries(
     terms: &Terms,
     call: &str,
     effect: &Effect,
-    (group, window_us): (GroupTerms, i64),
-    found: &mut Vec<Violation>,
+    group: GroupTerms,
+    window_us: i64,
+    violations: &mut Vec<Violation>,
 ) {
-    let place = |worker: &str| {
-        let terms = terms.workers.get(worker);
-        match group {
-            GroupTerms::All => String::new(),
-            GroupTerms::Zone => terms.map(|w| w.zone.clone()).unwrap_or_default(),
-            GroupTerms::Cell => terms.map(|w| w.cell.to_string()).unwrap_or_default(),
-        }
+    let Some(first) = effect.received.iter().find(|attempt| effect.is_possibly_executed(attempt)) else {
+        return;
     };
-    let mut may_have_run = effect.received.iter().filter(|r| !effect.never_ran.contains(&r.2));
-    let Some((first_at, first, _)) = may_have_run.next() else { return };
-    for (at_us, worker, _) in effect.received.iter().filter(|r| r.0 > *first_at) {
-        let what = if place(worker) != place(first) {
-            format!("{call} came to {worker} outside the group of {first}, where it may have run")
-        } else if at_us - first_at > window_us {
-            format!("{call} came to {worker} {} us after {first}, past its window", at_us - first_at)
+    for retry in effect.received.iter().filter(|attempt| attempt.at_us > first.at_us) {
+        let (worker, first_worker) = (retry.worker, first.worker);
+        let after_us = retry.at_us - first.at_us;
+        let what = if group_of(terms, group, worker) != group_of(terms, group, first_worker) {
+            format!("{call} came to {worker} outside the group of {first_worker}, where it may have run")
+        } else if after_us > window_us {
+            format!("{call} came to {worker} {after_us} us after {first_worker}, past its window")
         } else {
             continue;
         };
-        found.push(Violation { rule: Rule::Effects, at_us: *at_us, what });
+        violations.push(Violation { rule: Rule::Effects, at_us: retry.at_us, what });
     }
 }
 
-fn refused_after_run(call: &str, effect: &Effect, found: &mut Vec<Violation>) {
-    let Some(at_us) = effect.refused else { return };
-    let may_have_run = effect.received.iter().any(|r| r.0 <= at_us && !effect.never_ran.contains(&r.2));
-    if may_have_run {
-        let what = format!("{call} was refused though it may have run");
-        found.push(Violation { rule: Rule::Effects, at_us, what });
+/// The name of the worker's group; empty for an unknown worker.
+fn group_of(terms: &Terms, group: GroupTerms, worker: &str) -> String {
+    let worker = terms.workers.get(worker);
+    match group {
+        GroupTerms::All => String::new(),
+        GroupTerms::Zone => worker.map(|terms| terms.zone.clone()).unwrap_or_default(),
+        GroupTerms::Cell => worker.map(|terms| terms.cell.to_string()).unwrap_or_default(),
     }
 }
+
+fn refused_after_run(call: &str, effect: &Effect) -> Option<Violation> {
+    let at_us = effect.refused_us?;
+    let mut before = effect.received.iter().filter(|attempt| attempt.at_us <= at_us);
+    before.any(|attempt| effect.is_possibly_executed(attempt)).then(|| Violation {
+        rule: Rule::Effects,
+        at_us,
+        what: format!("{call} was refused though it may have run"),
+    })
+}
--- a/crates/trace-checker/src/lib.rs
+++ b/crates/trace-checker/src/lib.rs
@@ -1,17 +1,18 @@
-//! The five rules, checked from recorded traffic by arithmetic of its own.
+//! Checks the five rules of the operators against a recorded trace.
 //!
-//! It guards the gateway against its own opinion: all it knows is what passed at the taps, at the clients, at the
-//! workers and where the worker list is told. It shares no code with what it checks. Stand-ins write
-//! [`trace::Line`]s; the scripted bad day and its tests call [`check`]. The format stands in `docs/trace.md`.
+//! The checker depends on no other crate of the project and computes every bound by itself, so that it cannot share a
+//! mistake with the gateway. Its only input is what was recorded at the clients, at the workers and where the worker
+//! list is published. Test servers write [`trace::Line`]s; the chaos test and its tests call [`check`]. The format is
+//! described in `docs/trace.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod agreement;
-mod answers;
-mod cold;
-mod drains;
+mod draining;
 mod effects;
-mod orders;
+mod final_answers;
+mod load_quota;
+mod settings_conflicts;
+mod slow_start;
 mod terms;
 pub mod trace;
 
@@ -20,48 +21,49 @@
 use serde::Serialize;
 use trace::Line;
 
-/// A rule as the users number them; [`Rule::Once`] is part of the first.
+/// A rule, by the operators' numbers. Reports print the variants' names, so these are part of the output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// 1: one final answer before the client gives up.
+    /// Rule 1: one final answer before the client's deadline.
     Answered,
-    /// 1: and no second one that says otherwise.
+    /// Rule 1: no more final answers than publications of the call.
     Once,
-    /// 2: an effect happens as its class allows.
+    /// Rule 2: an effect happens only as often as its class allows.
     Effects,
-    /// 3: nothing new to a worker that drains or is gone.
+    /// Rule 3: no new work for a worker that drains or is gone.
     Drains,
-    /// 4: a cold worker is not pushed over.
+    /// Rule 4: a worker in slow start is not overloaded.
     Cold,
-    /// 5: orders to load are rationed.
+    /// Rule 5: load requests stay within their quota.
     Orders,
-    /// Beside the five: gateways do not act by settings that contradict each other for longer than stated.
+    /// Beside the five: gateways do not act by contradicting settings documents for longer than the stated bound.
     Agreement,
 }
 
-/// A rule that was broken, and where the trace shows it.
+/// One violation of a rule, with its place in the trace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// Which rule.
+    /// The rule.
     pub rule: Rule,
     /// Microseconds of the Unix clock.
     pub at_us: i64,
-    /// What was seen, in words.
+    /// A description for the reader of a report.
     pub what: String,
 }
 
-/// All violations in a trace, in the order of time. Lines may come in any order.
+/// Returns all violations in a trace, ordered by time. Lines may come in any order.
+#[must_use]
 pub fn check(terms: &Terms, lines: &[Line]) -> Vec<Violation> {
     let mut sorted: Vec<&Line> = lines.iter().collect();
-    sorted.sort_by_key(|l| l.at_us);
-    let mut found = Vec::new();
-    answers::check(terms, &sorted, &mut found);
-    effects::check(terms, &sorted, &mut found);
-    drains::check(terms, &sorted, &mut found);
-    cold::check(terms, &sorted, &mut found);
-    orders::check(terms, &sorted, &mut found);
-    agreement::check(terms, &sorted, &mut found);
-    found.sort_by_key(|v| v.at_us);
-    found
+    sorted.sort_by_key(|line| line.at_us);
+    let mut violations = Vec::new();
+    final_answers::check(terms, &sorted, &mut violations);
+    effects::check(terms, &sorted, &mut violations);
+    draining::check(terms, &sorted, &mut violations);
+    slow_start::check(terms, &sorted, &mut violations);
+    load_quota::check(terms, &sorted, &mut violations);
+    settings_conflicts::check(terms, &sorted, &mut violations);
+    violations.sort_by_key(|violation| violation.at_us);
+    violations
 }
--- a/crates/trace-checker/src/terms.rs
+++ b/crates/trace-checker/src/terms.rs
@@ -1,17 +1,17 @@
-//! What the rules are checked against: classes, workers and the rules' figures, in plain numbers.
+//! The terms that a trace is checked against: classes, workers and the rules' bounds. Stored as `terms.json`.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Which workers drop a repeated key.
+/// The workers that share their records of keys, so that a repeated key has no second effect there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GroupTerms {
-    /// All of them.
+    /// All workers.
     All,
-    /// Those of one zone.
+    /// The workers of one zone.
     Zone,
-    /// Those of one cell (a rack).
+    /// The workers of one cell (a rack).
     Cell,
 }
 
@@ -19,33 +19,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EffectTerms {
-    /// As often as may be.
+    /// Idempotent: any number of times.
     Safe,
-    /// Again only within a group and a time from the first sending.
+    /// Idempotent with a key: retried only within a group and a time from the first attempt that may have run.
     Keyed {
         /// The group.
         group: GroupTerms,
-        /// The time.
+        /// Microseconds from the first attempt that may have run.
         window_us: i64,
     },
-    /// Once.
+    /// Non-idempotent: at most once.
     Unsafe,
 }
 
-/// A class.
+/// The terms of a class of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassTerms {
     /// How often its effect may happen.
     pub effect: EffectTerms,
-    /// An answer within this earns the full worth.
+    /// Latency objective in microseconds: an answer within it earns the full weight.
+    #[serde(rename = "aim_us")]
     pub aim_us: i64,
-    /// What an answer is worth.
+    /// Priority weight of an answer.
+    #[serde(rename = "worth")]
     pub worth: f64,
-    /// The part of it that a late answer earns.
+    /// Share of the weight that a late answer earns.
+    #[serde(rename = "late_worth")]
     pub late_worth: f64,
 }
 
-/// Where a worker stands.
+/// The place of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerTerms {
     /// Its zone.
@@ -61,21 +64,26 @@
     pub classes: BTreeMap<String, ClassTerms>,
     /// The workers by name.
     pub workers: BTreeMap<String, WorkerTerms>,
-    /// A final answer counts until so long after the client's budget.
+    /// Microseconds after a client's deadline within which a final answer still counts.
     pub answer_slack_us: i64,
-    /// New work may reach a worker until so long after the list told of its drain.
+    /// Microseconds after the notification of a drain within which new work may still reach the worker.
     pub drain_grace_us: i64,
-    /// Work sent to a cold worker beyond this multiple of its capacity ...
+    /// Multiple of a worker's capacity beyond which the work sent in one window overloads it during slow start.
+    #[serde(rename = "fall_multiple")]
     pub fall_multiple: f64,
-    /// ... over this time pushes it over.
+    /// The window of that overload, in microseconds.
+    #[serde(rename = "fall_window_us")]
     pub fall_window_us: i64,
-    /// The window of the ration of orders; 0 for no ration.
+    /// The window of the load quota, in microseconds; 0 for no quota.
+    #[serde(rename = "ration_window_us")]
     pub ration_window_us: i64,
-    /// Orders free in each window.
+    /// Load requests that are free in each window.
+    #[serde(rename = "ration_free")]
     pub ration_free: f64,
-    /// Further orders for each call asked in the window.
+    /// Further load requests for each call that was published in the window.
+    #[serde(rename = "ration_share")]
     pub ration_share: f64,
-    /// Which settings documents must not be in use together, where gateways act by documents.
+    /// The settings documents that must not be in use together; none where gateways do not act by documents.
     #[serde(default)]
     pub settings: Option<SettingsTerms>,
 }
@@ -83,8 +91,8 @@
 /// Settings documents that contradict each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsTerms {
-    /// Pairs of their numbers, in either order.
+    /// Pairs of the documents' numbers, in either order.
     pub contradict: Vec<(u64, u64)>,
-    /// An attempt by an overtaken document may come so long after the first one by what overtook it, in microseconds.
+    /// Microseconds after the first attempt by a newer document within which an older one may still be in use.
     pub bound_us: i64,
 }
--- a/crates/trace-checker/src/trace.rs
+++ b/crates/trace-checker/src/trace.rs
@@ -1,89 +1,94 @@
-//! The recorded trace: JSON, one line for each thing that passed a tap. Written by the stand-ins, read here.
+//! The recorded trace: one JSON object a line for each event at a tracing point. Test servers write it; the checker reads it.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One thing that passed a tap.
+/// One line of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Microseconds of the Unix clock, the same for all taps on one machine.
+    /// Microseconds of the Unix clock, which all processes on one machine share.
     pub at_us: i64,
-    /// Who saw it: a client's, a worker's or the list's name.
+    /// The recording process: the name of a client, a worker or the worker list.
     pub who: String,
-    /// What was seen.
+    /// The recorded event.
     #[serde(flatten)]
     pub seen: Seen,
 }
 
-/// What a tap saw.
+/// An event, tagged in the trace by the field `seen`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "seen", rename_all = "kebab-case")]
 pub enum Seen {
-    /// Client: a call was published. A call that is published again has the same name.
-    Asked {
-        /// The call's name, in its payload as well.
+    /// Client: a call was published. A call that is published repeatedly keeps its name.
+    #[serde(rename = "asked")]
+    Published {
+        /// The call's name, which its payload contains as well.
         call: String,
         /// Its class.
         class: String,
-        /// Its key, where it has one.
+        /// Its idempotency key, if any.
         key: Option<String>,
-        /// Microseconds until the client gives up.
+        /// Microseconds until the client's deadline.
         budget_us: i64,
-        /// The gateway that was asked.
+        /// The gateway that it was published to.
         gateway: String,
-        /// Whether the same was published before.
-        again: bool,
+        /// Whether the same call was published before.
+        #[serde(rename = "again")]
+        republished: bool,
     },
-    /// Client: an answer came.
+    /// Client: an answer arrived.
     Answered {
         /// The call's name.
         call: String,
         /// `served`, `refused` or `failed`.
         outcome: String,
-        /// The reason told, if any.
+        /// The reason in the answer, if any.
         reason: Option<String>,
     },
-    /// Client: it let its connection go and owes itself no answer for these calls, or the gateway was killed.
-    Left {
+    /// Client: its connection was closed or its gateway was killed, so no answer to this call is owed.
+    #[serde(rename = "left")]
+    Disconnected {
         /// The call's name.
         call: String,
     },
-    /// Worker: the process started, with its capacity from then on.
+    /// Worker: the process started, with this capacity from then on.
     Started {
         /// Share of its full capacity at the start.
         start_capacity: f64,
-        /// Microseconds until it is warm.
-        warm_us: i64,
-        /// Calls that it runs at a time when warm.
-        lanes: f64,
-        /// Whether clients' calls found it running before: its first start is not a cold one.
+        /// Duration of its slow start, in microseconds.
+        #[serde(rename = "warm_us")]
+        slow_start_us: i64,
+        /// Calls that run at a time at full capacity.
+        #[serde(rename = "lanes")]
+        concurrency: f64,
+        /// Whether it is the first start, before the first call; it is exempt from the check of slow start.
         first: bool,
     },
-    /// Worker: a call came.
+    /// Worker: an attempt of a call arrived.
     Received {
         /// The call's name.
         call: String,
         /// Its class.
         class: String,
-        /// Its key, as the client stated it.
+        /// Its idempotency key, as the client stated it.
         key: Option<String>,
         /// The gateway that sent it.
         gateway: String,
-        /// Which attempt, as the gateway counts.
+        /// The attempt's number at that gateway.
         attempt: usize,
-        /// Microseconds of work it brings on a warm lane.
+        /// Microseconds of work at full capacity.
         work_us: i64,
-        /// Numbers of the settings documents that it was sent by; none where the gateway has none.
+        /// Numbers of the settings documents that it was sent by; empty where the gateway has none.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         settings: Vec<u64>,
     },
-    /// Worker: it said that a call never ran and never will.
+    /// Worker: it answered that an attempt did not run and will not run.
     NeverRan {
         /// The call's name.
         call: String,
         /// The gateway that sent it.
         gateway: String,
-        /// Which attempt.
+        /// The attempt's number at that gateway.
         attempt: usize,
     },
     /// Worker: a call's effect happened.
@@ -92,70 +97,76 @@
         call: String,
         /// Its class.
         class: String,
-        /// Its key.
+        /// Its idempotency key, if any.
         key: Option<String>,
     },
-    /// Worker: an order to hold copies came.
-    Ordered {
-        /// Which function.
+    /// Worker: a load request arrived.
+    #[serde(rename = "ordered")]
+    LoadRequested {
+        /// The function.
         function: String,
-        /// How many copies; 0 asks only how many stand.
+        /// Copies to hold; 0 for a query that changes nothing.
         copies: u32,
         /// The gateway that sent it.
         gateway: String,
     },
-    /// Worker: a load began, so its content is fetched from the store.
+    /// Worker: a load began, so the function's content is fetched from the store.
     Fetched {
-        /// Which function.
+        /// The function.
         function: String,
     },
-    /// List: a gateway was told a worker's state.
-    Told {
-        /// Which worker.
+    /// Worker list: a gateway was notified of a worker's state.
+    #[serde(rename = "told")]
+    StateNotified {
+        /// The worker.
         worker: String,
         /// `ready`, `draining` or `gone`.
         state: String,
-        /// Which gateway.
+        /// The gateway.
         gateway: String,
     },
 }
 
-/// Why a text is no trace.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// A line of a text that is not a line of a trace.
+#[derive(Debug)]
 pub struct TraceError {
-    /// The line, from 1.
+    /// The line's number, from 1.
     pub line: usize,
-    /// What is wrong with it.
-    pub what: String,
+    source: serde_json::Error,
 }
 
 impl fmt::Display for TraceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.what)
+        write!(f, "line {}: {}", self.line, self.source)
     }
 }
 
-impl std::error::Error for TraceError {}
+impl std::error::Error for TraceError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        Some(&self.source)
+    }
+}
 
-/// Reads a trace; empty lines are passed over. A last line without its end was cut by a process that died and is
-/// passed over as well.
+/// Parses a trace. Empty lines are skipped, and so is an incomplete last line, which a killed process leaves behind.
 ///
 /// # Errors
-/// Where another line is no line of a trace.
+/// [`TraceError`] for any other line that cannot be parsed.
 pub fn read(text: &str) -> Result<Vec<Line>, TraceError> {
-    let (mut lines, whole) = (Vec::new(), text.ends_with('\n'));
+    let mut lines = Vec::new();
+    let is_complete = text.ends_with('\n');
     let count = text.lines().count();
-    for (n, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
+    for (index, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
         match serde_json::from_str(line) {
             Ok(line) => lines.push(line),
-            Err(_) if n + 1 == count && !whole => {}
-            Err(e) => return Err(TraceError { line: n + 1, what: e.to_string() }),
+            Err(_) if index + 1 == count && !is_complete => {}
+            Err(source) => return Err(TraceError { line: index + 1, source }),
         }
     }
     Ok(lines)
 }
 
-/// A line's text, without its end.
+/// Formats a line as JSON, without the line end.
+#[must_use]
 pub fn write(line: &Line) -> String {
     serde_json::to_string(line).unwrap_or_default()
 }
--- a/crates/trace-checker/tests/stored_forms.rs
+++ b/crates/trace-checker/tests/stored_forms.rs
@@ -11,14 +11,14 @@
     assert_eq!(read(&[literal, "\n"].concat()).unwrap(), [line]);
 }
 
-fn asked(key: Option<&str>, again: bool) -> Seen {
-    Seen::Asked {
+fn asked(key: Option<&str>, republished: bool) -> Seen {
+    Seen::Published {
         call: "call-1".into(),
         class: "booking".into(),
         key: key.map(String::from),
         budget_us: 2_000_000,
         gateway: "gateway-1".into(),
-        again,
+        republished,
     }
 }
 
@@ -52,13 +52,14 @@
 #[test]
 fn a_line_of_a_call_that_was_left_stands() {
     let literal = r#"{"at_us":4,"who":"client-1","seen":"left","call":"call-1"}"#;
-    stands(literal, 4, "client-1", Seen::Left { call: "call-1".into() });
+    stands(literal, 4, "client-1", Seen::Disconnected { call: "call-1".into() });
 }
 
 #[test]
 fn a_line_of_a_worker_that_started_stands() {
     let literal = r#"{"at_us":5,"who":"worker-1","seen":"started","start_capacity":0.25,"warm_us":30000000,"lanes":4.0,"first":true}"#;
-    let seen = Seen::Started { start_capacity: 0.25, warm_us: 30_000_000, lanes: 4.0, first: true };
+    let seen =
+        Seen::Started { start_capacity: 0.25, slow_start_us: 30_000_000, concurrency: 4.0, first: true };
     stands(literal, 5, "worker-1", seen);
 }
 
@@ -104,7 +105,7 @@
 #[test]
 fn a_line_of_an_order_to_hold_copies_stands() {
     let literal = r#"{"at_us":10,"who":"worker-1","seen":"ordered","function":"function-1","copies":3,"gateway":"gateway-1"}"#;
-    let seen = Seen::Ordered { function: "function-1".into(), copies: 3, gateway: "gateway-1".into() };
+    let seen = Seen::LoadRequested { function: "function-1".into(), copies: 3, gateway: "gateway-1".into() };
     stands(literal, 10, "worker-1", seen);
 }
 
@@ -118,5 +119,5 @@
 fn a_line_of_a_state_that_a_gateway_was_told_stands() {
     let literal = r#"{"at_us":12,"who":"list","seen":"told","worker":"worker-1","state":"draining","gateway":"gateway-1"}"#;
     let (worker, state, gateway) = ("worker-1".into(), "draining".into(), "gateway-1".into());
-    stands(literal, 12, "list", Seen::Told { worker, state, gateway });
+    stands(literal, 12, "list", Seen::StateNotified { worker, state, gateway });
 }
--- a/crates/trace-checker/tests/broken.rs
+++ b/crates/trace-checker/tests/violations.rs
@@ -28,8 +28,8 @@
 
 fn asked(at_us: i64, call: &str, class: &str) -> Line {
     let (call, class, key) = (call.into(), class.into(), Some(call.into()));
-    let (gateway, again) = ("g".into(), false);
-    line(at_us, "c", Seen::Asked { call, class, key, budget_us: 2_000_000, gateway, again })
+    let (gateway, republished) = ("g".into(), false);
+    line(at_us, "c", Seen::Published { call, class, key, budget_us: 2_000_000, gateway, republished })
 }
 
 fn answered(at_us: i64, call: &str, outcome: &str) -> Line {
@@ -54,7 +54,11 @@
 }
 
 fn told(at_us: i64, worker: &str, state: &str) -> Line {
-    line(at_us, "list", Seen::Told { worker: worker.into(), state: state.into(), gateway: "g".into() })
+    line(
+        at_us,
+        "list",
+        Seen::StateNotified { worker: worker.into(), state: state.into(), gateway: "g".into() },
+    )
 }
 
 fn broken(lines: &[Line]) -> Vec<Rule> {
@@ -70,7 +74,7 @@
     assert_eq!(broken(&[asked(0, "a", "quote"), answered(2_000_900, "a", "failed")]), []);
     assert_eq!(broken(&[asked(0, "a", "quote"), answered(2_001_100, "a", "served")]), [Rule::Answered]);
     assert_eq!(broken(&[asked(0, "a", "quote")]), [Rule::Answered]);
-    assert_eq!(broken(&[asked(0, "a", "quote"), line(5, "c", Seen::Left { call: "a".into() })]), []);
+    assert_eq!(broken(&[asked(0, "a", "quote"), line(5, "c", Seen::Disconnected { call: "a".into() })]), []);
 }
 
 #[test]
@@ -118,7 +122,7 @@
     };
     assert_eq!(broken(&call(250_010)), []);
     assert_eq!(broken(&call(250_011)), [Rule::Drains]);
-    let order = Seen::Ordered { function: "f".into(), copies: 1, gateway: "g".into() };
+    let order = Seen::LoadRequested { function: "f".into(), copies: 1, gateway: "g".into() };
     assert_eq!(broken(&[told(10, "w1", "gone"), line(300_000, "w1", order)]), [Rule::Drains]);
     let back = [told(10, "w1", "gone"), told(20, "w1", "ready"), received(400_000, "w1", "a", "quote", 0)];
     assert_eq!(broken(&back), []);
@@ -126,8 +130,13 @@
 
 #[test]
 fn a_cold_worker_is_sent_no_more_than_it_can_do() {
-    let started =
-        |first| line(0, "w1", Seen::Started { start_capacity: 0.5, warm_us: 10_000_000, lanes: 1.0, first });
+    let started = |first| {
+        line(
+            0,
+            "w1",
+            Seen::Started { start_capacity: 0.5, slow_start_us: 10_000_000, concurrency: 1.0, first },
+        )
+    };
     // Five calls of 0.1 s in a second are what half a lane can do.
     let calls = |n: i64| (0..n).map(|i| received(i * 10_000, "w1", "a", "quote", i as usize));
     assert_eq!(broken(&[vec![started(false)], calls(5).collect()].concat()), []);
@@ -137,7 +146,8 @@
 
 #[test]
 fn orders_stay_within_their_ration() {
-    let order = |at| line(at, "w1", Seen::Ordered { function: "f".into(), copies: 1, gateway: "g".into() });
+    let order =
+        |at| line(at, "w1", Seen::LoadRequested { function: "f".into(), copies: 1, gateway: "g".into() });
     let asks = [
         asked(0, "a", "quote"),
         answered(1, "a", "served"),
