--- a/crates/fleet-test/src/process.rs
+++ b/crates/fleet-test/src/process.rs
@@ -1,68 +1,66 @@
-//! Child processes of the program. Each is started with a bounded wait for its ready line, ended by the id it was started
-//! with, and reaped; where the parent is killed they end by themselves.
+//! Child processes of the program. A child is started with a bounded wait for its ready line, killed and reaped when dropped,
+//! and killed by the kernel when its parent is.
 
 use rustix::process::{kill_process, set_parent_process_death_signal, Pid, Signal};
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
-use std::process::{Child, Command, Stdio};
-use std::sync::mpsc::{self, Receiver};
+use std::process::{Child, ChildStdout, Command, Stdio};
+use std::sync::mpsc::{self, Receiver, Sender};
+use std::thread;
 use std::time::{Duration, Instant};
 
-/// A child must say that it is ready within this.
+/// The time from the start of a child within which it must print its ready line.
 const READY_WITHIN: Duration = Duration::from_secs(20);
-/// Set for each child: it is to end with whoever started it.
-const WITH_PARENT: &str = "SLATEVALVE_ENDS_WITH_PARENT";
+/// The time between two checks of whether a child has ended.
+const STOP_POLL: Duration = Duration::from_millis(10);
+/// The environment variable that tells a child to end with its parent.
+const END_WITH_PARENT: &str = "SLATEVALVE_ENDS_WITH_PARENT";
 
-/// Has this process killed when the one that started it ends, where that one asked for it by starting it as a [`Process`].
-/// To be called first in `main`.
+/// Has the kernel kill this process when its parent ends, if it was started as a [`Process`]. To be called first in `main`.
 pub fn end_with_parent() {
-    if std::env::var_os(WITH_PARENT).is_some() {
-        // Without it an orphan only lives until it is ended by hand.
+    if std::env::var_os(END_WITH_PARENT).is_some() {
+        // A failure is no reason to stop: the process then outlives its parent until it is ended by hand.
         let _ = set_parent_process_death_signal(Some(Signal::KILL));
     }
 }
 
-/// A running child; killed and reaped when dropped.
+/// A running child, which is killed and reaped when dropped.
 pub struct Process {
     child: Child,
     first_line: Receiver<io::Result<String>>,
     started: Instant,
-    /// Where it listens, once it is ready.
+    /// Its listening address, once it is ready; before, one with port 0.
     pub address: SocketAddr,
 }
 
 impl Process {
-    /// Starts a child and does not wait; see [`Process::ready`].
+    /// Starts a child without waiting; see [`Process::wait_ready`].
     ///
     /// # Errors
     /// When it cannot be started.
     pub fn spawn(mut command: Command) -> io::Result<Self> {
-        command.env(WITH_PARENT, "1");
+        command.env(END_WITH_PARENT, "1");
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?;
-        let stdout = child.stdout.take();
-        let (send, first_line) = mpsc::channel();
-        std::thread::spawn(move || {
-            let mut lines = BufReader::new(stdout?).lines();
-            let _ = send.send(lines.next()?);
-            // Whatever else it prints is read, so that it never waits for us.
-            lines.for_each(drop);
-            Some(())
-        });
+        let (sender, first_line) = mpsc::channel();
+        if let Some(stdout) = child.stdout.take() {
+            // The thread ends with the child, which closes its end of the pipe.
+            thread::spawn(move || read_output(stdout, &sender));
+        }
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
         Ok(Process { child, first_line, started: Instant::now(), address })
     }
 
-    /// Waits until it says where it listens.
+    /// Waits for the ready line, which states the listening address.
     ///
     /// # Errors
-    /// When it does not in time, or says something else.
-    pub fn ready(&mut self) -> io::Result<()> {
-        let left = READY_WITHIN.saturating_sub(self.started.elapsed());
+    /// When the line does not come in time or is a different one.
+    pub fn wait_ready(&mut self) -> io::Result<()> {
+        let remaining = READY_WITHIN.saturating_sub(self.started.elapsed());
         let line = self
             .first_line
-            .recv_timeout(left)
+            .recv_timeout(remaining)
             .map_err(|_| io::Error::other("a child did not get ready"))??;
-        let address = line.strip_prefix("ready ").and_then(|a| a.parse().ok());
+        let address = line.strip_prefix("ready ").and_then(|address| address.parse().ok());
         self.address = address.ok_or_else(|| io::Error::other(format!("a child said: {line}")))?;
         Ok(())
     }
@@ -70,39 +68,40 @@
     /// Starts a child and waits until it is ready.
     ///
     /// # Errors
-    /// See [`Process::spawn`] and [`Process::ready`].
+    /// See [`Process::spawn`] and [`Process::wait_ready`].
     pub fn start(command: Command) -> io::Result<Self> {
         let mut process = Process::spawn(command)?;
-        process.ready()?;
+        process.wait_ready()?;
         Ok(process)
     }
 
-    /// Sends it a signal; one that has ended already is passed by.
+    /// Sends a signal; no effect on a child that has ended.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    /// Whether it has not ended.
+    #[must_use]
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Ends it at once.
+    /// Kills and reaps it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks it to stop and waits for that; gives whether it did by itself and without an error.
-    pub fn stop(&mut self, within: Duration) -> bool {
+    /// Sends SIGTERM and waits for its end; kills it after `timeout`. Returns whether it ended by itself with status 0.
+    pub fn stop(&mut self, timeout: Duration) -> bool {
         self.signal(Signal::TERM);
-        let until = Instant::now() + within;
-        while Instant::now() < until {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             match self.child.try_wait() {
                 Ok(Some(status)) => return status.success(),
-                Ok(None) => std::thread::sleep(Duration::from_millis(10)),
+                Ok(None) => thread::sleep(STOP_POLL),
                 Err(_) => break,
             }
         }
@@ -116,3 +115,12 @@
         self.kill();
     }
 }
+
+/// Sends the first line; reads and discards the rest, so that the child never blocks on a full pipe.
+fn read_output(stdout: ChildStdout, first_line: &Sender<io::Result<String>>) {
+    let mut lines = BufReader::new(stdout).lines();
+    if let Some(line) = lines.next() {
+        let _ = first_line.send(line);
+    }
+    lines.for_each(drop);
+}
--- a/crates/gateway/src/commands/fleet_test.rs
+++ b/crates/gateway/src/commands/fleet_test.rs
@@ -3,12 +3,15 @@
 use super::{say_ready, Outcome};
 use clap::Args;
 use serde_json::json;
-use slatevalve_fleet_test::{page, play, run_link, Kind, LinkPlan, Options, Report, Script};
+use slatevalve_fleet_test::{page, run as run_script, run_link, LinkPlan, Options, Script, TitledReport};
 use std::error::Error;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+/// The width of the band that shows an event on the page, in seconds.
+const EVENT_BAND_S: f64 = 0.02;
+
 #[derive(Args)]
 pub(super) struct FleetTestArguments {
     /// The script
@@ -17,11 +20,11 @@
     #[arg(long)]
     seed: Option<u64>,
     /// Play it first with the routers of this program, an earlier build, and report both
-    #[arg(long)]
-    beside: Option<PathBuf>,
+    #[arg(long = "beside", value_name = "BESIDE")]
+    earlier_build: Option<PathBuf>,
     /// Keep settings, logs and counts in this directory, which must be empty or new
-    #[arg(long)]
-    keep: Option<PathBuf>,
+    #[arg(long = "keep", value_name = "KEEP")]
+    output_directory: Option<PathBuf>,
     /// Write a page with charts
     #[arg(long)]
     page: Option<PathBuf>,
@@ -31,46 +34,42 @@
 }
 
 pub(super) fn run(arguments: FleetTestArguments) -> Outcome {
-    let FleetTestArguments { script, seed, beside, keep, page: to, json } = arguments;
-    let text = fs::read_to_string(&script).map_err(|e| format!("{}: {e}", script.display()))?;
-    let script = Script::parse(&script.display().to_string(), &text)?;
+    let path = &arguments.script;
+    let text = fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
+    let script = Script::parse(&path.display().to_string(), &text)?;
     let program = std::env::current_exe()?;
-    let mut reports: Vec<(&str, Report)> = Vec::new();
-    let plays = beside.map(|b| ("before", b)).into_iter().chain([("now", program.clone())]);
-    for (title, routers) in plays {
-        let keep = keep.as_ref().map(|k| k.join(title));
-        let options = Options { program: program.clone(), routers, seed, keep };
-        let report = play(&script, &options)?;
-        match json {
+    let earlier_build = arguments.earlier_build.map(|earlier| ("before", earlier));
+    let mut reports = Vec::new();
+    for (title, router_program) in earlier_build.into_iter().chain([("now", program.clone())]) {
+        let output_directory = arguments.output_directory.as_ref().map(|directory| directory.join(title));
+        let options =
+            Options { program: program.clone(), router_program, seed: arguments.seed, output_directory };
+        let report = run_script(&script, &options)?;
+        match arguments.json {
             true => println!("{}", json!({"play": title, "report": report})),
             false => print!("{title}: {report}"),
         }
         reports.push((title, report));
     }
-    if let Some(path) = to {
-        write_page(&path, &script, &reports)?;
+    if let Some(page_path) = arguments.page {
+        let titled: Vec<TitledReport> =
+            reports.iter().map(|(title, report)| TitledReport { title, report }).collect();
+        write_page(&page_path, &script, &titled)?;
     }
-    let good = reports.last().is_some_and(|(_, r)| r.is_good());
-    Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let is_good = reports.last().is_some_and(|(_, report)| report.is_good());
+    Ok(if is_good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn write_page(path: &Path, script: &Script, reports: &[(&str, Report)]) -> Result<(), Box<dyn Error>> {
-    let mut bands: Vec<(f64, f64)> = script.events.iter().map(|(at, _)| (*at, at + 0.02)).collect();
-    for group in &script.groups {
-        match &group.kind {
-            Kind::Registry { faults, .. } => bands.extend(faults.iter().map(|f| (f.0, f.0 + f.1))),
-            Kind::Link { faults, .. } => bands.extend(faults.iter().map(|f| (f.0, f.0 + f.1))),
-            _ => {}
-        }
-    }
-    let reports: Vec<(&str, &Report)> = reports.iter().map(|(title, r)| (*title, r)).collect();
-    Ok(fs::write(path, page(&reports, &bands)?)?)
+fn write_page(path: &Path, script: &Script, reports: &[TitledReport]) -> Result<(), Box<dyn Error>> {
+    let events = script.events.iter().map(|timed| (timed.at_s, timed.at_s + EVENT_BAND_S));
+    let bands: Vec<(f64, f64)> = events.chain(script.fault_periods()).collect();
+    Ok(fs::write(path, page(reports, &bands)?)?)
 }
 
 pub(super) fn link(plan: &str) -> Outcome {
     let plan: LinkPlan = serde_json::from_str(plan)?;
     run_link(plan, |address| {
-        // Whoever started it may not listen any more; it works all the same.
+        // The link works as well where the reader of its output has gone.
         let _ = say_ready(address);
     })?;
     Ok(ExitCode::SUCCESS)
--- a/crates/trace-checker/src/terms.rs
+++ b/crates/trace-checker/src/terms.rs
@@ -69,19 +69,14 @@
     /// Microseconds after the notification of a drain within which new work may still reach the worker.
     pub drain_grace_us: i64,
     /// Multiple of a worker's capacity beyond which the work sent in one window overloads it during slow start.
-    #[serde(rename = "fall_multiple")]
     pub fall_multiple: f64,
     /// The window of that overload, in microseconds.
-    #[serde(rename = "fall_window_us")]
     pub fall_window_us: i64,
     /// The window of the load quota, in microseconds; 0 for no quota.
-    #[serde(rename = "ration_window_us")]
     pub ration_window_us: i64,
     /// Load requests that are free in each window.
-    #[serde(rename = "ration_free")]
     pub ration_free: f64,
     /// Further load requests for each call that was published in the window.
-    #[serde(rename = "ration_share")]
     pub ration_share: f64,
     /// The settings documents that must not be in use together; none where gateways do not act by documents.
     #[serde(default)]
