--- a/crates/gateway/src/chaos_test/mod.rs
+++ b/crates/gateway/src/chaos_test/mod.rs
@@ -1,109 +1,68 @@
-//! The scripted bad day: real gateways and workers on loopback, trouble by the clock, the rules checked from what
-//! passed on the sockets. Called by the command line and by tests.
+//! The chaos test: gateways and test workers as processes on loopback, faults and events by a script, and the rules checked
+//! from the recorded traffic. The command line calls [`run`].
 
-mod calls;
-mod day;
+mod arrivals;
+mod error;
 mod report;
+mod runner;
 pub mod script;
 
-pub use report::Report;
+pub use error::ChaosTestError;
+pub use report::{Report, WindowReport};
 
-use crate::plugins::folder::FolderError;
-use day::Day;
+use runner::{RunRecord, Runner};
 use script::Script;
-use slatevalve_sexpr::FormError;
-use slatevalve_trace_checker::trace::{self, TraceError};
-use std::fmt;
+use slatevalve_trace_checker::trace;
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a day could not be lived through.
-#[derive(Debug)]
-pub enum ChaosTestError {
-    /// The script or the settings in it.
-    Settings(FormError),
-    /// The script asks for what cannot be.
-    Script(String),
-    /// A process or a file.
-    Io(io::Error),
-    /// The folder of plug-ins.
-    Plugins(FolderError),
-    /// A record is no trace.
-    Trace(String, TraceError),
-}
-
-impl fmt::Display for ChaosTestError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ChaosTestError::Settings(e) => e.fmt(f),
-            ChaosTestError::Script(words) => f.write_str(words),
-            ChaosTestError::Io(e) => e.fmt(f),
-            ChaosTestError::Plugins(e) => e.fmt(f),
-            ChaosTestError::Trace(file, e) => write!(f, "{file}: {e}"),
-        }
-    }
-}
-
-impl std::error::Error for ChaosTestError {}
-
-impl From<FormError> for ChaosTestError {
-    fn from(e: FormError) -> Self {
-        ChaosTestError::Settings(e)
-    }
-}
-
-impl From<FolderError> for ChaosTestError {
-    fn from(e: FolderError) -> Self {
-        ChaosTestError::Plugins(e)
-    }
-}
-
-impl From<io::Error> for ChaosTestError {
-    fn from(e: io::Error) -> Self {
-        ChaosTestError::Io(e)
-    }
-}
-
-/// How a day is to be run.
+/// The options of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Seed of calls, workers and gateways.
+    /// The seed of calls, workers and gateways.
     pub seed: u64,
-    /// Where settings, logs and traces are kept; elsewhere they go with the run.
+    /// The directory for settings, logs and traces, which must be empty or new; without one they are removed after the run.
     pub keep: Option<PathBuf>,
     /// The gateways' log level.
     pub log_level: String,
 }
 
-/// Lives through a script and checks the rules. `progress` is told the seconds so far and the calls open.
+/// Runs a script and checks the rules. `progress` is called with the seconds since the start and the number of open calls.
 ///
 /// # Errors
-/// When a process, a file or the script fails; a broken rule is no error but part of the report.
+/// When a process, a file or the script fails; a violated rule is not an error but part of the report.
 pub fn run(
     script: &Script,
     options: &Options,
     progress: impl FnMut(f64, usize),
 ) -> Result<Report, ChaosTestError> {
     let temporary = tempfile::tempdir()?;
-    let directory: &Path = match &options.keep {
-        Some(directory) => {
-            fs::create_dir_all(directory)?;
-            // A record of an earlier day there would be read as part of this one.
-            if fs::read_dir(directory)?.next().is_some() {
-                return Err(ChaosTestError::Script(format!("{} is not empty", directory.display())));
-            }
-            directory
-        }
+    let directory = match &options.keep {
+        Some(directory) => prepare_output(directory)?,
         None => temporary.path(),
     };
-    let (day, start_us) = Day::start(script, directory, options.seed, &options.log_level)?;
-    let record = day.run(start_us, progress)?;
+    let record = Runner::start(script, directory, options)?.run(progress)?;
     if options.keep.is_some() {
-        let text: String = record.lines.iter().map(|l| trace::write(l) + "\n").collect();
-        fs::write(directory.join("all.jsonl"), text)?;
-        let terms = serde_json::to_string_pretty(&record.terms).map_err(io::Error::other)?;
-        fs::write(directory.join("terms.json"), terms)?;
+        write_record(directory, &record)?;
     }
     Ok(Report::new(&script.name, options.seed, &record))
 }
+
+/// Creates the directory; files of an earlier run in it would be read as part of this one.
+fn prepare_output(directory: &Path) -> Result<&Path, ChaosTestError> {
+    fs::create_dir_all(directory)?;
+    match fs::read_dir(directory)?.next() {
+        Some(_) => Err(ChaosTestError::NotEmpty(directory.into())),
+        None => Ok(directory),
+    }
+}
+
+/// Writes the files that `slatevalve rules` reads.
+fn write_record(directory: &Path, record: &RunRecord) -> Result<(), ChaosTestError> {
+    let text: String = record.lines.iter().map(|line| trace::write(line) + "\n").collect();
+    fs::write(directory.join("all.jsonl"), text)?;
+    let terms = serde_json::to_string_pretty(&record.terms).map_err(io::Error::other)?;
+    fs::write(directory.join("terms.json"), terms)?;
+    Ok(())
+}
--- /dev/null
+++ b/crates/gateway/src/chaos_test/runner/terms.rs
@@ -0,0 +1,55 @@
+//! The terms that the trace of a run is checked against, by the gateways' settings.
+
+use super::Runner;
+use crate::settings::Site;
+use slatevalve::{Class, Effect, Group};
+use slatevalve_trace_checker::{ClassTerms, EffectTerms, GroupTerms, Terms, WorkerTerms};
+use std::collections::BTreeMap;
+
+impl Runner<'_> {
+    pub(super) fn terms(&self, site: &Site) -> Terms {
+        let module = &site.engine.module;
+        let classes = site.classes.iter().zip(&module.classes);
+        Terms {
+            classes: classes.map(|(name, class)| (name.clone(), class_terms(class))).collect(),
+            workers: self.worker_terms(),
+            answer_slack_us: module.rules.answer_slack.0,
+            drain_grace_us: module.rules.drain_grace.0,
+            fall_multiple: module.rules.fall_multiple,
+            fall_window_us: module.rules.fall_window.0,
+            ration_window_us: module.loading.ration_window.0,
+            ration_free: module.loading.ration_free,
+            ration_share: module.loading.ration_share,
+            settings: None,
+        }
+    }
+
+    fn worker_terms(&self) -> BTreeMap<String, WorkerTerms> {
+        let terms = |index| WorkerTerms { zone: self.zone(index), cell: self.cell(index) };
+        (0..self.workers.len()).map(|index| (format!("worker-{index}"), terms(index))).collect()
+    }
+}
+
+fn class_terms(class: &Class) -> ClassTerms {
+    ClassTerms {
+        effect: effect_terms(class.effect),
+        aim_us: class.latency_objective.0,
+        worth: class.priority_weight,
+        late_worth: class.late_value,
+    }
+}
+
+fn effect_terms(effect: Effect) -> EffectTerms {
+    match effect {
+        Effect::Safe => EffectTerms::Safe,
+        Effect::Unsafe => EffectTerms::Unsafe,
+        Effect::Keyed { group, memory } => {
+            let group = match group {
+                Group::All => GroupTerms::All,
+                Group::Zone => GroupTerms::Zone,
+                Group::Cell => GroupTerms::Cell,
+            };
+            EffectTerms::Keyed { group, window_us: memory.0 }
+        }
+    }
+}
