--- a/crates/gateway/src/chaos_test/report/mod.rs
+++ b/crates/gateway/src/chaos_test/report/mod.rs
@@ -168,7 +168,8 @@
         let mut all = CallStatistics::new();
         let mut window = record.window.map(|window| (window, CallStatistics::new()));
         for call in record.calls.values() {
-            let (Some(published_us), Some(class)) = (call.asked_us, record.terms.classes.get(&call.class))
+            let (Some(published_us), Some(class)) =
+                (call.published_us, record.terms.classes.get(&call.class))
             else {
                 continue;
             };
@@ -197,7 +198,7 @@
             Some("served") => self.served += 1,
             Some("refused") => self.refused += 1,
             Some(_) => self.failed += 1,
-            None if call.left => self.disconnected += 1,
+            None if call.is_disconnected => self.disconnected += 1,
             None => {}
         }
     }
--- a/crates/gateway/src/chaos_test/runner/mod.rs
+++ b/crates/gateway/src/chaos_test/runner/mod.rs
@@ -15,7 +15,7 @@
 use crate::settings::{Named, Site};
 use processes::{Gateway, Worker};
 use slatevalve_sexpr::File;
-use slatevalve_test_servers::{unix_micros, ClientPlan, ClientReport, Driver, Tap};
+use slatevalve_test_servers::{unix_micros, ClientPlan, ClientReport, Driver, TraceWriter};
 use slatevalve_trace_checker::trace::{self, Line};
 use slatevalve_trace_checker::Terms;
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
     workers: Vec<Worker>,
     gateways: Vec<Gateway>,
     /// The trace of the worker list.
-    list_trace: Tap,
+    list_trace: TraceWriter,
     tenants: Vec<String>,
 }
 
@@ -82,7 +82,7 @@
         directory: &'a Path,
         options: &'a Options,
     ) -> Result<Self, ChaosTestError> {
-        let list_trace = Tap::open("list", Some(&directory.join("list.trace")))?;
+        let list_trace = TraceWriter::open("list", Some(&directory.join("list.trace")))?;
         let processes = script.fleet.workers + script.gateways;
         let mut runner = Runner {
             script,
@@ -178,7 +178,7 @@
                 return Ok(());
             }
             driver.poll(POLL)?;
-            progress((now - self.start_us) as f64 / 1e6, driver.open());
+            progress((now - self.start_us) as f64 / 1e6, driver.open_calls());
         }
     }
 
--- a/crates/gateway/src/chaos_test/runner/processes.rs
+++ b/crates/gateway/src/chaos_test/runner/processes.rs
@@ -43,7 +43,7 @@
     /// Starts its process again, at the same address and without loaded functions.
     pub(super) fn restart(&mut self) -> Result<(), ChaosTestError> {
         self.plan.listen = self.address;
-        self.plan.cold = true;
+        self.plan.is_restart = true;
         self.restarted_ms = Some(unix_micros() / 1_000);
         self.process = Some(child_processes::start_worker(&self.plan)?);
         Ok(())
--- a/crates/gateway/src/chaos_test/runner/steps.rs
+++ b/crates/gateway/src/chaos_test/runner/steps.rs
@@ -24,11 +24,11 @@
                 if let Some(mut process) = self.gateways[gateway].process.take() {
                     process.kill();
                 }
-                driver.killed(gateway);
+                driver.disconnect_gateway(gateway);
             }
             Step::StartGateway(gateway) => {
                 self.start_gateway(gateway)?;
-                driver.moved(gateway, self.gateways[gateway].address);
+                driver.set_gateway_address(gateway, self.gateways[gateway].address);
             }
             Step::PauseGateway(gateway) => {
                 self.gateways[gateway].is_paused = true;
@@ -73,7 +73,7 @@
 
     /// Records in the trace that a gateway was notified of a worker's state.
     fn record_notice(&mut self, gateway: usize, worker: usize) {
-        self.list_trace.saw(Seen::StateNotified {
+        self.list_trace.record(Seen::StateNotified {
             worker: format!("worker-{worker}"),
             state: self.workers[worker].state.as_str().into(),
             gateway: self.gateways[gateway].name.clone(),
--- a/crates/gateway/src/chaos_test/script/parser.rs
+++ b/crates/gateway/src/chaos_test/script/parser.rs
@@ -154,7 +154,7 @@
         work_us: default.work_us,
         load_on_call: fields.or("load-on-call", default.load_on_call, Form::flag)?,
         start_capacity: fields.or("start-capacity", default.start_capacity, Form::number)?,
-        warm_us: fields.or("warm-ms", default.warm_us, micros)?,
+        slow_start_us: fields.or("warm-ms", default.slow_start_us, micros)?,
         preloaded: Vec::new(),
     })
 }
@@ -195,7 +195,7 @@
         "garbage" => FaultKind::Garbage,
         "bare-503" => FaultKind::Bare503,
         "late-ms" => FaultKind::Late { by_us: form.millis()?.0 },
-        "lose-answers" => FaultKind::LoseAnswers { part: form.number()? },
+        "lose-answers" => FaultKind::LoseAnswers { share: form.number()? },
         "slow" => FaultKind::Slow { factor: form.number()? },
         "pause" => FaultKind::Pause,
         "refuse-class" => FaultKind::RefuseClass { class: form.text()? },
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -111,7 +111,7 @@
         driver.poll(CLIENT_POLL)?;
     }
     let results = driver.reports().iter().map(|(call, report)| {
-        let (latency_us, outcome) = match (&report.answer, report.asked_us) {
+        let (latency_us, outcome) = match (&report.answer, report.published_us) {
             (Some((answered_us, outcome)), Some(published_us)) => {
                 (answered_us - published_us, outcome.clone())
             }
--- a/crates/test-servers/src/kv/mod.rs
+++ b/crates/test-servers/src/kv/mod.rs
@@ -1,8 +1,12 @@
-//! The stand-in key-value registry: sockets around a [`KvStore`] that speak etcd's JSON mapping, and its faults. Watches
-//! stream lines; what a watcher does not read is bounded, and it is dropped beyond.
+//! The test registry: a key-value store with revisions, leases and watches that is served by the JSON mapping of etcd's API,
+//! with scripted faults.
 
+mod plan;
+mod requests;
 mod server;
 mod store;
+mod watches;
 
-pub use server::{run_kv, Capacity, KvFault, KvFaultKind, KvPlan};
+pub use plan::{Capacity, KvFault, KvFaultKind, KvPlan};
+pub use server::run_kv;
 pub use store::{KvStore, Refusal};
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,26 +1,27 @@
-//! Stand-ins for what the gateway meets: a worker, a broker and clients, as small scripted processes of our own.
+//! Test servers: the programs that a gateway talks to, as small processes with scripted faults: a worker, an MQTT broker, a
+//! key-value registry, an OCI registry, and clients.
 //!
-//! They guard the tests against a gateway that is only tested with well-behaved peers: each fault that the users
-//! know by name can be played at a stated time. They write what passed their sockets as [`slatevalve_trace_checker::trace`]
-//! lines and know nothing of the gateway's inside. The command line and the scripted bad day start them.
+//! They make sure that the gateway is tested with peers that misbehave: each fault has a time of the clock. Workers and
+//! clients record their traffic as [`slatevalve_trace_checker::trace`] lines. None uses the gateway's code, except that
+//! workers and registries share its codecs. The command line, the demo, the chaos test and the fleet test start them.
+#![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod broker;
+mod call_body;
 mod client;
-mod entry;
-mod faults;
+mod clock;
 mod kv;
-mod overtaken;
+mod listen;
 mod registry;
-mod service;
-mod tap;
+mod trace_writer;
 mod worker;
 
 pub use broker::{run_broker, BrokerFault, BrokerFaultKind, BrokerPlan};
+pub use call_body::CallBody;
 pub use client::{Arrival, ClientPlan, ClientReport, Driver};
-pub use faults::{Fault, FaultKind};
+pub use clock::unix_micros;
 pub use kv::{run_kv, Capacity, KvFault, KvFaultKind, KvPlan, KvStore, Refusal};
 pub use registry::{run_registry, RegistryFault, RegistryFaultKind, RegistryPlan};
-pub use service::{CallBody, ServicePlan};
-pub use tap::{unix_micros, Tap};
-pub use worker::{run_worker, RegisterPlan, WorkerPlan};
+pub use trace_writer::TraceWriter;
+pub use worker::{run_worker, Fault, FaultKind, RegisterPlan, ServicePlan, WorkerPlan};
--- /dev/null
+++ b/crates/test-servers/src/trace_writer.rs
@@ -0,0 +1,41 @@
+//! Writes trace lines to a file. Each line is written by one call, so that the trace of a killed process lacks at most the
+//! last event.
+
+use crate::clock::unix_micros;
+use slatevalve_trace_checker::trace::{write, Line, Seen};
+use std::fs::{File, OpenOptions};
+use std::io::{self, Write};
+use std::path::Path;
+
+/// The trace of one process.
+#[derive(Debug)]
+pub struct TraceWriter {
+    /// The name of the process in the trace.
+    who: String,
+    file: Option<File>,
+}
+
+impl TraceWriter {
+    /// Opens a file to append to; without a path nothing is recorded.
+    ///
+    /// # Errors
+    /// When the file cannot be opened.
+    pub fn open(who: &str, path: Option<&Path>) -> io::Result<Self> {
+        let file = path.map(|path| OpenOptions::new().create(true).append(true).open(path)).transpose()?;
+        Ok(TraceWriter { who: who.into(), file })
+    }
+
+    /// Records an event with the current time.
+    pub fn record(&mut self, seen: Seen) {
+        self.record_at(unix_micros(), seen);
+    }
+
+    /// Records an event with a time, in microseconds of the Unix clock.
+    pub fn record_at(&mut self, at_us: i64, seen: Seen) {
+        if let Some(file) = &mut self.file {
+            let line = Line { at_us, who: self.who.clone(), seen };
+            // A full disk must not end a test server; the check of the trace finds what is absent.
+            let _ = file.write_all((write(&line) + "\n").as_bytes());
+        }
+    }
+}
