--- a/crates/gateway/src/chaos_test/report/mod.rs
+++ b/crates/gateway/src/chaos_test/report/mod.rs
@@ -10,7 +10,7 @@
 use slatevalve_trace_checker::{check, ClassTerms, EffectTerms, Rule, Violation};
 use std::collections::BTreeMap;
 
-/// The largest latency that is told apart from larger ones, in microseconds.
+/// The largest latency that is recorded exactly, in microseconds.
 const MAX_LATENCY_US: u64 = 600_000_000;
 /// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 3;
--- a/crates/gateway/tests/fleet_test.rs
+++ b/crates/gateway/tests/fleet_test.rs
@@ -1,5 +1,5 @@
-//! Small rehearsals: several processes of the program, faults between them, and what has to come of it. Bounds are counts and
-//! orders of events; the times in them are wide, so that a busy machine changes no verdict. One is played at a time.
+//! Small fleet tests: several processes of the program, faults between them, and the expected results. Bounds are counts and
+//! orders of events; the times in them are wide, so that a busy machine changes no result. The tests run one at a time.
 
 mod support;
 
@@ -11,16 +11,19 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-static ONE: Mutex<()> = Mutex::new(());
+/// Held by the test that runs.
+static RUNNING: Mutex<()> = Mutex::new(());
 
 const SITE: &str = r#"(settings (class "quote" (effect safe) (aim-ms 400) (deadline-ms 1500))
     (route "calls/+" (class "quote") (function "{2}")))"#;
 
-fn one() -> MutexGuard<'static, ()> {
-    ONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Waits until no other test runs.
+fn run_alone() -> MutexGuard<'static, ()> {
+    RUNNING.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn play(script: &str, arguments: &[&str]) -> Output {
+/// Runs a script in which `SITE` stands for [`SITE`].
+fn run_script(script: &str, arguments: &[&str]) -> Output {
     let directory = tempfile::tempdir().unwrap();
     let file = directory.path().join("script.scm");
     fs::write(&file, script.replace("SITE", SITE)).unwrap();
@@ -28,14 +31,14 @@
     command.args(["--log-level", "warn", "fleet-test"]).arg(&file).args(arguments).output().unwrap()
 }
 
-/// The report of a rehearsal in which all that was expected came.
-fn good(script: &str) -> Value {
-    let output = play(script, &["--json"]);
+/// The report of a fleet test that met all expectations.
+fn successful_report(script: &str) -> Value {
+    let output = run_script(script, &["--json"]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    let told: Value = serde_json::from_str(&text).unwrap_or_else(|e| {
+    let printed: Value = serde_json::from_str(&text).unwrap_or_else(|e| {
         panic!("{e}: {text}{}", String::from_utf8_lossy(&output.stderr));
     });
-    let report = told["report"].clone();
+    let report = printed["report"].clone();
     assert!(output.status.success(), "{}", report["findings"]);
     report
 }
@@ -46,8 +49,8 @@
 
 #[test]
 fn routers_started_together_all_list_and_hear_a_drain_and_none_lists_the_others() {
-    let _one = one();
-    let report = good(
+    let _running = run_alone();
+    let report = successful_report(
         r#"(name "together") (seconds 4)
         (registry "kv" (entries 20)) (link "net" (to "kv"))
         (routers "r" (count 8) (by "net") SITE)
@@ -61,9 +64,9 @@
 
 #[test]
 fn answers_that_a_link_drops_are_asked_for_again_and_a_drain_in_the_gap_is_heard() {
-    let _one = one();
+    let _running = run_alone();
     // From 1 to 4 s the service hears and nobody hears it; connections stay open, so nothing ends by itself.
-    let report = good(
+    let report = successful_report(
         r#"(name "deaf") (seconds 8)
         (registry "kv" (entries 20)) (link "net" (to "kv"))
         (routers "r" (count 4) (by "net") (members (timeout-ms 500) (look-ms 300)) SITE)
@@ -77,8 +80,8 @@
 
 #[test]
 fn routers_that_are_killed_together_come_back_with_their_lists_and_ask_for_what_changed_only() {
-    let _one = one();
-    let report = good(
+    let _running = run_alone();
+    let report = successful_report(
         r#"(name "restart") (seconds 6)
         (registry "kv" (entries 400)) (link "net" (to "kv"))
         (routers "r" (count 4) (by "net") (remember yes) SITE)
@@ -98,8 +101,8 @@
 
 #[test]
 fn a_service_that_is_silent_at_the_start_and_a_router_that_stood_still_lose_no_drain() {
-    let _one = one();
-    let report = good(
+    let _running = run_alone();
+    let report = successful_report(
         r#"(name "late") (seconds 9)
         (registry "kv" (entries 20)) (link "net" (to "kv"))
         (routers "r" (count 4) (by "net") (members (timeout-ms 500)) SITE)
@@ -117,8 +120,8 @@
 
 #[test]
 fn a_relay_that_is_killed_and_one_that_stands_still_cost_no_drain_and_the_registry_is_the_last_resort() {
-    let _one = one();
-    let report = good(
+    let _running = run_alone();
+    let report = successful_report(
         r#"(name "relays") (seconds 9)
         (registry "kv" (entries 20)) (link "direct" (to "kv"))
         (relays "a" (count 1) (by "kv")) (relays "b" (count 1) (by "kv"))
@@ -141,8 +144,8 @@
 
 #[test]
 fn a_relay_that_is_cut_from_its_registry_is_left_before_a_drain_could_be_missed() {
-    let _one = one();
-    let report = good(
+    let _running = run_alone();
+    let report = successful_report(
         r#"(name "lost") (seconds 8)
         (registry "kv" (entries 20)) (link "direct" (to "kv")) (link "up" (to "kv"))
         (relays "a" (count 1) (by "up"))
@@ -157,8 +160,8 @@
 
 #[test]
 fn what_is_expected_and_does_not_come_ends_with_1_and_a_script_with_an_error_starts_nothing() {
-    let _one = one();
-    let output = play(
+    let _running = run_alone();
+    let output = run_script(
         r#"(name "never") (seconds 2)
         (registry "kv" (entries 5)) (link "net" (to "kv"))
         (fault (at-s 0) (for-s 9) (link "net") (drop questions))
@@ -168,7 +171,7 @@
     );
     assert_eq!(output.status.code(), Some(1), "{}", String::from_utf8_lossy(&output.stderr));
     assert!(String::from_utf8_lossy(&output.stdout).contains("2 of 2 lives do not"));
-    let broken = play("(name \"x\") (seconds 1)\n(registry \"kv\")\n(link \"net\" (to \"vk\"))", &[]);
+    let broken = run_script("(name \"x\") (seconds 1)\n(registry \"kv\")\n(link \"net\" (to \"vk\"))", &[]);
     let words = String::from_utf8_lossy(&broken.stderr).into_owned();
     assert_eq!(broken.status.code(), Some(2));
     assert!(words.contains("script.scm:3: (to") && words.contains("vk is not named before"), "{words}");
@@ -176,7 +179,7 @@
 
 #[test]
 fn a_rehearsal_that_is_killed_leaves_no_process_behind() {
-    let _one = one();
+    let _running = run_alone();
     let directory = tempfile::tempdir().unwrap();
     let (file, keep) = (directory.path().join("script.scm"), directory.path().join("kept"));
     let script = r#"(name "cut") (seconds 60) (registry "kv") (routers "r" (count 1) (by "kv") SITE)"#;
--- a/crates/trace-checker/src/trace.rs
+++ b/crates/trace-checker/src/trace.rs
@@ -15,7 +15,7 @@
     pub seen: Seen,
 }
 
-/// An event, tagged in the trace by the field `seen`.
+/// An event. In the trace, the field "seen" states its kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "seen", rename_all = "kebab-case")]
 pub enum Seen {
