--- a/crates/gateway/src/commands/members.rs
+++ b/crates/gateway/src/commands/members.rs
@@ -113,7 +113,7 @@
         };
         let (key, record, gone) = match change {
             Change::Put { key, value, .. } => (key, value.clone(), false),
-            Change::Gone { key } => (key, Vec::new(), true),
+            Change::Deleted { key } => (key, Vec::new(), true),
         };
         let name = name(key);
         let (kind, name) = name.split_once("s/").unwrap_or(("other", &name));
--- a/crates/gateway/src/members/registry.rs
+++ b/crates/gateway/src/members/registry.rs
@@ -6,8 +6,8 @@
 use slatevalve::Micros;
 use slatevalve_reactor::{Reactor, ReactorEvent};
 use slatevalve_registry::{
-    ClientEvent, ClientSettings, Freshness, MemberChange, Members, RouterCount, RouterCountSettings,
-    RouterRecord, WorkerRecord,
+    ClientEvent, ClientSettings, Freshness, LoadedSnapshot, MemberChange, Members, RouterCount,
+    RouterCountSettings, RouterRecord, WorkerRecord,
 };
 use slatevalve_registry_transport::Link;
 use std::collections::BTreeMap;
@@ -83,15 +83,15 @@
                 return warn!(path = %path.display(), %error, "the last list of workers is not read")
             }
         };
-        match self.link.client_mut().watch_state_mut().remember(&kept) {
-            Ok((changes, routers)) => {
+        match self.link.client_mut().watch_state_mut().load_snapshot(&kept) {
+            Ok(LoadedSnapshot { changes, clients: routers }) => {
                 // So many there were, all the more where all start again together.
                 if routers > self.census.routers() {
                     self.census = RouterCount::new(census, routers);
                     self.link.client_mut().askers(routers);
                     self.news.push(News::Routers(routers));
                 }
-                let (_, errors) = self.members.take(changes);
+                let (_, errors) = self.members.apply(changes);
                 errors.iter().for_each(|error| warn!(%error, "a record is not taken"));
                 info!(workers = self.members.workers().len(), "the last list of workers, from the disk");
                 self.news.push(News::Remembered(self.members.workers().clone()));
@@ -110,7 +110,7 @@
         for heard in self.link.take_events() {
             match heard {
                 ClientEvent::Changes(changes) => {
-                    let (told, errors) = self.members.take(changes);
+                    let (told, errors) = self.members.apply(changes);
                     errors
                         .iter()
                         .for_each(|error| warn!(%error, "a record is not taken; what was known stays"));
@@ -118,7 +118,7 @@
                     if self.told_full {
                         let changes = told.into_iter().filter_map(|change| match change {
                             MemberChange::Worker(name, record) => Some((name, Some(record))),
-                            MemberChange::WorkerGone(name) => Some((name, None)),
+                            MemberChange::WorkerRemoved(name) => Some((name, None)),
                             MemberChange::Routers(_) => None,
                         });
                         let changes: Vec<_> = changes.collect();
@@ -137,29 +137,28 @@
                 ClientEvent::Answered(ticket, _) => self.left |= self.leaving == Some(ticket),
             }
         }
-        let view = self.link.client().watch_state().view(now.0);
+        let view = self.link.client().watch_state().freshness(now.0);
         match view {
             Freshness::Current if !self.told_full => {
                 (self.told_full, self.told_refused) = (true, false);
                 self.news.push(News::Full(self.workers()));
             }
             // Also at a start without a list of any kind: the module asks nothing of a list that it has not.
-            Freshness::Silent if !self.told_refused => {
+            Freshness::Stale if !self.told_refused => {
                 (self.told_full, self.told_refused) = (false, true);
                 error!("nothing is heard of the registry; the workers that were known are used on");
                 self.news.push(News::Refused);
             }
             _ => {}
         }
-        let current = view == Freshness::Current;
-        let counted = self.listed.and_then(|count| self.census.listed(now.0, count, current));
+        let counted = self.listed.and_then(|count| self.census.listed(now.0, count, view));
         if let Some(routers) = counted {
             info!(routers, "routers");
             self.link.client_mut().askers(routers);
             self.news.push(News::Routers(routers));
         }
         if changed || counted.is_some() {
-            let kept = self.link.client().watch_state().keep(self.census.routers());
+            let kept = self.link.client().watch_state().to_snapshot(self.census.routers());
             if let Some(file) = &self.remembered_file {
                 file.write(kept);
             }
@@ -184,9 +183,8 @@
     fn next_wake(&self, now: Micros) -> Micros {
         let watch_state = self.link.client().watch_state();
         let mut due = self.link.next_wake(now.0);
-        for at in [watch_state.silent_at_us().filter(|_| self.told_full), self.census.due_us()]
-            .into_iter()
-            .flatten()
+        for at in
+            [watch_state.stale_at_us().filter(|_| self.told_full), self.census.due_us()].into_iter().flatten()
         {
             due = due.min(at);
         }
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -1,41 +1,47 @@
-//! When to ask a service that hundreds of others ask too: the first time, again after a failure, and from time to time. A
-//! decision module without I/O; the registry's client (of gateways, workers and relays) and the change log's follower call it.
+//! When to poll a service that hundreds of other clients poll too: the first time, after a failure, and periodically. No I/O;
+//! used by the registry's client (in gateways, workers and relays) and by the follower of the change log.
 //!
-//! It guards the service against a fleet that was started, cut off or turned away in the same instant, by three means:
-//! a drawn moment within a window that grows with the number of askers (full jitter, Brooker 2015: the draw is over the whole
-//! window, from 0 on); windows that double with each failure in a row, so that askers that know too small a number of each
-//! other still make room; and the service's own word, which is added to, never cut. It guards the asker by a bound: no wait is
-//! longer than [`Limits::longest_us`], however many askers there are, as a drain must be heard within a stated time.
+//! The service is protected from a fleet that was started, disconnected or rejected at the same time: delays are drawn from a
+//! window that grows with the number of clients (full jitter, Brooker 2015: over the whole window, from 0 on); windows double
+//! with each consecutive failure, so that clients which assume too small a fleet still make room; and the service's
+//! `Retry-After` is extended by a draw, never shortened. The client is protected by a bound: no delay is longer than
+//! [`Limits::longest_us`], whatever the number of clients, as a drain must be received within a stated time.
 //!
-//! Two askers of the same seed would draw the same; [`seed_of`] makes seeds of names.
+//! Two clients of the same seed would draw the same delays; [`seed_of`] derives seeds from names.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The part of what the service takes that is asked of it: drawn moments come in clusters.
-const PART: f64 = 0.8;
-/// Windows of a fleet that a wait may grow to, and doublings counted at most.
-const GROWTH: f64 = 4.0;
-const DOUBLINGS: u32 = 16;
-/// The least part of a recurring time, the rest is drawn.
-const STEADY: f64 = 0.9;
-
-/// What is known of the service and of how long anything may wait. Times in microseconds.
+/// The share of the service's request rate that is used, as drawn moments cluster.
+const RATE_SHARE: f64 = 0.8;
+/// The least request rate that is calculated with, in requests a second, against division by zero.
+const RATE_MIN: f64 = 1e-3;
+/// The least share of the request rate for a periodic request, in requests a second, against division by zero.
+const PERIODIC_RATE_MIN: f64 = 1e-6;
+/// The longest delay after failures, in jitter windows of the fleet.
+const WINDOWS_PER_DELAY_MAX: f64 = 4.0;
+/// The window is doubled for at most this many failures.
+const DOUBLINGS_MAX: u32 = 16;
+/// The constant part of an interval; the rest is drawn.
+const INTERVAL_CONSTANT_PART: f64 = 0.9;
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// The capacity of the service, and bounds of delays. Times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Requests a second that the service takes from all askers together.
+    /// Requests a second that the service accepts from all clients together.
     pub per_second: f64,
-    /// Requests that one asker makes when it begins to follow.
+    /// Requests that one client sends when it starts.
     pub requests: f64,
-    /// The window of the first wait after a failure, at least.
+    /// The least window of the first delay after a failure.
     pub first_us: i64,
-    /// The longest wait of few askers, once they were counted.
+    /// The longest delay among few clients, once they were counted.
     pub few_us: i64,
-    /// The longest wait of any number of askers.
+    /// The longest delay among any number of clients.
     pub longest_us: i64,
-    /// Failures in a row that are followed at once, as there is another member to ask.
+    /// Consecutive failures that are retried without back-off, as there are other members to try.
     pub free: u32,
 }
 
@@ -52,202 +58,127 @@
     }
 }
 
-/// A seed for an asker of this name, so that those that were given the same seed, or none, draw differently (FNV-1a).
+/// Derives a seed from a client's name, so that clients configured with the same seed draw differently (FNV-1a).
+#[must_use]
 pub fn seed_of(seed: u64, name: &str) -> u64 {
-    name.bytes().fold(seed ^ 0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    name.bytes().fold(seed ^ OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
+}
+
+/// Where the number of clients comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ClientCount {
+    /// From the settings or an earlier process; it may be far too small.
+    Assumed(usize),
+    /// From the service.
+    Counted(usize),
 }
 
-/// See the crate's documentation.
+/// The delays and intervals of one client's requests; see the crate's documentation.
 #[derive(Debug)]
 pub struct PollSchedule {
     limits: Limits,
-    askers: usize,
-    /// Whether the service told of the askers; what settings or the last process said may be far too few.
-    counted: bool,
-    /// Failures since something went well.
+    clients: ClientCount,
+    /// Consecutive failures.
     failures: u32,
     random: Pcg64Mcg,
 }
 
 impl PollSchedule {
-    /// A pace among so many askers, this one included; the seed is this asker's own.
-    pub fn new(limits: Limits, askers: usize, seed: u64) -> Self {
+    /// Creates a schedule among an assumed number of clients, this one included. The seed is this client's own.
+    pub fn new(limits: Limits, clients: usize, seed: u64) -> Self {
         let random = Pcg64Mcg::seed_from_u64(seed);
-        PollSchedule { limits, askers: askers.max(1), counted: false, failures: 0, random }
+        PollSchedule { limits, clients: ClientCount::Assumed(clients.max(1)), failures: 0, random }
+    }
+
+    /// Sets the number of clients as counted by the service.
+    pub fn set_clients(&mut self, clients: usize) {
+        self.clients = ClientCount::Counted(clients.max(1));
     }
 
-    /// The service counts so many askers.
-    pub fn askers(&mut self, askers: usize) {
-        (self.askers, self.counted) = (askers.max(1), true);
+    fn clients(&self) -> usize {
+        match self.clients {
+            ClientCount::Assumed(clients) | ClientCount::Counted(clients) => clients,
+        }
     }
 
-    /// The time in which the service takes what all askers ask when they begin; 0 for one alone.
+    /// Returns the jitter window: the time in which the service accepts the first requests of all clients; 0 for a single
+    /// client.
+    #[must_use]
     pub fn window_us(&self) -> i64 {
-        let all = self.askers.saturating_sub(1) as f64 * self.limits.requests;
-        ((all / (self.limits.per_second.max(1e-3) * PART) * 1e6) as i64).clamp(0, self.limits.longest_us)
+        let requests = self.clients().saturating_sub(1) as f64 * self.limits.requests;
+        let rate = self.limits.per_second.max(RATE_MIN) * RATE_SHARE;
+        ((requests / rate * MICROS_PER_SECOND) as i64).clamp(0, self.limits.longest_us)
     }
 
-    /// The longest wait that can come: of few askers short, of many a few of their windows. Who only believes that there are
-    /// few waits as long as any: a thousand that believe themselves ten would keep the service down for good.
+    /// Returns the longest delay: short for few clients, some windows for many. While the number is only assumed it is the
+    /// longest of all: a thousand clients that assume ten would otherwise keep the service overloaded.
+    #[must_use]
     pub fn longest_us(&self) -> i64 {
-        if !self.counted {
-            return self.limits.longest_us;
+        match self.clients {
+            ClientCount::Assumed(_) => self.limits.longest_us,
+            ClientCount::Counted(_) => {
+                let windows_us = (self.window_us() as f64 * WINDOWS_PER_DELAY_MAX) as i64;
+                windows_us.max(self.limits.few_us).min(self.limits.longest_us)
+            }
         }
-        let many = (self.window_us() as f64 * GROWTH) as i64;
-        many.max(self.limits.few_us).min(self.limits.longest_us)
     }
 
     fn draw(&mut self, window_us: i64) -> i64 {
         self.random.random_range(0..=window_us.max(0))
     }
 
-    /// How long to wait before the first question.
-    pub fn first(&mut self) -> i64 {
-        let window = self.window_us();
-        self.draw(window)
+    /// Draws the delay before the first request.
+    pub fn first_delay_us(&mut self) -> i64 {
+        let window_us = self.window_us();
+        self.draw(window_us)
     }
 
-    /// How long to wait before what is less urgent than the first questions: all of them come before. Up to twice the longest
-    /// wait, as no drain waits for it; cut off there, all askers would come together at the bound.
-    pub fn later(&mut self) -> i64 {
-        let window = self.window_us();
-        window.saturating_add(self.draw(window))
+    /// Draws the delay before a request that follows the first requests of all clients. It is up to twice the longest delay,
+    /// as no drain depends on it; bounded there, all clients would gather at the bound.
+    pub fn deferred_delay_us(&mut self) -> i64 {
+        let window_us = self.window_us();
+        window_us.saturating_add(self.draw(window_us))
     }
 
-    /// Something failed: how long to wait before it is tried again. `told_us` is the service's own word, which holds
-    /// within half of the longest wait: the rest is left to be drawn from.
-    pub fn failed(&mut self, told_us: Option<i64>) -> i64 {
+    /// Notes a failure and draws the delay before the retry. `retry_after_us` is the service's demand, which is respected up
+    /// to half of the longest delay: the rest is left to draw from.
+    pub fn failed(&mut self, retry_after_us: Option<i64>) -> i64 {
         self.failures = self.failures.saturating_add(1);
-        let told = told_us.unwrap_or(0).clamp(0, self.limits.longest_us / 2);
-        let (window, most) = (self.window_us(), self.limits.longest_us - told);
-        let drawn = match self.failures.checked_sub(self.limits.free + 1) {
-            // Whoever lost the same member with this one goes to the same next one.
-            None => self.draw(window.min(most)),
-            Some(again) => {
-                let doubled = self.limits.first_us.max(window).saturating_mul(1 << again.min(DOUBLINGS));
-                self.draw(doubled.min(self.longest_us()).min(most))
+        let demanded_us = retry_after_us.unwrap_or(0).clamp(0, self.limits.longest_us / 2);
+        let (window_us, drawn_max_us) = (self.window_us(), self.limits.longest_us - demanded_us);
+        let drawn_us = match self.failures.checked_sub(self.limits.free + 1) {
+            // All clients that lost the same member retry at the same next one.
+            None => self.draw(window_us.min(drawn_max_us)),
+            Some(retries) => {
+                let initial_us = self.limits.first_us.max(window_us);
+                let doubled_us = initial_us.saturating_mul(1 << retries.min(DOUBLINGS_MAX));
+                self.draw(doubled_us.min(self.longest_us()).min(drawn_max_us))
             }
         };
-        told + drawn
+        demanded_us + drawn_us
     }
 
-    /// Something went well.
+    /// Notes a success: the count of consecutive failures ends.
     pub fn good(&mut self) {
         self.failures = 0;
     }
 
-    /// The time until a recurring question comes again: `least_us`, or longer where all askers together would bring more
-    /// than this part of what the service takes; never longer than `most_us`.
-    pub fn every(&mut self, least_us: i64, most_us: i64, part: f64) -> i64 {
-        let fair = self.askers as f64 / (self.limits.per_second * part).max(1e-6) * 1e6;
-        let time = (fair as i64).max(least_us).min(most_us.max(least_us));
-        if time <= least_us {
-            // Few askers: there is nothing to spread, and nothing is asked more often than stated.
+    /// Draws the interval of a periodic request: `least_us`, or longer where all clients together would exceed this share of
+    /// the service's request rate, but at most `longest_us`.
+    pub fn interval_us(&mut self, least_us: i64, longest_us: i64, rate_share: f64) -> i64 {
+        let rate = (self.limits.per_second * rate_share).max(PERIODIC_RATE_MIN);
+        let required_us = (self.clients() as f64 / rate * MICROS_PER_SECOND) as i64;
+        let interval_us = required_us.max(least_us).min(longest_us.max(least_us));
+        if interval_us <= least_us {
+            // Few clients need no spreading, and poll no more often than configured.
             return least_us;
         }
-        let steady = (time as f64 * STEADY) as i64;
-        steady.saturating_add(self.draw(time - steady)).max(least_us)
+        let constant_us = (interval_us as f64 * INTERVAL_CONSTANT_PART) as i64;
+        constant_us.saturating_add(self.draw(interval_us - constant_us)).max(least_us)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    /// The most that come in any 200 ms, of moments drawn by so many askers.
-    fn most_in_200ms(mut moments: Vec<i64>) -> usize {
-        moments.sort_unstable();
-        let within = |first: &i64| moments.iter().filter(|m| (*first..*first + 200_000).contains(*m)).count();
-        moments.iter().map(within).max().unwrap_or(0)
-    }
-
-    fn fleet(count: usize, believed: usize, per_second: f64) -> Vec<PollSchedule> {
-        let limits = Limits { per_second, ..Limits::default() };
-        // All were given the same seed.
-        (0..count).map(|n| PollSchedule::new(limits, believed, seed_of(1, &format!("r-{n}")))).collect()
-    }
-
-    #[test]
-    fn a_herd_that_knows_its_size_comes_at_the_rate_that_the_service_takes() {
-        let moments: Vec<i64> = fleet(300, 300, 100.0).iter_mut().map(PollSchedule::first).collect();
-        // Two requests each: 8 askers in 200 ms in the mean; drawn moments cluster to little more than twice that.
-        assert!((8..=22).contains(&most_in_200ms(moments.clone())), "{}", most_in_200ms(moments));
-        assert!(moments.iter().all(|m| *m <= 7_500_000));
-    }
-
-    #[test]
-    fn no_bound_gathers_a_herd_at_its_end() {
-        let limits = Limits { per_second: 100.0, ..Limits::default() };
-        let drawn = |wait: fn(&mut PollSchedule) -> i64| {
-            let seeds = (0..300).map(|n| seed_of(1, &format!("r-{n}")));
-            most_in_200ms(seeds.map(|seed| wait(&mut PollSchedule::new(limits, 300, seed))).collect())
-        };
-        assert!(drawn(PollSchedule::later) <= 22, "{}", drawn(PollSchedule::later));
-        let told = |p: &mut PollSchedule| p.failed(Some(60_000_000));
-        assert!(drawn(told) <= 30, "{}", drawn(told));
-        let again = |p: &mut PollSchedule| (0..9).map(|_| p.failed(None)).last().unwrap_or(0);
-        assert!(drawn(again) <= 22, "{}", drawn(again));
-    }
-
-    #[test]
-    fn one_alone_never_waits_for_others_and_a_small_fleet_hardly() {
-        let mut one = PollSchedule::new(Limits::default(), 1, 7);
-        assert_eq!((one.first(), one.later(), one.every(1_000_000, 9_000_000, 0.05)), (0, 0, 1_000_000));
-        assert!(fleet(12, 12, 500.0).iter_mut().all(|p| p.first() < 60_000));
-    }
-
-    #[test]
-    fn a_herd_that_believes_itself_small_makes_room_after_some_failures() {
-        let mut paces = fleet(300, 10, 100.0);
-        for _ in 0..5 {
-            paces.iter_mut().for_each(|p| assert!(p.failed(None) >= 0));
-        }
-        let moments: Vec<i64> = paces.iter_mut().map(|p| p.failed(None)).collect();
-        assert!(most_in_200ms(moments.clone()) <= 60, "{}", most_in_200ms(moments));
-    }
-
-    #[test]
-    fn the_service_s_own_word_is_kept_and_a_success_forgets_failures() {
-        let mut pace = PollSchedule::new(Limits::default(), 1, 3);
-        assert!((3_000_000..=3_100_000).contains(&pace.failed(Some(3_000_000))));
-        for _ in 0..20 {
-            pace.failed(None);
-        }
-        pace.good();
-        assert!(pace.failed(None) <= 100_000);
-        assert!(pace.failed(Some(i64::MAX)) >= Limits::default().longest_us / 2);
-    }
-
-    #[test]
-    fn another_member_is_asked_at_once() {
-        let limits = Limits { free: 2, ..Limits::default() };
-        let mut pace = PollSchedule::new(limits, 1, 3);
-        assert_eq!((pace.failed(None), pace.failed(None)), (0, 0));
-        assert!((0..50).any(|n| PollSchedule::new(Limits { free: 0, ..limits }, 1, n).failed(None) > 0));
-    }
-
-    proptest! {
-        #[test]
-        fn no_wait_is_longer_than_stated_whatever_is_believed_or_told(
-            askers in 0usize..1_000_000,
-            per_second in 0.0f64..10_000.0,
-            steps in prop::collection::vec((0u8..5, any::<i64>()), 1..60),
-            seed in any::<u64>(),
-        ) {
-            let limits = Limits { per_second, ..Limits::default() };
-            let mut pace = PollSchedule::new(limits, askers, seed);
-            for (what, told) in steps {
-                let wait = match what {
-                    0 => pace.first(),
-                    1 => pace.later(),
-                    2 => pace.failed(Some(told)),
-                    3 => pace.failed(None),
-                    _ => pace.every(1_000_000, limits.longest_us, 0.05),
-                };
-                let longest = if what == 1 { 2 * limits.longest_us } else { limits.longest_us };
-                prop_assert!((0..=longest).contains(&wait), "{} {}", what, wait);
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/registry-transport/src/lib.rs
+++ b/crates/registry-transport/src/lib.rs
@@ -4,7 +4,7 @@
 #![warn(missing_docs)]
 
 use slatevalve_reactor::{Id, Reactor, ReactorEvent};
-use slatevalve_registry::{Channel, Client, ClientEvent, ClientSettings, Do};
+use slatevalve_registry::{Channel, Client, ClientEvent, ClientSettings, SocketAction};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -78,10 +78,10 @@
         true
     }
 
-    fn carry_out(&mut self, now_us: i64, reactor: &mut Reactor, todo: Vec<Do>) {
+    fn carry_out(&mut self, now_us: i64, reactor: &mut Reactor, todo: Vec<SocketAction>) {
         for what in todo {
             match what {
-                Do::Open(channel, endpoint) => {
+                SocketAction::Open(channel, endpoint) => {
                     let opened = self.endpoints.get(endpoint).and_then(|a| reactor.connect(*a).ok());
                     match opened {
                         Some(id) => drop(self.sockets.insert(channel, id)),
@@ -92,12 +92,12 @@
                         }
                     }
                 }
-                Do::Write(channel, bytes) => {
+                SocketAction::Write(channel, bytes) => {
                     if let Some(id) = self.sockets.get(&channel) {
                         reactor.write(*id, &bytes);
                     }
                 }
-                Do::Close(channel) => {
+                SocketAction::Close(channel) => {
                     if let Some(id) = self.sockets.remove(&channel) {
                         reactor.close(id);
                     }
--- a/crates/registry/benches/catch_up.rs
+++ b/crates/registry/benches/catch_up.rs
@@ -55,10 +55,10 @@
     for workers in [85, 1_000] {
         let (before, after) = (list(workers, false), list(workers, true));
         let read = |bytes: &[u8]| serde_json::from_slice::<RangeResponse>(bytes).unwrap();
-        let settings = WatchSettings { page: 10_000, ..WatchSettings::default() };
+        let settings = WatchSettings { page_size: 10_000, ..WatchSettings::default() };
         let empty = IN_USE.load(Ordering::Relaxed);
         let mut watch_state = WatchState::new(settings);
-        assert_eq!(watch_state.listed(0, read(&before)).len(), workers);
+        assert_eq!(watch_state.handle_list(0, read(&before)).len(), workers);
         let memory = IN_USE.load(Ordering::Relaxed) - empty;
         println!("{workers} workers: a list of {} bytes, {memory} bytes held by the follower", after.len());
         drop(watch_state);
@@ -66,12 +66,12 @@
             b.iter_batched(
                 || {
                     let mut watch_state = WatchState::new(settings);
-                    watch_state.listed(0, read(&before));
+                    watch_state.handle_list(0, read(&before));
                     watch_state.list_compacted(1);
                     watch_state
                 },
                 |mut watch_state| {
-                    let changes = watch_state.listed(2, read(&after));
+                    let changes = watch_state.handle_list(2, read(&after));
                     assert_eq!(changes.len(), workers.div_ceil(10));
                     watch_state
                 },
--- a/crates/registry/src/members.rs
+++ b/crates/registry/src/members.rs
@@ -1,104 +1,128 @@
-//! Workers and routers as the registry lists them: what a key's value says, and what a batch of changes means, with
-//! drains and departures before all else. The gateway and the stand-in worker write and read these records.
+//! Workers and routers as listed in the registry: the records stored as values, and the changes of members in a batch of
+//! changed keys, departures and drains first. The gateway and the test worker write and read these records.
 
 use crate::watch_state::Change;
+use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// What workers' keys begin with, below the site's prefix.
+/// Prefix of workers' keys, below the site's prefix.
 pub const WORKERS: &str = "workers/";
-/// What routers' keys begin with, below the site's prefix.
+/// Prefix of routers' keys, below the site's prefix.
 pub const ROUTERS: &str = "routers/";
-/// What relays' keys begin with, below the site's prefix.
+/// Prefix of relays' keys, below the site's prefix.
 pub const RELAYS: &str = "relays/";
-/// Longest name, in bytes.
-const MAX_NAME: usize = 256;
+/// The longest name, in bytes.
+const NAME_BYTES_MAX: usize = 256;
+/// The largest weight of a worker.
+const WEIGHT_MAX: f64 = 1e6;
 
-/// A worker's own word of its state.
+/// The state that a worker declares of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// It takes work.
+    /// It accepts calls.
     #[default]
     Ready,
-    /// It takes no new work and ends what it has.
+    /// It accepts no new calls and completes those in flight.
     Draining,
 }
 
-/// A worker's record, the value of `PREFIX/workers/NAME`.
+/// The record of a worker, the value of `PREFIX/workers/NAME`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct WorkerRecord {
-    /// Where it is reached.
+    /// The address of its server.
     pub address: SocketAddr,
     /// Its zone.
-    #[serde(default = "default_place")]
+    #[serde(default = "default_name")]
     pub zone: String,
-    /// Its kind of machine.
-    #[serde(default = "default_place")]
+    /// The kind of machine.
+    #[serde(default = "default_name")]
     pub kind: String,
     /// Its cell.
     #[serde(default)]
     pub cell: u64,
-    /// Its size beside others.
-    #[serde(default = "one")]
+    /// The capacity relative to other workers, above 0.
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Whether it takes work.
+    /// Whether it accepts calls.
     #[serde(default)]
     pub state: MemberState,
-    /// When its process began, in milliseconds of the Unix clock of its machine; a later one is a new process.
+    /// The start of its process, in milliseconds of its machine's Unix clock; a different one is a new process.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub up_since_unix_ms: Option<f64>,
 }
 
-fn default_place() -> String {
+fn default_name() -> String {
     "default".into()
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// A router's record, the value of `PREFIX/routers/NAME`.
+/// The record of a router, the value of `PREFIX/routers/NAME`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RouterRecord {
     /// Its zone.
     #[serde(default)]
     pub zone: String,
-    /// When its process began, in milliseconds of the Unix clock of its machine.
+    /// The start of its process, in milliseconds of its machine's Unix clock.
     #[serde(default)]
     pub up_since_unix_ms: i64,
 }
 
-/// A relay's record, the value of `PREFIX/relays/NAME`.
+/// The record of a relay, the value of `PREFIX/relays/NAME`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RelayRecord {
-    /// Routers whose entries it holds.
+    /// The number of routers that are registered at the relay.
     pub routers: usize,
 }
 
-/// Why a record is not taken. What was known of the member before stays.
+/// A record that is rejected; the member's last valid record remains in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordError {
     /// The key.
     pub key: String,
-    /// What is wrong.
-    pub words: String,
+    /// Why the record is rejected.
+    pub reason: RecordFault,
+}
+
+/// Why a record is rejected.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RecordFault {
+    /// The value does not parse as a record; holds the parser's message.
+    Malformed(String),
+    /// The weight is outside of 0 (exclusive) to 1,000,000.
+    Weight,
+    /// The start time is not a finite number.
+    StartTime,
+}
+
+impl fmt::Display for RecordFault {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            RecordFault::Malformed(message) => f.write_str(message),
+            RecordFault::Weight => f.write_str("a weight lies between 0 and 1,000,000"),
+            RecordFault::StartTime => f.write_str("up-since-unix-ms is no time"),
+        }
+    }
 }
 
 impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.key, self.words)
+        write!(f, "{}: {}", self.key, self.reason)
     }
 }
 
 impl std::error::Error for RecordError {}
 
-/// What a key is of.
+/// A member that a key and its value describe.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Member {
     /// A worker, by its name.
@@ -107,60 +131,84 @@
     Router(String, RouterRecord),
 }
 
-/// The key of a worker.
+/// Returns the key of a worker.
+#[must_use]
 pub fn worker_key(prefix: &str, name: &str) -> String {
     format!("{prefix}{WORKERS}{name}")
 }
 
-/// The key of a router.
+/// Returns the key of a router.
+#[must_use]
 pub fn router_key(prefix: &str, name: &str) -> String {
     format!("{prefix}{ROUTERS}{name}")
 }
 
-/// Whether the key is a worker's (`true`) or a router's, and the name; none for other keys below the prefix.
-fn split(prefix: &str, key: &[u8]) -> Option<(bool, String)> {
-    let rest = std::str::from_utf8(key).ok()?.strip_prefix(prefix)?;
-    let (worker, name) = match rest.strip_prefix(WORKERS) {
-        Some(name) => (true, name),
-        None => (false, rest.strip_prefix(ROUTERS)?),
-    };
-    let good = (1..=MAX_NAME).contains(&name.len()) && name.chars().all(|c| c.is_ascii_graphic());
-    good.then(|| (worker, name.to_string()))
+/// The member that a key names.
+enum MemberKey {
+    Worker(String),
+    Router(String),
+}
+
+impl MemberKey {
+    /// Parses a key; returns none for a key that names no worker or router.
+    fn parse(prefix: &str, key: &[u8]) -> Option<Self> {
+        let relative = std::str::from_utf8(key).ok()?.strip_prefix(prefix)?;
+        let (kind, name): (fn(String) -> MemberKey, &str) = match relative.strip_prefix(WORKERS) {
+            Some(name) => (MemberKey::Worker, name),
+            None => (MemberKey::Router, relative.strip_prefix(ROUTERS)?),
+        };
+        let is_valid =
+            (1..=NAME_BYTES_MAX).contains(&name.len()) && name.chars().all(|c| c.is_ascii_graphic());
+        is_valid.then(|| kind(name.to_string()))
+    }
+}
+
+impl WorkerRecord {
+    /// Checks the fields whose type allows invalid values.
+    fn validate(&self) -> Result<(), RecordFault> {
+        if !(self.weight > 0.0 && self.weight <= WEIGHT_MAX) {
+            return Err(RecordFault::Weight);
+        }
+        if self.up_since_unix_ms.is_some_and(|start| !start.is_finite()) {
+            return Err(RecordFault::StartTime);
+        }
+        Ok(())
+    }
 }
 
-/// Reads a member's key and value; none for a key that is no member's.
+fn parse_record<T: DeserializeOwned>(value: &[u8]) -> Result<T, RecordFault> {
+    serde_json::from_slice(value).map_err(|error| RecordFault::Malformed(error.to_string()))
+}
+
+/// Reads a member's key and value; returns none for a key that names no worker or router.
 ///
 /// # Errors
-/// When the value is no record.
+/// When the value is no valid record.
 pub fn read_member(prefix: &str, key: &[u8], value: &[u8]) -> Result<Option<Member>, RecordError> {
-    let Some((worker, name)) = split(prefix, key) else { return Ok(None) };
-    let refuse = |words: String| RecordError { key: String::from_utf8_lossy(key).into_owned(), words };
-    if !worker {
-        let record = serde_json::from_slice(value).map_err(|e| refuse(e.to_string()))?;
-        return Ok(Some(Member::Router(name, record)));
-    }
-    let record: WorkerRecord = serde_json::from_slice(value).map_err(|e| refuse(e.to_string()))?;
-    if !(record.weight > 0.0 && record.weight <= 1e6) {
-        return Err(refuse("a weight lies between 0 and 1,000,000".into()));
-    }
-    if record.up_since_unix_ms.is_some_and(|t| !t.is_finite()) {
-        return Err(refuse("up-since-unix-ms is no time".into()));
-    }
-    Ok(Some(Member::Worker(name, record)))
+    let member = match MemberKey::parse(prefix, key) {
+        None => return Ok(None),
+        Some(MemberKey::Router(name)) => parse_record(value).map(|record| Member::Router(name, record)),
+        Some(MemberKey::Worker(name)) => parse_record(value).and_then(|record: WorkerRecord| {
+            record.validate()?;
+            Ok(Member::Worker(name, record))
+        }),
+    };
+    let rejected = |reason| RecordError { key: String::from_utf8_lossy(key).into_owned(), reason };
+    member.map(Some).map_err(rejected)
 }
 
 /// A change of the members.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberChange {
-    /// A worker's record as it is now.
+    /// A worker's present record.
     Worker(String, WorkerRecord),
-    /// A worker is gone.
-    WorkerGone(String),
-    /// The number of routers is another one now.
+    /// A worker was removed.
+    WorkerRemoved(String),
+    /// The number of routers changed to this.
     Routers(usize),
 }
 
-/// The members as they are known.
+/// The known members.
 #[derive(Debug)]
 pub struct Members {
     prefix: String,
@@ -168,133 +216,93 @@
     routers: BTreeMap<String, RouterRecord>,
 }
 
+/// The changes of workers in a batch of changed keys.
+#[derive(Default)]
+struct WorkerChanges {
+    removed: Vec<String>,
+    /// The last record of each worker that was not removed afterwards.
+    updated: BTreeMap<String, WorkerRecord>,
+}
+
+impl WorkerChanges {
+    /// Returns the changes in the order in which they are to be applied.
+    fn in_order(self) -> Vec<MemberChange> {
+        let (draining, ready): (Vec<_>, Vec<_>) =
+            self.updated.into_iter().partition(|(_, record)| record.state == MemberState::Draining);
+        let removed = self.removed.into_iter().map(MemberChange::WorkerRemoved);
+        let updated = draining.into_iter().chain(ready);
+        removed.chain(updated.map(|(name, record)| MemberChange::Worker(name, record))).collect()
+    }
+}
+
 impl Members {
-    /// Nobody is known below a prefix, which ends with `/`.
+    /// Creates an empty set of the members below a prefix, which ends with `/`.
     pub fn new(prefix: &str) -> Self {
         Members { prefix: prefix.into(), workers: BTreeMap::new(), routers: BTreeMap::new() }
     }
 
-    /// The workers by name.
+    /// Returns the workers by name.
+    #[must_use]
     pub fn workers(&self) -> &BTreeMap<String, WorkerRecord> {
         &self.workers
     }
 
-    /// The routers by name.
+    /// Returns the routers by name.
+    #[must_use]
     pub fn routers(&self) -> &BTreeMap<String, RouterRecord> {
         &self.routers
     }
 
-    /// Takes a batch of changes. Departures come first, then drains, then the rest: whoever carries them out in order has
-    /// stopped sending before it does anything else. Of several changes of one worker the last counts, except that one who
-    /// went and came back in between is told as gone as well.
-    pub fn take(&mut self, changes: Vec<Change>) -> (Vec<MemberChange>, Vec<RecordError>) {
-        let (mut gone, mut stays) = (Vec::new(), BTreeMap::new());
-        let (mut errors, routers) = (Vec::new(), self.routers.len());
+    /// Applies a batch of changed keys, and returns the changes of members and the rejected records. Removals come first, then
+    /// drains, then the rest, so that applying them in order stops calls to those workers before anything else. Of several
+    /// changes of one worker the last counts, except that a worker removed and added again is reported as removed as well.
+    pub fn apply(&mut self, changes: Vec<Change>) -> (Vec<MemberChange>, Vec<RecordError>) {
+        let routers_before = self.routers.len();
+        let (mut worker_changes, mut errors) = (WorkerChanges::default(), Vec::new());
         for change in changes {
             match change {
-                Change::Gone { key } => match split(&self.prefix, &key) {
-                    Some((true, name)) => {
-                        stays.remove(&name);
-                        if self.workers.remove(&name).is_some() {
-                            gone.push(name);
-                        }
-                    }
-                    Some((false, name)) => {
-                        self.routers.remove(&name);
-                    }
-                    None => {}
-                },
+                Change::Deleted { key } => self.remove(&key, &mut worker_changes),
                 Change::Put { key, value, .. } => match read_member(&self.prefix, &key, &value) {
-                    Ok(Some(Member::Worker(name, record))) => {
-                        self.workers.insert(name.clone(), record.clone());
-                        stays.insert(name, record);
-                    }
-                    Ok(Some(Member::Router(name, record))) => {
-                        self.routers.insert(name, record);
-                    }
+                    Ok(Some(member)) => self.insert(member, &mut worker_changes),
                     Ok(None) => {}
                     Err(error) => errors.push(error),
                 },
             }
         }
-        let (draining, ready): (Vec<_>, Vec<_>) =
-            stays.into_iter().partition(|(_, record)| record.state == MemberState::Draining);
-        let mut told: Vec<MemberChange> = gone.into_iter().map(MemberChange::WorkerGone).collect();
-        let put = |(name, record)| MemberChange::Worker(name, record);
-        told.extend(draining.into_iter().map(put).chain(ready.into_iter().map(put)));
-        if self.routers.len() != routers {
-            told.push(MemberChange::Routers(self.routers.len()));
+        let mut member_changes = worker_changes.in_order();
+        if self.routers.len() != routers_before {
+            member_changes.push(MemberChange::Routers(self.routers.len()));
         }
-        (told, errors)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn put(key: &str, value: &str) -> Change {
-        Change::Put { key: key.into(), value: value.into(), made: true }
-    }
-
-    #[test]
-    fn departures_and_drains_come_before_all_else_in_a_batch() {
-        let mut members = Members::new("/s/");
-        let ready = r#"{"address":"127.0.0.1:1"}"#;
-        let draining = r#"{"address":"127.0.0.1:1","state":"draining"}"#;
-        members.take(vec![
-            put("/s/workers/a", ready),
-            put("/s/workers/b", ready),
-            put("/s/workers/c", ready),
-        ]);
-        let (told, errors) = members.take(vec![
-            put("/s/workers/d", ready),
-            put("/s/routers/r", "{}"),
-            put("/s/workers/c", draining),
-            Change::Gone { key: b"/s/workers/a".to_vec() },
-        ]);
-        let names: Vec<String> = told
-            .iter()
-            .map(|t| match t {
-                MemberChange::WorkerGone(name) => format!("-{name}"),
-                MemberChange::Worker(name, r) => format!("{name}:{:?}", r.state),
-                MemberChange::Routers(n) => n.to_string(),
-            })
-            .collect();
-        assert_eq!((names.join(" ").as_str(), errors.len()), ("-a c:Draining d:Ready 1", 0));
+        (member_changes, errors)
     }
 
-    #[test]
-    fn a_worker_that_drains_dies_and_returns_in_one_batch_is_gone_and_then_new() {
-        let mut members = Members::new("/s/");
-        let at = |ms: u32, state: &str| {
-            put(
-                "/s/workers/a",
-                &format!(r#"{{"address":"127.0.0.1:1","state":"{state}","up-since-unix-ms":{ms}}}"#),
-            )
-        };
-        members.take(vec![at(1, "ready")]);
-        let batch = vec![at(1, "draining"), Change::Gone { key: b"/s/workers/a".to_vec() }, at(2, "ready")];
-        let (told, _) = members.take(batch);
-        assert_eq!(told[0], MemberChange::WorkerGone("a".into()));
-        assert!(
-            matches!(&told[1], MemberChange::Worker(n, r) if n == "a" && r.up_since_unix_ms == Some(2.0))
-        );
+    fn remove(&mut self, key: &[u8], changes: &mut WorkerChanges) {
+        match MemberKey::parse(&self.prefix, key) {
+            Some(MemberKey::Worker(name)) => {
+                changes.updated.remove(&name);
+                if self.workers.remove(&name).is_some() {
+                    changes.removed.push(name);
+                }
+            }
+            Some(MemberKey::Router(name)) => {
+                self.routers.remove(&name);
+            }
+            None => {}
+        }
     }
 
-    #[test]
-    fn a_record_without_sense_is_told_and_changes_nothing_else() {
-        let mut members = Members::new("/s/");
-        let good = r#"{"address":"127.0.0.1:1","zone":"z","cell":3}"#;
-        members.take(vec![put("/s/workers/a", good)]);
-        let (told, errors) = members.take(vec![
-            put("/s/workers/a", "{"),
-            put("/s/workers/b", r#"{"address":"127.0.0.1:1","weight":-1}"#),
-            put("/s/workers/ü", good),
-            put("/s/else", "x"),
-            put("/s/workers/c", good),
-        ]);
-        assert_eq!((told.len(), errors.len(), members.workers()["a"].cell), (1, 2, 3));
-        assert!(errors[0].to_string().starts_with("/s/workers/a: "));
+    fn insert(&mut self, member: Member, changes: &mut WorkerChanges) {
+        match member {
+            Member::Worker(name, record) => {
+                self.workers.insert(name.clone(), record.clone());
+                changes.updated.insert(name, record);
+            }
+            Member::Router(name, record) => {
+                self.routers.insert(name, record);
+            }
+        }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/registry/src/registration.rs
+++ b/crates/registry/src/registration.rs
@@ -1,152 +1,142 @@
-//! Keeps this process's own entry in the registry: a lease, the key that ends with it, keep-alives, and all of it anew when
-//! the lease is lost. A decision module; [`crate::Client`] sends what it wants.
+//! Keeps this process's entry in the registry: a lease, the key that expires with it, keep-alives, and a new lease when it is
+//! lost. No I/O; [`crate::Client`] sends the requests.
 
-/// Limits of a [`Registration`]. Times in microseconds.
+/// Settings of a [`Registration`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegistrationSettings {
-    /// Seconds that the lease lives without a keep-alive.
+    /// Time to live of the lease without a keep-alive, in seconds.
     pub ttl_s: i64,
 }
 
-/// What is to be sent next.
+/// The next request of a [`Registration`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Ask for a lease of so many seconds.
+pub enum LeaseStep {
+    /// Grant a lease of this many seconds.
     Grant(i64),
-    /// Write the key under this lease.
+    /// Put the key under this lease.
     Announce(i64),
     /// Keep this lease alive.
     KeepAlive(i64),
 }
 
+/// Keep-alives per time to live, so that two may be lost before the lease expires.
+const KEEP_ALIVES_PER_TTL: i64 = 3;
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Without,
+    Unregistered,
     Granted { lease: i64 },
-    Announced { lease: i64, renew_at_us: i64, ends_at_us: i64 },
+    Announced { lease: i64, renew_at_us: i64, expires_at_us: i64 },
 }
 
-/// See the module's documentation.
+/// The state of this process's registration; see the module's documentation. Times in microseconds.
 #[derive(Debug)]
 pub struct Registration {
     settings: RegistrationSettings,
     state: State,
-    /// When the step under way went out: a lease counts from there, as its answer may come late.
-    asked_us: i64,
+    /// When the request in flight was sent. A lease counts from there, as its response may be late.
+    sent_us: i64,
 }
 
 impl Registration {
-    /// Not registered yet.
+    /// Creates a registration without a lease.
     pub fn new(settings: RegistrationSettings) -> Self {
         let ttl_s = settings.ttl_s.max(1);
-        Registration { settings: RegistrationSettings { ttl_s }, state: State::Without, asked_us: 0 }
+        Registration { settings: RegistrationSettings { ttl_s }, state: State::Unregistered, sent_us: 0 }
     }
 
-    /// Whether the entry stands, as far as is known.
-    pub fn stands(&self, now_us: i64) -> bool {
-        matches!(self.state, State::Announced { ends_at_us, .. } if now_us < ends_at_us)
+    /// Returns whether the entry is written and its lease has not expired, as far as known.
+    #[must_use]
+    pub fn is_registered(&self, now_us: i64) -> bool {
+        matches!(self.state, State::Announced { expires_at_us, .. } if now_us < expires_at_us)
     }
 
-    /// The lease, to be given back on an orderly stop.
+    /// Returns the lease, to revoke it on an orderly stop.
+    #[must_use]
     pub fn lease(&self) -> Option<i64> {
         match self.state {
-            State::Without => None,
+            State::Unregistered => None,
             State::Granted { lease } | State::Announced { lease, .. } => Some(lease),
         }
     }
 
-    /// The lease, once our entry is written under it.
-    pub fn standing(&self) -> Option<i64> {
+    /// Returns the lease, once the entry is written under it.
+    #[must_use]
+    pub fn announced_lease(&self) -> Option<i64> {
         match self.state {
             State::Announced { lease, .. } => Some(lease),
-            State::Without | State::Granted { .. } => None,
+            State::Unregistered | State::Granted { .. } => None,
         }
     }
 
-    /// What is to be sent now.
-    pub fn step(&self, now_us: i64) -> Option<Step> {
+    /// Returns the request that is due.
+    #[must_use]
+    pub fn next_step(&self, now_us: i64) -> Option<LeaseStep> {
         match self.state {
-            State::Without => Some(Step::Grant(self.settings.ttl_s)),
-            State::Granted { lease } => Some(Step::Announce(lease)),
+            State::Unregistered => Some(LeaseStep::Grant(self.settings.ttl_s)),
+            State::Granted { lease } => Some(LeaseStep::Announce(lease)),
             State::Announced { lease, renew_at_us, .. } if now_us >= renew_at_us => {
-                Some(Step::KeepAlive(lease))
+                Some(LeaseStep::KeepAlive(lease))
             }
             State::Announced { .. } => None,
         }
     }
 
-    /// When the next step is due by itself.
+    /// Returns when the next keep-alive is due.
+    #[must_use]
     pub fn due_us(&self) -> Option<i64> {
         match self.state {
             State::Announced { renew_at_us, .. } => Some(renew_at_us),
-            _ => None,
+            State::Unregistered | State::Granted { .. } => None,
         }
     }
 
-    /// The step went out.
-    pub fn sent(&mut self, now_us: i64) {
-        self.asked_us = now_us;
+    /// Notes that the due request was sent.
+    pub fn step_sent(&mut self, now_us: i64) {
+        self.sent_us = now_us;
     }
 
-    /// A lease was granted.
+    /// Handles a granted lease.
     pub fn granted(&mut self, lease: i64) {
         self.state = State::Granted { lease };
     }
 
-    fn renewed(&mut self, lease: i64, ttl_s: i64) {
-        let ttl_us = ttl_s.saturating_mul(1_000_000);
-        self.state = State::Announced {
-            lease,
-            renew_at_us: self.asked_us.saturating_add(ttl_us / 3),
-            ends_at_us: self.asked_us.saturating_add(ttl_us),
-        };
-    }
-
-    /// The key was written.
+    /// Handles the confirmation that the key was written.
     pub fn announced(&mut self) {
         if let State::Granted { lease } = self.state {
-            self.renewed(lease, self.settings.ttl_s);
+            self.extend(lease, self.settings.ttl_s);
         }
     }
 
-    /// A keep-alive was answered; no time left means that the lease is gone. Whether it stands.
-    pub fn kept(&mut self, ttl_s: i64) -> bool {
+    /// Handles the response to a keep-alive, which has no time left where the lease has expired. Returns whether the lease
+    /// is valid.
+    pub fn keep_alive_answered(&mut self, ttl_s: i64) -> bool {
         match self.state {
             State::Announced { lease, .. } if ttl_s > 0 => {
-                self.renewed(lease, ttl_s);
+                self.extend(lease, ttl_s);
                 true
             }
             _ => {
-                self.lost();
+                self.lease_lost();
                 false
             }
         }
     }
 
-    /// The lease is not known any more, or the registry is another one: everything begins anew.
-    pub fn lost(&mut self) {
-        self.state = State::Without;
+    /// Starts again without a lease: it expired, or the registry is a different one.
+    pub fn lease_lost(&mut self) {
+        self.state = State::Unregistered;
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_lease_is_kept_alive_in_thirds_and_had_anew_when_it_is_lost() {
-        let mut r = Registration::new(RegistrationSettings { ttl_s: 9 });
-        assert_eq!(r.step(0), Some(Step::Grant(9)));
-        r.granted(5);
-        assert_eq!(r.step(0), Some(Step::Announce(5)));
-        r.sent(1_000_000);
-        r.announced();
-        assert!(r.stands(1_000_000) && r.step(3_999_999).is_none());
-        assert_eq!(r.step(4_000_000), Some(Step::KeepAlive(5)));
-        r.sent(4_000_000);
-        assert!(r.kept(9) && r.due_us() == Some(7_000_000));
-        assert!(!r.stands(13_000_000), "it ended without an answer");
-        assert!(!r.kept(0));
-        assert_eq!((r.step(8_000_000), r.lease()), (Some(Step::Grant(9)), None));
+    fn extend(&mut self, lease: i64, ttl_s: i64) {
+        let ttl_us = ttl_s.saturating_mul(1_000_000);
+        self.state = State::Announced {
+            lease,
+            renew_at_us: self.sent_us.saturating_add(ttl_us / KEEP_ALIVES_PER_TTL),
+            expires_at_us: self.sent_us.saturating_add(ttl_us),
+        };
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/registry/src/serve.rs
+++ b/crates/registry/src/serve.rs
@@ -1,8 +1,10 @@
-//! The serving side of the mapping, as far as whoever serves it shares it: the relay and the stand-in registry.
+//! The server side of the protocol, as far as the relay and the test registry share it.
 
 use crate::wire::{Streamed, WatchResponse};
 
-/// Whether a key lies in a range; an empty end means just the key, a zero byte all behind it.
+/// Returns whether a key lies in a range: an empty end stands for only the key `from`, a single zero byte for all keys from
+/// there on.
+#[must_use]
 pub fn within(key: &[u8], from: &[u8], end: &[u8]) -> bool {
     match end {
         [] => key == from,
@@ -11,31 +13,34 @@
     }
 }
 
-/// A whole answer; `more` are further header lines, each with its line end.
-pub fn answer(status: u16, more: &str, body: &[u8]) -> Vec<u8> {
+/// Encodes a complete HTTP response; `headers` are additional header lines, each with its line end.
+#[must_use]
+pub fn answer(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let head = format!(
-        "HTTP/1.1 {status} X\r\nContent-Type: application/json\r\n{more}Content-Length: {}\r\n\r\n",
+        "HTTP/1.1 {status} X\r\nContent-Type: application/json\r\n{headers}Content-Length: {}\r\n\r\n",
         body.len()
     );
     [head.as_bytes(), body].concat()
 }
 
-/// The head of a watch's answer, which goes on for ever.
+/// The head of a watch's response, whose body is a stream of chunks.
 pub const WATCH_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// The end of a watch's answer.
+/// The end of a watch's response.
 pub const WATCH_END: &[u8] = b"0\r\n\r\n";
 
-/// One line of a watch's answer.
-pub fn watch_line(answer: WatchResponse) -> Vec<u8> {
-    let streamed = Streamed { result: Some(answer), error: None };
+/// Encodes one line of a watch's response.
+#[must_use]
+pub fn watch_line(response: WatchResponse) -> Vec<u8> {
+    let streamed = Streamed { result: Some(response), error: None };
     let mut line = serde_json::to_vec(&streamed).unwrap_or_default();
     line.push(b'\n');
     line
 }
 
-/// A piece of a body without a stated length.
+/// Encodes a chunk of a body without a stated length (RFC 9112, "Chunked Transfer Coding").
+#[must_use]
 pub fn chunk(piece: &[u8]) -> Vec<u8> {
     [format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat()
 }
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -186,14 +186,14 @@
         }
         for what in todo {
             match what {
-                Do::Open(channel, _) => {
+                SocketAction::Open(channel, _) => {
                     self.next_line += 1;
                     let line = (of, channel, self.next_line);
                     self.lines.insert((of, channel), self.next_line);
                     self.at(now + 2 * WAY_US, Event::Connected(line));
                 }
-                Do::Close(channel) => drop(self.lines.remove(&(of, channel))),
-                Do::Write(channel, bytes) => {
+                SocketAction::Close(channel) => drop(self.lines.remove(&(of, channel))),
+                SocketAction::Write(channel, bytes) => {
                     if let Some(number) = self.lines.get(&(of, channel)) {
                         let line = (of, channel, *number);
                         self.at(now + WAY_US, Event::Asked(line, bytes));
--- a/crates/registry/tests/follow.rs
+++ b/crates/registry/tests/follow.rs
@@ -49,7 +49,11 @@
         relays: 0,
         follow: WatchScope::All,
         own: Some((OWN.into(), b"{}".to_vec())),
-        watch_state: WatchSettings { page: 3, audit_us: 8_000_000, ..WatchSettings::default() },
+        watch_state: WatchSettings {
+            page_size: 3,
+            full_resync_interval_us: 8_000_000,
+            ..WatchSettings::default()
+        },
         registration: RegistrationSettings { ttl_s: 10 },
         pace: slatevalve_pacing::Limits::default(),
         askers: 1,
@@ -111,17 +115,17 @@
         self.note();
     }
 
-    fn carry_out(&mut self, todo: Vec<Do>) {
+    fn carry_out(&mut self, todo: Vec<SocketAction>) {
         for what in todo {
             match what {
-                Do::Open(channel, _) => {
+                SocketAction::Open(channel, _) => {
                     *self.pipes.get_mut(&channel).unwrap() = Pipe { open: true, ..Pipe::default() };
                     let mut more = Vec::new();
                     self.client.connected(self.now_us, channel, &mut more);
                     self.carry_out(more);
                 }
-                Do::Close(channel) => *self.pipes.get_mut(&channel).unwrap() = Pipe::default(),
-                Do::Write(channel, bytes) => self.asked(channel, &bytes),
+                SocketAction::Close(channel) => *self.pipes.get_mut(&channel).unwrap() = Pipe::default(),
+                SocketAction::Write(channel, bytes) => self.asked(channel, &bytes),
             }
         }
     }
@@ -249,11 +253,11 @@
 
     /// The process ends and another one begins with what it kept.
     fn start_again(&mut self) {
-        let kept = self.client.watch_state().keep(1);
+        let kept = self.client.watch_state().to_snapshot(1);
         self.pipes.values_mut().for_each(|pipe| *pipe = Pipe::default());
         self.client = Client::new(self.settings.clone());
         self.told.clear();
-        let (changes, _) = self.client.watch_state_mut().remember(&kept).unwrap();
+        let changes = self.client.watch_state_mut().load_snapshot(&kept).unwrap().changes;
         self.hear(vec![ClientEvent::Changes(changes)]);
     }
 
@@ -273,7 +277,7 @@
                 for change in changes {
                     match change {
                         Change::Put { key, value, .. } => self.told.insert(key.clone(), value.clone()),
-                        Change::Gone { key } => {
+                        Change::Deleted { key } => {
                             let old = self.told.remove(key);
                             assert!(old.is_some(), "told as gone what was not there");
                             old
@@ -307,7 +311,7 @@
         let now = &self.states[&(self.life, self.store.revision())];
         assert_eq!(names(&self.told), names(now), "revision {}", self.store.revision());
         assert!(now.contains_key(OWN.as_bytes()), "our own entry is not there");
-        assert_eq!(self.client.watch_state().view(self.now_us), Freshness::Current);
+        assert_eq!(self.client.watch_state().freshness(self.now_us), Freshness::Current);
     }
 }
 
@@ -434,7 +438,7 @@
         let drained = |c: &&&Change| matches!(c, Change::Put { key, value, .. } if *key == of(2) && value == DRAINING.as_bytes());
         assert_eq!(changes.iter().filter(drained).count(), 1, "{compaction:?}: {changes:?}");
         // One that went and came back within the gap is told as made anew.
-        let anew = |c: &&Change| matches!(c, Change::Put { key, made: true, .. } if *key == of(3));
+        let anew = |c: &&Change| matches!(c, Change::Put { key, created: true, .. } if *key == of(3));
         assert!(changes.iter().any(anew), "{compaction:?}: {changes:?}");
         let listed_again =
             world.heard.iter().any(|h| matches!(h, ClientEvent::WatchFault(WatchFault::Compacted { .. })));
@@ -476,10 +480,10 @@
     for _ in 0..200 {
         world.pipes.values_mut().for_each(|p| p.inbox.clear());
         world.pass(50_000);
-        views.push(world.client.watch_state().view(world.now_us));
+        views.push(world.client.watch_state().freshness(world.now_us));
     }
     views.dedup();
-    assert_eq!(views, [Freshness::Current, Freshness::Silent]);
+    assert_eq!(views, [Freshness::Current, Freshness::Stale]);
     assert!(world.heard.iter().any(|h| matches!(h, ClientEvent::Failed(w) if w.contains("does not answer"))));
     world.settle();
 }
@@ -496,12 +500,12 @@
 #[test]
 fn what_was_kept_is_remembered_until_the_registry_is_heard() {
     let world = standing();
-    let kept = world.client.watch_state().keep(3);
+    let kept = world.client.watch_state().to_snapshot(3);
     let mut client = Client::new(settings(false));
-    let (told, askers) = client.watch_state_mut().remember(&kept).unwrap();
-    assert_eq!(askers, 3);
-    assert_eq!((told.len(), client.watch_state().view(0)), (world.told.len(), Freshness::Remembered));
-    assert!(client.watch_state_mut().remember(b"{").is_err());
+    let LoadedSnapshot { changes: told, clients } = client.watch_state_mut().load_snapshot(&kept).unwrap();
+    assert_eq!(clients, 3);
+    assert_eq!((told.len(), client.watch_state().freshness(0)), (world.told.len(), Freshness::Remembered));
+    assert!(client.watch_state_mut().load_snapshot(b"{").is_err());
     // Heard at last: only differences are told.
     let mut again = World::new(false);
     (0..5).filter(|n| *n != 2).for_each(|n| again.put(n, READY));
@@ -519,7 +523,7 @@
 fn a_restart_lists_nothing_where_the_history_is_left_and_only_looks() {
     let mut world = standing();
     world.start_again();
-    assert_eq!(world.client.watch_state().view(world.now_us), Freshness::Remembered);
+    assert_eq!(world.client.watch_state().freshness(world.now_us), Freshness::Remembered);
     world.put(3, DRAINING);
     let lists = world.lists;
     world.heard.clear();
--- a/crates/registry/tests/stored_forms.rs
+++ b/crates/registry/tests/stored_forms.rs
@@ -100,7 +100,7 @@
 }
 
 fn changes_of_remembered() -> Vec<Change> {
-    let put = |key: &str, value: &str| Change::Put { key: key.into(), value: value.into(), made: true };
+    let put = |key: &str, value: &str| Change::Put { key: key.into(), value: value.into(), created: true };
     vec![put("/s/workers/a", r#"{"cell":1}"#), put("/s/workers/b", "")]
 }
 
@@ -120,19 +120,20 @@
         count: 2,
     };
     let mut watch_state = WatchState::new(WatchSettings::default());
-    assert_eq!(watch_state.listed(0, page), changes_of_remembered());
-    assert_eq!(String::from_utf8(watch_state.keep(9)).unwrap(), REMEMBERED);
+    assert_eq!(watch_state.handle_list(0, page), changes_of_remembered());
+    assert_eq!(String::from_utf8(watch_state.to_snapshot(9)).unwrap(), REMEMBERED);
 }
 
 #[test]
 fn the_remembered_list_is_read_and_written_again_as_it_stands() {
     let mut watch_state = WatchState::new(WatchSettings::default());
-    let told = watch_state.remember(REMEMBERED.as_bytes()).unwrap();
-    assert_eq!(told, (changes_of_remembered(), 9));
-    assert_eq!((watch_state.cluster(), watch_state.want()), (-77, NextRequest::Watch(43)));
-    let held: Vec<(i64, i64)> = watch_state.held().values().map(|held| (held.made, held.changed)).collect();
+    let told = watch_state.load_snapshot(REMEMBERED.as_bytes()).unwrap();
+    assert_eq!((told.changes, told.clients), (changes_of_remembered(), 9));
+    assert_eq!((watch_state.cluster(), watch_state.next_request()), (-77, NextRequest::Watch(43)));
+    let held: Vec<(i64, i64)> =
+        watch_state.entries().values().map(|held| (held.create_revision, held.mod_revision)).collect();
     assert_eq!(held, [(5, 40), (6, 6)]);
-    assert_eq!(String::from_utf8(watch_state.keep(9)).unwrap(), REMEMBERED);
+    assert_eq!(String::from_utf8(watch_state.to_snapshot(9)).unwrap(), REMEMBERED);
 }
 
 /// Written by earlier versions only.
@@ -140,7 +141,7 @@
 fn a_remembered_list_without_revisions_is_read_and_everything_is_listed() {
     let mut watch_state = WatchState::new(WatchSettings::default());
     let old = br#"{"keys":[[[47,115,47,119,111,114,107,101,114,115,47,98],[]]]}"#;
-    let told = watch_state.remember(old).unwrap();
-    assert_eq!(told, (changes_of_remembered().split_off(1), 0));
-    assert!(matches!(watch_state.want(), NextRequest::List(_)));
+    let told = watch_state.load_snapshot(old).unwrap();
+    assert_eq!((told.changes, told.clients), (changes_of_remembered().split_off(1), 0));
+    assert!(matches!(watch_state.next_request(), NextRequest::List(_)));
 }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -141,9 +141,13 @@
 
     /// Takes what is followed; to be called whenever something was heard of the registry, and from time to time.
     pub fn followed(&mut self, now_us: i64, watch_state: &WatchState, out: &mut Vec<Act>) {
-        let fit = watch_state.view(now_us) == Freshness::Current;
+        let fit = watch_state.freshness(now_us) == Freshness::Current;
         if fit {
-            match self.mirror.take(watch_state.cluster(), watch_state.sure(), watch_state.held()) {
+            match self.mirror.take(
+                watch_state.cluster(),
+                watch_state.confirmed_revision(),
+                watch_state.entries(),
+            ) {
                 Taken::Nothing => {}
                 Taken::Events(events) => self.tell(&events, out),
                 Taken::Anew => self.end_watches(true, out),
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -26,12 +26,12 @@
     /// A relay that follows from revision 5, with one worker.
     fn new() -> Self {
         let mut watch_state = WatchState::new(WatchSettings::default());
-        watch_state.listed(
+        watch_state.handle_list(
             0,
             RangeResponse { header: header(5), kvs: vec![worker("ready", 3, 3)], more: false, count: 1 },
         );
         watch_state
-            .watched(0, WatchResponse { header: header(5), created: true, ..WatchResponse::default() });
+            .handle_watch(0, WatchResponse { header: header(5), created: true, ..WatchResponse::default() });
         let mut world = World { relay: Relay::new(LIMITS, "one", "/s/"), watch_state, now_us: 0 };
         assert!(world.follow().is_empty() && world.relay.is_fit());
         world
@@ -48,7 +48,7 @@
         let kv = worker(value, 3, revision);
         let events = vec![WatchEvent { kind: EventType::Put, kv }];
         let answer = WatchResponse { header: header(revision), events, ..WatchResponse::default() };
-        self.watch_state.watched(self.now_us, answer);
+        self.watch_state.handle_watch(self.now_us, answer);
         self.follow()
     }
 
@@ -127,21 +127,21 @@
     assert!(!world.relay.is_fit());
     assert!(text(&world.list(2), 2).contains("503") && text(&world.watch(3, 6), 3).contains("503"));
     // It is back, at an earlier state than before: nobody goes on from what was told.
-    world.watch_state.broke();
+    world.watch_state.connection_lost();
     let back = WatchResponse { header: header(5), created: true, ..WatchResponse::default() };
-    world.watch_state.watched(world.now_us, back);
+    world.watch_state.handle_watch(world.now_us, back);
     assert!(world.follow().is_empty() && world.relay.is_fit());
     world.relay.closed(3);
     world.watch(3, 6);
-    world.watch_state.watched(
+    world.watch_state.handle_watch(
         world.now_us,
         WatchResponse { header: Header { cluster_id: 8, ..header(5) }, ..WatchResponse::default() },
     );
-    world.watch_state.listed(
+    world.watch_state.handle_list(
         world.now_us,
         RangeResponse { header: Header { cluster_id: 8, ..header(2) }, ..RangeResponse::default() },
     );
-    world.watch_state.watched(
+    world.watch_state.handle_watch(
         world.now_us,
         WatchResponse {
             header: Header { cluster_id: 8, ..header(2) },
