--- a/crates/registry-transport/src/lib.rs
+++ b/crates/registry-transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! The key-value registry's [`Client`] on sockets of a [`Reactor`]: the same for the gateway's loop, the stand-in worker's
-//! and a command's. It carries bytes and decides nothing.
+//! The registry's [`Client`] on sockets of a [`Reactor`], for the event loops of gateways, test workers and commands. It
+//! transfers bytes between the two and takes no decisions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -8,90 +8,82 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// See the crate's documentation.
+/// A client with its sockets. Times are in microseconds of a monotonic clock.
 pub struct Link {
     client: Client,
     endpoints: Vec<SocketAddr>,
     sockets: BTreeMap<Channel, Id>,
-    heard: Vec<ClientEvent>,
+    events: Vec<ClientEvent>,
 }
 
 impl Link {
-    /// A link to members at these addresses, in the order of the settings' endpoints.
+    /// Creates a link to members at these addresses, in the order of the settings' endpoints.
     pub fn new(settings: ClientSettings, endpoints: Vec<SocketAddr>) -> Self {
-        let (sockets, heard) = (BTreeMap::new(), Vec::new());
-        Link { client: Client::new(settings), endpoints, sockets, heard }
+        Link { client: Client::new(settings), endpoints, sockets: BTreeMap::new(), events: Vec::new() }
     }
 
-    /// The client.
+    /// Returns the client.
+    #[must_use]
     pub fn client(&self) -> &Client {
         &self.client
     }
 
-    /// The client, to ask it for something.
+    /// Returns the client, to send requests or change its entry.
     pub fn client_mut(&mut self) -> &mut Client {
         &mut self.client
     }
 
-    /// When [`Link::advance`] is due, in microseconds.
+    /// Returns when [`Link::advance`] is due if nothing happens before.
+    #[must_use]
     pub fn next_wake(&self, now_us: i64) -> i64 {
         self.client.next_wake(now_us)
     }
 
-    /// Lets time pass.
+    /// Handles the passing of time.
     pub fn advance(&mut self, now_us: i64, reactor: &mut Reactor) {
-        let mut todo = Vec::new();
-        self.client.advance(now_us, &mut todo, &mut self.heard);
-        self.carry_out(now_us, reactor, todo);
+        let mut actions = Vec::new();
+        self.client.advance(now_us, &mut actions, &mut self.events);
+        self.execute(now_us, reactor, actions);
     }
 
-    /// What was heard since the last time.
+    /// Removes and returns the client's events since the last call.
     pub fn take_events(&mut self) -> Vec<ClientEvent> {
-        std::mem::take(&mut self.heard)
+        std::mem::take(&mut self.events)
     }
 
-    /// Takes a happening on one of its sockets; `false` where it is of another's.
+    /// Handles an event of one of the link's sockets; returns `false` for an event of any other source.
     pub fn handle_event(&mut self, now_us: i64, reactor: &mut Reactor, event: &ReactorEvent) -> bool {
-        let id = match event {
-            ReactorEvent::Connected(id) | ReactorEvent::Received(id, _) | ReactorEvent::Closed { id, .. } => {
-                *id
-            }
-            _ => return false,
-        };
-        let Some(channel) = self.sockets.iter().find(|(_, i)| **i == id).map(|(c, _)| *c) else {
+        let (ReactorEvent::Connected(id) | ReactorEvent::Received(id, _) | ReactorEvent::Closed { id, .. }) =
+            event
+        else {
             return false;
         };
-        let mut todo = Vec::new();
+        let Some(channel) = self.channel_of(*id) else { return false };
+        let mut actions = Vec::new();
         match event {
-            ReactorEvent::Connected(_) => self.client.connected(now_us, channel, &mut todo),
+            ReactorEvent::Connected(_) => self.client.connected(now_us, channel, &mut actions),
             ReactorEvent::Received(_, bytes) => {
-                self.client.received(now_us, channel, bytes, &mut todo, &mut self.heard);
+                self.client.received(now_us, channel, bytes, &mut actions, &mut self.events);
             }
             _ => {
                 self.sockets.remove(&channel);
-                self.client.closed(now_us, channel, &mut todo, &mut self.heard);
+                self.client.closed(now_us, channel, &mut actions, &mut self.events);
             }
         }
-        // An answer may be followed by a request at once.
-        self.client.advance(now_us, &mut todo, &mut self.heard);
-        self.carry_out(now_us, reactor, todo);
+        // A response may be followed by the next request at once.
+        self.client.advance(now_us, &mut actions, &mut self.events);
+        self.execute(now_us, reactor, actions);
         true
     }
 
-    fn carry_out(&mut self, now_us: i64, reactor: &mut Reactor, todo: Vec<SocketAction>) {
-        for what in todo {
-            match what {
-                SocketAction::Open(channel, endpoint) => {
-                    let opened = self.endpoints.get(endpoint).and_then(|a| reactor.connect(*a).ok());
-                    match opened {
-                        Some(id) => drop(self.sockets.insert(channel, id)),
-                        None => {
-                            let mut more = Vec::new();
-                            self.client.closed(now_us, channel, &mut more, &mut self.heard);
-                            self.carry_out(now_us, reactor, more);
-                        }
-                    }
-                }
+    fn channel_of(&self, id: Id) -> Option<Channel> {
+        self.sockets.iter().find(|(_, socket)| **socket == id).map(|(channel, _)| *channel)
+    }
+
+    fn execute(&mut self, now_us: i64, reactor: &mut Reactor, actions: Vec<SocketAction>) {
+        for action in actions {
+            match action {
+                SocketAction::Open(channel, endpoint) => self.open(now_us, reactor, channel, endpoint),
                 SocketAction::Write(channel, bytes) => {
                     if let Some(id) = self.sockets.get(&channel) {
                         reactor.write(*id, &bytes);
@@ -105,4 +97,15 @@
             }
         }
     }
+
+    fn open(&mut self, now_us: i64, reactor: &mut Reactor, channel: Channel, endpoint: usize) {
+        let address = self.endpoints.get(endpoint);
+        if let Some(id) = address.and_then(|address| reactor.connect(*address).ok()) {
+            self.sockets.insert(channel, id);
+            return;
+        }
+        let mut actions = Vec::new();
+        self.client.closed(now_us, channel, &mut actions, &mut self.events);
+        self.execute(now_us, reactor, actions);
+    }
 }
--- a/crates/relay/src/entries.rs
+++ b/crates/relay/src/entries.rs
@@ -1,76 +1,94 @@
-//! The routers' own entries at a relay: leases and the keys under them, kept here and counted, so that what a router costs the
-//! registry is nothing. A decision module; bounded.
+//! The routers' own entries at a relay: leases and the keys under them, kept and counted here, so that a router costs the
+//! registry nothing. No I/O; bounded.
 
 use std::collections::BTreeMap;
 
-/// See the module's documentation. Times in microseconds.
+/// The longest time to live of a lease, in seconds.
+const LEASE_TTL_MAX_S: i64 = 600;
+const MICROS_PER_SECOND: i64 = 1_000_000;
+
+/// A lease that was granted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct GrantedLease {
+    /// The id.
+    pub id: i64,
+    /// The time to live in seconds.
+    pub ttl_s: i64,
+}
+
 #[derive(Debug)]
-pub struct Entries {
-    /// By lease: how long it lives, when it ends, and the key under it.
-    leases: BTreeMap<i64, (i64, i64, Option<Vec<u8>>)>,
-    next: i64,
-    most: usize,
+struct Lease {
+    ttl_us: i64,
+    expires_at_us: i64,
+    /// The key that expires with the lease.
+    key: Option<Vec<u8>>,
 }
 
-/// Seconds that a lease lives at most.
-const LONGEST_S: i64 = 600;
+/// Leases by id; see the module's documentation. Times in microseconds.
+#[derive(Debug)]
+pub struct Entries {
+    leases: BTreeMap<i64, Lease>,
+    next_id: i64,
+    capacity: usize,
+}
 
 impl Entries {
-    /// No entries; at most so many. Leases of relays with different `names` are different, so that a router that comes with
-    /// another relay's lease is told that it is none here.
-    pub fn new(name: &str, most: usize) -> Self {
-        let first = (slatevalve_pacing::seed_of(0, name) >> 24) as i64;
-        Entries { leases: BTreeMap::new(), next: (first << 20) | 1, most }
+    /// Creates an empty set for at most `capacity` leases. Relays of different names grant different ids, so that the lease
+    /// of another relay is unknown here.
+    pub fn new(name: &str, capacity: usize) -> Self {
+        let id_prefix = (slatevalve_pacing::seed_of(0, name) >> 24) as i64;
+        Entries { leases: BTreeMap::new(), next_id: (id_prefix << 20) | 1, capacity }
     }
 
-    /// Grants a lease of so many seconds; none where there are too many. Gives the lease and its seconds.
-    pub fn grant(&mut self, now_us: i64, ttl_s: i64) -> Option<(i64, i64)> {
-        if self.leases.len() >= self.most {
+    /// Grants a lease of `ttl_s` seconds, within bounds; none where the capacity is reached.
+    pub fn grant(&mut self, now_us: i64, ttl_s: i64) -> Option<GrantedLease> {
+        if self.leases.len() >= self.capacity {
             return None;
         }
-        let ttl_s = ttl_s.clamp(1, LONGEST_S);
-        let (lease, ttl_us) = (self.next, ttl_s * 1_000_000);
-        self.next += 1;
-        self.leases.insert(lease, (ttl_us, now_us.saturating_add(ttl_us), None));
-        Some((lease, ttl_s))
+        let ttl_s = ttl_s.clamp(1, LEASE_TTL_MAX_S);
+        let (id, ttl_us) = (self.next_id, ttl_s * MICROS_PER_SECOND);
+        self.next_id += 1;
+        self.leases.insert(id, Lease { ttl_us, expires_at_us: now_us.saturating_add(ttl_us), key: None });
+        Some(GrantedLease { id, ttl_s })
     }
 
-    /// Puts a key under a lease; whether that lease is known. A key stands under the lease that it was put under last.
-    pub fn put(&mut self, lease: i64, key: &[u8]) -> bool {
-        if !self.leases.contains_key(&lease) {
+    /// Puts a key under a lease, and removes it from any other. Returns whether the lease is known.
+    pub fn put(&mut self, id: i64, key: &[u8]) -> bool {
+        if !self.leases.contains_key(&id) {
             return false;
         }
-        for (id, (_, _, held)) in &mut self.leases {
-            if *id == lease {
-                *held = Some(key.to_vec());
-            } else if held.as_deref() == Some(key) {
-                *held = None;
+        for (other, lease) in &mut self.leases {
+            if *other == id {
+                lease.key = Some(key.to_vec());
+            } else if lease.key.as_deref() == Some(key) {
+                lease.key = None;
             }
         }
         true
     }
 
-    /// Keeps a lease alive; gives its seconds, 0 for one that is not known.
-    pub fn keep_alive(&mut self, now_us: i64, lease: i64) -> i64 {
-        self.leases.get_mut(&lease).map_or(0, |(ttl_us, ends_us, _)| {
-            *ends_us = now_us.saturating_add(*ttl_us);
-            *ttl_us / 1_000_000
+    /// Keeps a lease alive. Returns its time to live in seconds, 0 for an unknown lease.
+    pub fn keep_alive(&mut self, now_us: i64, id: i64) -> i64 {
+        self.leases.get_mut(&id).map_or(0, |lease| {
+            lease.expires_at_us = now_us.saturating_add(lease.ttl_us);
+            lease.ttl_us / MICROS_PER_SECOND
         })
     }
 
-    /// Ends a lease; whether it was known.
-    pub fn revoke(&mut self, lease: i64) -> bool {
-        self.leases.remove(&lease).is_some()
+    /// Revokes a lease. Returns whether it was known.
+    pub fn revoke(&mut self, id: i64) -> bool {
+        self.leases.remove(&id).is_some()
     }
 
-    /// Ends the leases whose time is up.
+    /// Removes the expired leases.
     pub fn expire(&mut self, now_us: i64) {
-        self.leases.retain(|_, (_, ends_us, _)| *ends_us > now_us);
+        self.leases.retain(|_, lease| lease.expires_at_us > now_us);
     }
 
-    /// Keys that stand.
+    /// Returns the number of keys.
+    #[must_use]
     pub fn count(&self) -> usize {
-        self.leases.values().filter(|l| l.2.is_some()).count()
+        self.leases.values().filter(|lease| lease.key.is_some()).count()
     }
 }
 
--- a/crates/relay/src/entries/tests.rs
+++ b/crates/relay/src/entries/tests.rs
@@ -5,10 +5,10 @@
 #[test]
 fn an_entry_counts_once_ends_with_its_lease_and_is_unknown_at_another_relay() {
     let (mut here, mut there) = (Entries::new("a", 3), Entries::new("b", 3));
-    let (one, ttl) = here.grant(0, 10).unwrap();
+    let GrantedLease { id: one, ttl_s: ttl } = here.grant(0, 10).unwrap();
     assert!(here.put(one, b"r-1") && here.put(one, b"r-1") && ttl == 10);
     // The same router comes again with a new lease before the old one ended.
-    let (two, _) = here.grant(5_000_000, 10).unwrap();
+    let GrantedLease { id: two, .. } = here.grant(5_000_000, 10).unwrap();
     assert!(here.put(two, b"r-1"));
     assert_eq!(here.count(), 1);
     here.expire(10_000_000);
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,22 +1,22 @@
-//! A relay: follows the registry once and serves its list of workers and the watch of it to many routers, by the protocol that
-//! they speak with the registry. The registry sees some relays instead of hundreds of routers.
+//! A relay: a watch cache between the registry and many routers. It follows the registry's workers once, and serves their
+//! list and watch by the protocol that routers speak with the registry.
 //!
-//! It guards three things. Nothing goes back: an answer is never of an earlier state than the asker was told, whichever relay
-//! told it; who knows more than this one waits for it a moment and is sent away. Nothing stale is served: a relay that has lost
-//! its registry refuses all and ends its watches, so that routers leave it. No drain is lost: what cannot be told as an event in
-//! order ends the watches, and routers list anew. Revisions are the registry's own.
+//! Three invariants hold. A response never has an earlier state than its router knows, from whichever relay: a router that
+//! knows more waits a moment and is then rejected. A stale cache is not served: a relay without its registry rejects all
+//! requests and ends its watches, so that routers leave it. No drain is lost: a change that cannot be sent as an event in
+//! order ends the watches, and routers list again. Revisions are the registry's own.
 //!
-//! [`WatchCache`] holds the keys and their history, [`Relay`] speaks with routers; both are without I/O. [`run_relay`] is the thin
-//! shell, called by the command `slatevalve relay`.
+//! [`WatchCache`] holds the keys and their history, [`Relay`] serves routers; both are without I/O. [`run_relay`] is their
+//! event loop, run by the command `slatevalve relay`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod entries;
-mod mirror;
 mod relay;
 mod run;
+mod watch_cache;
 
-pub use entries::Entries;
-pub use mirror::{Taken, WatchCache};
-pub use relay::{Act, Limits, Peer, Relay};
+pub use entries::{Entries, GrantedLease};
+pub use relay::{Limits, Peer, Relay, RelayAction};
 pub use run::{run_relay, RelayError, RelayPlan};
+pub use watch_cache::{CacheUpdate, RangeError, WatchCache};
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -2,7 +2,7 @@
 
 use slatevalve_registry::wire::*;
 use slatevalve_registry::{WatchSettings, WatchState};
-use slatevalve_relay::{Act, Limits, Peer, Relay};
+use slatevalve_relay::{Limits, Peer, Relay, RelayAction};
 
 const KEY: &str = "/s/workers/a";
 const LIMITS: Limits = Limits { peers: 4, events: 8, hold_us: 1_500_000 };
@@ -33,18 +33,18 @@
         watch_state
             .handle_watch(0, WatchResponse { header: header(5), created: true, ..WatchResponse::default() });
         let mut world = World { relay: Relay::new(LIMITS, "one", "/s/"), watch_state, now_us: 0 };
-        assert!(world.follow().is_empty() && world.relay.is_fit());
+        assert!(world.follow().is_empty() && world.relay.is_serving());
         world
     }
 
-    fn follow(&mut self) -> Vec<Act> {
-        let mut acts = Vec::new();
-        self.relay.followed(self.now_us, &self.watch_state, &mut acts);
-        self.relay.advance(self.now_us, &mut acts);
-        acts
+    fn follow(&mut self) -> Vec<RelayAction> {
+        let mut actions = Vec::new();
+        self.relay.update(self.now_us, &self.watch_state, &mut actions);
+        self.relay.advance(self.now_us, &mut actions);
+        actions
     }
 
-    fn change(&mut self, value: &str, revision: i64) -> Vec<Act> {
+    fn change(&mut self, value: &str, revision: i64) -> Vec<RelayAction> {
         let kv = worker(value, 3, revision);
         let events = vec![WatchEvent { kind: EventType::Put, kv }];
         let answer = WatchResponse { header: header(revision), events, ..WatchResponse::default() };
@@ -52,30 +52,30 @@
         self.follow()
     }
 
-    fn ask(&mut self, peer: Peer, path: &str, body: &impl serde::Serialize) -> Vec<Act> {
+    fn ask(&mut self, peer: Peer, path: &str, body: &impl serde::Serialize) -> Vec<RelayAction> {
         self.relay.opened(peer);
         let body = serde_json::to_string(body).unwrap();
         let request = format!("POST {path} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        let mut acts = Vec::new();
-        self.relay.received(self.now_us, peer, request.as_bytes(), &mut acts);
-        acts
+        let mut actions = Vec::new();
+        self.relay.received(self.now_us, peer, request.as_bytes(), &mut actions);
+        actions
     }
 
-    fn watch(&mut self, peer: Peer, start_revision: i64) -> Vec<Act> {
+    fn watch(&mut self, peer: Peer, start_revision: i64) -> Vec<RelayAction> {
         let (key, range_end) = (Bytes::of("/s/workers/"), Bytes(prefix_end(b"/s/workers/")));
         let create = WatchCreate { key, range_end, start_revision, ..WatchCreate::default() };
         self.ask(peer, WATCH, &WatchRequest { create_request: Some(create) })
     }
 
-    fn list(&mut self, peer: Peer) -> Vec<Act> {
+    fn list(&mut self, peer: Peer) -> Vec<RelayAction> {
         let (key, range_end) = (Bytes::of("/s/workers/"), Bytes(prefix_end(b"/s/workers/")));
         self.ask(peer, RANGE, &RangeRequest { key, range_end, ..RangeRequest::default() })
     }
 }
 
-fn text(acts: &[Act], peer: Peer) -> String {
-    let of_peer = acts.iter().filter_map(|a| match a {
-        Act::Write(p, bytes) if *p == peer => Some(String::from_utf8_lossy(bytes).into_owned()),
+fn text(actions: &[RelayAction], peer: Peer) -> String {
+    let of_peer = actions.iter().filter_map(|a| match a {
+        RelayAction::Write(p, bytes) if *p == peer => Some(String::from_utf8_lossy(bytes).into_owned()),
         _ => None,
     });
     of_peer.collect()
@@ -123,14 +123,14 @@
     let mut world = World::new();
     world.watch(1, 6);
     world.now_us += WatchSettings::default().silence_us;
-    assert_eq!(world.follow(), [Act::Finish(1)]);
-    assert!(!world.relay.is_fit());
+    assert_eq!(world.follow(), [RelayAction::Finish(1)]);
+    assert!(!world.relay.is_serving());
     assert!(text(&world.list(2), 2).contains("503") && text(&world.watch(3, 6), 3).contains("503"));
     // It is back, at an earlier state than before: nobody goes on from what was told.
     world.watch_state.connection_lost();
     let back = WatchResponse { header: header(5), created: true, ..WatchResponse::default() };
     world.watch_state.handle_watch(world.now_us, back);
-    assert!(world.follow().is_empty() && world.relay.is_fit());
+    assert!(world.follow().is_empty() && world.relay.is_serving());
     world.relay.closed(3);
     world.watch(3, 6);
     world.watch_state.handle_watch(
@@ -150,13 +150,16 @@
         },
     );
     let anew = world.follow();
-    assert!(text(&anew, 3).contains(r#""canceled":true"#) && anew.contains(&Act::Finish(3)), "{anew:?}");
+    assert!(
+        text(&anew, 3).contains(r#""canceled":true"#) && anew.contains(&RelayAction::Finish(3)),
+        "{anew:?}"
+    );
 }
 
 #[test]
 fn routers_entries_stay_here_are_counted_and_workers_entries_are_not_taken() {
     let mut world = World::new();
-    world.relay.counted(40);
+    world.relay.set_counted_routers(40);
     let granted = text(&world.ask(1, GRANT, &LeaseRequest { id: 0, ttl: 30 }), 1);
     let body = granted.split("\r\n\r\n").nth(1).unwrap();
     let lease = serde_json::from_str::<LeaseResponse>(body).unwrap().id;
@@ -170,7 +173,7 @@
         serde_json::from_str::<RangeResponse>(told.split("\r\n\r\n").nth(1).unwrap()).unwrap().count
     };
     assert_eq!(count(&mut world), 41, "one more than the registry knew of");
-    assert_eq!(world.follow(), [Act::Announce(1)]);
+    assert_eq!(world.follow(), [RelayAction::Announce(1)]);
     // Nobody keeps it alive.
     world.now_us += 1_000_000;
     assert!(world.follow().is_empty());
