--- a/crates/gateway/src/commands/members.rs
+++ b/crates/gateway/src/commands/members.rs
@@ -1,6 +1,6 @@
-//! The `members` sub-commands: who is in the registry, what changes there, and drains.
+//! `slatevalve members`: lists the members in the registry, follows their changes, and drains workers.
 
-use super::session::{RegistryArguments, Res, Session, WITHIN_US};
+use super::session::{RegistryArguments, Res, Session};
 use super::Outcome;
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
@@ -12,8 +12,9 @@
 use std::io::{self, Write};
 use std::process::ExitCode;
 
-/// Times that a drain is tried again as somebody else changed the worker's entry meanwhile.
-const TRIES: usize = 5;
+/// How often a change of state is attempted while others change the worker's entry at the same time.
+const ATTEMPTS_MAX: usize = 5;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 #[derive(Args)]
 pub(super) struct MembersArguments {
@@ -48,22 +49,16 @@
     },
 }
 
+/// Runs `slatevalve members`.
 pub(super) fn members(arguments: MembersArguments) -> Outcome {
     let MembersArguments { registry, json, command } = arguments;
     let follow = match command {
         MembersCommand::List | MembersCommand::Watch { .. } => WatchScope::All,
-        _ => WatchScope::Nothing,
+        MembersCommand::Drain { .. } | MembersCommand::Ready { .. } => WatchScope::Nothing,
     };
     let mut session = Session::new(registry, follow)?;
     match command {
-        MembersCommand::List => {
-            let changes = session.first_list()?;
-            let rows: Vec<Value> = changes.iter().map(|c| session.row(c)).collect();
-            match json {
-                true => println!("{}", Value::Array(rows)),
-                false => rows.iter().for_each(|r| println!("{}", text(r))),
-            }
-        }
+        MembersCommand::List => session.print_list(json)?,
         MembersCommand::Watch { seconds } => session.watch(seconds, json)?,
         MembersCommand::Drain { worker } => session.set_state(&worker, MemberState::Draining, json)?,
         MembersCommand::Ready { worker } => session.set_state(&worker, MemberState::Ready, json)?,
@@ -71,56 +66,54 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn text(row: &Value) -> String {
-    let word = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_string);
+/// Formats a row as a line of JSON, or of text in columns.
+fn format_row(row: &Value, json: bool) -> String {
+    if json {
+        return row.to_string();
+    }
+    let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_string);
     let kind = if row["router"].is_null() { "worker" } else { "router" };
-    let name = word(&row[kind]);
-    match row["gone"].as_bool() {
-        Some(true) => format!("{kind:<8} {name:<32} gone"),
-        _ => {
-            let state = row["record"]["state"].as_str().unwrap_or("-");
-            let (address, zone) = (&row["record"]["address"], &row["record"]["zone"]);
-            let known = |v: &Value| if v.is_null() { "-".to_string() } else { word(v) };
-            format!("{kind:<8} {name:<32} {state:<10} {:<22} {}", known(address), known(zone))
-        }
+    let name = text(&row[kind]);
+    if row["gone"] == true {
+        return format!("{kind:<8} {name:<32} gone");
     }
+    let or_dash = |value: &Value| if value.is_null() { "-".to_string() } else { text(value) };
+    let record = &row["record"];
+    let state = record["state"].as_str().unwrap_or("-");
+    let (address, zone) = (or_dash(&record["address"]), or_dash(&record["zone"]));
+    format!("{kind:<8} {name:<32} {state:<10} {address:<22} {zone}")
 }
 
 impl Session {
-    fn first_list(&mut self) -> Res<Vec<Change>> {
-        let until = self.clock.now().0 + WITHIN_US;
-        let mut failed = "the registry does not answer".to_string();
-        while self.clock.now().0 < until {
-            let mut all = Vec::new();
-            for heard in self.poll()? {
-                match heard {
-                    ClientEvent::Changes(changes) => all.extend(changes),
-                    ClientEvent::Failed(words) => failed = words,
-                    _ => {}
-                }
-            }
-            if self.link.client().watch_state().revision() > 0 {
-                return Ok(all);
-            }
+    fn print_list(&mut self, json: bool) -> Res<()> {
+        let changes = self.first_list()?;
+        let rows: Vec<Value> = changes.iter().map(|change| self.row(change)).collect();
+        if json {
+            println!("{}", Value::Array(rows));
+        } else {
+            rows.iter().for_each(|row| println!("{}", format_row(row, false)));
         }
-        Err(failed.into())
+        Ok(())
+    }
+
+    /// Waits for the first complete list.
+    fn first_list(&mut self) -> Res<Vec<Change>> {
+        self.poll_until(|session, events| {
+            let is_complete = session.link.client().watch_state().revision() > 0;
+            is_complete.then(|| Ok(events.into_iter().flat_map(changes_of).collect()))
+        })
     }
 
+    /// Converts a changed key to a row of JSON.
     fn row(&self, change: &Change) -> Value {
-        let name = |key: &[u8]| {
-            let text = String::from_utf8_lossy(key).into_owned();
-            text.strip_prefix(&self.prefix).unwrap_or(&text).to_string()
-        };
-        let (key, record, gone) = match change {
-            Change::Put { key, value, .. } => (key, value.clone(), false),
-            Change::Deleted { key } => (key, Vec::new(), true),
-        };
-        let name = name(key);
-        let (kind, name) = name.split_once("s/").unwrap_or(("other", &name));
-        if gone {
+        let (Change::Put { key, .. } | Change::Deleted { key }) = change;
+        let key_text = String::from_utf8_lossy(key);
+        let relative = key_text.strip_prefix(&self.prefix).unwrap_or(&key_text);
+        let (kind, name) = relative.split_once("s/").unwrap_or(("other", relative));
+        let Change::Put { value, .. } = change else {
             return json!({kind: name, "gone": true});
-        }
-        match read_member(&self.prefix, key, &record) {
+        };
+        match read_member(&self.prefix, key, value) {
             Ok(Some(Member::Worker(name, record))) => json!({"worker": name, "record": record}),
             Ok(Some(Member::Router(name, record))) => json!({"router": name, "record": record}),
             Ok(None) => json!({kind: name}),
@@ -128,36 +121,40 @@
         }
     }
 
+    /// Prints changes until the time is over or the output is closed.
     fn watch(&mut self, seconds: Option<f64>, json: bool) -> Res<()> {
-        let until = seconds.map(|s| self.clock.now().0 + (s * 1e6) as i64);
+        let end_us = seconds.map(|seconds| self.clock.now().0 + (seconds * MICROS_PER_SECOND) as i64);
         let mut out = io::stdout().lock();
-        while until.is_none_or(|at| self.clock.now().0 < at) {
-            for heard in self.poll()? {
-                match heard {
-                    ClientEvent::Changes(changes) => {
-                        for change in &changes {
-                            let row = self.row(change);
-                            let line = if json { row.to_string() } else { text(&row) };
-                            // Whoever read it may have left.
-                            if writeln!(out, "{line}").and_then(|()| out.flush()).is_err() {
-                                return Ok(());
-                            }
-                        }
+        while end_us.is_none_or(|end_us| self.clock.now().0 < end_us) {
+            for event in self.poll()? {
+                let printed = match event {
+                    ClientEvent::Changes(changes) => self.print_changes(&mut out, &changes, json),
+                    other => {
+                        report_fault(&other);
+                        Ok(())
                     }
-                    ClientEvent::Failed(words) => eprintln!("registry: {words}"),
-                    ClientEvent::WatchFault(trouble) => eprintln!("registry: {trouble:?}"),
-                    _ => {}
+                };
+                if printed.is_err() {
+                    // The reader of the output may have exited.
+                    return Ok(());
                 }
             }
         }
         Ok(())
     }
 
-    /// Writes a worker's state into its entry as it is, under the lease that it has; tried again where somebody else wrote
-    /// it in between.
+    fn print_changes(&self, out: &mut impl Write, changes: &[Change], json: bool) -> io::Result<()> {
+        for change in changes {
+            writeln!(out, "{}", format_row(&self.row(change), json))?;
+            out.flush()?;
+        }
+        Ok(())
+    }
+
+    /// Writes a worker's state into its present entry, under the entry's lease; repeated where the entry changed in between.
     fn set_state(&mut self, worker: &str, state: MemberState, json: bool) -> Res<()> {
         let key = Bytes::of(&worker_key(&self.prefix, worker));
-        for _ in 0..TRIES {
+        for _ in 0..ATTEMPTS_MAX {
             let found: RangeResponse =
                 self.ask(RANGE, &RangeRequest { key: key.clone(), ..RangeRequest::default() })?;
             let Some(KeyValue { value, mod_revision, lease, .. }) = found.kvs.into_iter().next() else {
@@ -168,17 +165,34 @@
             };
             record.state = state;
             let put = PutRequest { key: key.clone(), value: Bytes(serde_json::to_vec(&record)?), lease };
-            let ask = TxnRequest {
+            let request = TxnRequest {
                 compare: vec![Compare::unchanged(key.clone(), mod_revision)],
                 success: vec![RequestOp { request_put: Some(put), request_delete_range: None }],
             };
-            let done: PlainResponse = self.ask(TXN, &ask)?;
-            if done.succeeded {
-                let row = json!({"worker": worker, "record": record, "revision": done.header.revision});
-                println!("{}", if json { row.to_string() } else { text(&row) });
+            let response: PlainResponse = self.ask(TXN, &request)?;
+            if response.succeeded {
+                let revision = response.header.revision;
+                let row = json!({"worker": worker, "record": record, "revision": revision});
+                println!("{}", format_row(&row, json));
                 return Ok(());
             }
         }
         Err(format!("the entry of {worker} is changed again and again by somebody else").into())
     }
 }
+
+/// Prints a fault of the client to standard error; other events are ignored.
+fn report_fault(event: &ClientEvent) {
+    match event {
+        ClientEvent::Failed(reason) => eprintln!("registry: {reason}"),
+        ClientEvent::WatchFault(fault) => eprintln!("registry: {fault:?}"),
+        _ => {}
+    }
+}
+
+fn changes_of(event: ClientEvent) -> Vec<Change> {
+    match event {
+        ClientEvent::Changes(changes) => changes,
+        _ => Vec::new(),
+    }
+}
--- a/crates/gateway/src/commands/relay.rs
+++ b/crates/gateway/src/commands/relay.rs
@@ -1,14 +1,24 @@
-//! `slatevalve relay`: the list of workers followed once and served on to many routers.
+//! `slatevalve relay`: follows the list of workers once and serves it to many routers.
 
 use super::login::LoginArguments;
+use super::session::resolve;
 use super::{say_ready, Outcome};
 use clap::Args;
 use slatevalve_pacing::seed_of;
 use slatevalve_registry::{ClientSettings, Login, RegistrationSettings, WatchScope, WatchSettings};
 use slatevalve_relay::{run_relay, Limits, RelayPlan};
-use std::net::{SocketAddr, ToSocketAddrs};
+use std::net::SocketAddr;
 use std::process::ExitCode;
 
+/// Time to live of the lease of the relay's own entry.
+const LEASE_TTL_S: i64 = 10;
+/// The longest delay after failures while few relays are counted.
+const FEW_RELAYS_DELAY_MAX_US: i64 = 1_000_000;
+/// Bound on the time until a change is received, as of a gateway.
+const DRAIN_WITHIN_US: i64 = 12_000_000;
+/// Timeout of one request at one member.
+const REQUEST_TIMEOUT_US: i64 = 1_000_000;
+
 #[derive(Args)]
 pub(super) struct RelayArguments {
     /// Its name, different from other relays'
@@ -36,6 +46,7 @@
     login: LoginArguments,
 }
 
+/// Runs `slatevalve relay`.
 pub(super) fn relay(arguments: RelayArguments) -> Outcome {
     let RelayArguments { name, listen, registry, prefix, look_ms, silence_ms, connections, login } =
         arguments;
@@ -45,13 +56,9 @@
     if !prefix.ends_with('/') {
         return Err("--prefix ends with /".into());
     }
-    let mut addresses = Vec::new();
-    for member in &registry {
-        let found = member.to_socket_addrs().map_err(|e| format!("{member}: {e}"))?.next();
-        addresses.push(found.ok_or_else(|| format!("{member} has no address"))?);
-    }
-    let micros = |ms: u32| i64::from(ms) * 1_000;
-    let base = WatchSettings::default();
+    let addresses = resolve(&registry)?;
+    let micros = |millis: u32| i64::from(millis) * 1_000;
+    let defaults = WatchSettings::default();
     let client = ClientSettings {
         endpoints: registry,
         relays: 0,
@@ -62,19 +69,22 @@
         watch_state: WatchSettings {
             look_us: micros(look_ms.max(1)),
             silence_us: micros(silence_ms),
-            ..base
+            ..defaults
+        },
+        registration: RegistrationSettings { ttl_s: LEASE_TTL_S },
+        pace: slatevalve_pacing::Limits {
+            few_us: FEW_RELAYS_DELAY_MAX_US,
+            ..slatevalve_pacing::Limits::default()
         },
-        registration: RegistrationSettings { ttl_s: 10 },
-        pace: slatevalve_pacing::Limits { few_us: 1_000_000, ..slatevalve_pacing::Limits::default() },
-        // Relays are few; what routers ask they ask of the relays.
+        // Relays are few; routers send their requests to the relays.
         askers: 1,
-        drain_within_us: 12_000_000,
-        timeout_us: 1_000_000,
+        drain_within_us: DRAIN_WITHIN_US,
+        timeout_us: REQUEST_TIMEOUT_US,
         seed: seed_of(1, &name),
     };
     let limits = Limits { peers: connections, ..Limits::default() };
     run_relay(RelayPlan { name, listen, client, addresses, limits }, |address| {
-        // Whoever started it may not listen any more; it works all the same.
+        // The reader of the output may have exited; the relay runs nevertheless.
         let _ = say_ready(address);
     })?;
     Ok(ExitCode::SUCCESS)
--- a/crates/gateway/src/commands/session.rs
+++ b/crates/gateway/src/commands/session.rs
@@ -1,5 +1,5 @@
-//! A command's session with the key-value registry: a client on a loop of its own, one question after the other. Used by the
-//! commands about members and about settings.
+//! A command's session with the key-value registry: a client on an event loop of its own, one request after the other. Used
+//! by the commands `members` and `settings`.
 
 use super::login::LoginArguments;
 use crate::clock::Clock;
@@ -11,11 +11,21 @@
 };
 use slatevalve_registry_transport::Link;
 use std::error::Error;
-use std::net::ToSocketAddrs;
+use std::net::{SocketAddr, ToSocketAddrs};
 use std::time::Duration;
 
-/// A command that was not answered by then is given up.
-pub(super) const WITHIN_US: i64 = 10_000_000;
+/// How long a command waits for a response.
+const COMMAND_TIMEOUT_US: i64 = 10_000_000;
+/// Timeout of one request at one member.
+const REQUEST_TIMEOUT_US: i64 = 2_000_000;
+/// The longest wait of the event loop.
+const POLL_INTERVAL_MAX_US: i64 = 100_000;
+/// Bound on the time until a change is received, as of a gateway.
+const DRAIN_WITHIN_US: i64 = 12_000_000;
+/// Time to live of a lease, where one is granted.
+const LEASE_TTL_S: i64 = 10;
+/// The largest number of bytes buffered for writing.
+const BUFFERED_BYTES_MAX: usize = 1 << 24;
 
 pub(super) type Res<T> = Result<T, Box<dyn Error>>;
 
@@ -31,7 +41,7 @@
     pub(super) login: LoginArguments,
 }
 
-/// See the module's documentation.
+/// A client with its event loop.
 pub(super) struct Session {
     pub(super) link: Link,
     reactor: Reactor,
@@ -39,19 +49,24 @@
     pub(super) prefix: String,
 }
 
+/// Resolves the addresses of endpoints `HOST:PORT`, the first one of each.
+pub(super) fn resolve(endpoints: &[String]) -> Res<Vec<SocketAddr>> {
+    let resolve_one = |endpoint: &String| -> Res<SocketAddr> {
+        let mut addresses = endpoint.to_socket_addrs().map_err(|error| format!("{endpoint}: {error}"))?;
+        Ok(addresses.next().ok_or_else(|| format!("{endpoint} has no address"))?)
+    };
+    endpoints.iter().map(resolve_one).collect()
+}
+
 impl Session {
-    /// A session with the registry that the arguments name.
+    /// Creates a session with the registry that the arguments name.
     pub(super) fn new(arguments: RegistryArguments, follow: WatchScope) -> Res<Self> {
         let RegistryArguments { registry: endpoints, prefix, login } = arguments;
         if endpoints.is_empty() {
             return Err("which registry? --registry HOST:PORT".into());
         }
         let login = login.read()?.map(|(name, password)| Login { name, password });
-        let mut addresses = Vec::new();
-        for endpoint in &endpoints {
-            let found = endpoint.to_socket_addrs().map_err(|e| format!("{endpoint}: {e}"))?.next();
-            addresses.push(found.ok_or_else(|| format!("{endpoint} has no address"))?);
-        }
+        let addresses = resolve(&endpoints)?;
         let settings = ClientSettings {
             endpoints,
             relays: 0,
@@ -60,58 +75,66 @@
             follow,
             own: None,
             watch_state: WatchSettings::default(),
-            registration: RegistrationSettings { ttl_s: 10 },
+            registration: RegistrationSettings { ttl_s: LEASE_TTL_S },
             pace: Limits::default(),
             askers: 1,
-            drain_within_us: 12_000_000,
-            timeout_us: 2_000_000,
+            drain_within_us: DRAIN_WITHIN_US,
+            timeout_us: REQUEST_TIMEOUT_US,
             seed: u64::from(std::process::id()),
         };
-        let reactor = Reactor::new(1 << 24)?;
+        let reactor = Reactor::new(BUFFERED_BYTES_MAX)?;
         Ok(Session { link: Link::new(settings, addresses), reactor, clock: Clock::start(), prefix })
     }
 
-    /// One turn; gives what was heard.
+    /// Runs one iteration of the event loop; returns the client's events.
     pub(super) fn poll(&mut self) -> Res<Vec<ClientEvent>> {
-        let now = self.clock.now().0;
-        self.link.advance(now, &mut self.reactor);
-        let wait = (self.link.next_wake(now) - now).clamp(0, 100_000) as u64;
-        let mut happened = Vec::new();
-        self.reactor.poll(Some(Duration::from_micros(wait)), &mut happened)?;
-        let now = self.clock.now().0;
-        for event in &happened {
-            self.link.handle_event(now, &mut self.reactor, event);
+        let now_us = self.clock.now().0;
+        self.link.advance(now_us, &mut self.reactor);
+        let wait_us = (self.link.next_wake(now_us) - now_us).clamp(0, POLL_INTERVAL_MAX_US) as u64;
+        let mut events = Vec::new();
+        self.reactor.poll(Some(Duration::from_micros(wait_us)), &mut events)?;
+        let now_us = self.clock.now().0;
+        for event in &events {
+            self.link.handle_event(now_us, &mut self.reactor, event);
         }
         Ok(self.link.take_events())
     }
 
-    /// Turns until `found` finds what is waited for; what failed last is the error where nothing comes.
-    pub(super) fn until<T>(&mut self, mut found: impl FnMut(&Self, ClientEvent) -> Option<Res<T>>) -> Res<T> {
-        let until = self.clock.now().0 + WITHIN_US;
-        let mut failed = "the registry does not answer".to_string();
-        while self.clock.now().0 < until {
-            for heard in self.poll()? {
-                if let ClientEvent::Failed(words) = &heard {
-                    failed.clone_from(words);
-                }
-                if let Some(end) = found(self, heard) {
-                    return end;
+    /// Polls until `step` returns a result. After [`COMMAND_TIMEOUT_US`] the last failure is the error.
+    pub(super) fn poll_until<T>(
+        &mut self,
+        mut step: impl FnMut(&Self, Vec<ClientEvent>) -> Option<Res<T>>,
+    ) -> Res<T> {
+        let deadline_us = self.clock.now().0 + COMMAND_TIMEOUT_US;
+        let mut last_failure = "the registry does not answer".to_string();
+        while self.clock.now().0 < deadline_us {
+            let events = self.poll()?;
+            for event in &events {
+                if let ClientEvent::Failed(reason) = event {
+                    last_failure.clone_from(reason);
                 }
             }
+            if let Some(result) = step(self, events) {
+                return result;
+            }
         }
-        Err(failed.into())
+        Err(last_failure.into())
     }
 
-    /// Asks, and waits for the answer.
+    /// Sends a request and waits for its response.
     pub(super) fn ask<T: serde::de::DeserializeOwned>(
         &mut self,
         path: &'static str,
         body: &impl serde::Serialize,
     ) -> Res<T> {
         let ticket = self.link.client_mut().ask(path, body);
-        let body = self.until(|_, heard| match heard {
-            ClientEvent::Answered(t, answer) if t == ticket => Some(answer.map_err(Into::into)),
-            _ => None,
+        let body = self.poll_until(|_, events| {
+            events.into_iter().find_map(|event| match event {
+                ClientEvent::Answered(answered, response) if answered == ticket => {
+                    Some(response.map_err(Into::into))
+                }
+                _ => None,
+            })
         })?;
         Ok(serde_json::from_slice(&body)?)
     }
--- a/crates/gateway/src/members/mod.rs
+++ b/crates/gateway/src/members/mod.rs
@@ -1,13 +1,14 @@
-//! Where the list of workers comes from while a gateway runs: the settings file, the registry, or a recorded file. Each is a
-//! [`Source`] of [`News`]; the shell takes news and knows no source. What a source tells may be recorded, to be played again.
+//! Sources of the list of workers while a gateway runs: the registry or a recorded file (without a source the settings file
+//! lists them). Each is a [`Source`] of events; the event loop applies them without knowing which. Events may be recorded, to
+//! be replayed.
 
 mod registry;
 mod replay;
-mod starts;
+mod start_times;
 
 pub use registry::{MemberSettings, RegistrySource};
 pub use replay::{Recorder, ReplaySource};
-pub use starts::Starts;
+pub use start_times::Starts;
 
 use serde::{Deserialize, Serialize};
 use slatevalve::Micros;
@@ -15,34 +16,34 @@
 use slatevalve_registry::WorkerRecord;
 use std::collections::BTreeMap;
 
-/// News of the members.
+/// An event of the membership. Its JSON form is stored by [`Recorder`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum News {
-    /// All workers, as they are now.
+    /// All workers at present.
     Full(BTreeMap<String, WorkerRecord>),
-    /// All workers as an earlier process saw them last.
+    /// All workers from the snapshot of an earlier process.
     Remembered(BTreeMap<String, WorkerRecord>),
-    /// Changes, to be carried out in order; `None` for a worker that is gone.
+    /// Changed workers, in the order in which to apply them; `None` for a removed worker.
     Changes(Vec<(String, Option<WorkerRecord>)>),
-    /// Nothing was heard for too long: what was known still holds.
+    /// The source has not answered for too long; the known workers remain in use.
     Refused,
-    /// The number of routers is another one now, this one included.
+    /// The number of routers changed to this, this one included.
     Routers(usize),
 }
 
-/// Where news come from. Its sockets are the loop's.
+/// A source of membership events, whose sockets belong to the event loop.
 pub trait Source {
-    /// Takes a happening; `false` where it is of another's socket.
+    /// Handles an event of one of the source's sockets; returns `false` for any other event.
     fn handle_event(&mut self, now: Micros, reactor: &mut Reactor, event: &ReactorEvent) -> bool;
-    /// Lets time pass.
+    /// Handles the passing of time.
     fn advance(&mut self, now: Micros, reactor: &mut Reactor);
-    /// When [`Source::advance`] is due.
+    /// Returns when [`Source::advance`] is due.
     fn next_wake(&self, now: Micros) -> Micros;
-    /// News since the last time.
+    /// Removes and returns the events since the last call.
     fn take_news(&mut self) -> Vec<News>;
-    /// An orderly stop begins: whatever is to be sent for it is sent.
+    /// Starts an orderly stop: removes this process's own entry.
     fn leave(&mut self, now: Micros, reactor: &mut Reactor);
-    /// Whether what was to be sent for the stop is over.
+    /// Returns whether the stop is complete.
     fn has_left(&self) -> bool;
 }
--- a/crates/gateway/src/members/registry.rs
+++ b/crates/gateway/src/members/registry.rs
@@ -1,207 +1,239 @@
-//! The registry as a source: the client on the loop's sockets, what it follows as news, the number of routers by the
-//! census, and what the next process is to begin with.
+//! The registry as a source of members: the client on the event loop's sockets, its changes as events, the number of routers,
+//! and the snapshot for the next process.
 
 use super::{News, Source};
 use crate::remembered_file::RememberedFile;
 use slatevalve::Micros;
 use slatevalve_reactor::{Reactor, ReactorEvent};
 use slatevalve_registry::{
-    ClientEvent, ClientSettings, Freshness, LoadedSnapshot, MemberChange, Members, RouterCount,
-    RouterCountSettings, RouterRecord, WorkerRecord,
+    router_key, Change, ClientEvent, ClientSettings, Freshness, LoadedSnapshot, MemberChange, Members,
+    RouterCount, RouterCountSettings, RouterRecord,
 };
 use slatevalve_registry_transport::Link;
-use std::collections::BTreeMap;
 use std::fs;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use tracing::{error, info, warn};
 
-/// The `members` form.
+/// The `members` form of the settings.
 #[derive(Clone, Debug)]
 pub struct MemberSettings {
-    /// Of the client; its own entry is filled in by the source.
+    /// Settings of the client; its own entry is filled in by the source.
     pub client: ClientSettings,
-    /// The endpoints' addresses, in the client's order.
+    /// Addresses of the endpoints, in the client's order.
     pub addresses: Vec<SocketAddr>,
-    /// Of the census.
+    /// Settings of the router count.
     pub census: RouterCountSettings,
-    /// The file that the next process begins with.
+    /// The file of the snapshot for the next process.
     pub remember: Option<PathBuf>,
-    /// The file that news are recorded in.
+    /// The file in which events are recorded.
     pub record: Option<PathBuf>,
 }
 
-/// See the module's documentation.
+/// Whether the balancer follows the registry's list.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Reported {
+    /// Neither a complete list nor a stale one was reported yet.
+    Nothing,
+    /// A complete list was reported, and changes since.
+    Current,
+    /// The list was reported as stale.
+    Stale,
+}
+
+/// An orderly stop.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Departure {
+    Running,
+    /// The revocation of the lease is in flight; holds its ticket.
+    Revoking(u64),
+    Done,
+}
+
+/// A [`Source`] that follows the registry; see the module's documentation.
 pub struct RegistrySource {
     link: Link,
     members: Members,
-    census: RouterCount,
-    /// Routers that the registry lists, once it was asked.
-    listed: Option<usize>,
-    news: Vec<News>,
-    /// The module was told the whole list since it was last told that nothing is heard.
-    told_full: bool,
-    told_refused: bool,
-    remembered_file: Option<RememberedFile>,
-    leaving: Option<u64>,
-    left: bool,
+    router_count: RouterCount,
+    /// The number of routers that the registry lists, once it was read.
+    listed_routers: Option<usize>,
+    events: Vec<News>,
+    reported: Reported,
+    snapshot_file: Option<RememberedFile>,
+    departure: Departure,
 }
 
 impl RegistrySource {
-    /// A source that registers this router under a name. `routers` are believed in before anything is heard.
+    /// Creates a source that registers this router under a name, and assumes `routers` until the registry is read.
     pub fn new(settings: MemberSettings, name: &str, record: &RouterRecord, routers: usize) -> Self {
         let mut client = settings.client;
         let value = serde_json::to_vec(record).unwrap_or_default();
-        client.own = Some((slatevalve_registry::router_key(&client.prefix, name), value));
+        client.own = Some((router_key(&client.prefix, name), value));
         let members = Members::new(&client.prefix);
         let mut source = RegistrySource {
             link: Link::new(client, settings.addresses),
             members,
-            census: RouterCount::new(settings.census, routers),
-            listed: None,
-            news: Vec::new(),
-            told_full: false,
-            told_refused: false,
-            remembered_file: None,
-            leaving: None,
-            left: false,
+            router_count: RouterCount::new(settings.census, routers),
+            listed_routers: None,
+            events: Vec::new(),
+            reported: Reported::Nothing,
+            snapshot_file: None,
+            departure: Departure::Running,
         };
         if let Some(path) = settings.remember {
-            source.remember(&path, settings.census);
-            source.remembered_file = Some(RememberedFile::open(path, "list"));
+            source.load_snapshot(&path, settings.census);
+            source.snapshot_file = Some(RememberedFile::open(path, "list"));
         }
         source
     }
 
-    /// Begins with what an earlier process kept, until the registry is heard.
-    fn remember(&mut self, path: &Path, census: RouterCountSettings) {
-        let kept = match fs::read(path) {
-            Ok(kept) => kept,
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return,
+    /// Loads the snapshot of an earlier process, to be used until the registry answers.
+    fn load_snapshot(&mut self, path: &Path, settings: RouterCountSettings) {
+        let bytes = match fs::read(path) {
+            Ok(bytes) => bytes,
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return,
             Err(error) => {
                 return warn!(path = %path.display(), %error, "the last list of workers is not read")
             }
         };
-        match self.link.client_mut().watch_state_mut().load_snapshot(&kept) {
-            Ok(LoadedSnapshot { changes, clients: routers }) => {
-                // So many there were, all the more where all start again together.
-                if routers > self.census.routers() {
-                    self.census = RouterCount::new(census, routers);
-                    self.link.client_mut().askers(routers);
-                    self.news.push(News::Routers(routers));
+        let LoadedSnapshot { changes, clients: routers } =
+            match self.link.client_mut().watch_state_mut().load_snapshot(&bytes) {
+                Ok(snapshot) => snapshot,
+                Err(error) => {
+                    return warn!(path = %path.display(), %error, "the last list of workers is not read")
                 }
-                let (_, errors) = self.members.apply(changes);
-                errors.iter().for_each(|error| warn!(%error, "a record is not taken"));
-                info!(workers = self.members.workers().len(), "the last list of workers, from the disk");
-                self.news.push(News::Remembered(self.members.workers().clone()));
-            }
-            Err(error) => warn!(path = %path.display(), %error, "the last list of workers is not read"),
+            };
+        // The number before the restart is a better guess than the settings', above all where all restart together.
+        if routers > self.router_count.routers() {
+            self.router_count = RouterCount::new(settings, routers);
+            self.report_routers(routers);
         }
+        let (_, errors) = self.members.apply(changes);
+        errors.iter().for_each(|error| warn!(%error, "a record is not taken"));
+        info!(workers = self.members.workers().len(), "the last list of workers, from the disk");
+        self.events.push(News::Remembered(self.members.workers().clone()));
     }
 
-    fn workers(&self) -> BTreeMap<String, WorkerRecord> {
-        self.members.workers().clone()
+    fn report_routers(&mut self, routers: usize) {
+        self.link.client_mut().askers(routers);
+        self.events.push(News::Routers(routers));
     }
 
-    /// Makes news of what the client heard.
-    fn digest(&mut self, now: Micros) {
-        let mut changed = false;
-        for heard in self.link.take_events() {
-            match heard {
+    /// Turns the client's events into events of the source, and saves a snapshot after a change.
+    fn process_client_events(&mut self, now: Micros) {
+        let mut members_changed = false;
+        for event in self.link.take_events() {
+            match event {
                 ClientEvent::Changes(changes) => {
-                    let (told, errors) = self.members.apply(changes);
-                    errors
-                        .iter()
-                        .for_each(|error| warn!(%error, "a record is not taken; what was known stays"));
-                    changed = true;
-                    if self.told_full {
-                        let changes = told.into_iter().filter_map(|change| match change {
-                            MemberChange::Worker(name, record) => Some((name, Some(record))),
-                            MemberChange::WorkerRemoved(name) => Some((name, None)),
-                            MemberChange::Routers(_) => None,
-                        });
-                        let changes: Vec<_> = changes.collect();
-                        if !changes.is_empty() {
-                            self.news.push(News::Changes(changes));
-                        }
-                    }
+                    self.apply_changes(changes);
+                    members_changed = true;
                 }
-                ClientEvent::WatchFault(trouble) => {
-                    warn!(?trouble, "registry: the list is compared anew, or the watch begun again")
+                ClientEvent::WatchFault(fault) => {
+                    warn!(?fault, "registry: the list is compared anew, or the watch begun again")
                 }
-                ClientEvent::Failed(words) => warn!("registry: {words}"),
+                ClientEvent::Failed(reason) => warn!("registry: {reason}"),
                 ClientEvent::Registered => info!("registered"),
-                ClientEvent::Routers(count) => self.listed = Some(count),
+                ClientEvent::Routers(count) => self.listed_routers = Some(count),
                 ClientEvent::LeaseLost => warn!("registry: our lease was lost; it is had anew"),
-                ClientEvent::Answered(ticket, _) => self.left |= self.leaving == Some(ticket),
+                ClientEvent::Answered(ticket, _) => {
+                    if self.departure == Departure::Revoking(ticket) {
+                        self.departure = Departure::Done;
+                    }
+                }
             }
         }
-        let view = self.link.client().watch_state().freshness(now.0);
-        match view {
-            Freshness::Current if !self.told_full => {
-                (self.told_full, self.told_refused) = (true, false);
-                self.news.push(News::Full(self.workers()));
+        let freshness = self.link.client().watch_state().freshness(now.0);
+        self.report_freshness(freshness);
+        let routers_changed = self.update_router_count(now, freshness);
+        if members_changed || routers_changed {
+            self.save_snapshot();
+        }
+    }
+
+    fn apply_changes(&mut self, changes: Vec<Change>) {
+        let (changes, errors) = self.members.apply(changes);
+        errors.iter().for_each(|error| warn!(%error, "a record is not taken; what was known stays"));
+        if self.reported != Reported::Current {
+            // The complete list follows.
+            return;
+        }
+        let workers = changes.into_iter().filter_map(|change| match change {
+            MemberChange::Worker(name, record) => Some((name, Some(record))),
+            MemberChange::WorkerRemoved(name) => Some((name, None)),
+            MemberChange::Routers(_) => None,
+        });
+        let workers: Vec<_> = workers.collect();
+        if !workers.is_empty() {
+            self.events.push(News::Changes(workers));
+        }
+    }
+
+    fn report_freshness(&mut self, freshness: Freshness) {
+        match freshness {
+            Freshness::Current if self.reported != Reported::Current => {
+                self.reported = Reported::Current;
+                self.events.push(News::Full(self.members.workers().clone()));
             }
-            // Also at a start without a list of any kind: the module asks nothing of a list that it has not.
-            Freshness::Stale if !self.told_refused => {
-                (self.told_full, self.told_refused) = (false, true);
+            Freshness::Stale if self.reported != Reported::Stale => {
+                self.reported = Reported::Stale;
                 error!("nothing is heard of the registry; the workers that were known are used on");
-                self.news.push(News::Refused);
+                self.events.push(News::Refused);
             }
             _ => {}
         }
-        let counted = self.listed.and_then(|count| self.census.listed(now.0, count, view));
-        if let Some(routers) = counted {
-            info!(routers, "routers");
-            self.link.client_mut().askers(routers);
-            self.news.push(News::Routers(routers));
-        }
-        if changed || counted.is_some() {
-            let kept = self.link.client().watch_state().to_snapshot(self.census.routers());
-            if let Some(file) = &self.remembered_file {
-                file.write(kept);
-            }
+    }
+
+    /// Returns whether the assumed number of routers changed.
+    fn update_router_count(&mut self, now: Micros, freshness: Freshness) -> bool {
+        let Some(listed) = self.listed_routers else { return false };
+        let Some(routers) = self.router_count.listed(now.0, listed, freshness) else { return false };
+        info!(routers, "routers");
+        self.report_routers(routers);
+        true
+    }
+
+    fn save_snapshot(&self) {
+        if let Some(file) = &self.snapshot_file {
+            file.write(self.link.client().watch_state().to_snapshot(self.router_count.routers()));
         }
     }
 }
 
 impl Source for RegistrySource {
     fn handle_event(&mut self, now: Micros, reactor: &mut Reactor, event: &ReactorEvent) -> bool {
-        let mine = self.link.handle_event(now.0, reactor, event);
-        if mine {
-            self.digest(now);
+        let handled = self.link.handle_event(now.0, reactor, event);
+        if handled {
+            self.process_client_events(now);
         }
-        mine
+        handled
     }
 
     fn advance(&mut self, now: Micros, reactor: &mut Reactor) {
         self.link.advance(now.0, reactor);
-        self.digest(now);
+        self.process_client_events(now);
     }
 
     fn next_wake(&self, now: Micros) -> Micros {
-        let watch_state = self.link.client().watch_state();
-        let mut due = self.link.next_wake(now.0);
-        for at in
-            [watch_state.stale_at_us().filter(|_| self.told_full), self.census.due_us()].into_iter().flatten()
-        {
-            due = due.min(at);
-        }
-        Micros(due.max(now.0))
+        let stale_at_us = self.link.client().watch_state().stale_at_us();
+        let timers = [stale_at_us.filter(|_| self.reported == Reported::Current), self.router_count.due_us()];
+        let due_us = timers.into_iter().flatten().fold(self.link.next_wake(now.0), i64::min);
+        Micros(due_us.max(now.0))
     }
 
     fn take_news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.events)
     }
 
     fn leave(&mut self, now: Micros, reactor: &mut Reactor) {
-        self.leaving = self.link.client_mut().leave();
-        self.left = self.leaving.is_none();
+        self.departure = match self.link.client_mut().leave() {
+            Some(ticket) => Departure::Revoking(ticket),
+            None => Departure::Done,
+        };
         self.link.advance(now.0, reactor);
     }
 
     fn has_left(&self) -> bool {
-        self.left
+        self.departure == Departure::Done
     }
 }
--- a/crates/gateway/src/members/replay.rs
+++ b/crates/gateway/src/members/replay.rs
@@ -1,5 +1,4 @@
-//! A recorded source: each piece of news as a line of JSON with its time, written by a gateway that runs and played again by
-//! one that is tried out.
+//! A recorded source: each event as a line of JSON with its time, written by a running gateway and replayed by another one.
 
 use super::{News, Source};
 use serde::{Deserialize, Serialize};
@@ -10,58 +9,63 @@
 use std::io::{self, Write};
 use std::path::Path;
 
+/// A line of a recorded file.
 #[derive(Serialize, Deserialize)]
-struct Line {
+struct RecordedEvent {
     /// Microseconds since the first line.
     at_us: i64,
-    news: News,
+    #[serde(rename = "news")]
+    event: News,
 }
 
-/// Writes news to a file.
+/// Writes events to a file.
 pub struct Recorder {
     file: File,
-    first: Option<Micros>,
+    /// The time of the first event.
+    started: Option<Micros>,
 }
 
 impl Recorder {
-    /// A recorder to a file that is written anew.
+    /// Creates a recorder to a file, which is truncated.
     ///
     /// # Errors
-    /// When it cannot be written.
+    /// When the file cannot be opened for writing.
     pub fn open(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().write(true).create(true).truncate(true).open(path)?;
-        Ok(Recorder { file, first: None })
+        Ok(Recorder { file, started: None })
     }
 
-    /// Notes a piece of news.
+    /// Writes an event.
     ///
     /// # Errors
-    /// When it cannot be written.
-    pub fn note(&mut self, now: Micros, news: &News) -> io::Result<()> {
-        let first = *self.first.get_or_insert(now);
-        let line = Line { at_us: now.0 - first.0, news: news.clone() };
+    /// When the file cannot be written.
+    pub fn note(&mut self, now: Micros, event: &News) -> io::Result<()> {
+        let started = *self.started.get_or_insert(now);
+        let line = RecordedEvent { at_us: now.0 - started.0, event: event.clone() };
         writeln!(self.file, "{}", serde_json::to_string(&line).map_err(io::Error::other)?)
     }
 }
 
-/// Plays a recorded file.
+/// Replays a recorded file.
 pub struct ReplaySource {
-    began: Option<Micros>,
-    lines: VecDeque<Line>,
-    news: Vec<News>,
+    /// When the replay started.
+    started: Option<Micros>,
+    recorded: VecDeque<RecordedEvent>,
+    due: Vec<News>,
 }
 
 impl ReplaySource {
-    /// Reads a file.
+    /// Reads a recorded file.
     ///
     /// # Errors
-    /// With the line that is none.
+    /// When the file cannot be read or a line is malformed; the error names the line.
     pub fn open(path: &Path) -> io::Result<Self> {
         let text = std::fs::read_to_string(path)?;
-        let lines = text.lines().enumerate().map(|(n, line)| {
-            serde_json::from_str(line).map_err(|e| io::Error::other(format!("line {}: {e}", n + 1)))
+        let recorded = text.lines().enumerate().map(|(index, line)| {
+            let malformed = |error| io::Error::other(format!("line {}: {error}", index + 1));
+            serde_json::from_str(line).map_err(malformed)
         });
-        Ok(ReplaySource { began: None, lines: lines.collect::<io::Result<_>>()?, news: Vec::new() })
+        Ok(ReplaySource { started: None, recorded: recorded.collect::<io::Result<_>>()?, due: Vec::new() })
     }
 }
 
@@ -71,20 +75,22 @@
     }
 
     fn advance(&mut self, now: Micros, _: &mut Reactor) {
-        let began = *self.began.get_or_insert(now);
-        while self.lines.front().is_some_and(|l| began.0.saturating_add(l.at_us) <= now.0) {
-            self.news.extend(self.lines.pop_front().map(|l| l.news));
+        let started = *self.started.get_or_insert(now);
+        let is_due = |recorded: &mut RecordedEvent| started.0.saturating_add(recorded.at_us) <= now.0;
+        while let Some(recorded) = self.recorded.pop_front_if(is_due) {
+            self.due.push(recorded.event);
         }
     }
 
     fn next_wake(&self, now: Micros) -> Micros {
-        let began = self.began.unwrap_or(now);
-        let due = self.lines.front().map_or(i64::MAX, |l| began.0.saturating_add(l.at_us));
-        Micros(due.max(now.0))
+        let started = self.started.unwrap_or(now);
+        let next = self.recorded.front();
+        let due_us = next.map_or(i64::MAX, |recorded| started.0.saturating_add(recorded.at_us));
+        Micros(due_us.max(now.0))
     }
 
     fn take_news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.due)
     }
 
     fn leave(&mut self, _: Micros, _: &mut Reactor) {}
--- a/crates/gateway/src/server/members.rs
+++ b/crates/gateway/src/server/members.rs
@@ -1,50 +1,57 @@
-//! The shell's part in membership: opening the source that the settings name, and carrying its news to the pool and the
-//! engine, in order, so that a drain is the module's before anything else of its batch.
+//! Membership in the event loop: opens the source that the settings name, and applies its events to the pool and the engine in
+//! their order, so that the balancer handles a drain before anything else of its batch.
 
 use super::{GatewayError, GatewayServer};
-use crate::members::{News, Recorder, RegistrySource, ReplaySource, Source};
+use crate::members::{MemberSettings, News, Recorder, RegistrySource, ReplaySource, Source};
 use crate::settings::{MemberSource, Site, WorkerLine};
 use slatevalve::{Listing, Micros, Scope, WorkerEntry, WorkerId, WorkerState};
 use slatevalve_engine::worker_id;
 use slatevalve_registry::{RouterRecord, WorkerRecord};
 use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
+/// The source of members and the recorder of its events, where the settings name them.
 type Opened = (Option<Box<dyn Source>>, Option<Recorder>);
 
+/// Opens the source that the settings name. `up_since_unix_ms` is this process's start.
 pub(super) fn open(site: &Site, up_since_unix_ms: i64) -> Result<Opened, GatewayError> {
-    Ok(match &site.members {
-        None => (None, None),
+    match &site.members {
+        None => Ok((None, None)),
         Some(MemberSource::Replay(path)) => {
-            let source = ReplaySource::open(path).map_err(|e| GatewayError::Record(path.clone(), e))?;
-            (Some(Box::new(source)), None)
+            let source = ReplaySource::open(path).map_err(record_error(path))?;
+            Ok((Some(Box::new(source)), None))
         }
         Some(MemberSource::Registry(settings)) => {
-            let recorder = settings
-                .record
-                .as_ref()
-                .map(|path| Recorder::open(path).map_err(|e| GatewayError::Record(path.clone(), e)));
+            let recorder = open_recorder(settings)?;
             let record = RouterRecord { zone: site.zone.clone(), up_since_unix_ms };
             let routers = site.engine.module.routers;
             let source = RegistrySource::new((**settings).clone(), &site.name, &record, routers);
-            (Some(Box::new(source)), recorder.transpose()?)
+            Ok((Some(Box::new(source)), recorder))
         }
-    })
+    }
+}
+
+fn open_recorder(settings: &MemberSettings) -> Result<Option<Recorder>, GatewayError> {
+    let open = |path: &PathBuf| Recorder::open(path).map_err(record_error(path));
+    settings.record.as_ref().map(open).transpose()
+}
+
+/// Converts an error of the file of recorded events.
+fn record_error(path: &Path) -> impl FnOnce(std::io::Error) -> GatewayError + use<'_> {
+    |error| GatewayError::Record(path.to_path_buf(), error)
 }
 
 impl GatewayServer {
-    /// Carries out what the source has told.
+    /// Takes the events of the source, and records and applies them.
     pub(super) fn take_news(&mut self, now: Micros) {
-        let news = self.source.as_mut().map(|s| s.take_news()).unwrap_or_default();
-        for news in news {
-            if let Some(Err(error)) = self.recorder.as_mut().map(|r| r.note(now, &news)) {
-                warn!(%error, "the list of workers is not recorded any more");
-                self.recorder = None;
-            }
-            match news {
-                News::Full(workers) => self.take_records(Scope::Full, &workers),
-                News::Remembered(workers) => self.take_records(Scope::Remembered, &workers),
-                News::Changes(changes) => self.take_changes(now, changes),
+        let events = self.source.as_mut().map(|source| source.take_news()).unwrap_or_default();
+        for event in events {
+            self.record_event(now, &event);
+            match event {
+                News::Full(workers) => self.apply_list(Scope::Full, &workers),
+                News::Remembered(workers) => self.apply_list(Scope::Remembered, &workers),
+                News::Changes(changes) => self.apply_changes(now, changes),
                 News::Refused => {
                     let listing = Listing { scope: Scope::Refused, entries: Vec::new() };
                     self.engine.listed(now, listing, &mut self.to_engine);
@@ -55,59 +62,77 @@
         self.drain_outputs(now);
     }
 
-    /// The line of a worker; none where another worker has its id.
-    fn line(&mut self, name: &str, record: &WorkerRecord) -> Option<WorkerLine> {
+    fn record_event(&mut self, now: Micros, event: &News) {
+        let Some(recorder) = &mut self.recorder else { return };
+        if let Err(error) = recorder.note(now, event) {
+            warn!(%error, "the list of workers is not recorded any more");
+            self.recorder = None;
+        }
+    }
+
+    /// Converts a worker's record; returns none where another worker has the same id.
+    fn worker_line(&mut self, name: &str, record: &WorkerRecord) -> Option<WorkerLine> {
         let mut line = WorkerLine::of(name, record, &mut self.site.named, &self.clock);
-        let known = self.names.entry(line.entry.id).or_insert_with(|| name.into());
+        let worker = line.entry.id;
+        let known = self.names.entry(worker).or_insert_with(|| name.into());
         if known != name {
             warn!(name, other = known.as_str(), "a worker has the same id as another one; it is not used");
             return None;
         }
-        if let (Some(said), Some(ours)) = (record.up_since_unix_ms, line.entry.up_since) {
-            line.entry.up_since = Some(self.starts.of(self.clock.now(), line.entry.id, said, ours));
+        if let (Some(reported), Some(converted)) = (record.up_since_unix_ms, line.entry.up_since) {
+            let start = self.starts.resolve(self.clock.now(), worker, reported, converted);
+            line.entry.up_since = Some(start);
         }
         Some(line)
     }
 
-    fn take_records(&mut self, scope: Scope, workers: &BTreeMap<String, WorkerRecord>) {
+    fn apply_list(&mut self, scope: Scope, workers: &BTreeMap<String, WorkerRecord>) {
         self.names.retain(|_, name| workers.contains_key(name));
         let names = &self.names;
-        self.starts.keep(|id| names.contains_key(id));
-        let lines: Vec<WorkerLine> = workers.iter().filter_map(|(n, r)| self.line(n, r)).collect();
+        self.starts.retain(|worker| names.contains_key(worker));
+        let lines: Vec<WorkerLine> =
+            workers.iter().filter_map(|(name, record)| self.worker_line(name, record)).collect();
         info!(workers = lines.len(), ?scope, "the list of workers");
         self.take_list(scope, &lines);
     }
 
-    fn take_changes(&mut self, now: Micros, changes: Vec<(String, Option<WorkerRecord>)>) {
-        let mut entries = Vec::new();
-        let mut held_back = Vec::new();
+    /// Applies changed workers, and cancels the unsent requests to those that drain, moved or were removed.
+    fn apply_changes(&mut self, now: Micros, changes: Vec<(String, Option<WorkerRecord>)>) {
+        let (mut entries, mut to_cancel) = (Vec::new(), Vec::new());
         for (name, record) in changes {
             match record {
                 Some(record) => {
-                    let Some(line) = self.line(&name, &record) else { continue };
-                    info!(worker = name, state = ?line.entry.state, "worker");
-                    let moved = self.pool.list(&mut self.reactor, line.entry.id, &name, line.address);
-                    held_back.extend(
-                        (moved || line.entry.state == WorkerState::Draining).then_some(line.entry.id),
-                    );
-                    self.listed.insert(line.entry.id);
+                    let Some(line) = self.worker_line(&name, &record) else { continue };
+                    if self.list_worker(&name, &line) {
+                        to_cancel.push(line.entry.id);
+                    }
                     entries.push(line.entry);
                 }
                 None => {
-                    let gone = self.gone(&name);
-                    held_back.extend(gone.as_ref().map(|g| g.id));
-                    entries.extend(gone);
+                    let Some(removed) = self.unlist_worker(&name) else { continue };
+                    to_cancel.push(removed.id);
+                    entries.push(removed);
                 }
             }
         }
         let listing = Listing { scope: Scope::Changes, entries };
         self.engine.listed(now, listing, &mut self.to_engine);
-        self.cancel_unsent(now, held_back);
+        self.cancel_unsent(now, to_cancel);
+    }
+
+    /// Updates a worker in the pool; returns whether it drains or has another address.
+    fn list_worker(&mut self, name: &str, line: &WorkerLine) -> bool {
+        let worker = line.entry.id;
+        info!(worker = name, state = ?line.entry.state, "worker");
+        let moved = self.pool.list(&mut self.reactor, worker, name, line.address);
+        self.listed.insert(worker);
+        moved || line.entry.state == WorkerState::Draining
     }
 
-    fn gone(&mut self, name: &str) -> Option<WorkerEntry> {
+    /// Removes a worker from the pool; returns its entry for the engine, or none for an unknown worker.
+    fn unlist_worker(&mut self, name: &str) -> Option<WorkerEntry> {
         let id: WorkerId = worker_id(name);
-        if self.names.get(&id).is_none_or(|n| n != name) {
+        if self.names.get(&id).is_none_or(|known| known != name) {
             return None;
         }
         self.names.remove(&id);
