--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -1,10 +1,9 @@
-//! The gateway beside a floor: a bare relay on the same loop, with the same client bytes, the same requests and
-//! responses and the same stand-in workers, in one run and in turn. `cargo bench -p slatevalve-gateway`
+//! The gateway compared with a baseline: a bare relay on the same event loop, with the same client bytes, the same requests
+//! and responses and the same test workers, in one run and in turn. `cargo bench -p slatevalve-gateway`
 //!
-//! Printed for each number of calls in flight: calls a second, the times at the client, and the processor time that
-//! the one thread took for a call, from which follow the calls a second that one core could carry. (Where threads wake
-//! each other for every single message, as on small virtual machines, the client is what limits the calls a second.)
-//! Times are for reading beside each other, not for judging a machine.
+//! Printed for each number of calls in flight: calls a second, the times at the client, and the processor time of the one
+//! thread for a call, which gives the calls a second that one core could serve. (Where threads wake each other for every
+//! message, as on small virtual machines, the client limits the calls a second.) The times are comparable within a run only.
 
 use hdrhistogram::Histogram;
 use mqtt_protocol_core::mqtt::packet::*;
@@ -25,32 +24,36 @@
 const SECONDS: f64 = 2.0;
 const WORKERS: usize = 2;
 const PAYLOAD: &[u8] = &[b'x'; 200];
+const BUFFERED_BYTES_MAX: usize = 1 << 24;
+/// Clock ticks a second of the times in `/proc` (`USER_HZ`).
+const TICKS_PER_SECOND: f64 = 100.0;
 
 fn served() -> Vec<u8> {
     Reply::Served { payload: PAYLOAD.to_vec(), ran: Some("1".into()) }.encode(None, None)
 }
 
-/// A worker that answers at once; calls are not looked into, so that it is not what is measured.
+/// Starts a worker that responds at once and does not parse calls, so that its own cost is low.
 fn worker() -> SocketAddr {
     let (send, receive) = mpsc::channel();
     thread::spawn(move || {
-        let mut reactor = Reactor::new(1 << 24).unwrap();
+        let mut reactor = Reactor::new(BUFFERED_BYTES_MAX).unwrap();
         let (_, address) = reactor.listen("127.0.0.1:0".parse().unwrap()).unwrap();
         send.send(address).unwrap();
-        let (mut readers, mut happened) = (HashMap::new(), Vec::new());
+        let (mut readers, mut events) = (HashMap::new(), Vec::new());
         let answer = served();
         loop {
-            reactor.poll(None, &mut happened).unwrap();
-            for event in happened.drain(..) {
+            reactor.poll(None, &mut events).unwrap();
+            for event in events.drain(..) {
                 match event {
                     ReactorEvent::Accepted { connection, .. } => {
                         readers.insert(connection, MessageReader::new(Side::Request, Limits::default()));
                     }
                     ReactorEvent::Received(id, bytes) => {
-                        let message = readers.get_mut(&id).and_then(|r| r.feed(&bytes).ok().flatten());
+                        let message =
+                            readers.get_mut(&id).and_then(|reader| reader.feed(&bytes).ok().flatten());
                         match message {
-                            Some(m) if m.head.target.ends_with("/infer") => reactor.write(id, &answer),
-                            Some(m) => reactor.write(id, &other(m)),
+                            Some(call) if call.head.target.ends_with("/infer") => reactor.write(id, &answer),
+                            Some(other) => reactor.write(id, &other_response(other)),
                             None => {}
                         }
                     }
@@ -65,8 +68,9 @@
     receive.recv().unwrap()
 }
 
-fn other(message: Message) -> Vec<u8> {
-    let reply = match ParsedRequest::read(message).map(|a| a.order) {
+/// Responds to a request other than a call.
+fn other_response(message: Message) -> Vec<u8> {
+    let reply = match ParsedRequest::read(message).map(|request| request.order) {
         Ok(WorkerRequest::Load { copies, .. }) => Reply::Copies(copies),
         Ok(WorkerRequest::Ready) => Reply::Ready,
         _ => Reply::Copies(1),
@@ -74,30 +78,34 @@
     reply.encode(None, None)
 }
 
-/// Where a thread listens, and its number for the kernel.
-type Listening = (SocketAddr, i32);
+/// A thread that serves clients.
+struct Server {
+    address: SocketAddr,
+    /// The kernel's id of the thread.
+    thread: i32,
+}
 
 fn this_thread() -> i32 {
     rustix::thread::gettid().as_raw_nonzero().get()
 }
 
-/// Processor seconds of a thread so far, user and system (`/proc/[pid]/task/[tid]/stat`, fields 14 and 15).
+/// Returns the processor time of a thread in seconds, user and system (`/proc/[pid]/task/[tid]/stat`, fields 14 and 15).
 fn cpu_seconds(thread: i32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/self/task/{thread}/stat")).unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or_default();
-    let ticks = after_name.split_whitespace().skip(11).take(2).filter_map(|t| t.parse::<f64>().ok());
-    ticks.sum::<f64>() / 100.0
+    let ticks = after_name.split_whitespace().skip(11).take(2).filter_map(|ticks| ticks.parse::<f64>().ok());
+    ticks.sum::<f64>() / TICKS_PER_SECOND
 }
 
-fn gateway(workers: &[SocketAddr]) -> Listening {
+fn gateway(workers: &[SocketAddr]) -> Server {
     let mut text = String::from(
         "(gateway (name \"bench\"))(mqtt (listen \"127.0.0.1:0\"))
          (class \"quote\" (effect safe) (aim-ms 2000) (deadline-ms 10000))
          (function \"f\" (lanes 2000) (load-ms 1))
          (route \"quote/+\" (class \"quote\") (function \"{2}\"))",
     );
-    for (n, address) in workers.iter().enumerate() {
-        text += &format!("(worker \"w{n}\" (address \"{address}\"))");
+    for (index, address) in workers.iter().enumerate() {
+        text += &format!("(worker \"w{index}\" (address \"{address}\"))");
     }
     let (send, receive) = mpsc::channel();
     // Named, so that a profile can be read for this thread alone.
@@ -105,21 +113,21 @@
     let spawned = thread.spawn(move || {
         let clock = Clock::start();
         let site = Site::parse("bench", &text, &clock, Named::default()).unwrap();
-        let mut shell = GatewayServer::new(site, None, clock).unwrap();
-        send.send((shell.address(), this_thread())).unwrap();
-        shell.run().unwrap();
+        let mut server = GatewayServer::new(site, None, clock).unwrap();
+        send.send(Server { address: server.address(), thread: this_thread() }).unwrap();
+        server.run().unwrap();
     });
     spawned.unwrap();
     receive.recv().unwrap()
 }
 
-/// The floor: each publish of the known length becomes one request, each response of the known length one answer.
-fn relay(workers: &[SocketAddr], publish_length: usize) -> Listening {
+/// Starts the baseline: each publish of the known length becomes one request, each response of the known length one answer.
+fn relay(workers: &[SocketAddr], publish_length: usize) -> Server {
     let (workers, (send, receive)) = (workers.to_vec(), mpsc::channel());
     thread::spawn(move || {
-        let mut reactor = Reactor::new(1 << 24).unwrap();
+        let mut reactor = Reactor::new(BUFFERED_BYTES_MAX).unwrap();
         let (_, address) = reactor.listen("127.0.0.1:0".parse().unwrap()).unwrap();
-        send.send((address, this_thread())).unwrap();
+        send.send(Server { address, thread: this_thread() }).unwrap();
         let call = Call {
             function: "f".into(),
             payload: PAYLOAD.to_vec(),
@@ -130,13 +138,13 @@
         };
         let (request, response, answer) =
             (WorkerRequest::Infer(call).encode("127.0.0.1:40000", "bench"), served(), answer());
-        let (mut client, mut bytes_in, mut turn) = (None, 0, 0);
+        let (mut client, mut bytes_in, mut opened) = (None, 0, 0);
         let mut idle: Vec<Id> = Vec::new();
         let mut connections: HashMap<Id, usize> = HashMap::new();
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         loop {
-            reactor.poll(None, &mut happened).unwrap();
-            for event in happened.drain(..) {
+            reactor.poll(None, &mut events).unwrap();
+            for event in events.drain(..) {
                 match event {
                     ReactorEvent::Accepted { connection, .. } => client = Some(connection),
                     ReactorEvent::Received(id, bytes) if Some(id) == client => {
@@ -144,17 +152,17 @@
                         while bytes_in >= publish_length {
                             bytes_in -= publish_length;
                             let id = idle.pop().unwrap_or_else(|| {
-                                turn += 1;
-                                reactor.connect(workers[turn % workers.len()]).unwrap()
+                                opened += 1;
+                                reactor.connect(workers[opened % workers.len()]).unwrap()
                             });
                             connections.insert(id, 0);
                             reactor.write(id, &request);
                         }
                     }
                     ReactorEvent::Received(id, bytes) => {
-                        let Some(have) = connections.get_mut(&id) else { continue };
-                        *have += bytes.len();
-                        if *have >= response.len() {
+                        let Some(received) = connections.get_mut(&id) else { continue };
+                        *received += bytes.len();
+                        if *received >= response.len() {
                             idle.push(id);
                             reactor.write(client.unwrap(), &answer);
                         }
@@ -176,7 +184,7 @@
     builder.props(properties).payload(PAYLOAD.to_vec()).build().unwrap().to_continuous_buffer()
 }
 
-/// As long as what the gateway sends.
+/// An answer of the same length as the gateway's.
 fn answer() -> Vec<u8> {
     let mut properties: Vec<Property> = vec![CorrelationData::new(b"12345678").unwrap().into()];
     for (name, value) in [("outcome", "served"), ("attempts", "1"), ("ran", "1")] {
@@ -186,65 +194,93 @@
     builder.props(properties).payload(PAYLOAD.to_vec()).build().unwrap().to_continuous_buffer()
 }
 
-/// How a load went.
+/// The result of a measurement.
 struct Measured {
     per_second: f64,
     times: Histogram<u64>,
     cpu_us: f64,
 }
 
-/// Keeps so many calls in flight for a while.
-fn load((address, thread): Listening, mqtt: bool, in_flight: usize) -> Measured {
-    let mut reactor = Reactor::new(1 << 24).unwrap();
-    let id = reactor.connect(address).unwrap();
-    let (publish, answer_length) = (publish(), answer().len());
-    let (mut happened, mut bytes_in) = (Vec::new(), 0);
-    if mqtt {
+/// Whether a client speaks MQTT with the server or only sends publishes to the baseline.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Protocol {
+    Mqtt,
+    Bare,
+}
+
+/// A client that keeps calls in flight.
+struct Client {
+    reactor: Reactor,
+    connection: Id,
+    publish: Vec<u8>,
+    /// When the calls in flight were sent.
+    sent: VecDeque<Instant>,
+}
+
+impl Client {
+    fn connect(address: SocketAddr, protocol: Protocol) -> Self {
+        let mut reactor = Reactor::new(BUFFERED_BYTES_MAX).unwrap();
+        let connection = reactor.connect(address).unwrap();
+        let mut client = Client { reactor, connection, publish: publish(), sent: VecDeque::new() };
+        if protocol == Protocol::Mqtt {
+            client.handshake();
+        }
+        client
+    }
+
+    /// Sends a CONNECT and reads the CONNACK, whose bytes do not count as an answer.
+    fn handshake(&mut self) {
         let connect = v5_0::Connect::builder().client_id("bench").unwrap().clean_start(true).build().unwrap();
-        reactor.write(id, &connect.to_continuous_buffer());
-        // The CONNACK's bytes are counted off before the answers.
-        let mut connack = Vec::new();
+        self.reactor.write(self.connection, &connect.to_continuous_buffer());
+        let (mut connack, mut events) = (Vec::new(), Vec::new());
         while connack.len() < 2 || connack.len() < 2 + usize::from(connack[1]) {
-            reactor.poll(Some(Duration::from_millis(100)), &mut happened).unwrap();
-            for event in happened.drain(..) {
+            self.reactor.poll(Some(Duration::from_millis(100)), &mut events).unwrap();
+            for event in events.drain(..) {
                 if let ReactorEvent::Received(_, bytes) = event {
                     connack.extend(bytes);
                 }
             }
         }
     }
+
+    fn send(&mut self) {
+        self.reactor.write(self.connection, &self.publish);
+        self.sent.push_back(Instant::now());
+    }
+}
+
+/// Keeps so many calls in flight for a while, and measures them after a time of warming up.
+fn load(server: &Server, protocol: Protocol, in_flight: usize) -> Measured {
+    let mut client = Client::connect(server.address, protocol);
+    let answer_length = answer().len();
     let mut times = Histogram::new_with_bounds(1, 60_000_000, 3).unwrap();
-    let mut sent: VecDeque<Instant> = VecDeque::new();
-    let send = |reactor: &mut Reactor, sent: &mut VecDeque<Instant>| {
-        reactor.write(id, &publish);
-        sent.push_back(Instant::now());
-    };
     let warm_until = Instant::now() + Duration::from_secs_f64(SECONDS / 2.0);
     let until = warm_until + Duration::from_secs_f64(SECONDS);
-    (0..in_flight).for_each(|_| send(&mut reactor, &mut sent));
-    let (mut done, mut cpu_before) = (0u64, None);
+    (0..in_flight).for_each(|_| client.send());
+    let (mut events, mut bytes_in) = (Vec::new(), 0);
+    let (mut completed, mut cpu_before) = (0u64, None);
     while Instant::now() < until {
-        reactor.poll(Some(Duration::from_millis(50)), &mut happened).unwrap();
-        for event in happened.drain(..) {
+        client.reactor.poll(Some(Duration::from_millis(50)), &mut events).unwrap();
+        for event in events.drain(..) {
             let ReactorEvent::Received(_, bytes) = event else { continue };
             bytes_in += bytes.len();
             let now = Instant::now();
             while bytes_in >= answer_length {
                 bytes_in -= answer_length;
-                // Answers may overtake each other; in sum, which is all that a histogram keeps, that is no matter
-                // for the mean and little for the rest.
-                let Some(at) = sent.pop_front() else { panic!("more answers than calls") };
+                // Answers may arrive in another order than their calls were sent. That does not change the mean, and the
+                // quantiles of the histogram only little.
+                let Some(sent) = client.sent.pop_front() else { panic!("more answers than calls") };
                 if now > warm_until {
-                    cpu_before.get_or_insert_with(|| cpu_seconds(thread));
-                    times.saturating_record(now.duration_since(at).as_micros().max(1) as u64);
-                    done += 1;
+                    cpu_before.get_or_insert_with(|| cpu_seconds(server.thread));
+                    times.saturating_record(now.duration_since(sent).as_micros().max(1) as u64);
+                    completed += 1;
                 }
-                send(&mut reactor, &mut sent);
+                client.send();
             }
         }
     }
-    let cpu = cpu_seconds(thread) - cpu_before.unwrap_or(0.0);
-    Measured { per_second: done as f64 / SECONDS, times, cpu_us: cpu * 1e6 / done.max(1) as f64 }
+    let cpu = cpu_seconds(server.thread) - cpu_before.unwrap_or(0.0);
+    Measured { per_second: completed as f64 / SECONDS, times, cpu_us: cpu * 1e6 / completed.max(1) as f64 }
 }
 
 fn main() {
@@ -255,23 +291,27 @@
         "{:>9} {:>8} {:>10} {:>8} {:>8} {:>12} {:>14} {:>9}",
         "in flight", "", "calls/s", "p50", "p99", "cpu us/call", "calls/s, core", "of floor"
     );
-    // Other numbers of calls in flight may be named on the command line.
-    let named: Vec<usize> = std::env::args().filter_map(|a| a.parse().ok()).collect();
-    let counts = if named.is_empty() { vec![1, 64, 1_024] } else { named };
+    // Other numbers of calls in flight may be given on the command line.
+    let given: Vec<usize> = std::env::args().filter_map(|argument| argument.parse().ok()).collect();
+    let counts = if given.is_empty() { vec![1, 64, 1_024] } else { given };
     for in_flight in counts {
         for _ in 0..ROUNDS {
-            let floor = load(relay(&workers, length), false, in_flight);
-            let gateway = load(gateway(&workers), true, in_flight);
-            for (name, m) in [("floor", &floor), ("gateway", &gateway)] {
-                let (p50, p99) = (m.times.value_at_quantile(0.5), m.times.value_at_quantile(0.99));
-                println!(
-                    "{in_flight:>9} {name:>8} {:>10.0} {p50:>8} {p99:>8} {:>12.1} {:>14.0} {:>9.2}",
-                    m.per_second,
-                    m.cpu_us,
-                    1e6 / m.cpu_us,
-                    floor.cpu_us / m.cpu_us
-                );
+            let baseline = load(&relay(&workers, length), Protocol::Bare, in_flight);
+            let gateway = load(&gateway(&workers), Protocol::Mqtt, in_flight);
+            for (name, measured) in [("floor", &baseline), ("gateway", &gateway)] {
+                print_row(in_flight, name, measured, &baseline);
             }
         }
     }
 }
+
+fn print_row(in_flight: usize, name: &str, measured: &Measured, baseline: &Measured) {
+    let (p50, p99) = (measured.times.value_at_quantile(0.5), measured.times.value_at_quantile(0.99));
+    println!(
+        "{in_flight:>9} {name:>8} {:>10.0} {p50:>8} {p99:>8} {:>12.1} {:>14.0} {:>9.2}",
+        measured.per_second,
+        measured.cpu_us,
+        1e6 / measured.cpu_us,
+        baseline.cpu_us / measured.cpu_us
+    );
+}
--- a/crates/gateway/src/commands/relay.rs
+++ b/crates/gateway/src/commands/relay.rs
@@ -34,11 +34,11 @@
     #[arg(long, default_value = "/slatevalve/")]
     prefix: String,
     /// Milliseconds between two looks at whether the watch tells all
-    #[arg(long, default_value_t = 500)]
-    look_ms: u32,
+    #[arg(long = "look-ms", value_name = "LOOK_MS", default_value_t = 500)]
+    liveness_interval_ms: u32,
     /// Milliseconds without a word of the registry after which it serves nobody any more
-    #[arg(long, default_value_t = 2_000)]
-    silence_ms: u32,
+    #[arg(long = "silence-ms", value_name = "SILENCE_MS", default_value_t = 2_000)]
+    stale_after_ms: u32,
     /// Connections of routers at most
     #[arg(long, default_value_t = Limits::default().peers)]
     connections: usize,
@@ -48,9 +48,17 @@
 
 /// Runs `slatevalve relay`.
 pub(super) fn relay(arguments: RelayArguments) -> Outcome {
-    let RelayArguments { name, listen, registry, prefix, look_ms, silence_ms, connections, login } =
-        arguments;
-    if name.is_empty() || !name.chars().all(|c| c.is_ascii_graphic() && c != '/') {
+    let RelayArguments {
+        name,
+        listen,
+        registry,
+        prefix,
+        liveness_interval_ms,
+        stale_after_ms,
+        connections,
+        login,
+    } = arguments;
+    if name.is_empty() || !name.chars().all(|letter| letter.is_ascii_graphic() && letter != '/') {
         return Err("--name is of visible ASCII characters without /".into());
     }
     if !prefix.ends_with('/') {
@@ -67,8 +75,8 @@
         follow: WatchScope::Workers,
         own: None,
         watch_state: WatchSettings {
-            look_us: micros(look_ms.max(1)),
-            silence_us: micros(silence_ms),
+            look_us: micros(liveness_interval_ms.max(1)),
+            silence_us: micros(stale_after_ms),
             ..defaults
         },
         registration: RegistrationSettings { ttl_s: LEASE_TTL_S },
