--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Thousands of routers' clients before one list service of a stated capacity, in simulated time: the same text as on sockets,
-//! without them. Bounds are counts and simulated times, so the verdict is the same on any machine.
+//! Thousands of routers' clients and one registry of limited capacity in simulated time, without sockets. The bounds are counts
+//! and simulated times, so that the result is the same on any machine.
 
 use slatevalve_http::{Limits, MessageReader, Side};
 use slatevalve_pacing::{seed_of, Limits as PollSchedule};
@@ -12,21 +12,21 @@
 use std::ops::Range;
 
 const PREFIX: &str = "/s/";
-/// One way through the network.
-const WAY_US: i64 = 1_000;
+/// Delay of the network, one way.
+const NETWORK_DELAY_US: i64 = 1_000;
 
-/// A connection: whose, which, and its number, as an old one's bytes are nobody's.
-type Line = (usize, Channel, u64);
+/// A connection: the client, the channel, and a number that tells it from closed ones.
+type Connection = (usize, Channel, u64);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Wake(usize),
-    Connected(Line),
-    Closed(Line),
-    Asked(Line, Vec<u8>),
+    Connected(Connection),
+    Closed(Connection),
+    Asked(Connection, Vec<u8>),
     /// The service's core is free.
     Free,
-    Answered(Line, Vec<u8>),
+    Answered(Connection, Vec<u8>),
 }
 
 struct World {
@@ -34,29 +34,29 @@
     events: BinaryHeap<Reverse<(i64, u64, Event)>>,
     order: u64,
     clients: Vec<Client>,
-    /// When each client's next wake is; others of it are none any more.
+    /// Each client's next wake; earlier scheduled ones are obsolete.
     wakes: Vec<i64>,
-    lines: BTreeMap<(usize, Channel), u64>,
-    next_line: u64,
+    connections: BTreeMap<(usize, Channel), u64>,
+    last_connection: u64,
     store: KvStore,
-    /// Requests that wait, and when the service's core is free.
-    waiting: VecDeque<(Line, Vec<u8>)>,
+    /// Queued requests, and when the service's core is free.
+    waiting: VecDeque<(Connection, Vec<u8>)>,
     free_us: i64,
     per_second: f64,
     queue: usize,
-    away: Range<i64>,
-    watchers: Vec<Line>,
-    told_revision: i64,
-    /// When each request came, and each client held its first list and heard of the drain.
-    asked_us: Vec<i64>,
+    outage: Range<i64>,
+    watchers: Vec<Connection>,
+    notified_revision: i64,
+    /// When each request arrived, and each client received its first list and the drain.
+    requests_us: Vec<i64>,
     bytes: u64,
     listed_us: BTreeMap<usize, i64>,
     drained_us: BTreeMap<usize, i64>,
 }
 
 impl World {
-    /// So many routers, each of which believes that there are `believed`, before a service of so many requests a second.
-    fn new(routers: usize, believed: usize, per_second: f64) -> Self {
+    /// Creates so many routers, each of which assumes `assumed` routers, and a service of so many requests a second.
+    fn new(routers: usize, assumed: usize, per_second: f64) -> Self {
         let client = |n: usize| {
             Client::new(ClientSettings {
                 endpoints: vec!["kv:1".into()],
@@ -68,7 +68,7 @@
                 watch_state: WatchSettings::default(),
                 registration: RegistrationSettings { ttl_s: 30 },
                 pace: PollSchedule { per_second, ..PollSchedule::default() },
-                askers: believed,
+                askers: assumed,
                 drain_within_us: 12_000_000,
                 timeout_us: 2_000_000,
                 // All were given the same seed.
@@ -81,17 +81,17 @@
             order: 0,
             clients: (0..routers).map(client).collect(),
             wakes: vec![0; routers],
-            lines: BTreeMap::new(),
-            next_line: 0,
+            connections: BTreeMap::new(),
+            last_connection: 0,
             store: KvStore::new(7, None),
             waiting: VecDeque::new(),
             free_us: 0,
             per_second,
             queue: 200,
-            away: 0..0,
+            outage: 0..0,
             watchers: Vec::new(),
-            told_revision: 0,
-            asked_us: Vec::new(),
+            notified_revision: 0,
+            requests_us: Vec::new(),
             bytes: 0,
             listed_us: BTreeMap::new(),
             drained_us: BTreeMap::new(),
@@ -112,11 +112,11 @@
         self.events.push(Reverse((at_us, self.order, event)));
     }
 
-    fn is_away(&self) -> bool {
-        self.away.contains(&self.now_us)
+    fn is_in_outage(&self) -> bool {
+        self.outage.contains(&self.now_us)
     }
 
-    /// Lets time pass; a drain of a worker is told at its moment.
+    /// Runs the simulation; a worker drains at the given time.
     fn run(&mut self, until_us: i64, mut drain_us: Option<i64>) {
         while let Some(Reverse((at_us, _, event))) = self.events.pop() {
             if at_us > until_us {
@@ -127,52 +127,60 @@
                 drain_us = None;
                 self.put(3, r#"{"address":"127.0.0.1:1","state":"draining"}"#);
             }
-            self.happen(event);
-            self.work();
-            self.tell();
+            self.handle_event(event);
+            self.serve_queue();
+            self.notify_watches();
         }
     }
 
-    fn happen(&mut self, event: Event) {
-        let (mut todo, mut heard) = (Vec::new(), Vec::new());
+    fn handle_event(&mut self, event: Event) {
+        let (mut actions, mut client_events) = (Vec::new(), Vec::new());
         let now = self.now_us;
-        let stands = |lines: &BTreeMap<_, _>, line: &Line| lines.get(&(line.0, line.1)) == Some(&line.2);
+        let is_current = |connections: &BTreeMap<_, _>, connection: &Connection| {
+            connections.get(&(connection.0, connection.1)) == Some(&connection.2)
+        };
         let of = match event {
             Event::Wake(n) if self.wakes[n] == now => {
-                self.clients[n].advance(now, &mut todo, &mut heard);
+                self.clients[n].advance(now, &mut actions, &mut client_events);
                 n
             }
-            Event::Connected(line) if stands(&self.lines, &line) => {
-                if self.is_away() {
-                    return self.happen(Event::Closed(line));
+            Event::Connected(connection) if is_current(&self.connections, &connection) => {
+                if self.is_in_outage() {
+                    return self.handle_event(Event::Closed(connection));
                 }
-                self.clients[line.0].connected(now, line.1, &mut todo);
-                line.0
+                self.clients[connection.0].connected(now, connection.1, &mut actions);
+                connection.0
             }
-            Event::Closed(line) if stands(&self.lines, &line) => {
-                self.lines.remove(&(line.0, line.1));
-                self.clients[line.0].closed(now, line.1, &mut todo, &mut heard);
-                line.0
+            Event::Closed(connection) if is_current(&self.connections, &connection) => {
+                self.connections.remove(&(connection.0, connection.1));
+                self.clients[connection.0].closed(now, connection.1, &mut actions, &mut client_events);
+                connection.0
             }
-            Event::Answered(line, bytes) if stands(&self.lines, &line) => {
+            Event::Answered(connection, bytes) if is_current(&self.connections, &connection) => {
                 self.bytes += bytes.len() as u64;
-                self.clients[line.0].received(now, line.1, &bytes, &mut todo, &mut heard);
-                line.0
+                self.clients[connection.0].received(
+                    now,
+                    connection.1,
+                    &bytes,
+                    &mut actions,
+                    &mut client_events,
+                );
+                connection.0
             }
-            // Whatever its asker does meanwhile, what came to the service costs it.
-            Event::Asked(line, bytes) => {
-                if !self.is_away() && self.waiting.len() < self.queue {
-                    self.waiting.push_back((line, bytes));
+            // A request costs the service its time even if the client has closed the connection.
+            Event::Asked(connection, bytes) => {
+                if !self.is_in_outage() && self.waiting.len() < self.queue {
+                    self.waiting.push_back((connection, bytes));
                     let at = self.free_us.max(now);
                     self.at(at, Event::Free);
                 }
-                return self.asked_us.push(now);
+                return self.requests_us.push(now);
             }
             _ => return,
         };
-        self.clients[of].advance(now, &mut todo, &mut heard);
-        for what in &heard {
-            // As the gateway does: what is counted is believed from then on.
+        self.clients[of].advance(now, &mut actions, &mut client_events);
+        for what in &client_events {
+            // As the gateway does, the counted number replaces the assumed one.
             if let ClientEvent::Routers(count) = what {
                 self.clients[of].askers(*count);
             }
@@ -184,19 +192,19 @@
                 self.drained_us.entry(of).or_insert(now);
             }
         }
-        for what in todo {
+        for what in actions {
             match what {
                 SocketAction::Open(channel, _) => {
-                    self.next_line += 1;
-                    let line = (of, channel, self.next_line);
-                    self.lines.insert((of, channel), self.next_line);
-                    self.at(now + 2 * WAY_US, Event::Connected(line));
+                    self.last_connection += 1;
+                    let connection = (of, channel, self.last_connection);
+                    self.connections.insert((of, channel), self.last_connection);
+                    self.at(now + 2 * NETWORK_DELAY_US, Event::Connected(connection));
                 }
-                SocketAction::Close(channel) => drop(self.lines.remove(&(of, channel))),
+                SocketAction::Close(channel) => drop(self.connections.remove(&(of, channel))),
                 SocketAction::Write(channel, bytes) => {
-                    if let Some(number) = self.lines.get(&(of, channel)) {
-                        let line = (of, channel, *number);
-                        self.at(now + WAY_US, Event::Asked(line, bytes));
+                    if let Some(number) = self.connections.get(&(of, channel)) {
+                        let connection = (of, channel, *number);
+                        self.at(now + NETWORK_DELAY_US, Event::Asked(connection, bytes));
                     }
                 }
             }
@@ -208,26 +216,26 @@
         }
     }
 
-    /// Serves what the core has had time for.
-    fn work(&mut self) {
-        if self.is_away() {
+    /// Serves the queued requests for which the core has had time.
+    fn serve_queue(&mut self) {
+        if self.is_in_outage() {
             self.waiting.clear();
-            for line in std::mem::take(&mut self.watchers) {
-                self.at(self.now_us + WAY_US, Event::Closed(line));
+            for connection in std::mem::take(&mut self.watchers) {
+                self.at(self.now_us + NETWORK_DELAY_US, Event::Closed(connection));
             }
             return;
         }
         while self.free_us <= self.now_us {
-            let Some((line, bytes)) = self.waiting.pop_front() else { return };
+            let Some((connection, bytes)) = self.waiting.pop_front() else { return };
             self.free_us = self.free_us.max(self.now_us) + (1e6 / self.per_second) as i64;
-            let bytes = self.serve(line, &bytes);
-            self.at(self.now_us + WAY_US, Event::Answered(line, bytes));
+            let bytes = self.serve(connection, &bytes);
+            self.at(self.now_us + NETWORK_DELAY_US, Event::Answered(connection, bytes));
             let at = self.free_us;
             self.at(at, Event::Free);
         }
     }
 
-    fn serve(&mut self, line: Line, bytes: &[u8]) -> Vec<u8> {
+    fn serve(&mut self, connection: Connection, bytes: &[u8]) -> Vec<u8> {
         let request = MessageReader::new(Side::Request, Limits::default()).feed(bytes).unwrap().unwrap();
         let (body, now) = (request.body.as_slice(), self.now_us);
         fn json<T: serde::Serialize>(a: &T) -> Vec<u8> {
@@ -238,7 +246,7 @@
         }
         match request.head.target.as_str() {
             WATCH => {
-                self.watchers.push(line);
+                self.watchers.push(connection);
                 let create = read::<WatchRequest>(body).create_request.unwrap();
                 let header = self.store.header();
                 let created = WatchResponse { header: header.clone(), created: true, ..Default::default() };
@@ -261,10 +269,10 @@
         }
     }
 
-    /// Tells watches what changed of the workers.
-    fn tell(&mut self) {
-        let from = std::mem::replace(&mut self.told_revision, self.store.revision()) + 1;
-        if from > self.told_revision || self.is_away() {
+    /// Sends changes of workers on all watches.
+    fn notify_watches(&mut self) {
+        let from = std::mem::replace(&mut self.notified_revision, self.store.revision()) + 1;
+        if from > self.notified_revision || self.is_in_outage() {
             return;
         }
         let key = format!("{PREFIX}{WORKERS}").into_bytes();
@@ -272,15 +280,15 @@
         for (_, events) in self.store.changes(from, &key, &prefix_end(&key)).unwrap() {
             let header = header.clone();
             let bytes = chunk(&watch_line(WatchResponse { header, events, ..Default::default() }));
-            for line in self.watchers.clone() {
-                self.at(self.now_us + WAY_US, Event::Answered(line, bytes.clone()));
+            for connection in self.watchers.clone() {
+                self.at(self.now_us + NETWORK_DELAY_US, Event::Answered(connection, bytes.clone()));
             }
         }
     }
 
-    /// The most requests in any 200 ms of a time.
-    fn most(&self, within: Range<i64>) -> usize {
-        let asked: Vec<i64> = self.asked_us.iter().copied().filter(|t| within.contains(t)).collect();
+    /// Returns the largest number of requests in any 200 ms of a time span.
+    fn peak_requests(&self, within: Range<i64>) -> usize {
+        let asked: Vec<i64> = self.requests_us.iter().copied().filter(|t| within.contains(t)).collect();
         let upto = |from: i64| asked.partition_point(|t| *t < from);
         asked.iter().map(|t| upto(t + 200_000) - upto(*t)).max().unwrap_or(0)
     }
@@ -300,9 +308,9 @@
         world.run(16_000_000, None);
         assert!(world.last_listed() <= 8_000_000, "{}", world.last_listed());
         // Twice what it takes, and a little more for moments that are drawn.
-        let most = world.most(0..16_000_000);
-        assert!(most as f64 <= per_second * 0.2 * 2.2, "{routers}: {most} in 200 ms");
-        each.push((world.bytes as f64 / routers as f64, world.asked_us.len() as f64 / routers as f64));
+        let peak_requests = world.peak_requests(0..16_000_000);
+        assert!(peak_requests as f64 <= per_second * 0.2 * 2.2, "{routers}: {peak_requests} in 200 ms");
+        each.push((world.bytes as f64 / routers as f64, world.requests_us.len() as f64 / routers as f64));
     }
     assert!(each[1].0 / each[0].0 < 1.3 && each[1].1 / each[0].1 < 1.3, "{each:?}");
 }
@@ -314,8 +322,12 @@
     // All that 1,000 ask at first takes it 15 s if none of it is in vain.
     assert!(world.last_listed() <= 40_000_000, "{}", world.last_listed());
     // At first all come at once; later they make room.
-    assert!(world.most(0..1_000_000) > 400);
-    assert!(world.most(40_000_000..60_000_000) <= 200, "{}", world.most(40_000_000..60_000_000));
+    assert!(world.peak_requests(0..1_000_000) > 400);
+    assert!(
+        world.peak_requests(40_000_000..60_000_000) <= 200,
+        "{}",
+        world.peak_requests(40_000_000..60_000_000)
+    );
 }
 
 #[test]
@@ -328,13 +340,17 @@
 #[test]
 fn a_thousand_whose_service_went_away_together_come_back_spread_and_hear_the_drain_of_the_gap() {
     let mut world = World::new(1_000, 1_000, 500.0);
-    world.away = 20_000_000..25_000_000;
+    world.outage = 20_000_000..25_000_000;
     world.run(60_000_000, Some(22_000_000));
     assert_eq!(world.drained_us.len(), 1_000, "some never heard of it");
     let last = world.drained_us.values().max().unwrap() - 25_000_000;
     // The longest wait, twice where a question was lost: all that a thousand ask is what the service can just take.
     assert!(last <= 2 * PollSchedule::default().longest_us, "{last}");
-    assert!(world.most(25_000_000..60_000_000) <= 250, "{}", world.most(25_000_000..60_000_000));
+    assert!(
+        world.peak_requests(25_000_000..60_000_000) <= 250,
+        "{}",
+        world.peak_requests(25_000_000..60_000_000)
+    );
     // A drain at a healthy service afterwards is heard at once.
     world.drained_us.clear();
     world.run(61_000_000, None);
--- a/crates/registry/tests/follow.rs
+++ b/crates/registry/tests/follow.rs
@@ -1,5 +1,5 @@
-//! The client against the stand-in's store in simulated time: random walks over changes, breaks, compaction, lost and
-//! doubled answers, restored backups and forgotten tokens, with an oracle that knows the store at every revision.
+//! The client and the test registry's store in simulated time: random walks over changes, lost connections, compaction, lost
+//! and duplicated responses, restored backups and revoked tokens, with an oracle that knows the store at every revision.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -14,13 +14,13 @@
 
 type Keys = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// What one connection has under way.
+/// The state of one connection.
 #[derive(Default)]
 struct Pipe {
     open: bool,
-    /// Answers on their way to the client.
+    /// Responses in flight to the client.
     inbox: VecDeque<Vec<u8>>,
-    /// The first revision that the watch on it was not told.
+    /// The next revision to be sent on its watch.
     next: Option<i64>,
 }
 
@@ -30,14 +30,14 @@
     client: Client,
     pipes: BTreeMap<Channel, Pipe>,
     now_us: i64,
-    /// What the client told, added up.
-    told: Keys,
-    /// The store at each revision of each life of the registry.
+    /// The keys by the client's reported changes.
+    reported: Keys,
+    /// The store's keys at each revision of each incarnation of the registry.
     states: BTreeMap<(i64, i64), Keys>,
-    life: i64,
-    heard: Vec<ClientEvent>,
+    incarnation: i64,
+    events: Vec<ClientEvent>,
     lists: usize,
-    /// The watch lost something without a word: what is held may be a state that never was, until that is found out.
+    /// The watch has lost an event: until that is detected the client may hold keys of no revision.
     lossy: bool,
 }
 
@@ -76,53 +76,53 @@
             settings,
             pipes: [(Channel::Watch, Pipe::default()), (Channel::Short, Pipe::default())].into(),
             now_us: 0,
-            told: Keys::new(),
+            reported: Keys::new(),
             states: BTreeMap::new(),
-            life: 0,
-            heard: Vec::new(),
+            incarnation: 0,
+            events: Vec::new(),
             lists: 0,
             lossy: false,
         };
-        world.note();
+        world.note_store_state();
         world
     }
 
-    /// What the keys that are followed begin with.
+    /// Returns the prefix of the followed keys.
     fn followed(&self) -> String {
         let workers = if self.settings.follow == WatchScope::Workers { WORKERS } else { "" };
         format!("{PREFIX}{workers}")
     }
 
-    /// Notes what the store holds now.
-    fn note(&mut self) {
+    /// Records the store's present keys.
+    fn note_store_state(&mut self) {
         let key = self.followed();
         let range_end = Bytes(prefix_end(key.as_bytes()));
         let ask = RangeRequest { key: Bytes::of(&key), range_end, ..Default::default() };
         let kvs = self.store.range(&ask).unwrap().kvs;
         let keys = kvs.into_iter().map(|kv| (kv.key.0, kv.value.0)).collect();
-        self.states.insert((self.life, self.store.revision()), keys);
+        self.states.insert((self.incarnation, self.store.revision()), keys);
     }
 
     fn put(&mut self, name: u32, value: &str) {
         let key = Bytes(worker_key(PREFIX, &format!("w{name}")).into_bytes());
         self.store.put(self.now_us, &PutRequest { key, value: Bytes::of(value), lease: 0 }).unwrap();
-        self.note();
+        self.note_store_state();
     }
 
     fn delete(&mut self, name: u32) {
         let key = Bytes(worker_key(PREFIX, &format!("w{name}")).into_bytes());
         self.store.delete(self.now_us, &DeleteRequest { key, range_end: Bytes::default() });
-        self.note();
+        self.note_store_state();
     }
 
-    fn carry_out(&mut self, todo: Vec<SocketAction>) {
-        for what in todo {
+    fn execute(&mut self, actions: Vec<SocketAction>) {
+        for what in actions {
             match what {
                 SocketAction::Open(channel, _) => {
                     *self.pipes.get_mut(&channel).unwrap() = Pipe { open: true, ..Pipe::default() };
                     let mut more = Vec::new();
                     self.client.connected(self.now_us, channel, &mut more);
-                    self.carry_out(more);
+                    self.execute(more);
                 }
                 SocketAction::Close(channel) => *self.pipes.get_mut(&channel).unwrap() = Pipe::default(),
                 SocketAction::Write(channel, bytes) => self.asked(channel, &bytes),
@@ -172,7 +172,7 @@
                 other => panic!("{other}"),
             }
         };
-        self.note();
+        self.note_store_state();
         let (status, body) = match answer {
             Ok(body) => (200, body),
             Err((code, words)) => {
@@ -183,22 +183,22 @@
         self.pipes.get_mut(&channel).unwrap().inbox.push_back([head.into_bytes(), body].concat());
     }
 
-    /// Hands the next answer of a connection to the client, in pieces.
+    /// Delivers the next response of a connection to the client, in pieces.
     fn deliver(&mut self, channel: Channel) {
         let Some(bytes) = self.pipes.get_mut(&channel).unwrap().inbox.pop_front() else { return };
         for piece in bytes.chunks(61) {
             if !self.pipes[&channel].open {
                 return;
             }
-            let (mut todo, mut heard) = (Vec::new(), Vec::new());
-            self.client.received(self.now_us, channel, piece, &mut todo, &mut heard);
-            self.hear(heard);
-            self.carry_out(todo);
+            let (mut actions, mut events) = (Vec::new(), Vec::new());
+            self.client.received(self.now_us, channel, piece, &mut actions, &mut events);
+            self.record_events(events);
+            self.execute(actions);
         }
         self.check();
     }
 
-    /// Puts what the watch has not told on its way; `doubled` twice, `lost` not at all.
+    /// Sends the outstanding events of the watch; `doubled` sends them twice, `lost` not at all.
     fn poll_watch(&mut self, doubled: bool, lost: bool) {
         let Some(next) = self.pipes[&Channel::Watch].next else { return };
         let header = self.store.header();
@@ -235,81 +235,82 @@
 
     fn break_off(&mut self, channel: Channel) {
         if std::mem::take(self.pipes.get_mut(&channel).unwrap()).open {
-            let (mut todo, mut heard) = (Vec::new(), Vec::new());
-            self.client.closed(self.now_us, channel, &mut todo, &mut heard);
-            self.hear(heard);
-            self.carry_out(todo);
+            let (mut actions, mut events) = (Vec::new(), Vec::new());
+            self.client.closed(self.now_us, channel, &mut actions, &mut events);
+            self.record_events(events);
+            self.execute(actions);
         }
     }
 
     fn restore(&mut self, by: i64, other_cluster: bool) {
         let to = self.store.revision() - by;
         self.store.restore(to, other_cluster);
-        self.life += 1;
-        self.note();
+        self.incarnation += 1;
+        self.note_store_state();
         self.break_off(Channel::Watch);
         self.break_off(Channel::Short);
     }
 
-    /// The process ends and another one begins with what it kept.
-    fn start_again(&mut self) {
+    /// Replaces the client by one that loads its snapshot.
+    fn restart(&mut self) {
         let kept = self.client.watch_state().to_snapshot(1);
         self.pipes.values_mut().for_each(|pipe| *pipe = Pipe::default());
         self.client = Client::new(self.settings.clone());
-        self.told.clear();
+        self.reported.clear();
         let changes = self.client.watch_state_mut().load_snapshot(&kept).unwrap().changes;
-        self.hear(vec![ClientEvent::Changes(changes)]);
+        self.record_events(vec![ClientEvent::Changes(changes)]);
     }
 
     fn pass(&mut self, us: i64) {
         self.now_us += us;
         self.store.expire(self.now_us);
-        self.note();
-        let (mut todo, mut heard) = (Vec::new(), Vec::new());
-        self.client.advance(self.now_us, &mut todo, &mut heard);
-        self.hear(heard);
-        self.carry_out(todo);
+        self.note_store_state();
+        let (mut actions, mut events) = (Vec::new(), Vec::new());
+        self.client.advance(self.now_us, &mut actions, &mut events);
+        self.record_events(events);
+        self.execute(actions);
     }
 
-    fn hear(&mut self, heard: Vec<ClientEvent>) {
-        for what in heard {
+    fn record_events(&mut self, events: Vec<ClientEvent>) {
+        for what in events {
             if let ClientEvent::Changes(changes) = &what {
                 for change in changes {
                     match change {
-                        Change::Put { key, value, .. } => self.told.insert(key.clone(), value.clone()),
+                        Change::Put { key, value, .. } => self.reported.insert(key.clone(), value.clone()),
                         Change::Deleted { key } => {
-                            let old = self.told.remove(key);
+                            let old = self.reported.remove(key);
                             assert!(old.is_some(), "told as gone what was not there");
                             old
                         }
                     };
                 }
             }
-            self.heard.push(what);
+            self.events.push(what);
         }
     }
 
-    /// What was told, added up, is what the store held at the revision that the follower says it is at.
+    /// Checks that the reported keys are the store's keys at the client's revision.
     fn check(&self) {
         let revision = self.client.watch_state().revision();
         if revision == 0 || self.lossy {
             return;
         }
-        let lives = (0..=self.life).filter_map(|life| self.states.get(&(life, revision)));
-        let found = lives.into_iter().any(|state| *state == self.told);
-        assert!(found, "at revision {revision}: told {:?}", names(&self.told));
+        let incarnations =
+            (0..=self.incarnation).filter_map(|incarnation| self.states.get(&(incarnation, revision)));
+        let found = incarnations.into_iter().any(|state| *state == self.reported);
+        assert!(found, "at revision {revision}: told {:?}", names(&self.reported));
     }
 
-    /// Lets everything arrive.
-    fn settle(&mut self) {
+    /// Runs until the client is up to date, and checks its keys.
+    fn deliver_all(&mut self) {
         for _ in 0..400 {
             self.poll_watch(false, false);
             self.deliver(Channel::Watch);
             self.deliver(Channel::Short);
             self.pass(50_000);
         }
-        let now = &self.states[&(self.life, self.store.revision())];
-        assert_eq!(names(&self.told), names(now), "revision {}", self.store.revision());
+        let now = &self.states[&(self.incarnation, self.store.revision())];
+        assert_eq!(names(&self.reported), names(now), "revision {}", self.store.revision());
         assert!(now.contains_key(OWN.as_bytes()), "our own entry is not there");
         assert_eq!(self.client.watch_state().freshness(self.now_us), Freshness::Current);
     }
@@ -329,7 +330,7 @@
 const READY: &str = r#"{"address":"127.0.0.1:1"}"#;
 const DRAINING: &str = r#"{"address":"127.0.0.1:1","state":"draining"}"#;
 
-fn walk(seed: u64, steps: usize, with_loss: bool) -> (usize, BTreeMap<String, usize>) {
+fn random_walk(seed: u64, steps: usize, with_loss: bool) -> (usize, BTreeMap<String, usize>) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut world = World::new(seed.is_multiple_of(3));
     for _ in 0..steps {
@@ -351,43 +352,40 @@
                 world.lossy = true;
             }
             91 => world.store.expire_half(world.now_us),
-            92 => world.start_again(),
+            92 => world.restart(),
             _ => world.pass(random.random_range(1_000..400_000)),
         }
-        world.note();
+        world.note_store_state();
         world.check();
     }
-    world.settle();
-    let mut troubles = BTreeMap::new();
-    for heard in &world.heard {
-        if let ClientEvent::WatchFault(t) = heard {
+    world.deliver_all();
+    let mut faults = BTreeMap::new();
+    for events in &world.events {
+        if let ClientEvent::WatchFault(t) = events {
             let word = format!("{t:?}").split([' ', '(', '{']).next().unwrap_or_default().to_string();
-            *troubles.entry(word).or_default() += 1;
+            *faults.entry(word).or_default() += 1;
         }
     }
-    (world.states.len(), troubles)
+    (world.states.len(), faults)
 }
 
 #[test]
 fn no_interleaving_of_changes_breaks_and_compaction_loses_one() {
-    let (mut states, mut troubles) = (0, BTreeMap::new());
+    let (mut states, mut faults) = (0, BTreeMap::new());
     for seed in 0..150 {
-        let (seen, met) = walk(seed, 400, false);
+        let (seen, met) = random_walk(seed, 400, false);
         states += seen;
-        met.into_iter().for_each(|(t, n)| *troubles.entry(t).or_insert(0) += n);
+        met.into_iter().for_each(|(t, n)| *faults.entry(t).or_insert(0) += n);
     }
-    println!("{states} states of the store, troubles met: {troubles:?}");
+    println!("{states} states of the store, faults met: {faults:?}");
     assert!(states > 10_000);
-    assert!(
-        ["Compacted", "Restored"].iter().all(|t| troubles.get(*t).is_some_and(|n| *n > 20)),
-        "{troubles:?}"
-    );
+    assert!(["Compacted", "Restored"].iter().all(|t| faults.get(*t).is_some_and(|n| *n > 20)), "{faults:?}");
 }
 
 #[test]
 fn a_watch_that_loses_changes_without_a_word_is_found_out() {
-    // By looks or, where a later change hid the loss from them, by the list that compares all: `walk` ends with both equal.
-    (1_000..1_040).for_each(|seed| drop(walk(seed, 300, true)));
+    // By looks or, where a later change hid the loss from them, by the list that compares all: `random_walk` ends with both equal.
+    (1_000..1_040).for_each(|seed| drop(random_walk(seed, 300, true)));
     let mut world = standing();
     world.lossy = true;
     world.put(1, DRAINING);
@@ -398,16 +396,16 @@
         world.deliver(Channel::Short);
         world.pass(50_000);
     }
-    assert!(world.heard.contains(&ClientEvent::WatchFault(WatchFault::Behind)), "{:?}", world.heard);
-    assert_eq!(world.told[&worker_key(PREFIX, "w1").into_bytes()], DRAINING.as_bytes());
+    assert!(world.events.contains(&ClientEvent::WatchFault(WatchFault::Behind)), "{:?}", world.events);
+    assert_eq!(world.reported[&worker_key(PREFIX, "w1").into_bytes()], DRAINING.as_bytes());
 }
 
-/// A world with five workers that is followed, and what happened so far forgotten.
+/// Creates a world with five workers and a client that is up to date; its events so far are removed.
 fn standing() -> World {
     let mut world = World::new(false);
     (0..5).for_each(|n| world.put(n, READY));
-    world.settle();
-    world.heard.clear();
+    world.deliver_all();
+    world.events.clear();
     world
 }
 
@@ -427,9 +425,9 @@
             Some(false) => drop(world.store.compact(before)),
             Some(true) => drop(world.store.compact(world.store.revision())),
         }
-        world.settle();
+        world.deliver_all();
         let changes: Vec<&Change> = world
-            .heard
+            .events
             .iter()
             .filter_map(|h| if let ClientEvent::Changes(c) = h { Some(c) } else { None })
             .flatten()
@@ -441,7 +439,7 @@
         let anew = |c: &&Change| matches!(c, Change::Put { key, created: true, .. } if *key == of(3));
         assert!(changes.iter().any(anew), "{compaction:?}: {changes:?}");
         let listed_again =
-            world.heard.iter().any(|h| matches!(h, ClientEvent::WatchFault(WatchFault::Compacted { .. })));
+            world.events.iter().any(|h| matches!(h, ClientEvent::WatchFault(WatchFault::Compacted { .. })));
         assert_eq!(listed_again, compaction == Some(true));
     }
 }
@@ -458,19 +456,19 @@
     world.pipes.get_mut(&Channel::Short).unwrap().inbox.clear();
     world.break_off(Channel::Short);
     world.store.compact(world.store.revision()).unwrap();
-    world.settle();
-    assert_eq!(world.told.len(), 9);
-    assert_eq!(world.told[&worker_key(PREFIX, "w0").into_bytes()], DRAINING.as_bytes());
+    world.deliver_all();
+    assert_eq!(world.reported.len(), 9);
+    assert_eq!(world.reported[&worker_key(PREFIX, "w0").into_bytes()], DRAINING.as_bytes());
 }
 
 #[test]
 fn a_registry_that_goes_back_and_calls_itself_the_same_is_followed_from_there() {
     let mut world = standing();
     world.put(1, DRAINING);
-    world.settle();
+    world.deliver_all();
     world.restore(1, false);
-    world.settle();
-    assert_eq!(world.told[&worker_key(PREFIX, "w1").into_bytes()], READY.as_bytes());
+    world.deliver_all();
+    assert_eq!(world.reported[&worker_key(PREFIX, "w1").into_bytes()], READY.as_bytes());
 }
 
 #[test]
@@ -484,17 +482,22 @@
     }
     views.dedup();
     assert_eq!(views, [Freshness::Current, Freshness::Stale]);
-    assert!(world.heard.iter().any(|h| matches!(h, ClientEvent::Failed(w) if w.contains("does not answer"))));
-    world.settle();
+    assert!(world
+        .events
+        .iter()
+        .any(|h| matches!(h, ClientEvent::Failed(w) if w.contains("does not answer"))));
+    world.deliver_all();
 }
 
 #[test]
 fn a_lost_lease_is_noticed_and_had_anew() {
     let mut world = standing();
     world.store.expire(i64::MAX);
-    world.note();
-    world.settle();
-    assert!(world.heard.contains(&ClientEvent::LeaseLost) && world.heard.contains(&ClientEvent::Registered));
+    world.note_store_state();
+    world.deliver_all();
+    assert!(
+        world.events.contains(&ClientEvent::LeaseLost) && world.events.contains(&ClientEvent::Registered)
+    );
 }
 
 #[test]
@@ -502,37 +505,47 @@
     let world = standing();
     let kept = world.client.watch_state().to_snapshot(3);
     let mut client = Client::new(settings(false));
-    let LoadedSnapshot { changes: told, clients } = client.watch_state_mut().load_snapshot(&kept).unwrap();
+    let LoadedSnapshot { changes: reported, clients } =
+        client.watch_state_mut().load_snapshot(&kept).unwrap();
     assert_eq!(clients, 3);
-    assert_eq!((told.len(), client.watch_state().freshness(0)), (world.told.len(), Freshness::Remembered));
+    assert_eq!(
+        (reported.len(), client.watch_state().freshness(0)),
+        (world.reported.len(), Freshness::Remembered)
+    );
     assert!(client.watch_state_mut().load_snapshot(b"{").is_err());
     // Heard at last: only differences are told.
     let mut again = World::new(false);
     (0..5).filter(|n| *n != 2).for_each(|n| again.put(n, READY));
     again.put(4, DRAINING);
-    again.told = world.told.clone();
+    again.reported = world.reported.clone();
     again.client = client;
-    again.settle();
+    again.deliver_all();
     let changes =
-        again.heard.iter().filter_map(|h| if let ClientEvent::Changes(c) = h { Some(c.len()) } else { None });
+        again
+            .events
+            .iter()
+            .filter_map(|h| if let ClientEvent::Changes(c) = h { Some(c.len()) } else { None });
     // Ours and w2 are gone, w4 drains, and ours is there again.
-    assert!(changes.sum::<usize>() <= 4, "{:?}", again.heard);
+    assert!(changes.sum::<usize>() <= 4, "{:?}", again.events);
 }
 
 #[test]
 fn a_restart_lists_nothing_where_the_history_is_left_and_only_looks() {
     let mut world = standing();
-    world.start_again();
+    world.restart();
     assert_eq!(world.client.watch_state().freshness(world.now_us), Freshness::Remembered);
     world.put(3, DRAINING);
     let lists = world.lists;
-    world.heard.clear();
-    world.settle();
-    let told =
-        world.heard.iter().filter_map(|h| if let ClientEvent::Changes(c) = h { Some(c.len()) } else { None });
+    world.events.clear();
+    world.deliver_all();
+    let reported =
+        world
+            .events
+            .iter()
+            .filter_map(|h| if let ClientEvent::Changes(c) = h { Some(c.len()) } else { None });
     // The drain, and our own entry that was written again.
-    assert_eq!(told.sum::<usize>(), 2, "{:?}", world.heard);
-    assert!(world.heard.iter().all(|h| !matches!(h, ClientEvent::WatchFault(_))), "{:?}", world.heard);
+    assert_eq!(reported.sum::<usize>(), 2, "{:?}", world.events);
+    assert!(world.events.iter().all(|h| !matches!(h, ClientEvent::WatchFault(_))), "{:?}", world.events);
     // One look after the start; then one in a second at most.
     assert!(world.lists - lists <= 22, "{}", world.lists - lists);
 }
@@ -563,10 +576,10 @@
     let (drained, within) = (world.now_us, world.client.drain_bound_us());
     world.put(1, DRAINING);
     world.poll_watch(false, true);
-    while world.told.values().all(|v| v != DRAINING.as_bytes()) {
+    while world.reported.values().all(|v| v != DRAINING.as_bytes()) {
         world.pass(50_000);
         world.deliver(Channel::Short);
-        assert!(world.now_us - drained <= within, "{:?}", world.heard);
+        assert!(world.now_us - drained <= within, "{:?}", world.events);
     }
     assert!(world.now_us - drained > 1_000_000, "it was looked at too often for 300");
 }
@@ -585,7 +598,7 @@
     world.put(2, DRAINING);
     world.poll_watch(false, false);
     world.deliver(Channel::Watch);
-    assert_eq!(world.told[&worker_key(PREFIX, "w2").into_bytes()], DRAINING.as_bytes());
+    assert_eq!(world.reported[&worker_key(PREFIX, "w2").into_bytes()], DRAINING.as_bytes());
     while world.pipes[&Channel::Short].inbox.is_empty() {
         world.pass(50_000);
     }
@@ -598,9 +611,9 @@
     let watch_state = WatchSettings::default();
     let mut world = World::with(ClientSettings { watch_state, ..settings(false) }, false);
     (0..85).for_each(|n| world.put(n, READY));
-    world.settle();
+    world.deliver_all();
     let (lists, before) = (world.lists, world.store.revision());
-    world.heard.clear();
+    world.events.clear();
     let mut asked = BTreeMap::new();
     for step in 0..500u32 {
         let deployed = step / 6;
@@ -620,8 +633,8 @@
         }
         world.deliver(Channel::Short);
         // What was asked for in this step was told in it.
-        let told = |n: &u32| world.told.get(&worker_key(PREFIX, &format!("w{n}")).into_bytes());
-        assert!(asked.keys().all(|n| told(n).is_none_or(|v| v == DRAINING.as_bytes())));
+        let reported = |n: &u32| world.reported.get(&worker_key(PREFIX, &format!("w{n}")).into_bytes());
+        assert!(asked.keys().all(|n| reported(n).is_none_or(|v| v == DRAINING.as_bytes())));
         world.pass(10_000);
     }
     assert!(world.store.revision() - before >= 4_700, "{}", world.store.revision() - before);
@@ -629,8 +642,8 @@
         matches!(h, ClientEvent::Changes(c) if c.iter().any(|c| matches!(c, Change::Put { key, value, .. }
         if asked.keys().any(|n| *key == worker_key(PREFIX, &format!("w{n}")).into_bytes()) && value == DRAINING.as_bytes())))
     };
-    assert_eq!(world.heard.iter().filter(|h| drained(h)).count(), 81);
+    assert_eq!(world.events.iter().filter(|h| drained(h)).count(), 81);
     // Looks are lists of one key; the whole list was not asked for again.
     assert!(world.lists - lists < 20, "{} lists", world.lists - lists);
-    world.settle();
+    world.deliver_all();
 }
