--- a/crates/gateway/benches/drains.rs
+++ b/crates/gateway/benches/drains.rs
@@ -1,5 +1,6 @@
 //! The time from a drain's entry in the registry to the last request at the worker, as seen at the workers' sockets, over 300
-//! drains: without calls, at 500 calls a second, and that within a flood of other changes. `cargo bench -p slatevalve-gateway --bench drains`
+//! drains: without calls, at 500 calls a second, and that within a flood of other changes.
+//! `cargo bench -p slatevalve-gateway --bench drains`
 
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
--- a/crates/gateway/src/members/registry.rs
+++ b/crates/gateway/src/members/registry.rs
@@ -6,8 +6,8 @@
 use slatevalve::Micros;
 use slatevalve_reactor::{Reactor, ReactorEvent};
 use slatevalve_registry::{
-    router_key, Change, ClientEvent, ClientSettings, Freshness, LoadedSnapshot, MemberChange, Members,
-    RouterCount, RouterCountSettings, RouterRecord,
+    router_key, AppliedChanges, Change, ClientEvent, ClientSettings, Freshness, LoadedSnapshot, MemberChange,
+    Members, RouterCount, RouterCountSettings, RouterRecord,
 };
 use slatevalve_registry_transport::Link;
 use std::fs;
@@ -109,7 +109,7 @@
             self.router_count = RouterCount::new(settings, routers);
             self.report_routers(routers);
         }
-        let (_, errors) = self.members.apply(changes);
+        let AppliedChanges { errors, .. } = self.members.apply(changes);
         errors.iter().for_each(|error| warn!(%error, "a record is not taken"));
         info!(workers = self.members.workers().len(), "the last list of workers, from the disk");
         self.events.push(News::Remembered(self.members.workers().clone()));
@@ -132,7 +132,7 @@
                 ClientEvent::WatchFault(fault) => {
                     warn!(?fault, "registry: the list is compared anew, or the watch begun again")
                 }
-                ClientEvent::Failed(reason) => warn!("registry: {reason}"),
+                ClientEvent::Failed(reason) => warn!(%reason, "registry: request failed"),
                 ClientEvent::Registered => info!("registered"),
                 ClientEvent::Routers(count) => self.listed_routers = Some(count),
                 ClientEvent::LeaseLost => warn!("registry: our lease was lost; it is had anew"),
@@ -152,7 +152,7 @@
     }
 
     fn apply_changes(&mut self, changes: Vec<Change>) {
-        let (changes, errors) = self.members.apply(changes);
+        let AppliedChanges { changes, errors } = self.members.apply(changes);
         errors.iter().for_each(|error| warn!(%error, "a record is not taken; what was known stays"));
         if self.reported != Reported::Current {
             // The complete list follows.
--- a/crates/registry/src/client/endpoints.rs
+++ b/crates/registry/src/client/endpoints.rs
@@ -25,8 +25,8 @@
 }
 
 impl Endpoints {
-    /// Creates an order of `count` endpoints, at least one, of which the first `relays` are relays. The order is drawn from the
-    /// seed, which is different for each client.
+    /// Creates an order of `count` endpoints, at least one, of which the first `relays` are relays. The order is drawn from
+    /// the seed, which is different for each client.
     pub fn new(count: usize, relays: usize, seed: u64) -> Self {
         let (count, mut random) = (count.max(1), Pcg64Mcg::seed_from_u64(seed));
         let relays = relays.min(count);
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -21,8 +21,8 @@
     Channel, Client, ClientEvent, ClientSettings, Endpoints, Login, RequestError, SocketAction, WatchScope,
 };
 pub use members::{
-    read_member, router_key, worker_key, Member, MemberChange, MemberState, Members, RecordError,
-    RecordFault, RelayRecord, RouterRecord, WorkerRecord, RELAYS, ROUTERS, WORKERS,
+    read_member, router_key, worker_key, AppliedChanges, Member, MemberChange, MemberState, Members,
+    RecordError, RecordFault, RelayRecord, RouterRecord, WorkerRecord, RELAYS, ROUTERS, WORKERS,
 };
 pub use registration::{LeaseStep, Registration, RegistrationSettings};
 pub use router_count::{RouterCount, RouterCountSettings};
--- a/crates/registry/src/members.rs
+++ b/crates/registry/src/members.rs
@@ -208,6 +208,15 @@
     Routers(usize),
 }
 
+/// The outcome of [`Members::apply`].
+#[derive(Debug)]
+pub struct AppliedChanges {
+    /// The changes of members, in the order in which to apply them.
+    pub changes: Vec<MemberChange>,
+    /// The rejected records.
+    pub errors: Vec<RecordError>,
+}
+
 /// The known members.
 #[derive(Debug)]
 pub struct Members {
@@ -256,7 +265,7 @@
     /// Applies a batch of changed keys, and returns the changes of members and the rejected records. Removals come first, then
     /// drains, then the rest, so that applying them in order stops calls to those workers before anything else. Of several
     /// changes of one worker the last counts, except that a worker removed and added again is reported as removed as well.
-    pub fn apply(&mut self, changes: Vec<Change>) -> (Vec<MemberChange>, Vec<RecordError>) {
+    pub fn apply(&mut self, changes: Vec<Change>) -> AppliedChanges {
         let routers_before = self.routers.len();
         let (mut worker_changes, mut errors) = (WorkerChanges::default(), Vec::new());
         for change in changes {
@@ -273,7 +282,7 @@
         if self.routers.len() != routers_before {
             member_changes.push(MemberChange::Routers(self.routers.len()));
         }
-        (member_changes, errors)
+        AppliedChanges { changes: member_changes, errors }
     }
 
     fn remove(&mut self, key: &[u8], changes: &mut WorkerChanges) {
--- a/crates/registry/src/members/tests.rs
+++ b/crates/registry/src/members/tests.rs
@@ -12,15 +12,15 @@
     let ready = r#"{"address":"127.0.0.1:1"}"#;
     let draining = r#"{"address":"127.0.0.1:1","state":"draining"}"#;
     members.apply(vec![put("/s/workers/a", ready), put("/s/workers/b", ready), put("/s/workers/c", ready)]);
-    let (told, errors) = members.apply(vec![
+    let AppliedChanges { changes, errors } = members.apply(vec![
         put("/s/workers/d", ready),
         put("/s/routers/r", "{}"),
         put("/s/workers/c", draining),
         Change::Deleted { key: b"/s/workers/a".to_vec() },
     ]);
-    let names: Vec<String> = told
+    let names: Vec<String> = changes
         .iter()
-        .map(|t| match t {
+        .map(|change| match change {
             MemberChange::WorkerRemoved(name) => format!("-{name}"),
             MemberChange::Worker(name, r) => format!("{name}:{:?}", r.state),
             MemberChange::Routers(n) => n.to_string(),
@@ -40,9 +40,9 @@
     };
     members.apply(vec![at(1, "ready")]);
     let batch = vec![at(1, "draining"), Change::Deleted { key: b"/s/workers/a".to_vec() }, at(2, "ready")];
-    let (told, _) = members.apply(batch);
-    assert_eq!(told[0], MemberChange::WorkerRemoved("a".into()));
-    assert!(matches!(&told[1], MemberChange::Worker(n, r) if n == "a" && r.up_since_unix_ms == Some(2.0)));
+    let AppliedChanges { changes, .. } = members.apply(batch);
+    assert_eq!(changes[0], MemberChange::WorkerRemoved("a".into()));
+    assert!(matches!(&changes[1], MemberChange::Worker(n, r) if n == "a" && r.up_since_unix_ms == Some(2.0)));
 }
 
 #[test]
@@ -50,13 +50,13 @@
     let mut members = Members::new("/s/");
     let good = r#"{"address":"127.0.0.1:1","zone":"z","cell":3}"#;
     members.apply(vec![put("/s/workers/a", good)]);
-    let (told, errors) = members.apply(vec![
+    let AppliedChanges { changes, errors } = members.apply(vec![
         put("/s/workers/a", "{"),
         put("/s/workers/b", r#"{"address":"127.0.0.1:1","weight":-1}"#),
         put("/s/workers/ü", good),
         put("/s/else", "x"),
         put("/s/workers/c", good),
     ]);
-    assert_eq!((told.len(), errors.len(), members.workers()["a"].cell), (1, 2, 3));
+    assert_eq!((changes.len(), errors.len(), members.workers()["a"].cell), (1, 2, 3));
     assert!(errors[0].to_string().starts_with("/s/workers/a: "));
 }
--- a/crates/registry/src/watch_state/snapshot.rs
+++ b/crates/registry/src/watch_state/snapshot.rs
@@ -30,8 +30,8 @@
 }
 
 impl WatchState {
-    /// Loads a snapshot of an earlier process, before the first response. If it has revisions, a watch continues from there, so that a fleet that
-    /// restarts does not list.
+    /// Loads a snapshot of an earlier process, before the first response. If it has revisions, a watch continues from there,
+    /// so that a fleet that restarts does not list.
     ///
     /// # Errors
     /// When the bytes are not from [`WatchState::to_snapshot`]; the cache is unchanged then.
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Thousands of routers' clients and one registry of limited capacity in simulated time, without sockets. The bounds are counts
-//! and simulated times, so that the result is the same on any machine.
+//! Thousands of routers' clients and one registry of limited capacity in simulated time, without sockets. The bounds are
+//! counts and simulated times, so that the result is the same on any machine.
 
 use slatevalve_http::{Limits, MessageReader, Side};
 use slatevalve_pacing::{seed_of, Limits as PollSchedule};
--- a/crates/registry/tests/follow.rs
+++ b/crates/registry/tests/follow.rs
@@ -384,7 +384,8 @@
 
 #[test]
 fn a_watch_that_loses_changes_without_a_word_is_found_out() {
-    // By looks or, where a later change hid the loss from them, by the list that compares all: `random_walk` ends with both equal.
+    // By liveness checks or, where a later change hid the loss from them, by a full resync: `random_walk` ends with the same
+    // keys on both sides.
     (1_000..1_040).for_each(|seed| drop(random_walk(seed, 300, true)));
     let mut world = standing();
     world.lossy = true;
--- a/crates/relay/src/run/server.rs
+++ b/crates/relay/src/run/server.rs
@@ -203,7 +203,7 @@
     fn handle_client_event(&mut self, event: ClientEvent) -> Flow {
         match event {
             ClientEvent::Routers(count) => self.relay.set_counted_routers(count),
-            ClientEvent::Failed(reason) => warn!("registry: {reason}"),
+            ClientEvent::Failed(reason) => warn!(%reason, "registry: request failed"),
             ClientEvent::WatchFault(fault) => {
                 warn!(?fault, "registry: the list is compared anew, or the watch begun again")
             }
