--- a/crates/platform/src/frame.rs
+++ b/crates/platform/src/frame.rs
@@ -1,159 +1,143 @@
-//! Where one MessagePack value ends, found as its bytes come, within bounds of size and depth.
+//! Framing of MessagePack-RPC: the end of a message, found as its bytes arrive, within bounds of size and depth.
 //!
-//! It guards against lengths that are huge, values without end and deep nesting: each is refused at the byte that says
-//! so, before anything is held for it. Called by the front for every byte that a client sends; [`crate::message`] reads
-//! what is whole.
+//! A huge length, a value without end or deep nesting is rejected at the byte that states it, before memory is reserved for
+//! it. The front scans every byte of a client; [`crate::message`] reads whole frames.
 
 use rmp::Marker;
+use std::fmt;
 
-/// Most bytes of one message: a body of 16 KiB, the longest that clients may send, and its fields.
+/// The longest message, in bytes: a body of 16 KiB, the longest that clients may send, and its fields.
 pub const MAX_MESSAGE: usize = 20 * 1024;
-/// Values within values at most; a request has four levels.
+/// The deepest nesting of arrays and maps; a request has four levels.
 const MAX_DEPTH: usize = 6;
 
-/// Why bytes are no message. The connection is of no use afterwards.
+/// Why bytes cannot become a message. The connection cannot be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// It does not begin as an array of three or four values.
+    /// They do not begin as an array of three or four values.
     NotRpc,
-    /// It is longer than [`MAX_MESSAGE`].
+    /// The message is longer than [`MAX_MESSAGE`].
     TooLong,
-    /// It is nested more deeply than any message.
+    /// The message is nested more deeply than any valid one.
     TooDeep,
 }
 
-/// How far one message has been looked at. It is asked again with the same bytes and more.
+impl fmt::Display for FrameError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            FrameError::NotRpc => "not an array of three or four values",
+            FrameError::TooLong => "longer than the longest message",
+            FrameError::TooDeep => "nested too deeply",
+        })
+    }
+}
+
+impl std::error::Error for FrameError {}
+
+/// The scan of one message, resumed as more of its bytes arrive.
 #[derive(Clone, Debug, Default)]
 pub struct Scanner {
-    at: usize,
-    /// Values still to come on each level; empty at the start.
-    open: Vec<usize>,
+    /// Bytes that were scanned.
+    position: usize,
+    /// The values that are missing on each level of nesting, outermost first; empty at the start of a message.
+    missing: Vec<usize>,
 }
 
-/// A value's head: its length in bytes, the data behind it, and the values in it.
+/// The head of a MessagePack value.
 struct Head {
+    /// Bytes of the head itself.
     head: usize,
+    /// Bytes of data behind the head.
     data: usize,
+    /// Values within an array or a map; `None` for a value of another type.
     values: Option<usize>,
 }
 
 impl Scanner {
-    /// The length of the message at the start of `bytes`, once it is whole; the scanner then stands at a new start.
+    /// The length of the message at the start of `bytes`, once it is whole; `None` before. Called again with the same bytes
+    /// and more until then, after that with the bytes behind the message.
     ///
     /// # Errors
-    /// As soon as the bytes can become no message.
+    /// As soon as the bytes cannot become a message.
     pub fn scan(&mut self, bytes: &[u8]) -> Result<Option<usize>, FrameError> {
-        loop {
-            let Some(head) = head(bytes.get(self.at..).unwrap_or_default()) else { return Ok(None) };
-            if self.open.is_empty() && !matches!(head.values, Some(3 | 4)) {
+        while let Some(head) = read_head(bytes.get(self.position..).unwrap_or_default()) {
+            if self.missing.is_empty() && !matches!(head.values, Some(3 | 4)) {
                 return Err(FrameError::NotRpc);
             }
-            let next = self.at.saturating_add(head.head).saturating_add(head.data);
-            // Each value has a byte of its own at least.
+            let next = self.position.saturating_add(head.head).saturating_add(head.data);
+            // Each value within is at least one byte.
             if next.saturating_add(head.values.unwrap_or(0)) > MAX_MESSAGE {
                 return Err(FrameError::TooLong);
             }
             if next > bytes.len() {
                 return Ok(None);
             }
-            self.at = next;
+            self.position = next;
             match head.values {
-                Some(values) if values > 0 => {
-                    if self.open.len() >= MAX_DEPTH {
-                        return Err(FrameError::TooDeep);
-                    }
-                    self.open.push(values);
-                }
-                _ => {
-                    while let Some(left) = self.open.last_mut() {
-                        *left -= 1;
-                        if *left > 0 {
-                            break;
-                        }
-                        self.open.pop();
-                    }
-                    if self.open.is_empty() {
-                        return Ok(Some(std::mem::take(&mut self.at)));
-                    }
-                }
+                Some(values) if values > 0 => self.enter(values)?,
+                _ => self.finish_value(),
+            }
+            if self.missing.is_empty() {
+                return Ok(Some(std::mem::take(&mut self.position)));
             }
         }
-    }
-}
-
-/// The head of the value at the start of `bytes`, where enough of it is there.
-fn head(bytes: &[u8]) -> Option<Head> {
-    let length = |size: usize| -> Option<usize> {
-        let digits = bytes.get(1..=size)?;
-        Some(digits.iter().fold(0usize, |n, d| (n << 8) | usize::from(*d)))
-    };
-    let plain = |head: usize, data: usize| Some(Head { head, data, values: None });
-    let holds = |head: usize, values: usize| Some(Head { head, data: 0, values: Some(values) });
-    match Marker::from_u8(*bytes.first()?) {
-        Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => plain(1, 0),
-        // Never used by the format; as a value without data it is refused by whoever reads the message.
-        Marker::Reserved => plain(1, 0),
-        Marker::U8 | Marker::I8 => plain(2, 0),
-        Marker::U16 | Marker::I16 => plain(3, 0),
-        Marker::U32 | Marker::I32 | Marker::F32 => plain(5, 0),
-        Marker::U64 | Marker::I64 | Marker::F64 => plain(9, 0),
-        Marker::FixStr(n) => plain(1, usize::from(n)),
-        Marker::Str8 | Marker::Bin8 => plain(2, length(1)?),
-        Marker::Str16 | Marker::Bin16 => plain(3, length(2)?),
-        Marker::Str32 | Marker::Bin32 => plain(5, length(4)?),
-        Marker::FixExt1 => plain(2, 1),
-        Marker::FixExt2 => plain(2, 2),
-        Marker::FixExt4 => plain(2, 4),
-        Marker::FixExt8 => plain(2, 8),
-        Marker::FixExt16 => plain(2, 16),
-        Marker::Ext8 => plain(3, length(1)?),
-        Marker::Ext16 => plain(4, length(2)?),
-        Marker::Ext32 => plain(6, length(4)?),
-        Marker::FixArray(n) => holds(1, usize::from(n)),
-        Marker::Array16 => holds(3, length(2)?),
-        Marker::Array32 => holds(5, length(4)?),
-        Marker::FixMap(n) => holds(1, usize::from(n) * 2),
-        Marker::Map16 => holds(3, length(2)? * 2),
-        Marker::Map32 => holds(5, length(4)?.saturating_mul(2)),
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn scan(bytes: &[u8]) -> Result<Option<usize>, FrameError> {
-        Scanner::default().scan(bytes)
+        Ok(None)
     }
 
-    #[test]
-    fn a_message_is_whole_at_its_last_byte_however_its_bytes_come() {
-        let mut bytes = vec![0x94, 0, 7, 0xa4, b'c', b'a', b'l', b'l', 0x92, 0x81, 0xa1, b'k', 0xa1, b'v'];
-        bytes.extend([0xc4, 3, 1, 2, 3]);
-        let whole = bytes.len();
-        bytes.extend([0x93, 2]);
-        let mut scanner = Scanner::default();
-        for end in 0..whole {
-            assert_eq!(scanner.scan(&bytes[..end]), Ok(None), "{end}");
+    /// Enters an array or map that is not empty.
+    fn enter(&mut self, values: usize) -> Result<(), FrameError> {
+        if self.missing.len() >= MAX_DEPTH {
+            return Err(FrameError::TooDeep);
         }
-        assert_eq!(scanner.scan(&bytes), Ok(Some(whole)));
-        assert_eq!(scanner.scan(&bytes[whole..]), Ok(None));
+        self.missing.push(values);
+        Ok(())
     }
 
-    #[test]
-    fn lengths_beyond_the_bound_are_refused_before_their_bytes_come() {
-        assert_eq!(scan(&[0x94, 0, 1, 0xc6, 0x03, 0x93, 0x87, 0x00]), Err(FrameError::TooLong));
-        assert_eq!(scan(&[0x94, 0, 1, 0xdd, 0xff, 0xff, 0xff, 0xff]), Err(FrameError::TooLong));
-        assert_eq!(scan(&[0x94, 0, 1, 0xdf, 0xff, 0xff, 0xff, 0xff]), Err(FrameError::TooLong));
-        let mut long = vec![0x94, 0, 1, 0xa1, b'c'];
-        long.extend([0x91, 0x91, 0x91, 0x91, 0x91, 0x91, 0x91]);
-        assert_eq!(scan(&long), Err(FrameError::TooDeep));
+    /// Counts a complete value, and each array and map that it completes.
+    fn finish_value(&mut self) {
+        while let Some(missing) = self.missing.last_mut() {
+            *missing -= 1;
+            if *missing > 0 {
+                return;
+            }
+            self.missing.pop();
+        }
     }
+}
 
-    #[test]
-    fn what_does_not_begin_as_rpc_is_refused_at_its_first_byte() {
-        for first in [b'G', 0x92, 0x95, 0xc1, 0x00, 0xff, 0x84] {
-            assert_eq!(scan(&[first]), Err(FrameError::NotRpc), "{first}");
-        }
+/// The head of the value at the start of `bytes`; `None` until all its bytes are there.
+fn read_head(bytes: &[u8]) -> Option<Head> {
+    let length = |size: usize| -> Option<usize> {
+        let digits = bytes.get(1..=size)?;
+        Some(digits.iter().fold(0usize, |value, digit| (value << 8) | usize::from(*digit)))
+    };
+    let scalar = |head: usize, data: usize| Some(Head { head, data, values: None });
+    let container = |head: usize, values: usize| Some(Head { head, data: 0, values: Some(values) });
+    match Marker::from_u8(*bytes.first()?) {
+        Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => scalar(1, 0),
+        // Not used by the format; treated as a value without data, it is rejected when the message is read.
+        Marker::Reserved => scalar(1, 0),
+        Marker::U8 | Marker::I8 => scalar(2, 0),
+        Marker::U16 | Marker::I16 => scalar(3, 0),
+        Marker::U32 | Marker::I32 | Marker::F32 => scalar(5, 0),
+        Marker::U64 | Marker::I64 | Marker::F64 => scalar(9, 0),
+        Marker::FixStr(length) => scalar(1, usize::from(length)),
+        Marker::Str8 | Marker::Bin8 => scalar(2, length(1)?),
+        Marker::Str16 | Marker::Bin16 => scalar(3, length(2)?),
+        Marker::Str32 | Marker::Bin32 => scalar(5, length(4)?),
+        Marker::FixExt1 => scalar(2, 1),
+        Marker::FixExt2 => scalar(2, 2),
+        Marker::FixExt4 => scalar(2, 4),
+        Marker::FixExt8 => scalar(2, 8),
+        Marker::FixExt16 => scalar(2, 16),
+        Marker::Ext8 => scalar(3, length(1)?),
+        Marker::Ext16 => scalar(4, length(2)?),
+        Marker::Ext32 => scalar(6, length(4)?),
+        Marker::FixArray(length) => container(1, usize::from(length)),
+        Marker::Array16 => container(3, length(2)?),
+        Marker::Array32 => container(5, length(4)?),
+        Marker::FixMap(length) => container(1, usize::from(length) * 2),
+        Marker::Map16 => container(3, length(2)? * 2),
+        Marker::Map32 => container(5, length(4)?.saturating_mul(2)),
     }
 }
--- /dev/null
+++ b/crates/platform/src/message/response.rs
@@ -0,0 +1,54 @@
+//! Responses to clients, encoded: `[1, NUMBER, ERROR, RESULT]`.
+
+use rmp::encode;
+
+/// The MessagePack-RPC type of a response.
+const RESPONSE: u64 = 1;
+/// Bytes of a response besides its value, at most.
+const OVERHEAD: usize = 16;
+
+/// The start of a response, up to its error; `value_size` is about how many bytes follow. Writing to a vector cannot fail.
+fn response(number: u32, value_size: usize) -> Vec<u8> {
+    let mut out = Vec::with_capacity(value_size + OVERHEAD);
+    let _ = encode::write_array_len(&mut out, 4);
+    let _ = encode::write_uint(&mut out, RESPONSE);
+    let _ = encode::write_uint(&mut out, u64::from(number));
+    out
+}
+
+/// The start of a response without error; its result is a value and a map of fields, which is always empty.
+fn success(number: u32, value_size: usize) -> Vec<u8> {
+    let mut out = response(number, value_size);
+    let _ = encode::write_nil(&mut out);
+    let _ = encode::write_array_len(&mut out, 2);
+    out
+}
+
+/// The response to a call that was served.
+#[must_use]
+pub fn served(number: u32, body: &[u8]) -> Vec<u8> {
+    let mut out = success(number, body.len());
+    let _ = encode::write_bin(&mut out, body);
+    let _ = encode::write_map_len(&mut out, 0);
+    out
+}
+
+/// The response to `check`.
+#[must_use]
+pub fn checked(number: u32, ready: bool) -> Vec<u8> {
+    let mut out = success(number, 1);
+    let _ = encode::write_bool(&mut out, ready);
+    let _ = encode::write_map_len(&mut out, 0);
+    out
+}
+
+/// An error response: code `Throttled` where the call was refused, another where it failed.
+#[must_use]
+pub fn error(number: u32, code: &str) -> Vec<u8> {
+    let mut out = response(number, code.len());
+    let _ = encode::write_array_len(&mut out, 2);
+    let _ = encode::write_str(&mut out, code);
+    let _ = encode::write_map_len(&mut out, 0);
+    let _ = encode::write_nil(&mut out);
+    out
+}
--- a/crates/platform/tests/front.rs
+++ b/crates/platform/tests/front.rs
@@ -4,7 +4,7 @@
 use slatevalve::{ClassId, Effect, Group, Micros};
 use slatevalve_engine::{Answer, Call, Reason, Ticket, Verdict};
 use slatevalve_platform::front::{Front, FrontOutput, FrontSettings, LinkId, Unusable};
-use slatevalve_platform::message::BadCall;
+use slatevalve_platform::message::InvalidRequest;
 
 const ID: &str = "9b1f03aa5c7e2d41";
 const KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
@@ -166,25 +166,25 @@
     };
     let without = |name: &str| good.iter().copied().filter(|f| f.0 != name).collect::<Vec<_>>();
     let cases = [
-        ("quote", without("req"), BadCall::Missing("req")),
-        ("quote", without("timeout"), BadCall::Missing("timeout")),
-        ("quote", without("subject"), BadCall::Missing("subject")),
-        ("quote", with("req", "9b1f03aa5c7e2d4"), BadCall::Field("req")),
-        ("quote", with("req", "9b1f03aa 5c7e2d4"), BadCall::Field("req")),
-        ("quote", with("subject", "7f3a9c21e0b4d65,"), BadCall::Field("subject")),
-        ("quote", with("timeout", "-5"), BadCall::Field("timeout")),
-        ("quote", with("timeout", "0"), BadCall::Field("timeout")),
-        ("quote", with("timeout", "NaN"), BadCall::Field("timeout")),
-        ("quote", with("timeout", "1e300"), BadCall::Field("timeout")),
-        ("quote", with("timeout", "99999999999999999999"), BadCall::Field("timeout")),
-        ("quote", with("info", "lanes:x"), BadCall::Field("info")),
-        ("quote", with("info", "lanes:0"), BadCall::Field("info")),
-        ("quote", with("info", "memory_mb:-1"), BadCall::Field("info")),
-        ("quote", with("info", "load_ms"), BadCall::Field("info")),
-        ("quote", with("resent", "maybe"), BadCall::Field("resent")),
-        ("booking", good.to_vec(), BadCall::Missing("opkey")),
-        ("booking", with("opkey", "a b\r\n"), BadCall::Field("opkey")),
-        ("no-such-class", good.to_vec(), BadCall::Class),
+        ("quote", without("req"), InvalidRequest::Missing("req")),
+        ("quote", without("timeout"), InvalidRequest::Missing("timeout")),
+        ("quote", without("subject"), InvalidRequest::Missing("subject")),
+        ("quote", with("req", "9b1f03aa5c7e2d4"), InvalidRequest::Field("req")),
+        ("quote", with("req", "9b1f03aa 5c7e2d4"), InvalidRequest::Field("req")),
+        ("quote", with("subject", "7f3a9c21e0b4d65,"), InvalidRequest::Field("subject")),
+        ("quote", with("timeout", "-5"), InvalidRequest::Field("timeout")),
+        ("quote", with("timeout", "0"), InvalidRequest::Field("timeout")),
+        ("quote", with("timeout", "NaN"), InvalidRequest::Field("timeout")),
+        ("quote", with("timeout", "1e300"), InvalidRequest::Field("timeout")),
+        ("quote", with("timeout", "99999999999999999999"), InvalidRequest::Field("timeout")),
+        ("quote", with("info", "lanes:x"), InvalidRequest::Field("info")),
+        ("quote", with("info", "lanes:0"), InvalidRequest::Field("info")),
+        ("quote", with("info", "memory_mb:-1"), InvalidRequest::Field("info")),
+        ("quote", with("info", "load_ms"), InvalidRequest::Field("info")),
+        ("quote", with("resent", "maybe"), InvalidRequest::Field("resent")),
+        ("booking", good.to_vec(), InvalidRequest::Missing("opkey")),
+        ("booking", with("opkey", "a b\r\n"), InvalidRequest::Field("opkey")),
+        ("no-such-class", good.to_vec(), InvalidRequest::Class),
     ];
     let mut bench = Bench::new(8);
     bench.open(1);
--- a/crates/platform/tests/stored_forms.rs
+++ b/crates/platform/tests/stored_forms.rs
@@ -8,7 +8,7 @@
 use slatevalve::{ClassId, Effect, Group, Micros, Outcome, Report};
 use slatevalve_engine::{Answer, FunctionTraits, Reason, Ticket, Verdict};
 use slatevalve_platform::front::{Front, FrontOutput, FrontSettings, LinkId};
-use slatevalve_platform::message::{self, Asked, Message};
+use slatevalve_platform::message::{self, ClientRequest, Message};
 use slatevalve_platform::workers::Lines;
 use slatevalve_worker_protocol::reply::ParsedReply;
 use slatevalve_worker_protocol::{Call, CompletedRequest, Tag, WorkerProtocol, WorkerRequest};
@@ -152,7 +152,7 @@
 
 #[test]
 fn a_clients_request_is_read_with_every_field() {
-    let asked = Asked {
+    let request = ClientRequest {
         id: "9b1f03aa5c7e2d41".into(),
         class: "booking".into(),
         function: "7f3a9c21e0b4d655".into(),
@@ -167,7 +167,7 @@
         },
         body: vec![0, 255],
     };
-    assert_eq!(message::read(REQUEST), Ok(Message::Call { number: 7, asked: Ok(asked) }));
+    assert_eq!(message::read(REQUEST), Ok(Message::Call { number: 7, request: Ok(request) }));
 }
 
 #[test]
