--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,5 @@
-//! What a router is told at its start: the file that `EDGE_CONFIG` names, as JSON.
-//!
-//! It guards against starting on half of it: whatever is missing or of another form is named, with its field. Called by
-//! the gateway, at the start and on SIGHUP.
+//! The configuration of a router: the JSON file that the environment variable `EDGE_CONFIG` names, read at the start and on
+//! SIGHUP. It is applied as a whole or not at all; an error names the field.
 
 use serde_json::Value;
 use slatevalve_site_config::object::{field, number, object, text, unknown, whole, Obj};
@@ -12,7 +10,7 @@
 /// The limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// Cores that it may use.
+    /// Cores that the process may use.
     pub cores: f64,
     /// Memory, in MB.
     pub memory_mb: u64,
@@ -20,35 +18,35 @@
     pub sockets: usize,
 }
 
-/// All that a router is told.
+/// The configuration of a router.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The router's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// For random numbers, new with each start.
+    /// The seed of random numbers, new with each start.
     pub seed: u64,
-    /// Of the process.
+    /// The limits of the process.
     pub limits: ProcessLimits,
-    /// Where the change log is.
+    /// The address of the change log.
     pub changelog: SocketAddr,
-    /// The change log's events up to now, as the log itself would tell them.
+    /// The events of the change log up to now, in the form of one of its answers.
     pub known: Obj,
     /// The operators' settings.
     pub site: Site,
 }
 
-/// Why a configuration cannot be used.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a configuration is rejected.
+#[derive(Debug)]
 pub enum ConfigError {
-    /// It is no JSON object.
-    Json(String),
-    /// A field is wrong.
+    /// The file is not JSON.
+    Json(serde_json::Error),
+    /// A field is missing or invalid.
     Field(FieldError),
-    /// A field within `settings` is wrong.
+    /// A field within `settings` is missing or invalid.
     Settings(FieldError),
-    /// A field within `limits` is wrong.
+    /// A field within `limits` is missing or invalid.
     Limits(FieldError),
 }
 
@@ -63,7 +61,20 @@
     }
 }
 
-impl std::error::Error for ConfigError {}
+impl std::error::Error for ConfigError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ConfigError::Json(e) => Some(e),
+            ConfigError::Field(e) | ConfigError::Settings(e) | ConfigError::Limits(e) => Some(e),
+        }
+    }
+}
+
+impl From<serde_json::Error> for ConfigError {
+    fn from(e: serde_json::Error) -> Self {
+        ConfigError::Json(e)
+    }
+}
 
 impl From<FieldError> for ConfigError {
     fn from(e: FieldError) -> Self {
@@ -71,45 +82,46 @@
     }
 }
 
-fn address(o: &Obj, name: &str) -> Result<SocketAddr, FieldError> {
-    let value = text(o, name)?;
-    value.parse().map_or_else(|_| unknown(name, value), Ok)
-}
-
 impl Config {
-    /// Reads the file's text.
+    /// Reads the text of the file.
     ///
     /// # Errors
-    /// Names the first thing that is wrong.
+    /// Names the first field that is missing or invalid.
     pub fn read(text_of_file: &str) -> Result<Config, ConfigError> {
-        let value: Value =
-            serde_json::from_str(text_of_file).map_err(|e| ConfigError::Json(e.to_string()))?;
-        let o = object(&value, "the file")?;
-        let seed = match field(o, "seed")? {
-            Value::Number(_) => whole(o, "seed")?,
-            _ => {
-                let digits = text(o, "seed")?;
-                u64::from_str_radix(digits, 16).map_or_else(|_| unknown("seed", digits), Ok)?
-            }
-        };
-        let limits = object(field(o, "limits")?, "limits")?;
-        let limits = || -> Result<ProcessLimits, FieldError> {
-            let sockets = whole(limits, "sockets")? as usize;
-            Ok(ProcessLimits {
-                cores: number(limits, "cores")?,
-                memory_mb: number(limits, "memory_mb")?.max(0.0) as u64,
-                sockets,
-            })
-        };
-        let settings = object(field(o, "settings")?, "settings")?;
+        let value: Value = serde_json::from_str(text_of_file)?;
+        let file = object(&value, "the file")?;
+        let seed = seed(file)?;
+        let limits = object(field(file, "limits")?, "limits")?;
+        let settings = object(field(file, "settings")?, "settings")?;
         Ok(Config {
-            name: text(o, "name")?.to_string(),
-            listen: address(o, "listen")?,
+            name: text(file, "name")?.to_string(),
+            listen: address(file, "listen")?,
             seed,
-            limits: limits().map_err(ConfigError::Limits)?,
-            changelog: address(o, "changelog")?,
-            known: object(field(o, "known")?, "known")?.clone(),
+            limits: process_limits(limits).map_err(ConfigError::Limits)?,
+            changelog: address(file, "changelog")?,
+            known: object(field(file, "known")?, "known")?.clone(),
             site: Site::read(settings).map_err(ConfigError::Settings)?,
         })
     }
 }
+
+fn address(file: &Obj, name: &str) -> Result<SocketAddr, FieldError> {
+    let value = text(file, name)?;
+    value.parse().map_or_else(|_| unknown(name, value), Ok)
+}
+
+/// The seed, a number or a text of hex digits.
+fn seed(file: &Obj) -> Result<u64, FieldError> {
+    if field(file, "seed")?.is_number() {
+        return whole(file, "seed");
+    }
+    let digits = text(file, "seed")?;
+    u64::from_str_radix(digits, 16).map_or_else(|_| unknown("seed", digits), Ok)
+}
+
+fn process_limits(limits: &Obj) -> Result<ProcessLimits, FieldError> {
+    let sockets = whole(limits, "sockets")? as usize;
+    let cores = number(limits, "cores")?;
+    let memory_mb = number(limits, "memory_mb")?.max(0.0) as u64;
+    Ok(ProcessLimits { cores, memory_mb, sockets })
+}
