--- /dev/null
+++ b/adapter/src/commands.rs
@@ -0,0 +1,53 @@
+//! Actions of the load balancer, encoded as commands of the wire.
+
+use crate::requests::RequestTable;
+use serde_json::{json, Value};
+use slatevalve::{Action, Micros};
+
+/// The wire's unit of time: milliseconds with fractions.
+fn millis(time: Micros) -> f64 {
+    time.0 as f64 / 1000.0
+}
+
+/// Encodes an action of `instance` and notes in `requests` what it sends and completes; `None` where the action is about
+/// a request that is over.
+pub(crate) fn encode(instance: &str, action: Action, requests: &mut RequestTable) -> Option<Value> {
+    Some(match action {
+        Action::Send { id, worker, timeout } => {
+            let name = requests.name(id)?;
+            let mut command = json!({"m": "Deliver", "i": instance, "id": name, "worker": worker.0});
+            if let Some(timeout) = timeout {
+                command["within"] = json!(millis(timeout));
+            }
+            requests.attempt_sent(id);
+            command
+        }
+        Action::Refuse { id, retry_after } => {
+            let mut command = json!({"m": "Shed", "i": instance, "id": requests.name(id)?});
+            if let Some(delay) = retry_after {
+                command["retry_in"] = json!(millis(delay));
+            }
+            requests.completed(id);
+            command
+        }
+        Action::Fail { id } => {
+            let command = json!({"m": "DropRequest", "i": instance, "id": requests.name(id)?});
+            requests.completed(id);
+            command
+        }
+        Action::Cancel { id, attempt } => {
+            json!({"m": "Recall", "i": instance, "id": requests.name(id)?, "try": attempt})
+        }
+        Action::Load { worker, function, copies } => {
+            json!({"m": "Mount", "i": instance, "worker": worker.0, "app": function.0, "copies": copies})
+        }
+        Action::Drop { worker, function } => {
+            json!({"m": "PutAway", "i": instance, "worker": worker.0, "app": function.0})
+        }
+        Action::Probe { worker } => json!({"m": "SoundOut", "i": instance, "worker": worker.0}),
+        Action::Subscribe => json!({"m": "Tail", "i": instance, "on": true}),
+        Action::Wake { at, token } => {
+            json!({"m": "Remind", "i": instance, "when": millis(at), "key_back": token})
+        }
+    })
+}
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,34 +1,46 @@
-//! Carries the bench's wire to the decision module and back, and decides nothing.
+//! The adapter: runs the load balancer on the wire of the operators' bench, which it translates without decisions of its own.
+//!
+//! The wire is one JSON object a line: batches of events on the standard input, one reply with commands for each on the
+//! standard output. The process ends with an error at the first line that cannot be read.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
-mod wire;
+mod commands;
+mod error;
+mod events;
+mod hub;
+mod instance;
+mod requests;
 
+use error::AdapterError;
+use hub::Hub;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // A panic of the module is told on the wire; its own words would only repeat that.
+    // A panic of the load balancer is reported on the wire; the default message would only repeat it.
     std::panic::set_hook(Box::new(|_| {}));
-    let stdin = io::stdin();
-    let mut out = io::BufWriter::new(io::stdout().lock());
-    let mut hub = wire::Hub::default();
-    for line in stdin.lock().lines() {
-        let reply = match line.map_err(|e| format!("input: {e}")) {
-            Ok(text) if text.trim().is_empty() => continue,
-            Ok(text) => hub.batch(&text),
-            Err(e) => Err(e),
-        };
-        match reply {
-            Ok(reply) => {
-                if writeln!(out, "{reply}").and_then(|()| out.flush()).is_err() {
-                    return ExitCode::FAILURE;
-                }
-            }
-            Err(e) => {
-                eprintln!("slatevalve-adapter: {e}");
-                return ExitCode::FAILURE;
-            }
+    match run(io::stdin().lock(), io::BufWriter::new(io::stdout().lock())) {
+        Ok(()) => ExitCode::SUCCESS,
+        // The reader of the replies has gone: nobody is left to report to.
+        Err(AdapterError::Output(_)) => ExitCode::FAILURE,
+        Err(e) => {
+            eprintln!("slatevalve-adapter: {e}");
+            ExitCode::FAILURE
         }
     }
-    ExitCode::SUCCESS
+}
+
+/// Replies to each batch of `input` until it ends.
+fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut hub = Hub::default();
+    for line in input.lines() {
+        let line = line.map_err(AdapterError::Input)?;
+        if line.trim().is_empty() {
+            continue;
+        }
+        let reply = hub.handle_batch(&line)?;
+        writeln!(output, "{reply}").and_then(|()| output.flush()).map_err(AdapterError::Output)?;
+    }
+    Ok(())
 }
--- a/adapter/tests/platform.rs
+++ b/adapter/tests/platform.rs
@@ -10,7 +10,7 @@
 };
 use slatevalve_engine::{function_id, worker_id, AttemptEnd, AttemptRef, Engine, EngineSettings, Output};
 use slatevalve_platform::front::{Front, FrontOutput, FrontSettings, LinkId};
-use slatevalve_site_config::Site;
+use slatevalve_site_config::SiteConfig;
 use std::collections::HashMap;
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -226,7 +226,7 @@
 
 impl Platform {
     fn start(seed: u64) -> Self {
-        let site = Site::read(settings().as_object().unwrap()).unwrap();
+        let site = SiteConfig::read(settings().as_object().unwrap()).unwrap();
         let classes = site.names.classes.iter().cloned();
         let classes = classes.zip(site.settings.classes.iter().map(|c| c.effect)).collect();
         let engine = Engine::new(EngineSettings {
--- a/crates/platform/src/changes.rs
+++ b/crates/platform/src/changes.rs
@@ -17,7 +17,7 @@
 use slatevalve::Micros;
 use slatevalve_http::{Limits, Message, MessageReader, Side};
 use slatevalve_pacing::{Limits as PaceLimits, PollSchedule};
-use slatevalve_site_config::object::{list, object, whole, Obj};
+use slatevalve_site_config::object::{array, object, unsigned, JsonObject};
 use slatevalve_site_config::{FieldError, Names};
 use std::net::SocketAddr;
 
@@ -117,7 +117,7 @@
         names: Names,
         at_unix_ms: Box<dyn Fn(f64) -> Micros>,
         address: SocketAddr,
-        known: &Obj,
+        known: &JsonObject,
         seed: u64,
     ) -> Result<(Self, EventBatch), FieldError> {
         let mut follower = Follower {
@@ -249,12 +249,12 @@
     /// Events behind a gap are returned too, as a late drain is better than none, but `self.seq` stays before the gap, so
     /// that they are requested again with what was left out. A complete list closes any gap before it. An event with a
     /// malformed member counts as a gap: one bad member must not hide the drain of the next.
-    fn read_events(&mut self, answer: &Obj) -> Result<EventBatch, FieldError> {
-        let last_seq = whole(answer, "seq")?;
+    fn read_events(&mut self, answer: &JsonObject) -> Result<EventBatch, FieldError> {
+        let last_seq = unsigned(answer, "seq")?;
         let mut contiguous_seq = self.seq;
         let mut highest_seq = self.seq;
         let mut batch = EventBatch::default();
-        for value in list(answer, "results")? {
+        for value in array(answer, "results")? {
             let Some(event) = self.events.read(value, highest_seq)? else { continue };
             let Event { seq, change, malformed } = event;
             let complete = change.as_ref().is_some_and(|change| change.complete);
--- a/crates/platform/src/changes/event.rs
+++ b/crates/platform/src/changes/event.rs
@@ -3,7 +3,9 @@
 use serde_json::Value;
 use slatevalve::{CellId, KindId, Listing, Micros, Scope, WorkerEntry, WorkerState, ZoneId};
 use slatevalve_engine::worker_id;
-use slatevalve_site_config::object::{flag, list, number_or, object, opt, text, unknown, whole, Obj};
+use slatevalve_site_config::object::{
+    array, bool_or, number_or, object, optional, text, unknown_value, unsigned, JsonObject,
+};
 use slatevalve_site_config::{FieldError, Names};
 use std::net::SocketAddr;
 
@@ -64,30 +66,30 @@
     /// Where the event itself is malformed; malformed members are collected in [`Event::malformed`].
     pub(super) fn read(&self, value: &Value, after: u64) -> Result<Option<Event>, FieldError> {
         let event = object(value, "results")?;
-        let seq = whole(event, "seq")?;
+        let seq = unsigned(event, "seq")?;
         if seq <= after {
             return Ok(None);
         }
         let mut malformed = Vec::new();
-        let fleet = opt(event, "fleet").map(|fleet| object(fleet, "fleet")).transpose()?;
+        let fleet = optional(event, "fleet").map(|fleet| object(fleet, "fleet")).transpose()?;
         let change = fleet.map(|fleet| self.change(fleet, &mut malformed)).transpose()?;
         Ok(Some(Event { seq, change, malformed }))
     }
 
-    fn change(&self, fleet: &Obj, malformed: &mut Vec<FieldError>) -> Result<Change, FieldError> {
-        let complete = flag(fleet, "complete", false)?;
-        let members = list(fleet, "members")?.iter().map(|value| self.member(object(value, "members")?));
+    fn change(&self, fleet: &JsonObject, malformed: &mut Vec<FieldError>) -> Result<Change, FieldError> {
+        let complete = bool_or(fleet, "complete", false)?;
+        let members = array(fleet, "members")?.iter().map(|value| self.member(object(value, "members")?));
         let lines = members.filter_map(|member| member.map_err(|e| malformed.push(e)).ok()).collect();
         Ok(Change { complete, lines })
     }
 
-    fn member(&self, member: &Obj) -> Result<MemberLine, FieldError> {
+    fn member(&self, member: &JsonObject) -> Result<MemberLine, FieldError> {
         let name = text(member, "id")?.to_string();
         let state = match text(member, "phase")? {
             "active" => WorkerState::Ready,
             "leaving" => WorkerState::Draining,
             "left" => WorkerState::Gone,
-            other => return unknown("phase", other),
+            other => return unknown_value("phase", other),
         };
         let address = address(member, state)?;
         let up_since_ms = number_or(member, "up_since_ms", 0.0)?;
@@ -95,7 +97,7 @@
             id: worker_id(&name),
             zone: ZoneId(index_of_name(&self.names.zones, member, "locality")?),
             kind: KindId(index_of_name(&self.names.kinds, member, "flavor")?),
-            cell: CellId(opt(member, "cell").map_or(Ok(0), |_| whole(member, "cell"))?),
+            cell: CellId(optional(member, "cell").map_or(Ok(0), |_| unsigned(member, "cell"))?),
             state,
             weight: number_or(member, "size", 1.0)?,
             up_since: (up_since_ms > 0.0).then(|| (self.at_unix_ms)(up_since_ms)),
@@ -104,18 +106,18 @@
     }
 }
 
-fn address(member: &Obj, state: WorkerState) -> Result<Option<SocketAddr>, FieldError> {
-    if state == WorkerState::Gone && opt(member, "host_port").is_none() {
+fn address(member: &JsonObject, state: WorkerState) -> Result<Option<SocketAddr>, FieldError> {
+    if state == WorkerState::Gone && optional(member, "host_port").is_none() {
         return Ok(None);
     }
     let address = text(member, "host_port")?;
-    address.parse().map_or_else(|_| unknown("host_port", address), |parsed| Ok(Some(parsed)))
+    address.parse().map_or_else(|_| unknown_value("host_port", address), |parsed| Ok(Some(parsed)))
 }
 
 /// The index of a zone or kind; 0 where the field is absent. A name that the settings do not list gets an index beyond
 /// them that is derived from the name, so that all routers agree on it.
-fn index_of_name(names: &[String], member: &Obj, field: &str) -> Result<usize, FieldError> {
-    if opt(member, field).is_none() {
+fn index_of_name(names: &[String], member: &JsonObject, field: &str) -> Result<usize, FieldError> {
+    if optional(member, field).is_none() {
         return Ok(0);
     }
     let name = text(member, field)?;
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -2,8 +2,8 @@
 //! SIGHUP. It is applied as a whole or not at all; an error names the field.
 
 use serde_json::Value;
-use slatevalve_site_config::object::{field, number, object, text, unknown, whole, Obj};
-use slatevalve_site_config::{FieldError, Site};
+use slatevalve_site_config::object::{field, number, object, text, unknown_value, unsigned, JsonObject};
+use slatevalve_site_config::{FieldError, SiteConfig};
 use std::fmt;
 use std::net::SocketAddr;
 
@@ -32,9 +32,9 @@
     /// The address of the change log.
     pub changelog: SocketAddr,
     /// The events of the change log up to now, in the form of one of its answers.
-    pub known: Obj,
+    pub known: JsonObject,
     /// The operators' settings.
-    pub site: Site,
+    pub site: SiteConfig,
 }
 
 /// Why a configuration is rejected.
@@ -100,27 +100,27 @@
             limits: process_limits(limits).map_err(ConfigError::Limits)?,
             changelog: address(file, "changelog")?,
             known: object(field(file, "known")?, "known")?.clone(),
-            site: Site::read(settings).map_err(ConfigError::Settings)?,
+            site: SiteConfig::read(settings).map_err(ConfigError::Settings)?,
         })
     }
 }
 
-fn address(file: &Obj, name: &str) -> Result<SocketAddr, FieldError> {
+fn address(file: &JsonObject, name: &str) -> Result<SocketAddr, FieldError> {
     let value = text(file, name)?;
-    value.parse().map_or_else(|_| unknown(name, value), Ok)
+    value.parse().map_or_else(|_| unknown_value(name, value), Ok)
 }
 
 /// The seed, a number or a text of hex digits.
-fn seed(file: &Obj) -> Result<u64, FieldError> {
+fn seed(file: &JsonObject) -> Result<u64, FieldError> {
     if field(file, "seed")?.is_number() {
-        return whole(file, "seed");
+        return unsigned(file, "seed");
     }
     let digits = text(file, "seed")?;
-    u64::from_str_radix(digits, 16).map_or_else(|_| unknown("seed", digits), Ok)
+    u64::from_str_radix(digits, 16).map_or_else(|_| unknown_value("seed", digits), Ok)
 }
 
-fn process_limits(limits: &Obj) -> Result<ProcessLimits, FieldError> {
-    let sockets = whole(limits, "sockets")? as usize;
+fn process_limits(limits: &JsonObject) -> Result<ProcessLimits, FieldError> {
+    let sockets = unsigned(limits, "sockets")? as usize;
     let cores = number(limits, "cores")?;
     let memory_mb = number(limits, "memory_mb")?.max(0.0) as u64;
     Ok(ProcessLimits { cores, memory_mb, sockets })
--- a/crates/site-config/src/lib.rs
+++ b/crates/site-config/src/lib.rs
@@ -1,8 +1,7 @@
-//! The operators' settings object, read into the module's settings.
+//! The site config: the operators' settings object, read into the settings of the load balancer.
 //!
-//! It guards against two readers of one object: the bench's adapter and the platform's router are told the same
-//! thing in the same words, and both call [`Site::read`]. [`object`] reads single fields of any JSON object and names
-//! the one that is wrong. No decision is made here and no value is tuned.
+//! The bench's adapter and the platform's router receive the same JSON object, and both read it with [`SiteConfig::read`], so
+//! that they cannot differ. [`object`] reads single fields of any JSON object, with errors that name the field.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -10,4 +9,4 @@
 mod settings;
 
 pub use object::FieldError;
-pub use settings::{Connections, Names, Site};
+pub use settings::{ConnectionSettings, Names, SiteConfig};
--- a/crates/site-config/src/object.rs
+++ b/crates/site-config/src/object.rs
@@ -1,32 +1,33 @@
-//! Fields of a JSON object, each with an error that names it. Called by whoever reads what an operator wrote.
+//! Fields of a JSON object, each read with an error that names it. A field that is null counts as absent.
 
 use serde_json::{Map, Value};
 use slatevalve::Micros;
 use std::fmt;
+use std::sync::LazyLock;
 
 /// A JSON object.
-pub type Obj = Map<String, Value>;
+pub type JsonObject = Map<String, Value>;
 
-/// What is wrong with an object.
+/// Why a field cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FieldError {
     /// The field is absent or null.
     Missing(String),
-    /// The field is of another type.
+    /// The field has another type.
     Type {
-        /// Which field.
+        /// The field's name.
         field: String,
-        /// What it is to be.
-        wanted: &'static str,
+        /// What is wrong with the value, as the rest of a sentence: `is not a number`.
+        problem: &'static str,
     },
-    /// The field names something that is not known.
+    /// The field has a value that is not one of those known.
     Value {
-        /// Which field.
+        /// The field's name.
         field: String,
-        /// What it names.
+        /// The field's value.
         value: String,
     },
-    /// A named value that must be an object is none.
+    /// A value that must be an object is none.
     NotObject(String),
 }
 
@@ -34,7 +35,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FieldError::Missing(field) => write!(f, "field '{field}' is missing"),
-            FieldError::Type { field, wanted } => write!(f, "field '{field}' {wanted}"),
+            FieldError::Type { field, problem } => write!(f, "field '{field}' {problem}"),
             FieldError::Value { field, value } => {
                 write!(f, "field '{field}' has the unknown value '{value}'")
             }
@@ -45,99 +46,163 @@
 
 impl std::error::Error for FieldError {}
 
-impl From<FieldError> for String {
-    fn from(e: FieldError) -> String {
-        e.to_string()
-    }
-}
-
-type Res<T> = Result<T, FieldError>;
+type Result<T> = std::result::Result<T, FieldError>;
 
-fn wrong<T>(field: &str, wanted: &'static str) -> Res<T> {
-    Err(FieldError::Type { field: field.into(), wanted })
+fn type_error<T>(field: &str, problem: &'static str) -> Result<T> {
+    Err(FieldError::Type { field: field.into(), problem })
 }
 
-/// An unknown value of a field, as an error.
-pub fn unknown<T>(field: &str, value: &str) -> Res<T> {
+/// The error for a value of a field that is not one of those known.
+///
+/// # Errors
+/// Always; the result type is that of the caller.
+pub fn unknown_value<T>(field: &str, value: &str) -> Result<T> {
     Err(FieldError::Value { field: field.into(), value: value.into() })
 }
 
-/// A field that must be there.
-pub fn field<'a>(o: &'a Obj, name: &str) -> Res<&'a Value> {
-    opt(o, name).ok_or_else(|| FieldError::Missing(name.into()))
-}
-
-/// A field that may be absent or null.
-pub fn opt<'a>(o: &'a Obj, name: &str) -> Option<&'a Value> {
-    o.get(name).filter(|v| !v.is_null())
-}
-
-/// A text.
-pub fn text<'a>(o: &'a Obj, name: &str) -> Res<&'a str> {
-    field(o, name)?.as_str().map_or_else(|| wrong(name, "is not a text"), Ok)
-}
-
-/// A whole number of 0 or more.
-pub fn whole(o: &Obj, name: &str) -> Res<u64> {
-    let v = field(o, name)?;
-    let f = || v.as_f64().filter(|f| *f >= 0.0 && f.fract() == 0.0 && *f < 1.8e19).map(|f| f as u64);
-    v.as_u64().or_else(f).map_or_else(|| wrong(name, "is not a whole number"), Ok)
-}
-
-/// A number.
-pub fn number(o: &Obj, name: &str) -> Res<f64> {
-    field(o, name)?.as_f64().map_or_else(|| wrong(name, "is not a number"), Ok)
-}
-
-/// A number, or another one where the field is absent.
-pub fn number_or(o: &Obj, name: &str, other: f64) -> Res<f64> {
-    opt(o, name).map_or(Ok(other), |_| number(o, name))
-}
-
-/// A time, given in milliseconds with fractions.
-pub fn time(o: &Obj, name: &str) -> Res<Micros> {
-    Ok(Micros((number(o, name)? * 1000.0).round() as i64))
-}
-
-/// A time, or another one where the field is absent.
-pub fn time_or(o: &Obj, name: &str, other: Micros) -> Res<Micros> {
-    opt(o, name).map_or(Ok(other), |_| time(o, name))
-}
-
-/// True or false, or another value where the field is absent.
-pub fn flag(o: &Obj, name: &str, other: bool) -> Res<bool> {
-    match opt(o, name) {
-        None => Ok(other),
-        Some(v) => v.as_bool().map_or_else(|| wrong(name, "is not true or false"), Ok),
+/// A required field.
+///
+/// # Errors
+/// Where the field is absent.
+pub fn field<'a>(object: &'a JsonObject, name: &str) -> Result<&'a Value> {
+    optional(object, name).ok_or_else(|| FieldError::Missing(name.into()))
+}
+
+/// A field that may be absent.
+#[must_use]
+pub fn optional<'a>(object: &'a JsonObject, name: &str) -> Option<&'a Value> {
+    object.get(name).filter(|value| !value.is_null())
+}
+
+/// A required text.
+///
+/// # Errors
+/// Where the field is absent or not a text.
+pub fn text<'a>(object: &'a JsonObject, name: &str) -> Result<&'a str> {
+    field(object, name)?.as_str().map_or_else(|| type_error(name, "is not a text"), Ok)
+}
+
+/// A required whole number of 0 or more, which may be written with a decimal point.
+///
+/// # Errors
+/// Where the field is absent or not such a number.
+pub fn unsigned(object: &JsonObject, name: &str) -> Result<u64> {
+    /// Above this, the conversion to an integer would be cut off.
+    const MAX: f64 = 1.8e19;
+    let value = field(object, name)?;
+    let from_float = || {
+        let number = value.as_f64().filter(|number| *number >= 0.0 && number.fract() == 0.0 && *number < MAX);
+        number.map(|number| number as u64)
+    };
+    let number = value.as_u64().or_else(from_float);
+    number.map_or_else(|| type_error(name, "is not a whole number"), Ok)
+}
+
+/// A whole number of 0 or more, or `default` where the field is absent.
+///
+/// # Errors
+/// Where the field is not such a number.
+pub fn unsigned_or(object: &JsonObject, name: &str, default: u64) -> Result<u64> {
+    optional(object, name).map_or(Ok(default), |_| unsigned(object, name))
+}
+
+/// A required number.
+///
+/// # Errors
+/// Where the field is absent or not a number.
+pub fn number(object: &JsonObject, name: &str) -> Result<f64> {
+    field(object, name)?.as_f64().map_or_else(|| type_error(name, "is not a number"), Ok)
+}
+
+/// A number, or `default` where the field is absent.
+///
+/// # Errors
+/// Where the field is not a number.
+pub fn number_or(object: &JsonObject, name: &str, default: f64) -> Result<f64> {
+    optional(object, name).map_or(Ok(default), |_| number(object, name))
+}
+
+/// A required time, given in milliseconds with fractions.
+///
+/// # Errors
+/// Where the field is absent or not a number.
+pub fn time(object: &JsonObject, name: &str) -> Result<Micros> {
+    Ok(Micros((number(object, name)? * 1000.0).round() as i64))
+}
+
+/// A time in milliseconds with fractions, or `default` where the field is absent.
+///
+/// # Errors
+/// Where the field is not a number.
+pub fn time_or(object: &JsonObject, name: &str, default: Micros) -> Result<Micros> {
+    optional(object, name).map_or(Ok(default), |_| time(object, name))
+}
+
+/// A boolean, or `default` where the field is absent.
+///
+/// # Errors
+/// Where the field is not a boolean.
+pub fn bool_or(object: &JsonObject, name: &str, default: bool) -> Result<bool> {
+    match optional(object, name) {
+        None => Ok(default),
+        Some(value) => value.as_bool().map_or_else(|| type_error(name, "is not true or false"), Ok),
     }
 }
 
-/// A value that must be an object.
-pub fn object<'a>(v: &'a Value, name: &str) -> Res<&'a Obj> {
-    v.as_object().ok_or_else(|| FieldError::NotObject(name.into()))
+/// A value that must be an object; `name` is for the error.
+///
+/// # Errors
+/// Where it is not an object.
+pub fn object<'a>(value: &'a Value, name: &str) -> Result<&'a JsonObject> {
+    value.as_object().ok_or_else(|| FieldError::NotObject(name.into()))
 }
 
-/// An object within an object, or another one where the field is absent.
-pub fn part<'a>(o: &'a Obj, name: &str, none: &'a Obj) -> Res<&'a Obj> {
-    opt(o, name).map_or(Ok(none), |v| object(v, name))
+/// An object within an object, empty where the field is absent.
+///
+/// # Errors
+/// Where the field is not an object.
+pub fn object_or_empty<'a>(parent: &'a JsonObject, name: &str) -> Result<&'a JsonObject> {
+    static EMPTY: LazyLock<JsonObject> = LazyLock::new(JsonObject::new);
+    optional(parent, name).map_or_else(|| Ok(&*EMPTY), |value| object(value, name))
 }
 
-/// A list, empty where the field is absent.
-pub fn list<'a>(o: &'a Obj, name: &str) -> Res<&'a [Value]> {
-    match opt(o, name) {
+/// An array, empty where the field is absent.
+///
+/// # Errors
+/// Where the field is not an array.
+pub fn array<'a>(object: &'a JsonObject, name: &str) -> Result<&'a [Value]> {
+    match optional(object, name) {
         None => Ok(&[]),
-        Some(v) => v.as_array().map(Vec::as_slice).map_or_else(|| wrong(name, "is not a list"), Ok),
+        Some(value) => {
+            value.as_array().map(Vec::as_slice).map_or_else(|| type_error(name, "is not a list"), Ok)
+        }
     }
 }
 
-/// A list of texts.
-pub fn texts(o: &Obj, name: &str) -> Res<Vec<String>> {
-    let one = |v: &Value| v.as_str().map(String::from).map_or_else(|| wrong(name, "holds no texts"), Ok);
-    list(o, name)?.iter().map(one).collect()
-}
-
-/// The place of a named value in a list of names.
-pub fn place(names: &[String], o: &Obj, name: &str) -> Res<usize> {
-    let word = text(o, name)?;
-    names.iter().position(|n| n == word).map_or_else(|| unknown(name, word), Ok)
+/// An array of texts, empty where the field is absent.
+///
+/// # Errors
+/// Where the field is not an array, or holds another value than texts.
+pub fn texts(object: &JsonObject, name: &str) -> Result<Vec<String>> {
+    let text = |value: &Value| {
+        value.as_str().map(String::from).map_or_else(|| type_error(name, "holds no texts"), Ok)
+    };
+    array(object, name)?.iter().map(text).collect()
+}
+
+/// The index in `names` of the text in a required field.
+///
+/// # Errors
+/// Where the field is absent, not a text, or a text that is not in `names`.
+pub fn index_of(names: &[String], object: &JsonObject, name: &str) -> Result<usize> {
+    let value = text(object, name)?;
+    names.iter().position(|known| known == value).map_or_else(|| unknown_value(name, value), Ok)
+}
+
+/// The index in `names` of the text in a field, or `default` where the field is absent.
+///
+/// # Errors
+/// Where the field is not a text, or a text that is not in `names`.
+pub fn index_or(names: &[String], object: &JsonObject, name: &str, default: usize) -> Result<usize> {
+    optional(object, name).map_or(Ok(default), |_| index_of(names, object, name))
 }
--- a/crates/site-config/src/settings.rs
+++ b/crates/site-config/src/settings.rs
@@ -1,8 +1,22 @@
-//! The settings object itself: the module's settings, the names behind its ids, and what concerns connections alone.
+//! The settings object: settings of the load balancer, the names behind its ids, and settings of connections.
 
-use crate::object::*;
-use serde_json::{Map, Value};
-use slatevalve::*;
+use crate::object::{
+    array, bool_or, index_or, number_or, object, object_or_empty, optional, text, texts, time, time_or,
+    unknown_value, FieldError, JsonObject,
+};
+use serde_json::Value;
+use slatevalve::{
+    Class, Effect, Group, Limits, LoadReportSource, Loading, Micros, Rules, Settings, Tenant, Weights, ZoneId,
+};
+
+/// Time after which a connection that is not established has failed, where the settings state none.
+const DEFAULT_CONNECT_TIMEOUT: Micros = Micros(250_000);
+/// Time after which a worker closes an idle connection, where the settings state none.
+const DEFAULT_CONNECTION_IDLE: Micros = Micros(15_000_000);
+/// The most requests on one connection, whatever the settings state.
+const MAX_STREAMS: f64 = 1e6;
+/// Time after which a load has failed, where the settings state none.
+const DEFAULT_LOAD_TIMEOUT: Micros = Micros(10_000_000);
 
 /// The names of a site, in the order of their ids.
 #[derive(Clone, Debug, Default)]
@@ -15,149 +29,186 @@
     pub zones: Vec<String>,
     /// Kinds of machine.
     pub kinds: Vec<String>,
-    /// Whether answers tell how many calls of the function the worker held.
+    /// Whether replies state the queue depth of their function on arrival.
     pub queue_depth: bool,
 }
 
-/// What the settings say of connections to workers.
+/// Settings of connections to workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Connections {
-    /// One that does not stand by then has failed.
+pub struct ConnectionSettings {
+    /// Time after which a connection that is not established has failed.
     pub connect_timeout: Micros,
-    /// The worker closes an idle one after this.
+    /// Time after which the worker closes an idle connection.
     pub idle: Micros,
-    /// Requests that one may carry at a time.
+    /// Requests that one connection may carry at a time.
     pub streams: usize,
 }
 
-/// All that the object tells.
+/// The operators' settings.
 #[derive(Clone, Debug)]
-pub struct Site {
-    /// For the module.
+pub struct SiteConfig {
+    /// Settings of the load balancer.
     pub settings: Settings,
-    /// Behind its ids.
+    /// The names behind the ids in `settings`.
     pub names: Names,
-    /// For whoever holds sockets.
-    pub connections: Connections,
+    /// Settings of connections to workers.
+    pub connections: ConnectionSettings,
 }
 
-impl Site {
-    /// Reads the object.
+impl SiteConfig {
+    /// Reads the settings object.
     ///
     /// # Errors
     /// Names the first field that is missing, of another type or of an unknown value.
-    pub fn read(o: &Obj) -> Result<Site, FieldError> {
-        let none = Map::new();
-        let sub = |name| part(o, name, &none);
-        let names = |key: &str| -> Result<Vec<String>, FieldError> {
-            list(o, key)?.iter().map(|v| Ok(text(object(v, key)?, "name")?.to_string())).collect()
-        };
-        let zones = texts(o, "zones")?;
-        let (limits, telemetry) = (sub("limits")?, sub("telemetry")?);
-        let family = sub("family_info")?;
-        let base = Settings::default();
-        let mut tenants = Vec::new();
-        for v in list(o, "tenants")? {
-            tenants.push(Tenant { quota_per_s: number_or(object(v, "tenants")?, "quota_per_s", 0.0)? });
-        }
-        let settings = Settings {
-            routers: number_or(o, "instances", 1.0)? as usize,
-            zone: ZoneId(if opt(o, "my_zone").is_some() { place(&zones, o, "my_zone")? } else { 0 }),
-            step: time_or(o, "step", base.step)?,
-            classes: list(o, "categories")?.iter().map(class).collect::<Result<_, _>>()?,
-            tenants,
-            over_quota_weight: number_or(o, "over_share_worth", 1.0)?,
-            worth_by_work: opt(o, "counted_by").and_then(Value::as_str) == Some("work"),
-            must_ask: opt(o, "membership_mode").and_then(Value::as_str) == Some("subscribe"),
-            weights: match opt(o, "weight_kind").and_then(Value::as_str) {
-                Some("nominal" | "rough") => Weights::Size,
-                Some("live") => Weights::Live,
-                _ => Weights::None,
-            },
-            reports: match opt(telemetry, "via").and_then(Value::as_str) {
-                Some("answers") => LoadReportSource::Answers,
-                Some("probe") => LoadReportSource::Probes,
-                _ => LoadReportSource::None,
-            },
-            loading: loading(family)?,
-            limits: Limits {
-                cancel: flag(limits, "cancel", false)?,
-                probes: flag(limits, "probes", false)?,
-                second_copies: flag(limits, "second_copies", false)?,
-                retry_after: flag(limits, "retry_after", false)?,
-                max_retry_after: time_or(limits, "max_retry_after", Micros(0))?,
-                max_attempts: number_or(limits, "max_attempts", 1.0)? as usize,
-            },
-            rules: rules(sub("rules")?)?,
-            probe_price: number_or(sub("fees")?, "probe", 0.0)?,
-        };
-        let connections = Connections {
-            connect_timeout: time_or(limits, "connect_timeout", Micros(250_000))?,
-            idle: time_or(limits, "conn_idle", Micros(15_000_000))?,
-            streams: number_or(limits, "streams_per_conn", 1.0)?.clamp(1.0, 1e6) as usize,
-        };
+    pub fn read(site: &JsonObject) -> Result<SiteConfig, FieldError> {
+        let zones = texts(site, "zones")?;
+        let limits = object_or_empty(site, "limits")?;
+        let telemetry = object_or_empty(site, "telemetry")?;
+        let family = object_or_empty(site, "family_info")?;
+        let settings = read_settings(site, &zones, limits, telemetry, family)?;
+        let connections = read_connections(limits)?;
         let names = Names {
-            classes: names("categories")?,
-            tenants: names("tenants")?,
+            classes: names_in(site, "categories")?,
+            tenants: names_in(site, "tenants")?,
             zones,
-            kinds: texts(o, "machine_types")?,
-            queue_depth: flag(family, "tells_crowd", false)?,
+            kinds: texts(site, "machine_types")?,
+            queue_depth: bool_or(family, "tells_crowd", false)?,
         };
-        Ok(Site { settings, names, connections })
+        Ok(SiteConfig { settings, names, connections })
     }
 }
 
-fn class(v: &Value) -> Result<Class, FieldError> {
-    let c = object(v, "categories")?;
-    let effect = match text(c, "effect")? {
-        "pure" => Effect::Safe,
-        "side_effect" => Effect::Unsafe,
-        "token" => Effect::Keyed {
-            group: match text(c, "group")? {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
-                other => return unknown("group", other),
-            },
-            memory: time(c, "key_ttl")?,
-        },
-        other => return unknown("effect", other),
-    };
+fn read_settings(
+    site: &JsonObject,
+    zones: &[String],
+    limits: &JsonObject,
+    telemetry: &JsonObject,
+    family: &JsonObject,
+) -> Result<Settings, FieldError> {
+    let defaults = Settings::default();
+    Ok(Settings {
+        tenants: array(site, "tenants")?.iter().map(read_tenant).collect::<Result<_, _>>()?,
+        routers: number_or(site, "instances", 1.0)? as usize,
+        zone: ZoneId(index_or(zones, site, "my_zone", 0)?),
+        step: time_or(site, "step", defaults.step)?,
+        classes: array(site, "categories")?.iter().map(read_class).collect::<Result<_, _>>()?,
+        over_quota_weight: number_or(site, "over_share_worth", 1.0)?,
+        worth_by_work: keyword(site, "counted_by") == Some("work"),
+        must_ask: keyword(site, "membership_mode") == Some("subscribe"),
+        weights: read_weights(site),
+        reports: read_report_source(telemetry),
+        loading: read_loading(family)?,
+        limits: read_limits(limits)?,
+        rules: read_rules(object_or_empty(site, "rules")?)?,
+        probe_price: number_or(object_or_empty(site, "fees")?, "probe", 0.0)?,
+    })
+}
+
+/// The text of an optional field; a value of another type counts as absent.
+fn keyword<'a>(object: &'a JsonObject, name: &str) -> Option<&'a str> {
+    optional(object, name).and_then(Value::as_str)
+}
+
+/// The `name` field of each object in an array.
+fn names_in(site: &JsonObject, array_name: &str) -> Result<Vec<String>, FieldError> {
+    let name = |value: &Value| Ok(text(object(value, array_name)?, "name")?.to_string());
+    array(site, array_name)?.iter().map(name).collect()
+}
+
+fn read_tenant(value: &Value) -> Result<Tenant, FieldError> {
+    Ok(Tenant { quota_per_s: number_or(object(value, "tenants")?, "quota_per_s", 0.0)? })
+}
+
+fn read_class(value: &Value) -> Result<Class, FieldError> {
+    let class = object(value, "categories")?;
+    let effect = read_effect(class)?;
     Ok(Class {
-        latency_objective: time(c, "aim")?,
-        objective_stretch: number_or(c, "aim_stretch", 0.0)?,
-        deadline: time(c, "deadline")?,
-        priority_weight: number_or(c, "points", 1.0)?,
-        late_value: number_or(c, "late_value", 0.0)?,
+        latency_objective: time(class, "aim")?,
+        objective_stretch: number_or(class, "aim_stretch", 0.0)?,
+        deadline: time(class, "deadline")?,
+        priority_weight: number_or(class, "points", 1.0)?,
+        late_value: number_or(class, "late_value", 0.0)?,
         effect,
-        stream: flag(c, "stream", false)?,
+        stream: bool_or(class, "stream", false)?,
     })
 }
 
-fn loading(family: &Obj) -> Result<Loading, FieldError> {
-    let memory = list(family, "memory_mb_by_kind")?;
+fn read_effect(class: &JsonObject) -> Result<Effect, FieldError> {
+    match text(class, "effect")? {
+        "pure" => Ok(Effect::Safe),
+        "side_effect" => Ok(Effect::Unsafe),
+        "token" => {
+            let group = match text(class, "group")? {
+                "all" => Group::All,
+                "zone" => Group::Zone,
+                "cell" => Group::Cell,
+                other => return unknown_value("group", other),
+            };
+            Ok(Effect::Keyed { group, memory: time(class, "key_ttl")? })
+        }
+        other => unknown_value("effect", other),
+    }
+}
+
+fn read_weights(site: &JsonObject) -> Weights {
+    match keyword(site, "weight_kind") {
+        Some("nominal" | "rough") => Weights::Size,
+        Some("live") => Weights::Live,
+        _ => Weights::None,
+    }
+}
+
+fn read_report_source(telemetry: &JsonObject) -> LoadReportSource {
+    match keyword(telemetry, "via") {
+        Some("answers") => LoadReportSource::Answers,
+        Some("probe") => LoadReportSource::Probes,
+        _ => LoadReportSource::None,
+    }
+}
+
+fn read_loading(family: &JsonObject) -> Result<Loading, FieldError> {
+    let memory = array(family, "memory_mb_by_kind")?;
     Ok(Loading {
-        on_request: opt(family, "if_cold").and_then(Value::as_str) == Some("load"),
-        orders: flag(family, "may_order", false)?,
+        on_request: keyword(family, "if_cold") == Some("load"),
+        orders: bool_or(family, "may_order", false)?,
         keep: time_or(family, "linger_idle", Settings::default().loading.keep)?,
-        order_timeout: time_or(family, "load_wait", Micros(10_000_000))?,
+        order_timeout: time_or(family, "load_wait", DEFAULT_LOAD_TIMEOUT)?,
         ration_window: time_or(family, "load_window", Micros(0))?,
         ration_free: number_or(family, "load_free", 0.0)?,
         ration_share: number_or(family, "load_ratio", 0.0)?,
-        kind_memory_mb: memory.iter().map(|v| v.as_f64().unwrap_or(0.0)).collect(),
+        kind_memory_mb: memory.iter().map(|value| value.as_f64().unwrap_or(0.0)).collect(),
         memory_price: number_or(family, "price_of_idle", 0.0)?,
     })
 }
 
-fn rules(rules: &Obj) -> Result<Rules, FieldError> {
-    let base = Rules::default();
+fn read_limits(limits: &JsonObject) -> Result<Limits, FieldError> {
+    Ok(Limits {
+        cancel: bool_or(limits, "cancel", false)?,
+        probes: bool_or(limits, "probes", false)?,
+        second_copies: bool_or(limits, "second_copies", false)?,
+        retry_after: bool_or(limits, "retry_after", false)?,
+        max_retry_after: time_or(limits, "max_retry_after", Micros(0))?,
+        max_attempts: number_or(limits, "max_attempts", 1.0)? as usize,
+    })
+}
+
+fn read_rules(rules: &JsonObject) -> Result<Rules, FieldError> {
+    let defaults = Rules::default();
     Ok(Rules {
-        answer_slack: time_or(rules, "answer_slack", base.answer_slack)?,
+        answer_slack: time_or(rules, "answer_slack", defaults.answer_slack)?,
         drain_grace: time_or(rules, "drain_grace", Micros(0))?,
-        ask_within: time_or(rules, "must_ask_in", base.ask_within)?,
-        start_capacity: number_or(rules, "start_capacity", base.start_capacity)?,
-        warm_within: time_or(rules, "warm_within", base.warm_within)?,
-        fall_multiple: number_or(rules, "fall_multiple", base.fall_multiple)?,
-        fall_window: time_or(rules, "overload_for", base.fall_window)?,
+        ask_within: time_or(rules, "must_ask_in", defaults.ask_within)?,
+        start_capacity: number_or(rules, "start_capacity", defaults.start_capacity)?,
+        warm_within: time_or(rules, "warm_within", defaults.warm_within)?,
+        fall_multiple: number_or(rules, "fall_multiple", defaults.fall_multiple)?,
+        fall_window: time_or(rules, "overload_for", defaults.fall_window)?,
+    })
+}
+
+fn read_connections(limits: &JsonObject) -> Result<ConnectionSettings, FieldError> {
+    Ok(ConnectionSettings {
+        connect_timeout: time_or(limits, "connect_timeout", DEFAULT_CONNECT_TIMEOUT)?,
+        idle: time_or(limits, "conn_idle", DEFAULT_CONNECTION_IDLE)?,
+        streams: number_or(limits, "streams_per_conn", 1.0)?.clamp(1.0, MAX_STREAMS) as usize,
     })
 }
