--- a/crates/sexpr/src/lib.rs
+++ b/crates/sexpr/src/lib.rs
@@ -1,19 +1,24 @@
-//! S-expressions as forms with names and places: every value is read once, every leftover is an error that names
-//! file, line and form. No I/O: whoever calls it has the text. Called by the gateway for its settings and by scripts.
+//! Settings files and scripts written as S-expressions, read as named forms.
+//!
+//! A form is a list that begins with its name, `(name value ... (field ...) ...)`. Each field is taken once, and a field that
+//! is left over is an error, so that a misspelt name cannot pass unnoticed. Every error names file, line and form. The crate
+//! does no I/O: callers pass the text of a file.
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 use lexpr::datum::{Datum, Ref};
 use lexpr::Value;
 use slatevalve::Micros;
 use std::fmt;
 
-/// What is wrong with a file, and where.
+/// What is wrong in a file, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FormError {
-    /// The file's name, as given.
+    /// The file's name, as the caller gave it.
     pub file: String,
-    /// Line, from 1; 0 where the file as a whole is meant.
+    /// The line, from 1; 0 for the file as a whole.
     pub line: usize,
-    /// The form it is in; empty at the top.
+    /// The name of the form; empty at the top level.
     pub form: String,
     /// What is wrong.
     pub words: String,
@@ -34,43 +39,47 @@
 
 impl std::error::Error for FormError {}
 
-type Res<T> = Result<T, FormError>;
+/// The largest number that a file may hold; microseconds made from milliseconds of this size still fit 64 bits.
+const MAX_NUMBER: f64 = 1e15;
 
-/// A whole file.
+type Result<T> = std::result::Result<T, FormError>;
+
+/// A parsed file.
 pub struct File {
     name: String,
     data: Vec<Datum>,
 }
 
 impl File {
-    /// Reads a file's text.
+    /// Parses the text of a file.
     ///
     /// # Errors
-    /// Where it is no sequence of S-expressions.
-    pub fn parse(name: &str, text: &str) -> Res<Self> {
+    /// Where the text is not a sequence of S-expressions.
+    pub fn parse(name: &str, text: &str) -> Result<Self> {
         let mut parser = lexpr::Parser::from_str(text);
-        let data: Result<Vec<Datum>, _> = parser.datum_iter().collect();
+        let data: std::result::Result<Vec<Datum>, _> = parser.datum_iter().collect();
         let data = data.map_err(|e| FormError {
             file: name.into(),
-            line: e.location().map_or(0, |l| l.line()),
+            line: e.location().map_or(0, |location| location.line()),
             form: String::new(),
             words: e.to_string(),
         })?;
         Ok(File { name: name.into(), data })
     }
 
-    /// Its forms.
+    /// The forms at the top level.
     ///
     /// # Errors
-    /// Where something at the top is no form.
-    pub fn forms(&self) -> Res<Fields<'_>> {
-        let top = |d: &Datum| d.span().start().line();
-        let forms = self.data.iter().map(|d| Form::read(&self.name, d.as_ref())).collect::<Res<Vec<_>>>()?;
-        let line = self.data.first().map_or(0, top);
+    /// Where a value at the top level is not a form.
+    pub fn forms(&self) -> Result<Fields<'_>> {
+        let forms = self.data.iter().map(|datum| Form::read(&self.name, datum.as_ref()));
+        let forms = forms.collect::<Result<Vec<_>>>()?;
+        let line = self.data.first().map_or(0, |datum| datum.span().start().line());
         Ok(Fields { file: &self.name, line, form: String::new(), forms })
     }
 
     /// An error about the file as a whole.
+    #[must_use]
     pub fn error(&self, words: impl Into<String>) -> FormError {
         FormError { file: self.name.clone(), line: 0, form: String::new(), words: words.into() }
     }
@@ -85,11 +94,11 @@
 }
 
 impl<'a> Form<'a> {
-    fn read(file: &'a str, datum: Ref<'a>) -> Res<Self> {
+    fn read(file: &'a str, datum: Ref<'a>) -> Result<Self> {
         let line = datum.span().start().line();
         let error = |words: String| FormError { file: file.into(), line, form: String::new(), words };
-        let items: Option<Vec<Ref<'a>>> = datum.list_iter().map(|items| items.collect());
-        let items = items.filter(|i| !i.is_empty());
+        let items: Option<Vec<Ref<'a>>> = datum.list_iter().map(Iterator::collect);
+        let items = items.filter(|items| !items.is_empty());
         let mut items = items.ok_or_else(|| error(format!("expected a form, found {}", datum.value())))?;
         let head = items.remove(0);
         let name = head.value().as_symbol().map(str::to_string);
@@ -98,17 +107,20 @@
         Ok(Form { file, name, line, values: items })
     }
 
-    /// Its name.
+    /// The form's name.
+    #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its line.
+    /// The line on which the form begins, from 1.
+    #[must_use]
     pub fn line(&self) -> usize {
         self.line
     }
 
-    /// An error about it.
+    /// An error about the form.
+    #[must_use]
     pub fn error(&self, words: impl Into<String>) -> FormError {
         FormError { file: self.file.into(), line: self.line, form: self.name.clone(), words: words.into() }
     }
@@ -117,83 +129,83 @@
         value.as_str().or_else(|| value.as_symbol()).map(str::to_string)
     }
 
-    /// Its only value, a text or a symbol.
+    /// The form's only value, a string or a symbol.
     ///
     /// # Errors
-    /// When it has none, several or another one.
-    pub fn text(&self) -> Res<String> {
+    /// Where the form has not exactly one value, or it is of another type.
+    pub fn text(&self) -> Result<String> {
         match self.values.as_slice() {
             [value] => Self::text_of(value.value()).ok_or_else(|| self.error("expected a text")),
             _ => Err(self.error("expected one text")),
         }
     }
 
-    /// All its values as texts.
+    /// The form's values, strings or symbols.
     ///
     /// # Errors
-    /// When one is none.
-    pub fn texts(&self) -> Res<Vec<String>> {
-        let text = |v: &Ref<'a>| Self::text_of(v.value()).ok_or_else(|| self.error("expected texts"));
+    /// Where a value is of another type.
+    pub fn texts(&self) -> Result<Vec<String>> {
+        let text = |value: &Ref<'a>| Self::text_of(value.value()).ok_or_else(|| self.error("expected texts"));
         self.values.iter().map(text).collect()
     }
 
-    /// Its only value, a number that is not negative.
+    /// The form's only value, a finite number from 0 to 10^15.
     ///
     /// # Errors
-    /// When it has none, several or another one.
-    pub fn number(&self) -> Res<f64> {
+    /// Where the form has not exactly one value, or it is not such a number.
+    pub fn number(&self) -> Result<f64> {
         let value = match self.values.as_slice() {
             [value] => value.value().as_f64(),
             _ => None,
         };
-        let good = value.filter(|v| v.is_finite() && *v >= 0.0 && *v <= 1e15);
-        good.ok_or_else(|| self.error("expected one number that is not negative"))
+        let in_range = value.filter(|number| number.is_finite() && *number >= 0.0 && *number <= MAX_NUMBER);
+        in_range.ok_or_else(|| self.error("expected one number that is not negative"))
     }
 
-    /// Its only value, a whole number from 0 to `most`.
+    /// The form's only value, a whole number from 0 to `max`.
     ///
     /// # Errors
-    /// When it has none, several or another one.
-    pub fn whole(&self, most: u64) -> Res<u64> {
+    /// Where the form has not exactly one value, or it is not such a number.
+    pub fn whole(&self, max: u64) -> Result<u64> {
         let number = self.number()?;
-        if number.fract() != 0.0 || number > most as f64 {
-            return Err(self.error(format!("expected a whole number from 0 to {most}")));
+        if number.fract() != 0.0 || number > max as f64 {
+            return Err(self.error(format!("expected a whole number from 0 to {max}")));
         }
         Ok(number as u64)
     }
 
-    /// All its values, whole numbers from 0 to `most`.
+    /// The form's values, whole numbers from 0 to `max`.
     ///
     /// # Errors
-    /// When one is none.
-    pub fn wholes(&self, most: u64) -> Res<Vec<u64>> {
-        let whole = |v: &Ref<'a>| v.value().as_u64().filter(|n| *n <= most);
-        let all: Option<Vec<u64>> = self.values.iter().map(whole).collect();
-        all.ok_or_else(|| self.error(format!("expected whole numbers from 0 to {most}")))
+    /// Where a value is not such a number.
+    pub fn wholes(&self, max: u64) -> Result<Vec<u64>> {
+        let whole = |value: &Ref<'a>| value.value().as_u64().filter(|number| *number <= max);
+        let numbers: Option<Vec<u64>> = self.values.iter().map(whole).collect();
+        numbers.ok_or_else(|| self.error(format!("expected whole numbers from 0 to {max}")))
     }
 
-    /// Its values as text again, one a line, to be read from another file.
+    /// The source text of the form's values, one a line, to be parsed as a file of its own.
     ///
     /// # Errors
-    /// Where one cannot be written.
-    pub fn source(&self) -> Res<String> {
-        let text = |v: &Ref<'a>| lexpr::to_string(v.value()).map_err(|e| self.error(e.to_string()));
-        Ok(self.values.iter().map(text).collect::<Res<Vec<_>>>()?.join("\n"))
+    /// Where a value cannot be written as text.
+    pub fn source(&self) -> Result<String> {
+        let text = |value: &Ref<'a>| lexpr::to_string(value.value()).map_err(|e| self.error(e.to_string()));
+        Ok(self.values.iter().map(text).collect::<Result<Vec<_>>>()?.join("\n"))
     }
 
-    /// Its only value, a time in milliseconds.
+    /// The form's only value, a time in milliseconds with fractions.
     ///
     /// # Errors
-    /// When it is none.
-    pub fn millis(&self) -> Res<Micros> {
+    /// As [`Form::number`].
+    pub fn millis(&self) -> Result<Micros> {
         Ok(Micros((self.number()? * 1_000.0) as i64))
     }
 
-    /// Its only value, `yes` or `no`.
+    /// The form's only value, `yes` or `no`.
     ///
     /// # Errors
-    /// When it is neither.
-    pub fn flag(&self) -> Res<bool> {
+    /// Where the form has not exactly one value, or it is neither.
+    pub fn flag(&self) -> Result<bool> {
         match self.text()?.as_str() {
             "yes" => Ok(true),
             "no" => Ok(false),
@@ -201,33 +213,33 @@
         }
     }
 
-    /// Its first value as a text and the rest as fields.
+    /// The form's first value, a string or a symbol, and the forms that follow it.
     ///
     /// # Errors
-    /// When the first is no text or one of the rest no form.
-    pub fn named_fields(&self) -> Res<(String, Fields<'a>)> {
-        let name = self.values.first().and_then(|v| Self::text_of(v.value()));
+    /// Where the first value is of another type or missing, or a further value is not a form.
+    pub fn named_fields(&self) -> Result<(String, Fields<'a>)> {
+        let name = self.values.first().and_then(|value| Self::text_of(value.value()));
         let name = name.ok_or_else(|| self.error("expected a text first"))?;
         Ok((name, self.fields_from(1)?))
     }
 
-    /// All its values as fields.
+    /// The forms within this form.
     ///
     /// # Errors
-    /// When one is no form.
-    pub fn fields(&self) -> Res<Fields<'a>> {
+    /// Where a value is not a form.
+    pub fn fields(&self) -> Result<Fields<'a>> {
         self.fields_from(0)
     }
 
-    fn fields_from(&self, start: usize) -> Res<Fields<'a>> {
-        let form =
-            |v: &Ref<'a>| Form::read(self.file, *v).map_err(|e| FormError { form: self.name.clone(), ..e });
-        let forms = self.values[start..].iter().map(form).collect::<Res<Vec<_>>>()?;
+    fn fields_from(&self, start: usize) -> Result<Fields<'a>> {
+        let in_this_form = |error| FormError { form: self.name.clone(), ..error };
+        let read = |value: &Ref<'a>| Form::read(self.file, *value).map_err(in_this_form);
+        let forms = self.values[start..].iter().map(read).collect::<Result<Vec<_>>>()?;
         Ok(Fields { file: self.file, line: self.line, form: self.name.clone(), forms })
     }
 }
 
-/// The forms within a form, or at the top, each to be taken once.
+/// The forms within a form or at the top level of a file. Each is taken once; [`Fields::finish`] reports those left over.
 pub struct Fields<'a> {
     file: &'a str,
     line: usize,
@@ -236,57 +248,58 @@
 }
 
 impl<'a> Fields<'a> {
-    /// An error about the form they are in.
+    /// An error about the form that holds these.
+    #[must_use]
     pub fn error(&self, words: impl Into<String>) -> FormError {
         let (file, line, form) = (self.file.into(), self.line, self.form.clone());
         FormError { file, line, form, words: words.into() }
     }
 
-    /// The form of a name, if there is one.
+    /// Takes the form with this name; `None` where there is none.
     ///
     /// # Errors
-    /// When there are several.
-    pub fn take(&mut self, name: &str) -> Res<Option<Form<'a>>> {
+    /// Where there are several.
+    pub fn take(&mut self, name: &str) -> Result<Option<Form<'a>>> {
         let mut found = self.take_all(name);
-        if found.len() > 1 {
-            return Err(found[1].error(format!("stands twice; first in line {}", found[0].line)));
+        if let [first, second, ..] = found.as_slice() {
+            return Err(second.error(format!("stands twice; first in line {}", first.line)));
         }
         Ok(found.pop())
     }
 
-    /// The form of a name.
+    /// Takes the form with this name.
     ///
     /// # Errors
-    /// When there is none, or several.
-    pub fn need(&mut self, name: &str) -> Res<Form<'a>> {
+    /// Where there is none, or several.
+    pub fn need(&mut self, name: &str) -> Result<Form<'a>> {
         self.take(name)?.ok_or_else(|| self.error(format!("({name} ...) is missing")))
     }
 
-    /// All forms of a name, in order.
+    /// Takes all forms with this name, in order.
     pub fn take_all(&mut self, name: &str) -> Vec<Form<'a>> {
-        let (found, rest) = std::mem::take(&mut self.forms).into_iter().partition(|f| f.name == name);
+        let (found, rest) = std::mem::take(&mut self.forms).into_iter().partition(|form| form.name == name);
         self.forms = rest;
         found
     }
 
-    /// All that is left, in order.
+    /// Takes all forms that are left, in order.
     pub fn take_rest(&mut self) -> Vec<Form<'a>> {
         std::mem::take(&mut self.forms)
     }
 
-    /// A value by a reader, or another one where the form is not there.
+    /// Takes the form with this name and reads its value; `default` where there is none.
     ///
     /// # Errors
-    /// What the reader says.
-    pub fn or<T>(&mut self, name: &str, other: T, read: impl FnOnce(&Form<'a>) -> Res<T>) -> Res<T> {
-        self.take(name)?.map_or(Ok(other), |f| read(&f))
+    /// Where there are several forms with this name, or `read` fails.
+    pub fn or<T>(&mut self, name: &str, default: T, read: impl FnOnce(&Form<'a>) -> Result<T>) -> Result<T> {
+        self.take(name)?.map_or(Ok(default), |form| read(&form))
     }
 
-    /// Checks that all was taken.
+    /// Checks that all forms were taken.
     ///
     /// # Errors
-    /// With the first form that was not.
-    pub fn finish(self) -> Res<()> {
+    /// Names the first form that was not taken.
+    pub fn finish(self) -> Result<()> {
         match self.forms.first() {
             None => Ok(()),
             Some(form) => Err(FormError {
