--- a/crates/mqtt/src/routes.rs
+++ b/crates/mqtt/src/routes.rs
@@ -1,33 +1,33 @@
-//! Which class, tenant and function a topic stands for. Made from the settings, asked by the intake.
+//! Routes: the class, tenant, function and key that a topic gives a call.
 
 use crate::topics::{Template, TopicFilter};
 use slatevalve::{ClassId, TenantId};
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
 
-/// One route; the first whose filter matches a topic takes it.
+/// One route. Of the routes whose filter matches a topic, the first applies.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The topics.
+    /// The topics of the route.
     pub filter: TopicFilter,
-    /// Their class.
+    /// The class of their calls.
     pub class: ClassId,
-    /// Their tenant's name, where the site has tenants.
+    /// The tenant's name, where the site has tenants.
     pub tenant: Option<Template>,
     /// The function's name.
     pub function: Template,
-    /// A key from the topic, for clients whose protocol version has no properties.
+    /// The key of the call, for clients whose protocol version has no properties.
     pub key: Option<Template>,
 }
 
-/// Why a route cannot be.
+/// Why a route is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteError {
-    /// A template asks for a level that not every matching topic has.
+    /// A template uses a level that not every matching topic has.
     Level {
-        /// The level asked for.
+        /// The level that is used.
         level: usize,
-        /// The levels that every matching topic has.
+        /// The number of levels that every matching topic has.
         least: usize,
     },
 }
@@ -42,16 +42,17 @@
 impl std::error::Error for RouteError {}
 
 impl Route {
-    /// Whether it does the same with a topic as another one.
+    /// Whether a topic gives the same call by this route as by `other`.
+    #[must_use]
     pub fn does_as(&self, other: &Route) -> bool {
         (self.class, &self.tenant, &self.function, &self.key)
             == (other.class, &other.tenant, &other.function, &other.key)
     }
 
-    /// Checks that each matching topic has all levels that are asked for.
+    /// Checks that every matching topic has all levels that are used.
     ///
     /// # Errors
-    /// When one has not.
+    /// Where a matching topic may lack a level.
     pub fn check(&self) -> Result<(), RouteError> {
         let templates = [Some(&self.function), self.tenant.as_ref(), self.key.as_ref()];
         let level = templates.into_iter().flatten().map(Template::highest_level).max().unwrap_or(0);
@@ -63,15 +64,15 @@
     }
 }
 
-/// All routes of a site and the tenants they name.
+/// The routes of a site and the tenants that they name.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
-    /// In the order in which they are tried.
+    /// The routes, in order of precedence.
     pub routes: Vec<Route>,
-    /// Other lists that must agree: a topic is taken only where the first route that matches it in each gives it to the same
-    /// class, and the same function, tenant and key of it. Empty but while one list replaces another.
+    /// Other lists of routes that must agree with `routes`, while one list is being replaced by another: a topic is accepted
+    /// only if it gives the same call by each of them.
     pub others: Vec<Vec<Route>>,
-    /// Classes of which only the class must agree: their calls are safe.
+    /// Idempotent classes, of which only the class must agree.
     pub safe: BTreeSet<ClassId>,
     /// The site's tenants.
     pub tenants: HashMap<String, TenantId>,
@@ -79,17 +80,26 @@
 
 impl Routes {
     /// Whether any of the lists has a route for a topic.
+    #[must_use]
     pub fn is_known(&self, topic: &str) -> bool {
-        std::iter::once(&self.routes).chain(&self.others).flatten().any(|r| r.filter.matches(topic))
+        let mut routes = std::iter::once(&self.routes).chain(&self.others).flatten();
+        routes.any(|route| route.filter.matches(topic))
     }
 
-    /// The first route that takes a topic.
+    /// The route that applies to a topic; `None` where there is none or the lists do not agree.
+    #[must_use]
     pub fn find(&self, topic: &str) -> Option<&Route> {
-        let first = |list: &'_ [Route]| list.iter().position(|r| r.filter.matches(topic));
-        let route = &self.routes[first(&self.routes)?];
-        let safe = self.safe.contains(&route.class);
-        let same = |r: &Route| if safe { r.class == route.class } else { r.does_as(route) };
-        let agrees = |list: &Vec<Route>| first(list).is_some_and(|at| same(&list[at]));
+        let route = first_match(&self.routes, topic)?;
+        let is_idempotent = self.safe.contains(&route.class);
+        let agrees_with = |other: &Route| match is_idempotent {
+            true => other.class == route.class,
+            false => other.does_as(route),
+        };
+        let agrees = |routes: &Vec<Route>| first_match(routes, topic).is_some_and(agrees_with);
         self.others.iter().all(agrees).then_some(route)
     }
 }
+
+fn first_match<'a>(routes: &'a [Route], topic: &str) -> Option<&'a Route> {
+    routes.iter().find(|route| route.filter.matches(topic))
+}
--- a/crates/mqtt/src/topics.rs
+++ b/crates/mqtt/src/topics.rs
@@ -1,4 +1,4 @@
-//! Topic filters (section 4.7) and names made from a topic's levels. Called by the routes.
+//! Topic filters (section 4.7), and templates for names made from the levels of a topic.
 
 use std::fmt;
 
@@ -11,18 +11,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Level {
     Name(String),
+    /// `+`, exactly one level.
     One,
+    /// `#`, any number of levels.
     Rest,
 }
 
-/// Why a text is no topic filter.
+/// Why a text is not a topic filter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TopicFilterError {
     /// It is empty.
     Empty,
-    /// `#` stands elsewhere than alone in the last level, or `+` beside other characters.
+    /// `#` is not alone in the last level, or `+` is not alone in its level.
     Wildcard,
-    /// It begins with `$`, which is for servers and shared subscriptions.
+    /// It begins with `$`, which is reserved for servers and shared subscriptions.
     Dollar,
 }
 
@@ -41,10 +43,10 @@
 impl std::error::Error for TopicFilterError {}
 
 impl TopicFilter {
-    /// Reads a filter.
+    /// Parses a filter.
     ///
     /// # Errors
-    /// When section 4.7.1 forbids it.
+    /// Where section 4.7.1 does not allow it.
     pub fn parse(text: &str) -> Result<Self, TopicFilterError> {
         if text.is_empty() {
             return Err(TopicFilterError::Empty);
@@ -53,17 +55,18 @@
             return Err(TopicFilterError::Dollar);
         }
         let last = text.split('/').count() - 1;
-        let level = |(n, part): (usize, &str)| match part {
+        let level = |(index, part): (usize, &str)| match part {
             "+" => Ok(Level::One),
-            "#" if n == last => Ok(Level::Rest),
+            "#" if index == last => Ok(Level::Rest),
             _ if part.contains(['+', '#']) => Err(TopicFilterError::Wildcard),
             _ => Ok(Level::Name(part.into())),
         };
         Ok(TopicFilter { levels: text.split('/').enumerate().map(level).collect::<Result<_, _>>()? })
     }
 
-    /// Whether a topic name matches. Names that begin with `$` match no wildcard (section 4.7.2), and as a route's
-    /// filter never begins so, nothing at all.
+    /// Whether a topic name matches. A name that begins with `$` matches no wildcard (section 4.7.2) and, as no filter of a
+    /// route begins with `$`, no filter at all.
+    #[must_use]
     pub fn matches(&self, topic: &str) -> bool {
         if topic.starts_with('$') {
             return false;
@@ -80,16 +83,17 @@
         parts.next().is_none()
     }
 
-    /// How many levels every matching topic has at least.
+    /// The number of levels that every matching topic has at least.
+    #[must_use]
     pub fn least_levels(&self) -> usize {
-        self.levels.iter().filter(|l| **l != Level::Rest).count()
+        self.levels.iter().filter(|level| **level != Level::Rest).count()
     }
 }
 
 impl fmt::Display for TopicFilter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (n, level) in self.levels.iter().enumerate() {
-            let slash = if n > 0 { "/" } else { "" };
+        for (index, level) in self.levels.iter().enumerate() {
+            let slash = if index > 0 { "/" } else { "" };
             match level {
                 Level::Name(name) => write!(f, "{slash}{name}")?,
                 Level::One => write!(f, "{slash}+")?,
@@ -100,7 +104,7 @@
     }
 }
 
-/// A text with places for levels of the topic: `rules-{2}` takes the second level.
+/// A text with placeholders for levels of a topic: `{2}` in `rules-{2}` is the second level.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Template {
     parts: Vec<Part>,
@@ -109,13 +113,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Part {
     Text(String),
+    /// The number of a level, from 1.
     Level(usize),
 }
 
-/// Why a text is no template.
+/// Why a text is not a template.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TemplateError {
-    /// A brace stands alone, or between braces is no number from 1 on.
+    /// A brace is not matched, or holds something else than a number from 1.
     Brace,
 }
 
@@ -137,16 +142,19 @@
 }
 
 impl Template {
-    /// Reads a template.
+    /// Parses a template.
     ///
     /// # Errors
-    /// When its braces hold no level.
+    /// Where braces do not hold the number of a level.
     pub fn parse(text: &str) -> Result<Self, TemplateError> {
-        let (mut parts, mut rest) = (Vec::new(), text);
+        let mut parts = Vec::new();
+        let mut rest = text;
         while let Some(open) = rest.find(['{', '}']) {
-            let close = rest[open..].find('}').map(|n| open + n).filter(|_| rest[open..].starts_with('{'));
+            let close =
+                rest[open..].find('}').map(|offset| open + offset).filter(|_| rest[open..].starts_with('{'));
             let close = close.ok_or(TemplateError::Brace)?;
-            let level = rest[open + 1..close].parse().ok().filter(|n| *n > 0).ok_or(TemplateError::Brace)?;
+            let level =
+                rest[open + 1..close].parse().ok().filter(|level| *level > 0).ok_or(TemplateError::Brace)?;
             parts.push(Part::Text(rest[..open].into()));
             parts.push(Part::Level(level));
             rest = &rest[close + 1..];
@@ -155,55 +163,34 @@
         Ok(Template { parts })
     }
 
-    /// The text for a topic; levels that it lacks are empty.
+    /// The text for a topic; a level that the topic lacks is empty.
+    #[must_use]
     pub fn fill(&self, topic: &str) -> String {
-        let part = |p: &Part| match p {
+        let fill = |part: &Part| match part {
             Part::Text(text) => text.clone(),
-            Part::Level(n) => topic.split('/').nth(n - 1).unwrap_or_default().to_string(),
+            Part::Level(level) => topic.split('/').nth(level - 1).unwrap_or_default().to_string(),
         };
-        self.parts.iter().map(part).collect()
+        self.parts.iter().map(fill).collect()
     }
 
-    /// The highest level that is asked for; 0 for none.
+    /// The highest level that is used; 0 for none.
+    #[must_use]
     pub fn highest_level(&self) -> usize {
-        self.parts.iter().map(|p| if let Part::Level(n) = p { *n } else { 0 }).max().unwrap_or(0)
+        let levels = self.parts.iter().map(|part| match part {
+            Part::Level(level) => *level,
+            Part::Text(_) => 0,
+        });
+        levels.max().unwrap_or(0)
     }
 }
 
+/// The longest topic name, in bytes.
+const MAX_TOPIC_NAME: usize = 65_535;
+
 /// Whether a text may be the name of a topic (section 4.7.3).
 pub(crate) fn is_topic_name(text: &str) -> bool {
-    !text.is_empty() && text.len() <= 65_535 && !text.contains(['+', '#', '\0'])
+    !text.is_empty() && text.len() <= MAX_TOPIC_NAME && !text.contains(['+', '#', '\0'])
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn matches(filter: &str, topic: &str) -> bool {
-        TopicFilter::parse(filter).unwrap().matches(topic)
-    }
-
-    #[test]
-    fn filters_match_as_the_specification_says() {
-        assert!(matches("a/#", "a") && matches("a/#", "a/b/c") && matches("#", "a/b"));
-        assert!(matches("a/+", "a/") && matches("+/+", "/b") && matches("+", "a"));
-        assert!(!matches("a/+", "a") && !matches("+", "/a") && !matches("a", "a/b") && !matches("a/b", "a"));
-        assert!(!matches("#", "$SYS/x") && !matches("+/x", "$SYS/x"));
-    }
-
-    #[test]
-    fn wildcards_elsewhere_are_refused() {
-        for bad in ["", "a+/b", "a/#/b", "a#", "$share/g/a"] {
-            assert!(TopicFilter::parse(bad).is_err(), "{bad}");
-        }
-    }
-
-    #[test]
-    fn templates_take_levels() {
-        let template = Template::parse("rules-{2}.{1}").unwrap();
-        assert_eq!((template.fill("a/b/c").as_str(), template.highest_level()), ("rules-b.a", 2));
-        for bad in ["{", "}", "{0}", "{x}", "a{1"] {
-            assert_eq!(Template::parse(bad), Err(TemplateError::Brace), "{bad}");
-        }
-    }
-}
+mod tests;
