--- /dev/null
+++ b/crates/mqtt/src/bridge/connection.rs
@@ -0,0 +1,256 @@
+//! The connection to the broker: connecting, backoff, timers, and packets through the protocol library.
+
+use super::{Bridge, BridgeOutput, BridgeSettings, LibraryTimer, Stage};
+use crate::first_packet::{first_packet, Expected, FirstPacket};
+use crate::{after, after_millis};
+use mqtt_protocol_core::mqtt::common::Cursor;
+use mqtt_protocol_core::mqtt::connection::{Connection, ConnectionOptions, Event};
+use mqtt_protocol_core::mqtt::packet::{
+    v5_0, GenericPacketTrait, Packet, Property, Qos, SessionExpiryInterval, SubEntry, SubOpts,
+};
+use mqtt_protocol_core::mqtt::result_code::{ConnectReasonCode, MqttError};
+use mqtt_protocol_core::mqtt::{role, Version};
+use rand::RngExt;
+use slatevalve::Micros;
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use tracing::{error, info, warn};
+
+/// The most doublings of the backoff.
+const MAX_DOUBLINGS: u32 = 20;
+
+/// A connection of the protocol library.
+pub(super) fn library(settings: &BridgeSettings) -> Connection<role::Client> {
+    let options = ConnectionOptions::new()
+        .maximum_packet_size_recv(settings.max_packet)
+        .receive_maximum(settings.receive_maximum);
+    Connection::with_options(Version::V5_0, options)
+}
+
+impl Bridge {
+    /// The connection is established.
+    pub fn connected(&mut self, now: Micros, out: &mut Vec<BridgeOutput>) {
+        self.opening = Some(Vec::new());
+        let connect = connect_packet(&self.settings);
+        self.send_required(now, connect, out);
+    }
+
+    /// The connection ended or could not be established.
+    pub fn closed(&mut self, now: Micros) {
+        if !matches!(self.stage, Stage::Disconnected { .. }) {
+            self.connection_lost(now);
+        }
+    }
+
+    /// When [`Bridge::advance`] is due next.
+    #[must_use]
+    pub fn next_wake(&self) -> Option<Micros> {
+        let stage = match self.stage {
+            Stage::Disconnected { retry_at: at } | Stage::Connecting { deadline: at } => Some(at),
+            Stage::Connected => None,
+        };
+        self.timers.values().map(|timer| timer.at).chain(stage).min()
+    }
+
+    /// Handles timers that are due: retries, keep-alives and timeouts.
+    pub fn advance(&mut self, now: Micros, out: &mut Vec<BridgeOutput>) {
+        match self.stage {
+            Stage::Disconnected { retry_at } if retry_at <= now => {
+                self.stage = Stage::Connecting { deadline: after(now, self.settings.connect_timeout) };
+                return out.push(BridgeOutput::Connect);
+            }
+            Stage::Connecting { deadline } if deadline <= now => {
+                warn!("the broker did not take the connection in time");
+                return self.close(now, out);
+            }
+            _ => {}
+        }
+        let due = self.timers.iter().filter(|(_, timer)| timer.at <= now);
+        let due: Vec<u8> = due.map(|(number, _)| *number).collect();
+        for number in due {
+            if let Some(timer) = self.timers.remove(&number) {
+                let events = self.mqtt.notify_timer_fired(timer.kind);
+                self.execute(now, events, out);
+            }
+        }
+    }
+
+    /// Handles bytes that were read from the connection.
+    pub fn received(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<BridgeOutput>) {
+        let limit = self.settings.max_packet as usize;
+        let Some(buffer) = &mut self.opening else { return self.feed(now, bytes, out) };
+        buffer.extend_from_slice(bytes);
+        match first_packet(Expected::Connack, buffer, limit) {
+            FirstPacket::Partial => {}
+            FirstPacket::Refused => {
+                warn!("the broker's first packet is no CONNACK");
+                self.close(now, out);
+            }
+            FirstPacket::Whole { packet, receive_maximum, length } => {
+                let rest = buffer.split_off(length);
+                self.opening = None;
+                self.send_maximum = usize::from(receive_maximum.unwrap_or(u16::MAX));
+                self.feed(now, &packet, out);
+                self.feed(now, &rest, out);
+            }
+        }
+    }
+
+    /// Closes the connection from this side.
+    pub(super) fn close(&mut self, now: Micros, out: &mut Vec<BridgeOutput>) {
+        if !matches!(self.stage, Stage::Disconnected { .. }) {
+            out.push(BridgeOutput::Finish);
+            self.connection_lost(now);
+        }
+    }
+
+    fn connection_lost(&mut self, now: Micros) {
+        self.mqtt.notify_closed();
+        self.timers.clear();
+        self.opening = None;
+        self.deliveries.connection_lost();
+        let (shortest, longest) = self.settings.back_off;
+        let doublings = self.failures.min(MAX_DOUBLINGS);
+        let backoff = shortest.0.saturating_mul(1 << doublings).min(longest.0).max(1);
+        self.failures += 1;
+        // Jitter over the upper half, so that gateways that lost a broker together do not reconnect together.
+        let backoff = self.random.random_range(backoff / 2..=backoff);
+        self.stage = Stage::Disconnected { retry_at: after(now, Micros(backoff)) };
+    }
+
+    /// Passes bytes to the library and handles what they contain.
+    fn feed(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<BridgeOutput>) {
+        let mut cursor = Cursor::new(bytes);
+        while (cursor.position() as usize) < bytes.len() && !matches!(self.stage, Stage::Disconnected { .. })
+        {
+            let mqtt = &mut self.mqtt;
+            let Ok(events) = catch_unwind(AssertUnwindSafe(|| mqtt.recv(&mut cursor))) else {
+                warn!("the protocol library failed on what the broker sent");
+                return self.close(now, out);
+            };
+            if let Some(error) = self.execute(now, events, out) {
+                warn!(%error, "what the broker sent cannot be taken");
+                return self.close(now, out);
+            }
+        }
+    }
+
+    /// Executes the library's events and returns the last error among them.
+    fn execute(&mut self, now: Micros, events: Vec<Event>, out: &mut Vec<BridgeOutput>) -> Option<MqttError> {
+        let mut last_error = None;
+        for event in events {
+            match event {
+                Event::NotifyPacketReceived(packet) => self.handle_packet(now, &packet, out),
+                Event::RequestSendPacket { packet, .. } => {
+                    out.push(BridgeOutput::Write(packet.to_continuous_buffer()));
+                }
+                Event::RequestTimerReset { kind, duration_ms } => {
+                    let timer = LibraryTimer { kind, at: after_millis(now, duration_ms) };
+                    self.timers.insert(kind as u8, timer);
+                }
+                Event::RequestTimerCancel(kind) => {
+                    self.timers.remove(&(kind as u8));
+                }
+                Event::NotifyError(error) => last_error = Some(error),
+                Event::RequestClose => self.close(now, out),
+                Event::NotifyPacketIdReleased(_) => {}
+            }
+        }
+        last_error
+    }
+
+    /// Sends a packet.
+    ///
+    /// # Errors
+    /// Where the packet could not be encoded or the library does not accept it.
+    pub(super) fn send(
+        &mut self,
+        now: Micros,
+        packet: Result<Packet, MqttError>,
+        out: &mut Vec<BridgeOutput>,
+    ) -> Result<(), MqttError> {
+        let events = self.mqtt.send(packet?);
+        self.execute(now, events, out).map_or(Ok(()), Err)
+    }
+
+    /// Sends a packet that the protocol requires; the connection is closed where that fails.
+    pub(super) fn send_required(
+        &mut self,
+        now: Micros,
+        packet: Result<Packet, MqttError>,
+        out: &mut Vec<BridgeOutput>,
+    ) {
+        if let Err(error) = self.send(now, packet, out) {
+            warn!(%error, "a packet for the broker cannot be sent");
+            self.close(now, out);
+        }
+    }
+
+    fn handle_packet(&mut self, now: Micros, packet: &Packet, out: &mut Vec<BridgeOutput>) {
+        match packet {
+            Packet::V5_0Connack(connack) if connack.reason_code() == ConnectReasonCode::Success => {
+                self.session_accepted(now, connack.session_present(), out);
+            }
+            Packet::V5_0Connack(connack) => {
+                error!(reason = ?connack.reason_code(), "the broker refused the connection");
+                self.close(now, out);
+            }
+            Packet::V5_0Suback(suback) => {
+                if let Some(code) = suback.reason_codes().iter().find(|code| code.is_failure()) {
+                    error!(reason = ?code, "the broker refused a subscription");
+                    self.close(now, out);
+                }
+            }
+            Packet::V5_0Publish(publish) => self.handle_publish(now, publish.into(), out),
+            Packet::V5_0Puback(puback) => {
+                self.unacknowledged.remove(&puback.packet_id());
+                self.send_outbox(now, out);
+            }
+            Packet::V5_0Disconnect(_) => self.close(now, out),
+            _ => {}
+        }
+    }
+
+    fn session_accepted(&mut self, now: Micros, is_resumed: bool, out: &mut Vec<BridgeOutput>) {
+        info!(resumed = is_resumed, "the broker took the connection");
+        self.stage = Stage::Connected;
+        self.failures = 0;
+        self.is_resumed = is_resumed;
+        self.covered_since = is_resumed.then_some(self.connected_at);
+        self.connected_at = now;
+        if !is_resumed {
+            // The packet ids of the lost session are void. Unacknowledged answers are sent again here, as the library
+            // dropped them with the session.
+            self.deliveries.session_lost();
+            self.pending.values_mut().for_each(|reply| reply.packet_id = None);
+            for (_, publish) in std::mem::take(&mut self.unacknowledged).into_iter().rev() {
+                self.outbox.push_front(publish);
+            }
+            self.subscribe(now, out);
+        }
+        self.send_outbox(now, out);
+    }
+
+    fn subscribe(&mut self, now: Micros, out: &mut Vec<BridgeOutput>) {
+        let Ok(packet_id) = self.mqtt.acquire_packet_id() else { return self.close(now, out) };
+        let subscribe = subscribe_packet(&self.settings, packet_id);
+        self.send_required(now, subscribe, out);
+    }
+}
+
+fn connect_packet(settings: &BridgeSettings) -> Result<Packet, MqttError> {
+    let expiry: Property = SessionExpiryInterval::new(settings.session_expiry_s)?.into();
+    let builder = v5_0::Connect::builder().client_id(settings.client_id.as_str())?;
+    let builder = builder.clean_start(false).keep_alive(settings.keep_alive_s).props(vec![expiry]);
+    Ok(builder.build()?.into())
+}
+
+/// A SUBSCRIBE to the filters of all routes, shared where a group is set (section 4.8.2).
+fn subscribe_packet(settings: &BridgeSettings, packet_id: u16) -> Result<Packet, MqttError> {
+    let options = SubOpts::new().set_qos(Qos::AtLeastOnce);
+    let entries = settings.routes.routes.iter().map(|route| match &settings.group {
+        Some(group) => SubEntry::new(format!("$share/{group}/{}", route.filter), options),
+        None => SubEntry::new(route.filter.to_string(), options),
+    });
+    let entries = entries.collect::<Result<Vec<_>, _>>()?;
+    Ok(v5_0::Subscribe::builder().packet_id(packet_id).entries(entries).build()?.into())
+}
--- a/crates/mqtt/src/front/calls.rs
+++ b/crates/mqtt/src/front/calls.rs
@@ -1,154 +1,160 @@
-//! Calls and answers of the front: a publish becomes a call or is refused, an answer goes out as far as the client's
-//! connection and receive maximum allow. Called by the front's packet handling alone.
+//! Calls and answers: a publish becomes a call or is refused; answers are sent as far as the client's connection and
+//! receive maximum allow.
 
 use super::{Front, FrontOutput, LinkId};
-use crate::intake::{self, Asked, Rejection};
-use crate::packets::{self, Inbound, Outbound, Version};
-use crate::session::Waiting;
-use mqtt_protocol_core::mqtt::packet::{Property, Qos};
+use crate::packets;
+use crate::publish::{InboundPublish, OutboundPublish, Version};
+use crate::rejection::Rejection;
+use crate::request::{CallRequest, Declined};
+use crate::session::PendingReply;
+use mqtt_protocol_core::mqtt::packet::Qos;
 use mqtt_protocol_core::mqtt::result_code::{DisconnectReasonCode, MqttError};
 use slatevalve::Micros;
 use slatevalve_engine::{Answer, ClientRef, Reason, Verdict};
 use tracing::{info, warn};
 
 impl Front {
-    pub(super) fn publish(
+    pub(super) fn handle_publish(
         &mut self,
         now: Micros,
         id: LinkId,
         client: ClientRef,
-        publish: Inbound,
+        publish: InboundPublish,
         out: &mut Vec<FrontOutput>,
     ) {
         let Some(session) = self.sessions.get(&client) else { return };
         let version = session.version;
         if publish.retain && version == Version::V5 {
-            // CONNACK said that nothing is retained (section 3.2.2.3.5).
-            return self.dismiss(now, id, DisconnectReasonCode::RetainNotSupported, out);
+            // CONNACK stated that retained messages are not supported (section 3.2.2.3.5).
+            return self.disconnect(now, id, DisconnectReasonCode::RetainNotSupported, out);
         }
-        let read = match session.load() < self.settings.session_quota {
-            true => intake::read(&self.settings.routes, Some(&session.client_id), &publish),
-            false => Err(Rejection::Quota),
+        let request = match session.load() < self.settings.session_quota {
+            true => CallRequest::read(&self.settings.routes, Some(&session.client_id), &publish),
+            false => Err(Rejection::Quota.into()),
         };
-        let ack = packets::acknowledge(version, &publish, read.as_ref().err().copied());
-        if let Some(ack) = ack.transpose() {
-            self.must_send(now, id, ack, out);
+        let rejection = request.as_ref().err().and_then(|declined| declined.rejection());
+        if let Some(packet) = packets::acknowledge(version, &publish, rejection).transpose() {
+            self.send_required(now, id, packet, out);
         }
-        // A message that is sent again as its acknowledgement was lost: its answer is owed or under way already.
-        if read.is_ok() && self.sessions.get_mut(&client).is_some_and(|s| s.is_redelivery(&publish)) {
+        // A publish that is sent again, as its acknowledgement was lost, has its call or its answer already.
+        if rejection.is_none()
+            && self.sessions.get_mut(&client).is_some_and(|session| session.note_accepted(&publish))
+        {
             return;
         }
-        match read {
-            Ok(Ok(asked)) => self.take(client, publish, asked, out),
-            Ok(Err(reason)) => self.refuse(now, client, &publish, reason, out),
-            Err(rejection) => {
+        match request {
+            Ok(request) => self.start_call(client, publish, request, out),
+            Err(Declined::Refused(reason)) => self.refuse_call(now, client, &publish, reason, out),
+            Err(Declined::Rejected(rejection)) => {
                 info!(link = id.0, topic = %publish.topic, why = %rejection, "publish refused");
-                // Without reason codes an answer is the only way to say so.
+                // Version 3.1.1 has no reason codes, so that only an answer can state the refusal.
                 if version == Version::V3 && rejection != Rejection::Quota {
-                    self.refuse(now, client, &publish, Reason::NoRoute, out);
+                    self.refuse_call(now, client, &publish, Reason::NoRoute, out);
                 }
             }
         }
     }
 
-    fn take(&mut self, client: ClientRef, publish: Inbound, mut asked: Asked, out: &mut Vec<FrontOutput>) {
-        let ticket = self.numbers.ticket();
+    fn start_call(
+        &mut self,
+        client: ClientRef,
+        publish: InboundPublish,
+        mut request: CallRequest,
+        out: &mut Vec<FrontOutput>,
+    ) {
+        let ticket = self.ticket_source.ticket();
         let Some(session) = self.sessions.get_mut(&client) else { return };
-        let waiting = Waiting {
-            response_topic: asked.response_topic.take(),
-            correlation: asked.correlation.take(),
-            qos: publish.qos,
-            call: call_name(&publish),
-        };
-        session.waiting.insert(ticket, waiting);
+        let address = std::mem::take(&mut request.reply_address);
+        let reply = PendingReply { address, qos: publish.qos, call_name: call_name(&publish) };
+        session.pending.insert(ticket, reply);
         self.tickets.insert(ticket, client);
-        let covered_since = session.covered_since;
-        out.push(FrontOutput::Call(Box::new(asked.call(ticket, client, publish.payload, covered_since))));
+        let call = request.call(ticket, client, publish.payload, session.covered_since);
+        out.push(FrontOutput::Call(Box::new(call)));
     }
 
     /// Answers a publish that makes no call.
-    fn refuse(
+    fn refuse_call(
         &mut self,
         now: Micros,
         client: ClientRef,
-        publish: &Inbound,
+        publish: &InboundPublish,
         reason: Reason,
         out: &mut Vec<FrontOutput>,
     ) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
-        let property = |find: fn(&Property) -> Option<Vec<u8>>| publish.properties.iter().find_map(find);
-        let response_topic = property(|p| match p {
-            Property::ResponseTopic(p) => Some(p.val().as_bytes().to_vec()),
-            _ => None,
-        });
-        let correlation = property(|p| match p {
-            Property::CorrelationData(p) => Some(p.val().to_vec()),
-            _ => None,
-        });
-        let waiting = Waiting {
-            response_topic: response_topic.and_then(|t| String::from_utf8(t).ok()),
-            correlation,
-            qos: publish.qos,
-            call: call_name(publish),
-        };
+        let address = publish.reply_address();
+        let reply = PendingReply { address, qos: publish.qos, call_name: call_name(publish) };
         let answer =
             Answer { verdict: Verdict::Refused(reason), attempts: 0, recorded: false, version: None };
-        let topic = session.reply_topic(&waiting, answer.verdict.word());
-        let by = self.settings.documents.as_deref();
-        session.outbox.push_back(Outbound::answer(topic, waiting.qos, waiting.correlation, &answer, by));
-        self.pump(now, client, out);
+        let topic = session.reply_topic(&reply, answer.verdict.word());
+        let documents = self.settings.documents.as_deref();
+        let correlation = reply.address.correlation;
+        let publish = OutboundPublish::answer(topic, reply.qos, correlation, &answer, documents);
+        session.outbox.push_back(publish);
+        self.send_outbox(now, client, out);
     }
 
-    pub(super) fn acknowledged(
+    /// The client acknowledged an answer.
+    pub(super) fn answer_acknowledged(
         &mut self,
         now: Micros,
         client: ClientRef,
-        packet: u16,
+        packet_id: u16,
         out: &mut Vec<FrontOutput>,
     ) {
         if let Some(session) = self.sessions.get_mut(&client) {
-            session.unacknowledged.remove(&packet);
+            session.unacknowledged.remove(&packet_id);
         }
-        self.pump(now, client, out);
+        self.send_outbox(now, client, out);
     }
 
-    /// Sends what waits, as far as the connection and the client's receive maximum allow.
-    pub(super) fn pump(&mut self, now: Micros, client: ClientRef, out: &mut Vec<FrontOutput>) {
+    /// Sends waiting answers, as far as the connection and the client's receive maximum allow.
+    pub(super) fn send_outbox(&mut self, now: Micros, client: ClientRef, out: &mut Vec<FrontOutput>) {
         loop {
             let Some(session) = self.sessions.get_mut(&client) else { return };
-            let (Some(id), Some(next)) = (session.link, session.outbox.front()) else { return };
-            let Some(link) = self.links.get_mut(&id) else { return };
+            let (Some(id), Some(next)) = (session.connection, session.outbox.front()) else { return };
+            let Some(connection) = self.connections.get_mut(&id) else { return };
             let mut packet_id = None;
             if next.qos != Qos::AtMostOnce {
-                if session.unacknowledged.len() >= link.receive_maximum {
+                if session.unacknowledged.len() >= connection.receive_maximum {
                     return;
                 }
-                match link.mqtt.acquire_packet_id() {
-                    Ok(number) => packet_id = Some(number),
-                    Err(_) => return,
-                }
+                let Ok(acquired) = connection.mqtt.acquire_packet_id() else { return };
+                packet_id = Some(acquired);
             }
-            let version = session.version;
-            let Some(outbound) = session.outbox.pop_front() else { return };
+            let Some(publish) = session.outbox.pop_front() else { return };
             session.unacknowledged.extend(packet_id);
-            let mut sent = self.send(now, id, outbound.packet(version, packet_id), out);
-            if sent == Err(MqttError::PacketTooLarge) {
-                sent = self.send(now, id, outbound.without_result().packet(version, packet_id), out);
-            }
-            if let Err(error) = sent {
-                warn!(link = id.0, topic = %outbound.topic, %error, "an answer cannot be sent to its client");
-                if let (Some(number), Some(session)) = (packet_id, self.sessions.get_mut(&client)) {
-                    session.unacknowledged.remove(&number);
-                    if let Some(link) = self.links.get_mut(&id) {
-                        let _ = link.mqtt.release_packet_id(number);
-                    }
-                }
+            self.send_answer(now, id, client, &publish, packet_id, out);
+        }
+    }
+
+    /// Sends one answer, without its result where the client does not take a packet of that size.
+    fn send_answer(
+        &mut self,
+        now: Micros,
+        id: LinkId,
+        client: ClientRef,
+        publish: &OutboundPublish,
+        packet_id: Option<u16>,
+        out: &mut Vec<FrontOutput>,
+    ) {
+        let Some(version) = self.sessions.get(&client).map(|session| session.version) else { return };
+        let mut sent = self.send(now, id, publish.packet(version, packet_id), out);
+        if sent == Err(MqttError::PacketTooLarge) {
+            sent = self.send(now, id, publish.without_result().packet(version, packet_id), out);
+        }
+        let Err(error) = sent else { return };
+        warn!(link = id.0, topic = %publish.topic, %error, "an answer cannot be sent to its client");
+        if let (Some(packet_id), Some(session)) = (packet_id, self.sessions.get_mut(&client)) {
+            session.unacknowledged.remove(&packet_id);
+            if let Some(connection) = self.connections.get_mut(&id) {
+                let _ = connection.mqtt.release_packet_id(packet_id);
             }
         }
     }
 }
 
-/// What a reply topic without properties names a call by: the packet id, 0 for QoS 0.
-fn call_name(publish: &Inbound) -> String {
+/// The call in a reply topic without properties: the packet id of its publish, 0 for QoS 0.
+fn call_name(publish: &InboundPublish) -> String {
     publish.packet_id.unwrap_or(0).to_string()
 }
--- /dev/null
+++ b/crates/mqtt/src/front/handshake.rs
@@ -0,0 +1,255 @@
+//! CONNECT and CONNACK: a session is created, resumed or taken over, or the connection is refused.
+
+use super::connection::{DeadlineKind, Stage};
+use super::{Front, FrontOutput, LinkId};
+use crate::publish::Version;
+use crate::session::Session;
+use mqtt_protocol_core::mqtt::packet::{
+    v3_1_1, v5_0, AssignedClientIdentifier, MaximumPacketSize, Packet, Property, ReceiveMaximum,
+    RetainAvailable, ServerKeepAlive, SessionExpiryInterval, SharedSubscriptionAvailable,
+    SubscriptionIdentifierAvailable, TopicAliasMaximum, WildcardSubscriptionAvailable,
+};
+use mqtt_protocol_core::mqtt::result_code::{
+    ConnectReasonCode, ConnectReturnCode, DisconnectReasonCode, MqttError,
+};
+use slatevalve::Micros;
+use slatevalve_engine::ClientRef;
+use tracing::{debug, info};
+
+/// A CONNECT of either version.
+pub(super) struct ConnectRequest {
+    version: Version,
+    /// Empty where the server is to assign one.
+    client_id: String,
+    /// Whether an earlier session is to be discarded.
+    clean: bool,
+    expiry: Micros,
+    /// In seconds; 0 for none.
+    keep_alive: u16,
+    has_will: bool,
+}
+
+impl From<&v5_0::Connect> for ConnectRequest {
+    fn from(connect: &v5_0::Connect) -> Self {
+        let expiry = connect.props().iter().find_map(|property| match property {
+            Property::SessionExpiryInterval(seconds) => Some(seconds.val()),
+            _ => None,
+        });
+        ConnectRequest {
+            version: Version::V5,
+            client_id: connect.client_id().to_string(),
+            clean: connect.clean_start(),
+            expiry: Micros(i64::from(expiry.unwrap_or(0)) * 1_000_000),
+            keep_alive: connect.keep_alive(),
+            has_will: connect.will_flag(),
+        }
+    }
+}
+
+impl From<&v3_1_1::Connect> for ConnectRequest {
+    fn from(connect: &v3_1_1::Connect) -> Self {
+        ConnectRequest {
+            version: Version::V3,
+            client_id: connect.client_id().to_string(),
+            clean: connect.clean_session(),
+            expiry: if connect.clean_session() { Micros(0) } else { Micros(i64::MAX) },
+            keep_alive: connect.keep_alive(),
+            has_will: connect.will_flag(),
+        }
+    }
+}
+
+/// Why a connection is refused.
+#[derive(Clone, Copy, Debug)]
+enum Refused {
+    /// The client id is empty where the version does not allow it.
+    ClientId,
+    /// There are as many sessions as there may be.
+    Full,
+}
+
+impl Refused {
+    fn v5_code(self) -> ConnectReasonCode {
+        match self {
+            Refused::ClientId => ConnectReasonCode::ClientIdentifierNotValid,
+            Refused::Full => ConnectReasonCode::ServerBusy,
+        }
+    }
+
+    fn v3_code(self) -> ConnectReturnCode {
+        match self {
+            Refused::ClientId => ConnectReturnCode::IdentifierRejected,
+            Refused::Full => ConnectReturnCode::ServerUnavailable,
+        }
+    }
+}
+
+/// What a CONNACK states besides the settings of the front.
+struct Accepted<'a> {
+    session_present: bool,
+    /// The client id, where the server assigned it.
+    assigned_id: Option<&'a str>,
+    /// The expiry of the session, as it was limited.
+    expiry: Micros,
+}
+
+impl Front {
+    pub(super) fn handle_connect(
+        &mut self,
+        now: Micros,
+        id: LinkId,
+        request: &ConnectRequest,
+        out: &mut Vec<FrontOutput>,
+    ) {
+        let is_assigned = request.client_id.is_empty();
+        if is_assigned && request.version == Version::V3 && !request.clean {
+            return self.refuse_connection(now, id, request.version, Refused::ClientId, out);
+        }
+        let client_id = if is_assigned { self.assign_client_id() } else { request.client_id.clone() };
+        if !self.clients_by_id.contains_key(&client_id) && self.sessions.len() >= self.settings.max_sessions {
+            return self.refuse_connection(now, id, request.version, Refused::Full, out);
+        }
+        if request.has_will {
+            debug!(link = id.0, "a will was sent; wills are not kept");
+        }
+        self.disconnect_predecessor(now, &client_id, out);
+        let resumed = self.resumable_session(&client_id, request, out);
+        let client = resumed.unwrap_or_else(|| self.create_session(now, &client_id, request.version));
+        let expiry = request.expiry.min(self.settings.max_session_expiry);
+        self.attach(now, id, client, resumed.is_some(), expiry);
+        let accepted = Accepted {
+            session_present: resumed.is_some(),
+            assigned_id: is_assigned.then_some(client_id.as_str()),
+            expiry,
+        };
+        let connack = self.connack(request, &accepted);
+        self.send_required(now, id, connack, out);
+        // Version 3.1.1 cannot state another keep-alive; the client's own, or none, applies.
+        self.send_outbox(now, client, out);
+    }
+
+    fn assign_client_id(&mut self) -> String {
+        self.assigned_ids += 1;
+        format!("slatevalve-{}", self.assigned_ids)
+    }
+
+    /// Closes the connection that the client has, as the new one takes over its session (section 3.1.4).
+    fn disconnect_predecessor(&mut self, now: Micros, client_id: &str, out: &mut Vec<FrontOutput>) {
+        let client = self.clients_by_id.get(client_id);
+        let session = client.and_then(|client| self.sessions.get(client));
+        if let Some(predecessor) = session.and_then(|session| session.connection) {
+            self.disconnect(now, predecessor, DisconnectReasonCode::SessionTakenOver, out);
+        }
+    }
+
+    /// The client's session, if the request resumes it; a session that is not resumed is removed.
+    fn resumable_session(
+        &mut self,
+        client_id: &str,
+        request: &ConnectRequest,
+        out: &mut Vec<FrontOutput>,
+    ) -> Option<ClientRef> {
+        let client = self.clients_by_id.get(client_id).copied()?;
+        let is_same_version =
+            self.sessions.get(&client).is_some_and(|session| session.version == request.version);
+        if !request.clean && is_same_version {
+            return Some(client);
+        }
+        self.remove_session(client, out);
+        None
+    }
+
+    fn create_session(&mut self, now: Micros, client_id: &str, version: Version) -> ClientRef {
+        let client = self.ticket_source.client();
+        self.sessions.insert(client, Session::new(client, client_id.into(), version, now));
+        self.clients_by_id.insert(client_id.into(), client);
+        client
+    }
+
+    /// Puts a session on a connection.
+    fn attach(&mut self, now: Micros, id: LinkId, client: ClientRef, is_resumed: bool, expiry: Micros) {
+        let Some(session) = self.sessions.get_mut(&client) else { return };
+        session.covered_since = is_resumed.then_some(session.opened_at);
+        session.connection = Some(id);
+        session.expiry = expiry;
+        session.expires_at = None;
+        session.opened_at = now;
+        let stored = std::mem::take(&mut session.stored);
+        let received_qos2 = session.received_qos2.clone();
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.stage = Stage::Open(client);
+            session.opened_at = connection.opened_at;
+            connection.mqtt.restore_packets(stored);
+            connection.mqtt.restore_qos2_publish_handled(received_qos2.into_iter().collect());
+            connection.deadline =
+                connection.deadline.filter(|deadline| !matches!(deadline.kind, DeadlineKind::Connect));
+        }
+    }
+
+    fn connack(&self, request: &ConnectRequest, accepted: &Accepted<'_>) -> Result<Packet, MqttError> {
+        match request.version {
+            Version::V3 => {
+                let builder = v3_1_1::Connack::builder().return_code(ConnectReturnCode::Accepted);
+                Ok(builder.session_present(accepted.session_present).build()?.into())
+            }
+            Version::V5 => {
+                let properties = self.connack_properties(request, accepted)?;
+                let builder = v5_0::Connack::builder().reason_code(ConnectReasonCode::Success);
+                Ok(builder.session_present(accepted.session_present).props(properties).build()?.into())
+            }
+        }
+    }
+
+    fn connack_properties(
+        &self,
+        request: &ConnectRequest,
+        accepted: &Accepted<'_>,
+    ) -> Result<Vec<Property>, MqttError> {
+        let settings = &self.settings;
+        let mut properties: Vec<Property> = vec![
+            MaximumPacketSize::new(settings.max_packet.max(1))?.into(),
+            TopicAliasMaximum::new(settings.topic_alias_maximum)?.into(),
+            RetainAvailable::new(0)?.into(),
+            WildcardSubscriptionAvailable::new(0)?.into(),
+            SubscriptionIdentifierAvailable::new(0)?.into(),
+            SharedSubscriptionAvailable::new(0)?.into(),
+        ];
+        if settings.receive_maximum < u16::MAX {
+            properties.push(ReceiveMaximum::new(settings.receive_maximum.max(1))?.into());
+        }
+        if accepted.expiry != request.expiry {
+            let seconds = u32::try_from(accepted.expiry.0 / 1_000_000).unwrap_or(u32::MAX);
+            properties.push(SessionExpiryInterval::new(seconds)?.into());
+        }
+        if let Some(client_id) = accepted.assigned_id {
+            properties.push(AssignedClientIdentifier::new(client_id)?.into());
+        }
+        if request.keep_alive == 0 || request.keep_alive > settings.max_keep_alive {
+            properties.push(ServerKeepAlive::new(settings.max_keep_alive)?.into());
+        }
+        Ok(properties)
+    }
+
+    fn refuse_connection(
+        &mut self,
+        now: Micros,
+        id: LinkId,
+        version: Version,
+        reason: Refused,
+        out: &mut Vec<FrontOutput>,
+    ) {
+        info!(link = id.0, why = ?reason, "connection refused");
+        let packet = match version {
+            Version::V5 => {
+                let builder = v5_0::Connack::builder().reason_code(reason.v5_code());
+                builder.session_present(false).build().map(Into::into)
+            }
+            Version::V3 => {
+                let builder = v3_1_1::Connack::builder().return_code(reason.v3_code());
+                builder.session_present(false).build().map(Into::into)
+            }
+        };
+        self.send_required(now, id, packet, out);
+        self.close(now, id, out);
+    }
+}
--- a/crates/mqtt/src/lib.rs
+++ b/crates/mqtt/src/lib.rs
@@ -1,28 +1,43 @@
-//! The MQTT front: publishes in, answers out; sessions, routes and the bridge to a broker. No I/O.
+//! MQTT for calls: publishes become calls, answers become publishes. A front for clients that connect here ([`Front`]) and a
+//! bridge to a broker ([`Bridge`]), both without I/O.
 //!
-//! It guards what the protocol promises a client: a publish that was acknowledged is answered once, on the
-//! connection that is there when the answer is, as long as the session lives; what cannot be taken is refused with
-//! a reason code; and no client's bytes reach another's connection. The shell hands it bytes and closes
-//! ([`Front`] for clients that connect here, [`Bridge`] for a broker we connect to) and carries out what it wants.
-//! It knows no worker and decides nothing about calls.
+//! A publish that was acknowledged is answered once, on the connection that the session has when the answer is there, as
+//! long as the session lives. A publish that is not accepted is rejected with a reason code. The event loop passes bytes
+//! and connection events in and executes the outputs; the engine executes the calls.
 //!
-//! Packets are coded and checked by `mqtt-protocol-core`; section numbers refer to MQTT 5.0 (OASIS, 2019) unless
-//! 3.1.1 is named.
+//! Packets are encoded and checked by `mqtt-protocol-core`. Section numbers refer to MQTT 5.0 (OASIS, 2019) unless 3.1.1
+//! is named.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod bridge;
-mod connect;
+mod first_packet;
 mod front;
-mod intake;
 mod packets;
+mod publish;
+mod rejection;
+mod request;
 mod routes;
 mod session;
+mod ticket;
 mod topics;
 
 pub use bridge::{Bridge, BridgeOutput, BridgeSettings};
 pub use front::{Front, FrontOutput, FrontSettings, LinkId};
-pub use intake::{Rejection, BUDGET_PROPERTY, KEY_PROPERTY, REPEAT_PROPERTY};
+pub use rejection::Rejection;
+pub use request::{BUDGET_PROPERTY, KEY_PROPERTY, REPEAT_PROPERTY};
 pub use routes::{Route, RouteError, Routes};
-pub use session::TicketSource;
+pub use ticket::TicketSource;
 pub use topics::{Template, TemplateError, TopicFilter, TopicFilterError};
+
+use slatevalve::Micros;
+
+/// The time that is `duration` after `now`.
+fn after(now: Micros, duration: Micros) -> Micros {
+    Micros(now.0.saturating_add(duration.0))
+}
+
+/// The time that is this many milliseconds after `now`, as the protocol library states its timers.
+fn after_millis(now: Micros, millis: u64) -> Micros {
+    after(now, Micros(i64::try_from(millis).unwrap_or(i64::MAX).saturating_mul(1_000)))
+}
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -1,94 +1,53 @@
-//! What is kept of a client between its connections. Called by the front.
+//! The state of a client's session, which outlives its connections (section 4.1).
 
-use crate::packets::{Inbound, Outbound, Version};
+use crate::publish::{InboundPublish, OutboundPublish, ReplyAddress, Version};
 use crate::LinkId;
 use mqtt_protocol_core::mqtt::packet::{Qos, StorePacket};
 use slatevalve::Micros;
 use slatevalve_engine::{ClientRef, Ticket};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
-use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Packet ids of which a session remembers what they stood for.
-const MAX_TAKEN: usize = 2_048;
+/// The most packet ids for which a session remembers the message.
+const MAX_REMEMBERED: usize = 2_048;
 
-/// Numbers for tickets and clients, apart from those of every other front of the same engine.
+/// Where the answer to an open call goes.
 #[derive(Clone, Debug)]
-pub struct TicketSource {
-    front: u8,
-    next: u64,
-}
-
-impl TicketSource {
-    /// Numbers of the front with this number, which no other front may have.
-    pub fn new(front: u8) -> Self {
-        TicketSource { front, next: 0 }
-    }
-
-    /// The front that a ticket is of.
-    pub fn front_of(ticket: Ticket) -> u8 {
-        (ticket.0 >> 56) as u8
-    }
-
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        (u64::from(self.front) << 56) | self.next
-    }
-
-    pub(crate) fn ticket(&mut self) -> Ticket {
-        Ticket(self.number())
-    }
-
-    pub(crate) fn client(&mut self) -> ClientRef {
-        ClientRef(self.number())
-    }
-
-    /// A client known by a name only, the same each time.
-    pub(crate) fn client_named(&self, name: &str) -> ClientRef {
-        // With the fixed keys of its `new`, this hasher gives the same for the same name.
-        let mut hasher = DefaultHasher::new();
-        name.hash(&mut hasher);
-        ClientRef((u64::from(self.front) << 56) | (hasher.finish() >> 8))
-    }
-}
-
-/// Where an answer goes.
-#[derive(Clone, Debug)]
-pub(crate) struct Waiting {
-    /// `None` for a client of version 3.1.1, whose topic is made from the outcome.
-    pub(crate) response_topic: Option<String>,
-    pub(crate) correlation: Option<Vec<u8>>,
+pub(crate) struct PendingReply {
+    /// Without a response topic, as in version 3.1.1, the topic is made from client, outcome and call.
+    pub(crate) address: ReplyAddress,
     pub(crate) qos: Qos,
-    /// What a reply topic of version 3.1.1 names the call by.
-    pub(crate) call: String,
+    /// The call in a topic that is made: the packet id of its publish, 0 for QoS 0.
+    pub(crate) call_name: String,
 }
 
-/// A client's session (section 4.1).
+/// A client's session.
 #[derive(Debug)]
 pub(crate) struct Session {
     pub(crate) client: ClientRef,
     pub(crate) client_id: String,
     pub(crate) version: Version,
-    /// The connection that stands.
-    pub(crate) link: Option<LinkId>,
-    /// How long it lives without one.
+    /// The connection, if any.
+    pub(crate) connection: Option<LinkId>,
+    /// How long the session lives without a connection.
     pub(crate) expiry: Micros,
     pub(crate) expires_at: Option<Micros>,
-    /// When the connection that stands, or stood last, was opened.
-    pub(crate) opened: Micros,
-    /// Since when every publish of this session that was taken was taken by this gateway's knowledge; see
+    /// When the connection, or else the last one, was opened.
+    pub(crate) opened_at: Micros,
+    /// Since when this gateway knows every publish that was accepted in this session; see
     /// [`slatevalve_engine::Repeat::Marked`].
     pub(crate) covered_since: Option<Micros>,
-    /// Publishes that were taken on this connection and the one before, by packet id: one that is sent again because
-    /// its acknowledgement was lost is known by it, also where it has no key.
-    pub(crate) taken: HashMap<u16, u64>,
+    /// Fingerprints of the publishes that were accepted, by packet id. A publish that is sent again, as its
+    /// acknowledgement was lost, is known by them even if it has no key.
+    accepted: HashMap<u16, u64>,
     /// What the library had in flight when the connection ended.
     pub(crate) stored: Vec<StorePacket>,
+    /// Packet ids of received publishes with QoS 2 whose PUBREL has not come.
     pub(crate) received_qos2: Vec<u16>,
-    /// Answers owed.
-    pub(crate) waiting: BTreeMap<Ticket, Waiting>,
-    /// Answers that wait for the connection or for the client's receive maximum.
-    pub(crate) outbox: VecDeque<Outbound>,
-    /// Answers that were sent and not yet acknowledged.
+    /// Open calls.
+    pub(crate) pending: BTreeMap<Ticket, PendingReply>,
+    /// Answers that wait for a connection or for the client's receive maximum.
+    pub(crate) outbox: VecDeque<OutboundPublish>,
+    /// Packet ids of answers that were sent and not yet acknowledged.
     pub(crate) unacknowledged: HashSet<u16>,
 }
 
@@ -98,56 +57,59 @@
             client,
             client_id,
             version,
-            link: None,
+            connection: None,
             expiry: Micros(0),
             expires_at: None,
-            opened: now,
+            opened_at: now,
             covered_since: None,
-            taken: HashMap::new(),
+            accepted: HashMap::new(),
             stored: Vec::new(),
             received_qos2: Vec::new(),
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             outbox: VecDeque::new(),
             unacknowledged: HashSet::new(),
         }
     }
 
-    /// Notes a publish that is taken; true where it is one that was taken before and is sent again.
-    pub(crate) fn is_redelivery(&mut self, publish: &Inbound) -> bool {
+    /// Notes an accepted publish and returns whether it was accepted before and is sent again.
+    pub(crate) fn note_accepted(&mut self, publish: &InboundPublish) -> bool {
         let Some(id) = publish.packet_id else { return false };
         let fingerprint = publish.fingerprint();
-        if publish.dup && self.covered_since.is_some() && self.taken.get(&id) == Some(&fingerprint) {
+        if publish.dup && self.covered_since.is_some() && self.accepted.get(&id) == Some(&fingerprint) {
             return true;
         }
-        // Beyond so many the table of keys alone tells repeats, for the classes that need it.
-        if self.taken.len() < MAX_TAKEN || self.taken.contains_key(&id) {
-            self.taken.insert(id, fingerprint);
+        // Beyond the bound, repeats are known by their keys only, in the classes that have keys.
+        if self.accepted.len() < MAX_REMEMBERED || self.accepted.contains_key(&id) {
+            self.accepted.insert(id, fingerprint);
         }
         false
     }
 
-    /// Calls and answers that count against the session's quota.
+    /// Open calls and waiting answers, which count against the session's quota.
     pub(crate) fn load(&self) -> usize {
-        self.waiting.len() + self.outbox.len()
+        self.pending.len() + self.outbox.len()
     }
 
-    /// The topic of an answer.
-    pub(crate) fn reply_topic(&self, waiting: &Waiting, outcome: &str) -> String {
-        match &waiting.response_topic {
+    /// The topic of an answer with this outcome.
+    pub(crate) fn reply_topic(&self, reply: &PendingReply, outcome: &str) -> String {
+        match &reply.address.response_topic {
             Some(topic) => topic.clone(),
-            None => format!("slatevalve/reply/{}/{outcome}/{}", escape(&self.client_id), waiting.call),
+            None => {
+                let client = escape_level(&self.client_id);
+                format!("slatevalve/reply/{client}/{outcome}/{}", reply.call_name)
+            }
         }
     }
 }
 
-/// A client id as one level of a topic: what may not stand there is percent-encoded.
-fn escape(text: &str) -> String {
-    let mut out = String::with_capacity(text.len());
-    for c in text.chars() {
-        match c {
-            '+' | '#' | '/' | '%' => out.push_str(&format!("%{:02X}", u32::from(c))),
-            c => out.push(c),
+/// Percent-encodes what may not occur in one level of a topic.
+fn escape_level(text: &str) -> String {
+    let mut escaped = String::with_capacity(text.len());
+    for character in text.chars() {
+        match character {
+            '+' | '#' | '/' | '%' => escaped.push_str(&format!("%{:02X}", u32::from(character))),
+            _ => escaped.push(character),
         }
     }
-    out
+    escaped
 }
