--- a/crates/mqtt/src/routes.rs
+++ b/crates/mqtt/src/routes.rs
@@ -28,14 +28,14 @@
         /// The level that is used.
         level: usize,
         /// The number of levels that every matching topic has.
-        least: usize,
+        min_levels: usize,
     },
 }
 
 impl fmt::Display for RouteError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let RouteError::Level { level, least } = self;
-        write!(f, "level {level} is asked for, but a matching topic may have only {least}")
+        let RouteError::Level { level, min_levels } = self;
+        write!(f, "level {level} is asked for, but a matching topic may have only {min_levels}")
     }
 }
 
@@ -44,7 +44,7 @@
 impl Route {
     /// Whether a topic gives the same call by this route as by `other`.
     #[must_use]
-    pub fn does_as(&self, other: &Route) -> bool {
+    pub fn is_equivalent(&self, other: &Route) -> bool {
         (self.class, &self.tenant, &self.function, &self.key)
             == (other.class, &other.tenant, &other.function, &other.key)
     }
@@ -56,9 +56,9 @@
     pub fn check(&self) -> Result<(), RouteError> {
         let templates = [Some(&self.function), self.tenant.as_ref(), self.key.as_ref()];
         let level = templates.into_iter().flatten().map(Template::highest_level).max().unwrap_or(0);
-        let least = self.filter.least_levels();
-        if level > least {
-            return Err(RouteError::Level { level, least });
+        let min_levels = self.filter.min_levels();
+        if level > min_levels {
+            return Err(RouteError::Level { level, min_levels });
         }
         Ok(())
     }
@@ -93,7 +93,7 @@
         let is_idempotent = self.safe.contains(&route.class);
         let agrees_with = |other: &Route| match is_idempotent {
             true => other.class == route.class,
-            false => other.does_as(route),
+            false => other.is_equivalent(route),
         };
         let agrees = |routes: &Vec<Route>| first_match(routes, topic).is_some_and(agrees_with);
         self.others.iter().all(agrees).then_some(route)
--- a/crates/mqtt/src/topics.rs
+++ b/crates/mqtt/src/topics.rs
@@ -85,7 +85,7 @@
 
     /// The number of levels that every matching topic has at least.
     #[must_use]
-    pub fn least_levels(&self) -> usize {
+    pub fn min_levels(&self) -> usize {
         self.levels.iter().filter(|level| **level != Level::Rest).count()
     }
 }
