--- /dev/null
+++ b/src/api/settings.rs
@@ -0,0 +1,236 @@
+//! Configuration of the balancer: request classes, tenants, loading, limits and the rules' parameters.
+
+use super::ids::{Micros, ZoneId};
+
+/// The workers that share duplicate detection for an idempotency key.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Group {
+    /// Every worker.
+    #[default]
+    All,
+    /// Those of one zone.
+    Zone,
+    /// Those of one cell.
+    Cell,
+}
+
+/// Whether a request is idempotent.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Effect {
+    /// Idempotent: may be repeated without limit.
+    #[default]
+    Safe,
+    /// Idempotent with a key: a group of workers drops repeats for a limited time.
+    Keyed {
+        /// The workers that drop repeats.
+        group: Group,
+        /// How long repeats are dropped, counted from the first send.
+        memory: Micros,
+    },
+    /// Non-idempotent: must not run twice.
+    Unsafe,
+}
+
+/// A request class.
+#[derive(Clone, Debug)]
+pub struct Class {
+    /// Latency objective: a response within this time has the full value.
+    pub latency_objective: Micros,
+    /// The objective is extended by this factor times the request's own work.
+    pub objective_stretch: f64,
+    /// How long a client waits over all its attempts.
+    pub deadline: Micros,
+    /// Value of a response within the objective.
+    pub priority_weight: f64,
+    /// Fraction of the value that a late response keeps.
+    pub late_value: f64,
+    /// Whether the request is idempotent.
+    pub effect: Effect,
+    /// Whether the response is a stream.
+    pub stream: bool,
+}
+
+impl Default for Class {
+    fn default() -> Self {
+        Class {
+            latency_objective: Micros(1_000_000),
+            objective_stretch: 0.0,
+            deadline: Micros(3_000_000),
+            priority_weight: 1.0,
+            late_value: 0.0,
+            effect: Effect::Unsafe,
+            stream: false,
+        }
+    }
+}
+
+/// A tenant and its quota.
+#[derive(Clone, Debug, Default)]
+pub struct Tenant {
+    /// Quota in requests per second over all routers; 0 means no quota.
+    pub quota_per_s: f64,
+}
+
+/// How functions are loaded at this site.
+#[derive(Clone, Debug, Default)]
+pub struct Loading {
+    /// A worker that lacks the function loads it while the request waits there.
+    pub on_request: bool,
+    /// The router may request loads and unloads.
+    pub orders: bool,
+    /// Minimum time an idle copy stays loaded.
+    pub keep: Micros,
+    /// Timeout of a load request.
+    pub order_timeout: Micros,
+    /// Window of the load request quota; 0 disables the quota.
+    pub ration_window: Micros,
+    /// Load requests allowed per window regardless of traffic.
+    pub ration_free: f64,
+    /// Additional load requests per request accepted in the window.
+    pub ration_share: f64,
+    /// Memory of each kind of worker, in MB.
+    pub kind_memory_mb: Vec<f64>,
+    /// Score cost of holding all memory idle for a day.
+    pub memory_price: f64,
+}
+
+/// What the site allows a router to do.
+#[derive(Clone, Debug)]
+pub struct Limits {
+    /// Attempts may be cancelled.
+    pub cancel: bool,
+    /// Workers may be probed.
+    pub probes: bool,
+    /// Hedged requests: two attempts of one request may be in flight together.
+    pub second_copies: bool,
+    /// Refusals may carry a retry-after time.
+    pub retry_after: bool,
+    /// The longest retry-after time.
+    pub max_retry_after: Micros,
+    /// Maximum attempts for one request.
+    pub max_attempts: usize,
+}
+
+impl Default for Limits {
+    fn default() -> Self {
+        Limits {
+            cancel: true,
+            probes: true,
+            second_copies: false,
+            retry_after: false,
+            max_retry_after: Micros(0),
+            max_attempts: 3,
+        }
+    }
+}
+
+/// Parameters of the site's rules.
+#[derive(Clone, Debug)]
+pub struct Rules {
+    /// How long after the client's deadline a final response still counts.
+    pub answer_slack: Micros,
+    /// How long after a drain notification work may still be sent.
+    pub drain_grace: Micros,
+    /// Maximum interval between list requests where the list has to be requested.
+    pub ask_within: Micros,
+    /// Fraction of its capacity that a worker has right after its start.
+    pub start_capacity: f64,
+    /// Time after which a started worker has its full capacity.
+    pub warm_within: Micros,
+    /// A worker fails if sent more than this multiple of its present capacity
+    pub fall_multiple: f64,
+    /// for this long.
+    pub fall_window: Micros,
+}
+
+impl Default for Rules {
+    fn default() -> Self {
+        Rules {
+            answer_slack: Micros(5_000),
+            drain_grace: Micros(0),
+            ask_within: Micros(10_000_000),
+            start_capacity: 0.1,
+            warm_within: Micros(20_000_000),
+            fall_multiple: 1.0,
+            fall_window: Micros(1_000_000),
+        }
+    }
+}
+
+/// Meaning of the weights in the worker list.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Weights {
+    /// Weights carry no meaning; all workers are equal.
+    #[default]
+    None,
+    /// The registered size, exactly or roughly.
+    Size,
+    /// The size divided by a recent load.
+    Live,
+}
+
+/// Source of the workers' load reports.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum LoadReportSource {
+    /// No reports.
+    #[default]
+    None,
+    /// Responses and probes carry reports.
+    Answers,
+    /// Only probe responses carry reports.
+    Probes,
+}
+
+/// Configuration of one router.
+#[derive(Clone, Debug)]
+pub struct Settings {
+    /// Routers of this tier, this one included.
+    pub routers: usize,
+    /// This router's zone.
+    pub zone: ZoneId,
+    /// Timer resolution of the router.
+    pub step: Micros,
+    /// The request classes.
+    pub classes: Vec<Class>,
+    /// The tenants, if any.
+    pub tenants: Vec<Tenant>,
+    /// Value of a request over its tenant's quota, as a fraction of the usual.
+    pub over_quota_weight: f64,
+    /// Priority weights are per unit of work, not per request.
+    pub worth_by_work: bool,
+    /// The worker list has to be requested.
+    pub must_ask: bool,
+    /// Meaning of the workers' weights.
+    pub weights: Weights,
+    /// Source of load reports.
+    pub reports: LoadReportSource,
+    /// How functions are loaded.
+    pub loading: Loading,
+    /// What the site allows.
+    pub limits: Limits,
+    /// Parameters of the site's rules.
+    pub rules: Rules,
+    /// Score cost of one probe or load request per request.
+    pub probe_price: f64,
+}
+
+impl Default for Settings {
+    fn default() -> Self {
+        Settings {
+            routers: 1,
+            zone: ZoneId(0),
+            step: Micros(1_000),
+            classes: Vec::new(),
+            tenants: Vec::new(),
+            over_quota_weight: 1.0,
+            worth_by_work: false,
+            must_ask: false,
+            weights: Weights::None,
+            reports: LoadReportSource::None,
+            loading: Loading { orders: true, keep: Micros(8_000_000), ..Loading::default() },
+            limits: Limits::default(),
+            rules: Rules::default(),
+            probe_price: 0.0,
+        }
+    }
+}
