--- /dev/null
+++ b/src/balancer/admission.rs
@@ -0,0 +1,196 @@
+//! Admission control: whether a new request is accepted or shed, by priority, quota and expected queue delay.
+
+use super::dispatch::OpenRequest;
+use super::membership::Worker;
+use super::statistics::*;
+use super::Balancer;
+use crate::api::*;
+
+/// Fraction of the latency objective that the expected delay may take, for the lowest and the highest priority.
+const DELAY_TOLERANCE_LOWEST: f64 = 0.35;
+const DELAY_TOLERANCE_HIGHEST: f64 = 0.8;
+/// Increase of the shed probability with each late response, decrease with each timely one, and its upper limit.
+const SHED_INCREASE_PER_LATE: f64 = 0.04;
+const SHED_DECREASE_PER_TIMELY: f64 = 0.01;
+const SHED_PROBABILITY_MAX: f64 = 0.8;
+/// A request is shed with the shed probability times this less its priority rank: the lowest rank first.
+const SHED_RANK_OFFSET: f64 = 1.25;
+/// Factor of the shed probability for requests that exceed their tenant's quota.
+const SHED_FACTOR_OVER_QUOTA: f64 = 2.0;
+/// Factor of the tolerated delay for requests that exceed their tenant's quota.
+const DELAY_FACTOR_OVER_QUOTA: f64 = 0.35;
+/// Attempts in flight for longer than this, in latency objectives, are lost rather than queued.
+const LOST_AFTER_OBJECTIVES: f64 = 1.0;
+/// From so many consecutive failures on, attempts at a worker are not counted as a queue.
+const STALLED_WORKER_FAILURES: u32 = 2;
+/// Unused quota is kept for this long, in seconds.
+const QUOTA_BURST_SECS: f64 = 2.0;
+
+/// What is left of a tenant's quota at this router.
+#[derive(Clone, Default)]
+struct QuotaBudget {
+    /// Requests that may be sent within the quota; negative after some beyond it.
+    tokens: f64,
+    updated_at: Micros,
+}
+
+/// State of the admission control.
+#[derive(Default)]
+pub(super) struct Admission {
+    /// Probability with which requests are shed because responses were late.
+    shed_probability: f64,
+    /// One budget for each tenant.
+    quotas: Vec<QuotaBudget>,
+    /// Time of the first event.
+    started_at: Option<Micros>,
+}
+
+impl Admission {
+    /// Full admission, with an empty budget for each tenant.
+    pub(super) fn new(tenants: usize) -> Self {
+        Admission { quotas: vec![QuotaBudget::default(); tenants], ..Admission::default() }
+    }
+
+    /// Sets the time of the first event.
+    pub(super) fn start(&mut self, now: Micros) {
+        self.started_at.get_or_insert(now);
+    }
+
+    /// Changes the number of tenants; those that remain keep their budgets.
+    pub(super) fn resize(&mut self, tenants: usize) {
+        self.quotas.resize(tenants, QuotaBudget::default());
+    }
+
+    /// Adapts the shed probability after a response.
+    pub(super) fn count_response(&mut self, is_late: bool) {
+        let change = if is_late { SHED_INCREASE_PER_LATE } else { -SHED_DECREASE_PER_TIMELY };
+        self.shed_probability = (self.shed_probability + change).clamp(0.0, SHED_PROBABILITY_MAX);
+    }
+}
+
+impl Balancer {
+    /// Accepts a new request and dispatches it, or sheds it. A request that is already open is ignored.
+    pub(super) fn accept_request(&mut self, request: Request, out: &mut Vec<Action>) {
+        if self.requests.open.contains_key(&request.id) {
+            return;
+        }
+        self.decay_load_rate();
+        self.retry.refill();
+        self.probing.refill(self.settings.probe_price);
+        self.statistics.requests.add(self.now, SHARE_WINDOW_SECS, 1.0);
+        self.count_call(&request);
+        self.refresh_offered_load();
+        let id = request.id;
+        let class_work = self.statistics.class_work_secs.get_mut(request.class.0);
+        if let (Some(mean), Some(work)) = (class_work, request.work) {
+            let work_secs = to_secs(work).clamp(LATENCY_MIN_SECS, WORK_HINT_MAX_SECS);
+            update_mean(mean, work_secs, WORK_LEARNING_RATE);
+        }
+        let open = OpenRequest::new(request, self.now);
+        let is_shed = self.should_shed(&open);
+        self.requests.open.insert(id, open);
+        if is_shed {
+            self.finish_unserved(id, out);
+        } else {
+            self.dispatch(id, out);
+        }
+    }
+
+    /// The settings of the request's class; the most careful ones for a class that the settings lack.
+    pub(super) fn class(&self, open: &OpenRequest) -> &Class {
+        self.settings.classes.get(open.request.class.0).unwrap_or(&self.unknown_class)
+    }
+
+    /// Mean work of the request's class, in seconds.
+    pub(super) fn class_work(&self, open: &OpenRequest) -> f64 {
+        let class_work = self.statistics.class_work_secs.get(open.request.class.0);
+        class_work.copied().unwrap_or(WORK_DEFAULT_SECS)
+    }
+
+    /// Priority of the class's work relative to the highest, from 0 to 1.
+    fn priority_rank(&self, open: &OpenRequest) -> f64 {
+        let density = |class: &Class, work_secs: f64| {
+            if self.settings.worth_by_work {
+                class.priority_weight
+            } else {
+                class.priority_weight / work_secs.max(1e-3)
+            }
+        };
+        let classes = self.settings.classes.iter().zip(&self.statistics.class_work_secs);
+        let highest = classes.map(|(class, work)| density(class, *work)).fold(1e-9, f64::max);
+        (density(self.class(open), self.class_work(open)) / highest).clamp(0.0, 1.0)
+    }
+
+    /// Delay that the request tolerates, as a fraction of its latency objective.
+    pub(super) fn delay_tolerance(&self, open: &OpenRequest) -> f64 {
+        DELAY_TOLERANCE_LOWEST + (DELAY_TOLERANCE_HIGHEST - DELAY_TOLERANCE_LOWEST) * self.priority_rank(open)
+    }
+
+    /// Counts the request against its tenant's quota; true if it exceeds this router's share of the quota.
+    fn exceeds_quota(&mut self, open: &OpenRequest) -> bool {
+        let Some(TenantId(index)) = open.request.tenant else { return false };
+        let Some(budget) = self.admission.quotas.get_mut(index) else { return false };
+        let Some(tenant) = self.settings.tenants.get(index) else { return false };
+        let share_per_s = tenant.quota_per_s / self.settings.routers.max(1) as f64;
+        let age_secs = to_secs(since(self.now, budget.updated_at));
+        let refill = share_per_s * age_secs.clamp(0.0, QUOTA_BURST_SECS);
+        budget.tokens = (budget.tokens + refill).min(QUOTA_BURST_SECS * share_per_s).max(0.0) - 1.0;
+        budget.updated_at = self.now;
+        budget.tokens < 0.0 && share_per_s > 0.0
+    }
+
+    /// Whether the response to a new request would be late: with many attempts in flight by Little's law, with few by
+    /// the fraction of late responses. Low priorities and requests over quota are shed first.
+    fn should_shed(&mut self, open: &OpenRequest) -> bool {
+        let over_quota = self.exceeds_quota(open);
+        let rank = self.priority_rank(open);
+        let quota_factor = if over_quota { SHED_FACTOR_OVER_QUOTA } else { 1.0 };
+        let probability = self.admission.shed_probability * (SHED_RANK_OFFSET - rank).max(0.0) * quota_factor;
+        if unit_interval(hash_bits(self.hash_seed ^ hash_bits(!open.request.id.0))) < probability {
+            return true;
+        }
+        let tolerance = self.delay_tolerance(open) * if over_quota { DELAY_FACTOR_OVER_QUOTA } else { 1.0 };
+        let age_secs = self.admission.started_at.map_or(0.0, |start| to_secs(since(self.now, start)));
+        let queue_limit =
+            tolerance * to_secs(self.class(open).latency_objective) * self.response_rate(age_secs);
+        // All attempts in flight are at least those at responsive workers: few need no closer count.
+        if age_secs <= RESPONSE_RATE_WINDOW_SECS || (self.requests.in_flight + 1) as f64 <= queue_limit {
+            return false;
+        }
+        self.queue_exceeds(open, queue_limit)
+    }
+
+    /// Successful responses per second; corrected while the router is younger than the window.
+    fn response_rate(&self, age_secs: f64) -> f64 {
+        let responses = self.statistics.responses.at(self.now, RESPONSE_RATE_WINDOW_SECS);
+        let window_filled = (1.0 - (-age_secs / RESPONSE_RATE_WINDOW_SECS).exp()).max(0.1);
+        responses / RESPONSE_RATE_WINDOW_SECS / window_filled
+    }
+
+    /// Whether the attempts in flight at responsive workers exceed the limit.
+    fn queue_exceeds(&self, open: &OpenRequest, queue_limit: f64) -> bool {
+        // Attempts at stalled workers do not delay others: a silent zone must not stop the rest.
+        let class = open.request.class.0;
+        let is_responsive = |worker: &&Worker| {
+            let record = worker.failure_record(class, self.now);
+            record.consecutive_failures < STALLED_WORKER_FAILURES || record.is_overload
+        };
+        let responsive = || self.membership.workers.values().filter(is_responsive);
+        let in_flight: usize = responsive().map(|worker| worker.in_flight).sum();
+        let exceeds =
+            |in_flight: usize| in_flight > responsive().count() && (in_flight + 1) as f64 > queue_limit;
+        exceeds(in_flight) && exceeds(in_flight.saturating_sub(self.lost_attempts()))
+    }
+
+    /// Attempts in flight for longer than their objective. Where responses are lost they never end, and counted as a
+    /// queue they would cause refusals, a lower response rate and further refusals.
+    fn lost_attempts(&self) -> usize {
+        let lost_in = |open: &OpenRequest| {
+            let limit_secs = LOST_AFTER_OBJECTIVES * to_secs(self.class(open).latency_objective);
+            let in_flight = open.attempts.iter().filter(|attempt| attempt.outcome.is_none());
+            let queued = in_flight.filter(|attempt| !attempt.waits_for_load);
+            queued.filter(|attempt| to_secs(since(self.now, attempt.sent_at)) > limit_secs).count()
+        };
+        self.requests.open.values().map(lost_in).sum()
+    }
+}
--- /dev/null
+++ b/src/balancer/membership.rs
@@ -0,0 +1,209 @@
+//! The workers: the worker list, its updates, and the state kept for each worker.
+
+use super::outlier::FailureRecord;
+use super::statistics::{after, since};
+use super::Balancer;
+use crate::api::*;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Requests for the list are repeated after the maximum interval of the rules divided by this.
+const LIST_REQUESTS_PER_INTERVAL: i64 = 5;
+/// Weights up to this are taken for invalid.
+const WEIGHT_MIN: f64 = 1e-6;
+/// Greater weights are reduced to this.
+const WEIGHT_MAX: f64 = 1e6;
+
+/// A worker's queue length as it reported it.
+#[derive(Clone, Copy)]
+pub(super) struct QueueReport {
+    /// When the report was received.
+    pub(super) received_at: Micros,
+    /// Waiting requests.
+    pub(super) requests: f64,
+}
+
+/// Work sent to a worker with one attempt.
+pub(super) struct SentWork {
+    pub(super) sent_at: Micros,
+    /// Mean work of the request's class, in seconds.
+    pub(super) work_secs: f64,
+}
+
+/// What this router knows of one worker.
+#[derive(Default)]
+pub(super) struct Worker {
+    pub(super) entry: WorkerEntry,
+    /// When its process last started, as far as listed.
+    pub(super) started_at: Option<Micros>,
+    /// This router's attempts in flight there, those that wait for a load left out.
+    pub(super) in_flight: usize,
+    /// Failures of its connections.
+    pub(super) connection_failures: FailureRecord,
+    /// Failures of each request class.
+    pub(super) class_failures: Vec<FailureRecord>,
+    /// When it last completed an attempt successfully.
+    pub(super) last_success: Micros,
+    /// Mean ratio of its latency to the service time of the functions called.
+    pub(super) latency_ratio: f64,
+    /// Load that the ring assigns to it, in units of a mean worker's load; kept while workers warm up.
+    pub(super) offered_load: f64,
+    /// When a response of any kind was last received from it.
+    pub(super) last_contact: Option<Micros>,
+    /// Its last reported queue length.
+    pub(super) reported_queue: Option<QueueReport>,
+    /// When the probe in flight was sent, if there is one.
+    pub(super) probe_sent_at: Option<Micros>,
+    /// Requests that wait for the probe in flight.
+    pub(super) awaiting_probe: Vec<RequestId>,
+    /// Work sent within the window of the slow-start budget, in order of time.
+    pub(super) recent_work: VecDeque<SentWork>,
+}
+
+impl Worker {
+    /// A worker without history, with an empty failure record for each class.
+    pub(super) fn new(entry: WorkerEntry, class_count: usize) -> Self {
+        let class_failures = vec![FailureRecord::default(); class_count];
+        Worker { entry, latency_ratio: 1.0, class_failures, ..Worker::default() }
+    }
+
+    /// Adds work sent now and removes what is older than the window of the slow-start budget.
+    pub(super) fn add_recent_work(&mut self, now: Micros, work_secs: f64, window: Micros) {
+        self.recent_work.push_back(SentWork { sent_at: now, work_secs });
+        // The entries are in order of time; checking each would dominate the cost of a call.
+        while self.recent_work.front().is_some_and(|work| since(now, work.sent_at) > window) {
+            self.recent_work.pop_front();
+        }
+    }
+
+    /// Whether the worker list allows new work there.
+    pub(super) fn is_ready(&self) -> bool {
+        self.entry.state == WorkerState::Ready
+    }
+}
+
+/// The worker list and the subscription to it.
+#[derive(Default)]
+pub(super) struct Membership {
+    pub(super) workers: BTreeMap<WorkerId, Worker>,
+    /// Number of distinct zones of the workers.
+    pub(super) zone_count: usize,
+    /// Whether updates of the list arrive without a request.
+    subscribed: bool,
+    /// When the list was last requested.
+    requested_at: Option<Micros>,
+}
+
+impl Balancer {
+    /// Applies an update of the worker list. If the list was not available, the current one stays.
+    pub(super) fn update_membership(&mut self, listing: Listing) {
+        // Where the list has to be requested, a failed request or a lost subscription is repeated later.
+        self.membership.subscribed = matches!(listing.scope, Scope::Changes | Scope::Full);
+        if listing.scope == Scope::Refused {
+            return;
+        }
+        // The weights on the ring before the update, to find the arcs that change.
+        let mut changed: BTreeMap<WorkerId, Option<f64>> = BTreeMap::new();
+        if listing.scope != Scope::Changes {
+            self.remove_unlisted_workers(&listing.entries, &mut changed);
+        }
+        for entry in listing.entries {
+            let before = self.current_ring_weight(entry.id);
+            changed.entry(entry.id).or_insert(before);
+            self.apply_entry(entry);
+        }
+        let workers = &self.membership.workers;
+        let functions = self.placement.functions.values_mut();
+        functions.for_each(|function| function.replicas.retain(|id, _| workers.contains_key(id)));
+        self.recount_in_flight();
+        self.reset_warm_up_end();
+        let zones = self.membership.workers.values().map(|worker| worker.entry.zone.0);
+        self.membership.zone_count = zones.collect::<BTreeSet<_>>().len();
+        changed.retain(|id, before| self.current_ring_weight(*id) != *before);
+        self.update_ring(&changed);
+        self.update_offered_load();
+    }
+
+    fn current_ring_weight(&self, id: WorkerId) -> Option<f64> {
+        self.membership.workers.get(&id).and_then(|worker| self.ring_weight(worker))
+    }
+
+    /// Removes the workers that a complete list does not contain; their weights are added to `changed`.
+    fn remove_unlisted_workers(
+        &mut self,
+        entries: &[WorkerEntry],
+        changed: &mut BTreeMap<WorkerId, Option<f64>>,
+    ) {
+        let listed: BTreeSet<WorkerId> = entries.iter().map(|entry| entry.id).collect();
+        let removed = self.membership.workers.iter().filter(|(id, _)| !listed.contains(id));
+        changed.extend(removed.map(|(id, worker)| (*id, self.ring_weight(worker))));
+        self.membership.workers.retain(|id, _| listed.contains(id));
+    }
+
+    fn apply_entry(&mut self, entry: WorkerEntry) {
+        let id = entry.id;
+        if entry.state == WorkerState::Gone {
+            self.membership.workers.remove(&id);
+            return;
+        }
+        let class_count = self.settings.classes.len();
+        let new_worker = || Worker::new(entry.clone(), class_count);
+        let worker = self.membership.workers.entry(id).or_insert_with(new_worker);
+        // A restart under the same id has no copies and no history, but its probe and its budget go on.
+        if entry.up_since > worker.entry.up_since {
+            let recent_work = std::mem::take(&mut worker.recent_work);
+            let (started_at, probe_sent_at) = (worker.started_at, worker.probe_sent_at);
+            *worker = Worker { recent_work, started_at, probe_sent_at, ..new_worker() };
+            let functions = self.placement.functions.values_mut();
+            functions.for_each(|function| function.replicas.retain(|other, _| *other != id));
+        }
+        worker.started_at = worker.started_at.max(entry.up_since);
+        worker.entry = entry;
+    }
+
+    /// Counts the attempts in flight at each worker anew, as workers may have been added or restarted.
+    fn recount_in_flight(&mut self) {
+        self.membership.workers.values_mut().for_each(|worker| worker.in_flight = 0);
+        self.requests.in_flight = 0;
+        for attempt in self.requests.open.values().flat_map(|open| &open.attempts) {
+            if attempt.outcome.is_some() || attempt.waits_for_load {
+                continue;
+            }
+            if let Some(worker) = self.membership.workers.get_mut(&attempt.worker) {
+                worker.in_flight += 1;
+                self.requests.in_flight += 1;
+            }
+        }
+    }
+
+    /// Whether the worker list has to be requested because no subscription delivers it.
+    pub(super) fn needs_subscription(&self) -> bool {
+        self.settings.must_ask && !self.membership.subscribed
+    }
+
+    /// Requests the worker list if that is needed and the last request is long enough ago.
+    pub(super) fn subscribe_if_due(&mut self, out: &mut Vec<Action>) {
+        let interval = self.settings.rules.ask_within.0 / LIST_REQUESTS_PER_INTERVAL;
+        let is_due = self.membership.requested_at.is_none_or(|sent| since(self.now, sent).0 > interval);
+        if self.needs_subscription() && is_due {
+            self.membership.requested_at = Some(self.now);
+            out.push(Action::Subscribe);
+        }
+    }
+
+    /// The weight of a worker beside others; 1 where the settings give weights no meaning.
+    pub(super) fn weight(&self, worker: &Worker) -> f64 {
+        let weight = worker.entry.weight;
+        match self.settings.weights {
+            Weights::Size if weight.is_finite() && weight > WEIGHT_MIN => weight.min(WEIGHT_MAX),
+            _ => 1.0,
+        }
+    }
+
+    /// Sets when the last started worker has warmed up; the total weight is then summed up once.
+    fn reset_warm_up_end(&mut self) {
+        let warm_within = self.settings.rules.warm_within;
+        let started = self.membership.workers.values().filter_map(|worker| worker.started_at);
+        let end = started.map(|start| after(start, warm_within)).max();
+        self.slow_start.reset(end.unwrap_or(self.now));
+    }
+}
--- /dev/null
+++ b/src/balancer/placement.rs
@@ -0,0 +1,466 @@
+//! Placement: which functions are loaded where, how many workers serve each, and the requests to load them.
+
+use super::dispatch::{Attempt, OpenRequest};
+use super::membership::Worker;
+use super::statistics::*;
+use super::{Balancer, TICK_INTERVAL};
+use crate::api::*;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Load of one function, in units of a mean worker's load, from which on one more worker serves it.
+const LOAD_PER_REPLICA: f64 = 0.25;
+/// Calls that a copy should receive from all routers within the time it stays loaded, so that it is not unloaded.
+const CALLS_PER_RETENTION: f64 = 3.0;
+/// Calls assumed before the first, so that the first function seen is not taken for the whole load.
+const SHARE_PRIOR_CALLS: f64 = 30.0;
+/// Functions remembered at most; the one unused longest is removed first.
+const FUNCTIONS_MAX: usize = 4096;
+/// Load time of a function until it is known, in seconds.
+pub(super) const LOAD_TIME_DEFAULT_SECS: f64 = 0.7;
+/// Service time of a function until it is known, in seconds.
+pub(super) const SERVICE_TIME_DEFAULT_SECS: f64 = 0.15;
+/// Shortest and longest load time accepted from a request, in seconds.
+const LOAD_TIME_HINT_MIN_SECS: f64 = 0.01;
+const LOAD_TIME_HINT_MAX_SECS: f64 = 10.0;
+/// Shortest and longest load time learned, in seconds.
+const LOAD_TIME_MIN_SECS: f64 = 0.05;
+const LOAD_TIME_MAX_SECS: f64 = 5.0;
+/// Weight of one call that waited for a load, and of one completed load request, in the mean load time.
+const LOAD_TIME_CALL_RATE: f64 = 0.1;
+const LOAD_TIME_REQUEST_RATE: f64 = 0.2;
+/// Weight of a call in the mean service time: more where it was shorter, as such calls met no queue.
+const SERVICE_TIME_DECREASE_RATE: f64 = 0.2;
+const SERVICE_TIME_INCREASE_RATE: f64 = 0.02;
+/// Shortest service time that latencies are compared with, in seconds.
+const SERVICE_TIME_MIN_SECS: f64 = 1e-3;
+/// Weight of a call in a worker's mean latency ratio, and the limits of one call's ratio.
+const LATENCY_RATIO_RATE: f64 = 0.1;
+const LATENCY_RATIO_MIN: f64 = 0.1;
+const LATENCY_RATIO_MAX: f64 = 10.0;
+/// Probability, as lately observed, from which on calls rely on copies that only other routers keep loaded.
+pub(super) const ASSUMED_LOADED_THRESHOLD: f64 = 0.5;
+/// Weight of one observation in that probability.
+const ASSUMED_LOADED_RATE: f64 = 0.05;
+/// Fraction of a load time that a call to an assumed copy may take beyond its service time and still count as found.
+const ASSUMED_LOADED_LOAD_FRACTION: f64 = 0.5;
+/// A load request completed sooner than this, in seconds, found its copies loaded.
+const ALREADY_LOADED_SECS: f64 = 0.06;
+/// Factor of the replica scale for each copy found, for each copy found missing, and its lower limit.
+const REPLICA_SCALE_GROWTH: f64 = 1.03;
+const REPLICA_SCALE_SHRINK: f64 = 0.93;
+const REPLICA_SCALE_MIN: f64 = 0.2;
+/// Limits of the ratio of one load's time to the usual time.
+const LOAD_TIME_INFLATION_MIN: f64 = 0.5;
+const LOAD_TIME_INFLATION_MAX: f64 = 20.0;
+/// Weight of one load in the mean inflation.
+const LOAD_TIME_INFLATION_RATE: f64 = 0.2;
+/// Pending loads at fewer workers than this count as if there were so many: one worker may be stalled.
+const LOAD_TIME_INFLATION_MIN_WORKERS: usize = 3;
+/// Weight of a load and of a request in the mean number of loads per request.
+const LOAD_RATE_INCREMENT: f64 = 0.01;
+const LOAD_RATE_DECAY: f64 = 0.99;
+/// Wait after a load request found no room, doubled in a row up to `NO_ROOM_DOUBLINGS_MAX` times.
+const NO_ROOM_DELAY_BASE: Micros = Micros(1_000_000);
+const NO_ROOM_DOUBLINGS_MAX: u32 = 3;
+/// Wait after a call that needed a load was rejected for lack of room: twice the first overload ejection.
+const NO_ROOM_CALL_DELAY: Micros = Micros(super::outlier::OVERLOAD_EJECTION_BASE.0 * 2);
+/// Wait after a load request failed.
+const LOAD_FAILED_DELAY: Micros = Micros(300_000);
+/// Copies that one load request may ask for.
+const COPIES_MAX: u32 = 16;
+/// Misses of one request that show that other routers do not keep the function loaded, where several workers serve
+/// it; one is enough where a single worker does.
+const CONFIRMING_MISSES: usize = 2;
+
+/// What is known of the copies of one function at one worker.
+#[derive(Clone, Default)]
+pub(super) struct Replica {
+    /// This router's attempts in flight there.
+    pub(super) in_flight: usize,
+    /// When a copy was last observed to be loaded, and to be missing.
+    pub(super) last_loaded: Option<Micros>,
+    last_missing: Option<Micros>,
+    /// Loaded copies.
+    pub(super) copies: u32,
+    /// When the pending load request was sent.
+    pub(super) load_requested_at: Option<Micros>,
+    /// When the load in progress is expected to be complete.
+    pub(super) load_expected_at: Option<Micros>,
+    /// No further load request before this.
+    pub(super) no_load_before: Micros,
+    /// Load requests in a row that found no room.
+    no_room_count: u32,
+}
+
+/// What is known of one function.
+#[derive(Default)]
+pub(super) struct Function {
+    /// Calls that one copy runs at a time.
+    pub(super) concurrency: usize,
+    /// Mean time of a load.
+    pub(super) load_time_secs: f64,
+    /// Mean time of a call that meets no queue.
+    pub(super) service_time_secs: f64,
+    /// Calls over `SHARE_WINDOW_SECS`.
+    calls: DecayingCounter,
+    /// Whether any worker completed a call successfully.
+    pub(super) was_served: bool,
+    pub(super) replicas: BTreeMap<WorkerId, Replica>,
+}
+
+/// The functions and the state of their loading.
+#[derive(Default)]
+pub(super) struct Placement {
+    pub(super) functions: BTreeMap<FunctionId, Function>,
+    /// Mean number of loads per request.
+    pub(super) load_rate: f64,
+    /// Mean ratio of load times to the usual ones at present.
+    pub(super) load_time_inflation: f64,
+    /// How often calls lately found a copy that only other routers could have kept loaded.
+    assumed_loaded_probability: f64,
+    /// Factor of the replica count; below 1 while copies are found missing.
+    replica_scale: f64,
+    /// Times of the load requests within the window of the quota.
+    load_request_times: VecDeque<Micros>,
+    /// Times of the requests accepted within the window of the quota.
+    request_times: VecDeque<Micros>,
+    /// Load requests in flight; they outlast the removal of a worker or function.
+    pending_loads: BTreeSet<(WorkerId, FunctionId)>,
+}
+
+impl Placement {
+    /// The state before the first request. A router without peers relies on no copies of others.
+    pub(super) fn new(routers: usize) -> Self {
+        let assumed_loaded_probability = ASSUMED_LOADED_THRESHOLD * routers.saturating_sub(1).min(1) as f64;
+        Placement {
+            assumed_loaded_probability,
+            replica_scale: 1.0,
+            load_time_inflation: 1.0,
+            ..Placement::default()
+        }
+    }
+}
+
+impl Balancer {
+    /// How many workers serve a function; 0 for one that is not known.
+    pub fn workers_serving(&self, function: FunctionId) -> usize {
+        self.placement.functions.get(&function).map_or(0, |function| self.replica_count(function))
+    }
+
+    /// On how many workers copies of a function are loaded, as far as this router has lately observed.
+    pub fn loaded_replicas(&self, function: FunctionId) -> usize {
+        let Some(function) = self.placement.functions.get(&function) else { return 0 };
+        function.replicas.values().filter(|replica| self.is_loaded(replica)).count()
+    }
+
+    /// Takes over the number of routers, this one included.
+    pub(super) fn update_router_count(&mut self, routers: usize) {
+        // Peers keep copies loaded that this router does not observe; a single router has none.
+        if (routers > 1) != (self.settings.routers > 1) {
+            self.placement.assumed_loaded_probability = ASSUMED_LOADED_THRESHOLD * indicator(routers > 1);
+        }
+        self.settings.routers = routers.max(1);
+    }
+
+    /// Counts a request for its function, which is added if it is new.
+    pub(super) fn count_call(&mut self, request: &Request) {
+        if self.settings.loading.ration_window.0 > 0 {
+            self.placement.request_times.push_back(self.now);
+        }
+        let new_function = Function {
+            load_time_secs: LOAD_TIME_DEFAULT_SECS,
+            service_time_secs: SERVICE_TIME_DEFAULT_SECS,
+            ..Function::default()
+        };
+        let function = self.placement.functions.entry(request.function).or_insert(new_function);
+        function.concurrency = request.concurrency.max(1);
+        function.calls.add(self.now, SHARE_WINDOW_SECS, 1.0);
+        if let (Some(load_time), true) = (request.load_time, function.replicas.is_empty()) {
+            function.load_time_secs =
+                to_secs(load_time).clamp(LOAD_TIME_HINT_MIN_SECS, LOAD_TIME_HINT_MAX_SECS);
+        }
+        if self.placement.functions.len() > FUNCTIONS_MAX {
+            self.remove_oldest_function(request.function);
+        }
+    }
+
+    /// Removes the function unused longest, other than `kept` and those with calls or loads in flight.
+    fn remove_oldest_function(&mut self, kept: FunctionId) {
+        let is_idle = |function: &Function| {
+            let mut replicas = function.replicas.values();
+            replicas.all(|replica| replica.in_flight == 0 && replica.load_requested_at.is_none())
+        };
+        let functions = self.placement.functions.iter();
+        let removable = functions.filter(|(id, function)| is_idle(function) && **id != kept);
+        let oldest = removable.min_by_key(|(id, function)| (function.calls.updated_at, **id));
+        if let Some(id) = oldest.map(|(id, _)| *id) {
+            self.placement.functions.remove(&id);
+        }
+    }
+
+    /// Reduces the mean number of loads per request by one request.
+    pub(super) fn decay_load_rate(&mut self) {
+        self.placement.load_rate *= LOAD_RATE_DECAY;
+    }
+
+    /// The load of a function in units of a mean worker's: its share of this router's calls times the number of
+    /// workers. Shares are the same at all routers but for chance.
+    pub(super) fn function_load(&self, function: &Function) -> f64 {
+        // The first function a new router sees is likely a popular one; one seen once among many is not.
+        let calls = self.statistics.requests.at(self.now, SHARE_WINDOW_SECS);
+        let chance = (calls / SHARE_PRIOR_CALLS).min(1.0);
+        let own = (function.calls.at(self.now, SHARE_WINDOW_SECS) - chance).max(0.0);
+        own / (calls + SHARE_PRIOR_CALLS) * self.membership.workers.len() as f64
+    }
+
+    /// How many workers clockwise serve a function: as its load needs, as long as the calls of all routers together
+    /// keep each copy loaded.
+    pub(super) fn replica_count(&self, function: &Function) -> usize {
+        let own_rate = function.calls.at(self.now, SHARE_WINDOW_SECS) / SHARE_WINDOW_SECS;
+        let total_rate = own_rate * self.settings.routers.max(1) as f64;
+        let kept_loaded = total_rate * to_secs(self.settings.loading.keep) / CALLS_PER_RETENTION;
+        let most = self.membership.workers.len().max(1) as f64;
+        let needed = self.function_load(function) / LOAD_PER_REPLICA * self.placement.replica_scale;
+        needed.min(kept_loaded).ceil().clamp(1.0, most) as usize
+    }
+
+    /// Whether a copy was observed within the time that it stays loaded.
+    pub(super) fn is_loaded(&self, replica: &Replica) -> bool {
+        replica.last_loaded.is_some_and(|time| since(self.now, time) < self.settings.loading.keep)
+    }
+
+    /// Whether a copy should be loaded: observed lately, or kept loaded by calls of other routers to the same workers,
+    /// as far as this router's own such calls found one often enough.
+    pub(super) fn is_likely_loaded(&self, replica: &Replica) -> bool {
+        let is_recent = |time: Micros| since(self.now, time) < self.settings.loading.keep;
+        self.is_loaded(replica)
+            || (self.placement.assumed_loaded_probability >= ASSUMED_LOADED_THRESHOLD
+                && !replica.last_missing.is_some_and(is_recent))
+    }
+
+    /// Whether the request's cache misses show that other routers do not keep the function loaded; only observed
+    /// copies count for it then.
+    pub(super) fn has_confirmed_misses(&self, open: &OpenRequest, replica_count: usize) -> bool {
+        let misses = open.attempts.iter().filter(|attempt| attempt.outcome == Some(Outcome::Miss));
+        misses.count() >= replica_count.min(CONFIRMING_MISSES)
+    }
+
+    /// Requests copies of a function at a worker, if the worker accepts work, the quota allows it and no load request
+    /// for the pair is in flight. Returns whether it was requested.
+    pub(super) fn request_load(
+        &mut self,
+        id: FunctionId,
+        worker: WorkerId,
+        copies: u32,
+        out: &mut Vec<Action>,
+    ) -> bool {
+        let is_ready = self.membership.workers.get(&worker).is_some_and(Worker::is_ready);
+        let Some(function) = self.placement.functions.get_mut(&id) else { return false };
+        let replica = function.replicas.entry(worker).or_default();
+        let is_pending = self.placement.pending_loads.contains(&(worker, id));
+        if !self.settings.loading.orders || !is_ready || is_pending || self.now < replica.no_load_before {
+            return false;
+        }
+        if !self.take_load_quota() {
+            return false;
+        }
+        self.placement.pending_loads.insert((worker, id));
+        let Some(function) = self.placement.functions.get_mut(&id) else { return false };
+        let replica = function.replicas.entry(worker).or_default();
+        replica.load_requested_at = Some(self.now);
+        if replica.load_expected_at.is_none() {
+            let expected = from_secs(function.load_time_secs * self.placement.load_time_inflation);
+            replica.load_expected_at = Some(after(self.now, expected));
+            self.placement.load_rate += LOAD_RATE_INCREMENT;
+        }
+        out.push(Action::Load { worker, function: id, copies: copies.clamp(1, COPIES_MAX) });
+        true
+    }
+
+    /// Takes one load request from the quota; false if the quota of the window is used up.
+    fn take_load_quota(&mut self) -> bool {
+        let (now, loading) = (self.now, &self.settings.loading);
+        if loading.ration_window.0 <= 0 {
+            return true;
+        }
+        let placement = &mut self.placement;
+        placement.load_request_times.retain(|time| since(now, *time) <= loading.ration_window);
+        // Requests at the window's edge may count or not: one tick is left out.
+        placement
+            .request_times
+            .retain(|time| since(now, *time).0 + TICK_INTERVAL.0 <= loading.ration_window.0);
+        let allowed = loading.ration_free + loading.ration_share * placement.request_times.len() as f64;
+        if placement.load_request_times.len() as f64 + 1.0 > allowed {
+            return false;
+        }
+        placement.load_request_times.push_back(now);
+        true
+    }
+
+    /// Prepares a function that is about to replace another (`like`): requests up to `limit` loads at the workers that
+    /// its calls will be sent to.
+    pub(super) fn preload(&mut self, id: FunctionId, like: FunctionId, limit: usize, out: &mut Vec<Action>) {
+        let Some(old) = self.placement.functions.get(&like) else { return };
+        let replica_count = self.replica_count(old);
+        let new_function = Function {
+            concurrency: old.concurrency,
+            load_time_secs: old.load_time_secs,
+            service_time_secs: old.service_time_secs,
+            ..Function::default()
+        };
+        self.placement.functions.entry(id).or_insert(new_function);
+        let mut remaining = limit;
+        for worker in self.ring_candidates(id, replica_count) {
+            let function = self.placement.functions.get(&id);
+            let replica = function.and_then(|function| function.replicas.get(&worker));
+            let is_loaded = replica.is_some_and(|replica| self.is_loaded(replica));
+            if remaining > 0 && !is_loaded && self.request_load(id, worker, 1, out) {
+                remaining -= 1;
+            }
+        }
+    }
+
+    /// Counts an attempt as in flight at the replica; one that loads the function on arrival starts a load.
+    pub(super) fn add_replica_attempt(&mut self, id: FunctionId, worker: WorkerId, waits_for_load: bool) {
+        let Some(function) = self.placement.functions.get_mut(&id) else { return };
+        let replica = function.replicas.entry(worker).or_default();
+        replica.in_flight += 1;
+        if waits_for_load && replica.load_expected_at.is_none() && self.settings.loading.on_request {
+            replica.load_expected_at = Some(after(self.now, from_secs(function.load_time_secs)));
+            self.placement.load_rate += LOAD_RATE_INCREMENT;
+        }
+    }
+
+    /// Learns from a completed attempt about the copies at the worker and the function's service time.
+    pub(super) fn learn_from_attempt(&mut self, id: FunctionId, answer: &Answer, attempt: &Attempt) {
+        let Some(function) = self.placement.functions.get_mut(&id) else { return };
+        let replica = function.replicas.entry(attempt.worker).or_default();
+        replica.in_flight = replica.in_flight.saturating_sub(1);
+        match answer.outcome {
+            Outcome::Ok => {
+                replica.last_loaded = Some(self.now);
+                replica.copies = replica.copies.max(1);
+                replica.load_expected_at = None;
+                function.was_served = true;
+                self.learn_from_success(id, answer, attempt);
+            }
+            // A copy was unloaded, replaced by a new version or lost in a restart.
+            Outcome::Miss => {
+                (replica.last_loaded, replica.last_missing, replica.copies) = (None, Some(self.now), 0);
+                replica.load_expected_at =
+                    replica.load_expected_at.filter(|_| replica.load_requested_at.is_some());
+                let placement = &mut self.placement;
+                placement.replica_scale =
+                    (placement.replica_scale * REPLICA_SCALE_SHRINK).max(REPLICA_SCALE_MIN);
+                if attempt.assumed_loaded {
+                    update_mean(&mut placement.assumed_loaded_probability, 0.0, ASSUMED_LOADED_RATE);
+                }
+            }
+            // No room for a copy says nothing of the functions that are loaded there.
+            Outcome::Full if attempt.waits_for_load => {
+                replica.load_expected_at = None;
+                replica.no_load_before = after(self.now, NO_ROOM_CALL_DELAY);
+            }
+            // After a reset alone copies are kept: a worker that did restart answers with a miss.
+            Outcome::ConnectFailed => {
+                *replica = Replica { in_flight: replica.in_flight, ..Replica::default() };
+            }
+            _ => {}
+        }
+    }
+
+    fn learn_from_success(&mut self, id: FunctionId, answer: &Answer, attempt: &Attempt) {
+        let latency_secs = to_secs(answer.latency).max(LATENCY_MIN_SECS);
+        let placement = &mut self.placement;
+        let Some(function) = placement.functions.get_mut(&id) else { return };
+        placement.replica_scale = (placement.replica_scale * REPLICA_SCALE_GROWTH).min(1.0);
+        if attempt.assumed_loaded {
+            // Where calls load functions by themselves only the latency shows whether a copy was there.
+            let limit = function.service_time_secs + ASSUMED_LOADED_LOAD_FRACTION * function.load_time_secs;
+            let found = !self.settings.loading.on_request || latency_secs < limit;
+            let probability = &mut placement.assumed_loaded_probability;
+            update_mean(probability, indicator(found), ASSUMED_LOADED_RATE);
+        }
+        if attempt.waits_for_load {
+            let load_time =
+                (latency_secs - function.service_time_secs).clamp(LOAD_TIME_MIN_SECS, LOAD_TIME_MAX_SECS);
+            update_mean(&mut function.load_time_secs, load_time, LOAD_TIME_CALL_RATE);
+        } else if attempt.sent_at >= self.resumed_at {
+            let ratio = (latency_secs / function.service_time_secs.max(SERVICE_TIME_MIN_SECS))
+                .clamp(LATENCY_RATIO_MIN, LATENCY_RATIO_MAX);
+            if let Some(worker) = self.membership.workers.get_mut(&attempt.worker) {
+                update_mean(&mut worker.latency_ratio, ratio, LATENCY_RATIO_RATE);
+            }
+            let is_shorter = latency_secs < function.service_time_secs;
+            let rate = if is_shorter { SERVICE_TIME_DECREASE_RATE } else { SERVICE_TIME_INCREASE_RATE };
+            update_mean(&mut function.service_time_secs, latency_secs, rate);
+        }
+    }
+
+    /// Handles the completion of a load request.
+    pub(super) fn complete_load(
+        &mut self,
+        worker: WorkerId,
+        id: FunctionId,
+        outcome: Outcome,
+        copies: u32,
+        latency: Micros,
+    ) {
+        let placement = &mut self.placement;
+        placement.pending_loads.remove(&(worker, id));
+        let Some(function) = placement.functions.get_mut(&id) else { return };
+        let Some(replica) = function.replicas.get_mut(&worker) else { return };
+        (replica.load_requested_at, replica.load_expected_at) = (None, None);
+        match outcome {
+            Outcome::Ok => {
+                let was_known = replica.last_loaded.is_some();
+                replica.last_loaded = Some(self.now);
+                (replica.copies, replica.no_room_count) = (copies.max(1), 0);
+                if !was_known {
+                    self.learn_load_time(id, to_secs(latency));
+                }
+            }
+            Outcome::Full => {
+                replica.copies = copies;
+                let delay = Micros(NO_ROOM_DELAY_BASE.0 << replica.no_room_count);
+                replica.no_load_before = after(self.now, delay);
+                replica.no_room_count = (replica.no_room_count + 1).min(NO_ROOM_DOUBLINGS_MAX);
+            }
+            Outcome::Error | Outcome::TimedOut => {
+                replica.no_load_before = after(self.now, LOAD_FAILED_DELAY);
+            }
+            _ => self.record_connection_failure(worker),
+        }
+    }
+
+    /// Learns from a successful load of copies that were not known to be loaded.
+    fn learn_load_time(&mut self, id: FunctionId, latency_secs: f64) {
+        let placement = &mut self.placement;
+        let Some(function) = placement.functions.get_mut(&id) else { return };
+        if latency_secs > ALREADY_LOADED_SECS {
+            let ratio = (latency_secs / function.load_time_secs)
+                .clamp(LOAD_TIME_INFLATION_MIN, LOAD_TIME_INFLATION_MAX);
+            update_mean(&mut placement.load_time_inflation, ratio, LOAD_TIME_INFLATION_RATE);
+        }
+        let found = indicator(latency_secs < ALREADY_LOADED_SECS);
+        update_mean(&mut placement.assumed_loaded_probability, found, ASSUMED_LOADED_RATE);
+        let load_time = latency_secs.clamp(LOAD_TIME_MIN_SECS, LOAD_TIME_MAX_SECS);
+        update_mean(&mut function.load_time_secs, load_time, LOAD_TIME_REQUEST_RATE);
+    }
+
+    /// Raises the load time inflation by the loads pending for longer than usual, before the first completes. Those of
+    /// one worker count once, by the shortest: the worker may be stalled.
+    pub(super) fn update_load_time_inflation(&mut self) {
+        let mut ratios: BTreeMap<WorkerId, f64> = BTreeMap::new();
+        for (worker, id) in &self.placement.pending_loads {
+            let Some(function) = self.placement.functions.get(id) else { continue };
+            let replica = function.replicas.get(worker);
+            let Some(sent_at) = replica.and_then(|replica| replica.load_requested_at) else { continue };
+            let ratio = to_secs(since(self.now, sent_at)) / function.load_time_secs;
+            ratios.entry(*worker).and_modify(|least| *least = least.min(ratio)).or_insert(ratio);
+        }
+        let mean = ratios.values().sum::<f64>() / ratios.len().max(LOAD_TIME_INFLATION_MIN_WORKERS) as f64;
+        let inflation = &mut self.placement.load_time_inflation;
+        *inflation = inflation.max(mean.min(LOAD_TIME_INFLATION_MAX));
+    }
+}
--- /dev/null
+++ b/src/balancer/selection.rs
@@ -0,0 +1,252 @@
+//! Selection: the order in which workers are tried, whether one may be sent a request, and the choice among them.
+//!
+//! Usually the first candidate on the ring is chosen that is not busy and has the function loaded. Where there is
+//! none, the candidate with the least expected delay, load times included.
+
+use super::dispatch::{Attempt, OpenRequest};
+use super::membership::Worker;
+use super::placement::{Function, Replica};
+use super::probing::{CONTACT_MAX_AGE, PROBE_WAIT};
+use super::statistics::*;
+use super::Balancer;
+use crate::api::{Effect, Group, Micros, Outcome, WorkerId};
+
+/// In-flight requests allowed at a worker relative to its fair share (consistent hashing with bounded loads), and
+/// requests allowed beyond that.
+const BOUNDED_LOAD_FACTOR: f64 = 1.5;
+const BOUNDED_LOAD_EXTRA_REQUESTS: f64 = 2.0;
+/// Expected delay at a worker for each consecutive failure, in seconds.
+const FAILURE_COST_SECS: f64 = 3.0;
+/// Expected delay at a worker that the request was already sent to, in seconds.
+const REPEATED_WORKER_COST_SECS: f64 = 1.0;
+/// Cost of a load away from the primary worker, in load times, as it displaces other copies and queues at the store.
+const REMOTE_LOAD_COST: f64 = 3.0;
+/// Additional cost in load times per load begun for each request, so that a storm of loads subsides.
+const REMOTE_LOAD_COST_PER_LOAD_RATE: f64 = 10.0;
+/// Additional cost in load times where there lately was no room.
+const NO_ROOM_COST: f64 = 4.0;
+/// Shortest remaining time expected of a load in progress, in seconds.
+const REMAINING_LOAD_MIN_SECS: f64 = 0.05;
+/// Cost of each step along the ring, in seconds; decides ties only.
+const STEP_COST_SECS: f64 = 1e-3;
+/// Lower limit of a worker's latency ratio when requests over its bounded load are weighed.
+const LATENCY_RATIO_COST_MIN: f64 = 0.5;
+/// Workers tried beyond those that serve the function, while one of them may be sent to.
+const SPILLOVER_CANDIDATES: usize = 4;
+/// Queue delay in latency objectives at a worker where requests wait, and for each waiting request.
+const QUEUE_DELAY_BASE: f64 = 0.4;
+const QUEUE_DELAY_PER_REQUEST: f64 = 0.15;
+/// Requests assumed to wait at a worker that has not answered a probe in time.
+const UNRESPONSIVE_QUEUE_REQUESTS: f64 = 4.0;
+/// Time for the way to the worker, left over before an idempotency key expires.
+const KEY_EXPIRY_MARGIN: Micros = Micros(20_000);
+
+/// What all candidates for one request are compared by.
+struct Comparison<'a> {
+    open: &'a OpenRequest,
+    function: &'a Function,
+    objective_secs: f64,
+    /// Effective weight of all workers.
+    total_weight: f64,
+    replica_count: usize,
+    /// Cache misses have shown that only observed copies count.
+    misses_confirmed: bool,
+    /// Usual load time at present, in seconds.
+    load_time_secs: f64,
+    /// Cost of a load away from the primary worker, in load times.
+    remote_load_cost: f64,
+}
+
+/// The parts of the delay expected at a candidate.
+struct CandidateCost {
+    load_secs: f64,
+    failure_secs: f64,
+    /// Requests over the bounded load.
+    excess_requests: f64,
+    /// Queue delay in latency objectives.
+    queue_delay: f64,
+}
+
+impl CandidateCost {
+    fn is_zero(&self) -> bool {
+        self.load_secs + self.failure_secs + self.excess_requests + self.queue_delay == 0.0
+    }
+}
+
+impl Balancer {
+    /// Chooses the worker for a request; `None` if no worker may be sent it now.
+    pub(super) fn select_worker(&self, open: &OpenRequest) -> Option<WorkerId> {
+        let comparison = self.compare_by(open)?;
+        let replica_count = comparison.replica_count;
+        let mut candidates = self.candidates(open, replica_count);
+        if !candidates.iter().any(|id| self.may_send(open, *id, candidates.len())) {
+            candidates = self.ring_candidates(open.request.function, usize::MAX);
+        }
+        let reach = candidates.len();
+        let mut best: Option<(f64, WorkerId)> = None;
+        let mut is_first = true;
+        for (step, id) in candidates.into_iter().enumerate() {
+            let Some(worker) = self.membership.workers.get(&id) else { continue };
+            let serves_first = step < replica_count && open.attempts.is_empty();
+            if !self.may_send(open, id, if serves_first { 1 } else { reach }) {
+                continue;
+            }
+            let cost = self.candidate_cost(&comparison, id, worker, step, is_first);
+            is_first = false;
+            if cost.is_zero() {
+                return Some(id);
+            }
+            let total = total_cost_secs(&comparison, &cost, worker, step);
+            if best.is_none_or(|(least, _)| total < least) {
+                best = Some((total, id));
+            }
+        }
+        best.map(|(_, id)| id)
+    }
+
+    fn compare_by<'a>(&'a self, open: &'a OpenRequest) -> Option<Comparison<'a>> {
+        let function = self.placement.functions.get(&open.request.function)?;
+        let replica_count = self.replica_count(function);
+        Some(Comparison {
+            open,
+            function,
+            objective_secs: to_secs(self.class(open).latency_objective),
+            total_weight: self.effective_weight(),
+            replica_count,
+            misses_confirmed: self.has_confirmed_misses(open, replica_count),
+            load_time_secs: function.load_time_secs * self.placement.load_time_inflation,
+            remote_load_cost: REMOTE_LOAD_COST + REMOTE_LOAD_COST_PER_LOAD_RATE * self.placement.load_rate,
+        })
+    }
+
+    /// The delay expected at the candidate `step` places along the ring; `is_first` holds for the first allowed one.
+    fn candidate_cost(
+        &self,
+        comparison: &Comparison,
+        id: WorkerId,
+        worker: &Worker,
+        step: usize,
+        is_first: bool,
+    ) -> CandidateCost {
+        let open = comparison.open;
+        let was_tried = open
+            .attempts
+            .iter()
+            .any(|attempt| attempt.worker == id && attempt.outcome != Some(Outcome::Miss));
+        let replica = comparison.function.replicas.get(&id).cloned().unwrap_or_default();
+        let may_assume = step < comparison.replica_count && !comparison.misses_confirmed;
+        let record = worker.failure_record(open.request.class.0, self.now);
+        CandidateCost {
+            load_secs: self.load_cost_secs(comparison, &replica, may_assume, is_first),
+            failure_secs: FAILURE_COST_SECS * record.consecutive_failures as f64
+                + REPEATED_WORKER_COST_SECS * indicator(was_tried),
+            excess_requests: self.excess_requests(worker, comparison.total_weight),
+            queue_delay: self.queue_delay(worker),
+        }
+    }
+
+    /// The time that a load of the function takes there, weighted by what it costs others; 0 if it is loaded.
+    fn load_cost_secs(
+        &self,
+        comparison: &Comparison,
+        replica: &Replica,
+        may_assume: bool,
+        is_first: bool,
+    ) -> f64 {
+        let is_there = if may_assume { self.is_likely_loaded(replica) } else { self.is_loaded(replica) };
+        let load_time_secs = comparison.load_time_secs;
+        match (is_there, replica.load_expected_at) {
+            (true, _) => 0.0,
+            // An overdue load is expected to take as long again as it is late.
+            (_, Some(expected)) => to_secs(since(expected, self.now)).abs().max(REMAINING_LOAD_MIN_SECS),
+            _ if self.now < replica.no_load_before => {
+                load_time_secs * (NO_ROOM_COST + comparison.remote_load_cost)
+            }
+            _ if is_first => load_time_secs,
+            _ => load_time_secs * comparison.remote_load_cost,
+        }
+    }
+
+    /// The workers in the order in which this router tries them: of those that serve the function, one in its own zone
+    /// or else one by a hash with its seed, so that routers spread over them; then on along the ring.
+    fn candidates(&self, open: &OpenRequest, replica_count: usize) -> Vec<WorkerId> {
+        let function = open.request.function;
+        let may_have_run = open.attempts.iter().any(Attempt::may_have_run);
+        let most = if may_have_run { usize::MAX } else { replica_count + SPILLOVER_CANDIDATES };
+        let mut candidates = self.ring_candidates(function, most);
+        let serving = replica_count.min(candidates.len());
+        let draw = |id: u64| hash_bits(self.hash_seed ^ hash_bits(function.0) ^ id);
+        // As many routers keep to their zone as its workers can serve; the rest use the others.
+        let is_local = |id: &WorkerId| {
+            self.membership.workers.get(id).is_some_and(|worker| worker.entry.zone == self.settings.zone)
+        };
+        let local = candidates[..serving].iter().filter(|id| is_local(id)).count();
+        let local_capacity = (local * self.membership.zone_count) as f64 / serving.max(1) as f64;
+        let prefers_local = unit_interval(draw(0)) < local_capacity;
+        // The key is computed once for each: with many workers, look-ups at each comparison would dominate.
+        candidates[..serving].sort_by_cached_key(|id| (is_local(id) != prefers_local, draw(id.0)));
+        candidates
+    }
+
+    /// Whether the request may be sent to the worker now: by its attempts and deadline, the worker's state, repeated
+    /// effects and slow start.
+    pub(super) fn may_send(&self, open: &OpenRequest, id: WorkerId, reach: usize) -> bool {
+        let Some(worker) = self.membership.workers.get(&id) else { return false };
+        let (limits, in_flight) = (&self.settings.limits, open.in_flight());
+        let may_attempt =
+            open.attempts.len() < limits.max_attempts && (limits.second_copies || in_flight == 0);
+        let is_due = open.is_undecided() && self.now < open.deadline && may_attempt;
+        is_due
+            && worker.is_ready()
+            && self.effect_allows(open, worker)
+            && self.slow_start_allows(open, worker, reach)
+    }
+
+    /// Whether another attempt at the worker cannot repeat an effect.
+    pub(super) fn effect_allows(&self, open: &OpenRequest, worker: &Worker) -> bool {
+        let mut possible_runs = open.attempts.iter().filter(|attempt| attempt.may_have_run());
+        match self.class(open).effect {
+            Effect::Safe => true,
+            Effect::Unsafe => possible_runs.next().is_none(),
+            Effect::Keyed { group, memory } => possible_runs.all(|attempt| {
+                let shares_keys = match group {
+                    Group::All => true,
+                    Group::Zone => attempt.zone == worker.entry.zone,
+                    Group::Cell => attempt.cell == worker.entry.cell,
+                };
+                let age = since(self.now, attempt.key_sent_at).0;
+                shares_keys && age + KEY_EXPIRY_MARGIN.0 < memory.0
+            }),
+        }
+    }
+
+    /// By how many requests a worker would exceed its bounded load; above 0 it is busy.
+    fn excess_requests(&self, worker: &Worker, total_weight: f64) -> f64 {
+        let fair_share =
+            (self.requests.in_flight + 1) as f64 * self.weight(worker) * self.slow_start_factor(worker)
+                / total_weight.max(1e-9);
+        let limit = (fair_share * BOUNDED_LOAD_FACTOR + BOUNDED_LOAD_EXTRA_REQUESTS).max(1.0)
+            / worker.latency_ratio.max(1.0);
+        ((worker.in_flight + 1) as f64 - limit.max(1.0)).max(0.0)
+    }
+
+    /// Queue delay at a worker by its last report, in latency objectives: where requests wait, all its slots are in
+    /// use. A worker that has not answered a probe in time counts as one with a queue.
+    pub(super) fn queue_delay(&self, worker: &Worker) -> f64 {
+        let is_unresponsive = worker.probe_sent_at.is_some_and(|sent| since(self.now, sent) >= PROBE_WAIT);
+        let reported =
+            worker.reported_queue.filter(|report| since(self.now, report.received_at) < CONTACT_MAX_AGE);
+        let queue = reported.map_or(0.0, |report| report.requests);
+        let queue = if is_unresponsive { queue.max(UNRESPONSIVE_QUEUE_REQUESTS) } else { queue };
+        indicator(queue >= 1.0) * (QUEUE_DELAY_BASE + queue * QUEUE_DELAY_PER_REQUEST)
+    }
+}
+
+fn total_cost_secs(comparison: &Comparison, cost: &CandidateCost, worker: &Worker, step: usize) -> f64 {
+    let service_time_secs = comparison.function.service_time_secs;
+    cost.excess_requests * service_time_secs * worker.latency_ratio.max(LATENCY_RATIO_COST_MIN)
+        + cost.queue_delay * comparison.objective_secs
+        + cost.load_secs
+        + cost.failure_secs
+        + step as f64 * STEP_COST_SECS
+}
--- /dev/null
+++ b/src/balancer/slow_start.rs
@@ -0,0 +1,134 @@
+//! Slow start: a started worker warms up, and until then receives only what its present capacity can take.
+
+use super::dispatch::OpenRequest;
+use super::membership::Worker;
+use super::statistics::*;
+use super::Balancer;
+use crate::api::{Micros, WorkerId};
+use std::collections::BTreeMap;
+
+/// Fraction of the budget of a warming worker that is used; the rest is left for repeats by clients.
+const BUDGET_FRACTION: f64 = 0.7;
+/// Scale of the probability that an attempt is admitted where a router's budget is less than one attempt, in
+/// units of a mean worker's load.
+const ADMISSION_SCALE: f64 = 0.12;
+/// Attempts and successes assumed before the first, so that a new router admits at its usual rate.
+const PRIOR_ATTEMPTS: f64 = 2.0;
+/// Age from which the offered load is summed up anew, in microseconds.
+const OFFERED_LOAD_MAX_AGE: Micros = Micros(500_000);
+/// Lower bound of divisors.
+const POSITIVE_MIN: f64 = 1e-9;
+
+/// Progress of the warm-up over all workers.
+#[derive(Default)]
+pub(super) struct SlowStart {
+    /// From when on all workers have warmed up.
+    warm_from: Micros,
+    /// Total weight, once all workers have warmed up and it was summed up.
+    warm_weight: Option<f64>,
+    /// When the offered load was last summed up.
+    offered_load_updated_at: Micros,
+}
+
+impl SlowStart {
+    /// Sets from when on all workers have warmed up, and discards the total weight.
+    pub(super) fn reset(&mut self, warm_from: Micros) {
+        (self.warm_weight, self.warm_from) = (None, warm_from);
+    }
+}
+
+impl Balancer {
+    /// Sums up the total weight once all workers have warmed up, instead of at each call.
+    pub(super) fn cache_warm_weight(&mut self) {
+        if self.slow_start.warm_weight.is_none() && self.now >= self.slow_start.warm_from {
+            self.slow_start.warm_weight = Some(self.effective_weight());
+        }
+    }
+
+    /// The fraction of its capacity that a worker has at least, from 0 to 1; it grows linearly from its start.
+    pub(super) fn slow_start_factor(&self, worker: &Worker) -> f64 {
+        let Some(started_at) = worker.started_at else { return 1.0 };
+        let (rules, age) = (&self.settings.rules, since(self.now, started_at).0.max(0) as f64);
+        let progress =
+            if rules.warm_within.0 > 0 { (age / rules.warm_within.0 as f64).min(1.0) } else { 1.0 };
+        (rules.start_capacity + (1.0 - rules.start_capacity) * progress).clamp(0.0, 1.0)
+    }
+
+    /// Total weight of the workers, each reduced by its slow-start factor.
+    pub(super) fn effective_weight(&self) -> f64 {
+        self.slow_start.warm_weight.unwrap_or_else(|| {
+            let workers = self.membership.workers.values();
+            workers.map(|worker| self.weight(worker) * self.slow_start_factor(worker)).sum()
+        })
+    }
+
+    /// Sums up the offered load if it is out of date.
+    pub(super) fn refresh_offered_load(&mut self) {
+        if since(self.now, self.slow_start.offered_load_updated_at) > OFFERED_LOAD_MAX_AGE {
+            self.update_offered_load();
+        }
+    }
+
+    /// Sums up the load that the ring assigns to each worker, over the functions this router knows.
+    pub(super) fn update_offered_load(&mut self) {
+        let mut offered: BTreeMap<WorkerId, f64> = BTreeMap::new();
+        if self.membership.workers.values().any(|worker| self.slow_start_factor(worker) < 1.0) {
+            let functions = self.placement.functions.iter();
+            for (id, function) in functions.filter(|(_, function)| self.function_load(function) > 0.0) {
+                let replica_count = self.replica_count(function);
+                for worker in self.ring_candidates(*id, replica_count) {
+                    *offered.entry(worker).or_default() +=
+                        self.function_load(function) / replica_count as f64;
+                }
+            }
+        }
+        for (id, worker) in &mut self.membership.workers {
+            worker.offered_load = offered.get(id).copied().unwrap_or_default();
+        }
+        self.slow_start.offered_load_updated_at = self.now;
+    }
+
+    /// Whether a warming worker may be sent the request: within this router's share of the worker's budget, and
+    /// with some probability where that share is less than one attempt. `reach` is the number of workers that
+    /// the request may spill over to.
+    pub(super) fn slow_start_allows(&self, open: &OpenRequest, worker: &Worker, reach: usize) -> bool {
+        let factor = self.slow_start_factor(worker);
+        if factor >= 1.0 {
+            return true;
+        }
+        let total_weight: f64 = self.membership.workers.values().map(|worker| self.weight(worker)).sum();
+        let budget = self.slow_start_budget(worker, total_weight, factor);
+        let fall_window = self.settings.rules.fall_window;
+        let recent = worker.recent_work.iter().filter(|work| since(self.now, work.sent_at) <= fall_window);
+        let sent: f64 = recent.map(|work| work.work_secs).sum();
+        let probability = self.slow_start_probability(worker, total_weight, factor, reach);
+        let draw =
+            unit_interval(hash_bits(self.hash_seed ^ hash_bits(open.request.id.0) ^ worker.entry.id.0));
+        (sent == 0.0 || sent + self.class_work(open) <= budget)
+            && draw < probability.max(budget / self.class_work(open).max(1e-3))
+    }
+
+    /// Work that this router may send the worker within the window of the rules, in seconds of work.
+    fn slow_start_budget(&self, worker: &Worker, total_weight: f64, factor: f64) -> f64 {
+        // Capacity is estimated from the work this router sees served: both sides are in one unit, and each router
+        // sees its share. It is divided by the weight of all workers, warm or not: after a restart of many the
+        // rate lags behind.
+        let rules = &self.settings.rules;
+        let rate = self.statistics.served_work.at(self.now, WORK_WINDOW_SECS) / WORK_WINDOW_SECS;
+        let capacity = rate * self.weight(worker) / total_weight.max(POSITIVE_MIN) * factor;
+        BUDGET_FRACTION * rules.fall_multiple * capacity * to_secs(rules.fall_window)
+    }
+
+    /// Probability of admission that reduces what all routers together send the worker to what it can take: higher
+    /// where most workers are warming up or attempts fail, lower for requests that spill over, as an idle worker
+    /// attracts them all.
+    fn slow_start_probability(&self, worker: &Worker, total_weight: f64, factor: f64, reach: usize) -> f64 {
+        let effective_weight = self.effective_weight();
+        let mean_load = factor * total_weight / effective_weight.max(POSITIVE_MIN);
+        let offered = worker.offered_load.max(mean_load) * reach.max(1) as f64;
+        let lately = |counter: &DecayingCounter| counter.at(self.now, SHARE_WINDOW_SECS) + PRIOR_ATTEMPTS;
+        let success_rate = (lately(&self.statistics.successes) / lately(&self.statistics.attempts)).min(1.0);
+        ADMISSION_SCALE * self.settings.rules.fall_multiple * factor * success_rate
+            / offered.max(POSITIVE_MIN)
+    }
+}
