--- a/benches/module.rs
+++ b/benches/module.rs
@@ -1,4 +1,5 @@
-//! What the decision module costs for one request with all its events, by the number of workers.
+//! CPU time of the balancer for one request with all its events, and for one change of the worker list, by the
+//! number of workers.
 //! `cargo bench -p slatevalve`
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
@@ -6,7 +7,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A router and just enough of a world: every probe, order and attempt ends well after a moment.
+/// A router in a simulated environment: every probe, load request and attempt succeeds after a fixed time.
 struct World {
     balancer: Balancer,
     now: i64,
@@ -22,26 +23,26 @@
         let class = Class { effect: Effect::Safe, ..Class::default() };
         let settings =
             Settings { classes: vec![class], reports: LoadReportSource::Answers, ..Settings::default() };
-        let entries =
-            (0..workers).map(|n| WorkerEntry { id: WorkerId(n * 7_919 + 1), ..WorkerEntry::default() });
+        let entries = (0..workers)
+            .map(|index| WorkerEntry { id: WorkerId(index * 7_919 + 1), ..WorkerEntry::default() });
         let listing = Listing { scope: Scope::Full, entries: entries.collect() };
         let mut balancer = Balancer::new(settings, 1);
         let mut actions = Vec::new();
         balancer.handle(Micros(1), Event::WorkersListed(listing), &mut actions);
         let (due, events) = (BinaryHeap::new(), std::collections::HashMap::new());
         let mut world = World { balancer, now: 1, next: 0, due, events, actions, numbers: 0 };
-        // The same functions for all sizes, met often enough to be known.
+        // The same functions for all sizes, called often enough to be known.
         (0..3_000).for_each(|_| world.request());
         world
     }
 
-    fn later(&mut self, micros: i64, event: Event) {
+    fn schedule(&mut self, micros: i64, event: Event) {
         self.numbers += 1;
         self.events.insert(self.numbers, event);
         self.due.push(Reverse((self.now + micros, self.numbers)));
     }
 
-    fn carry_out(&mut self) {
+    fn execute(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Send { id, worker, .. } => {
@@ -56,34 +57,34 @@
                         load_failed: false,
                         report: Some(Report { queue: Some(0.0), inflight: Some(1.0), util: Some(0.3) }),
                     };
-                    self.later(5_000, Event::Answer(answer));
+                    self.schedule(5_000, Event::Answer(answer));
                 }
                 Action::Probe { worker } => {
                     let (outcome, latency, report) = (Outcome::Ok, Micros(300), None);
-                    self.later(300, Event::ProbeCompleted { worker, outcome, latency, report });
+                    self.schedule(300, Event::ProbeCompleted { worker, outcome, latency, report });
                 }
                 Action::Load { worker, function, copies } => {
                     let (outcome, latency) = (Outcome::Ok, Micros(1_000));
-                    self.later(
+                    self.schedule(
                         1_000,
                         Event::LoadCompleted { worker, function, outcome, copies: copies.max(1), latency },
                     );
                 }
-                Action::Wake { at, token } => self.later((at.0 - self.now).max(0), Event::Wake { token }),
+                Action::Wake { at, token } => self.schedule((at.0 - self.now).max(0), Event::Wake { token }),
                 _ => {}
             }
         }
     }
 
-    /// One request a millisecond, and all events that fall due before it.
+    /// Sends one request a millisecond, after all events that are due before it.
     fn request(&mut self) {
         let until = self.now + 1_000;
-        while let Some(Reverse((at, number))) = self.due.peek().copied().filter(|d| d.0 .0 <= until) {
+        while let Some(Reverse((at, number))) = self.due.peek().copied().filter(|entry| entry.0 .0 <= until) {
             self.due.pop();
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
                 self.balancer.handle(Micros(at), event, &mut self.actions);
-                self.carry_out();
+                self.execute();
             }
         }
         self.now = until;
@@ -91,29 +92,30 @@
         let function = FunctionId(self.next * self.next % 61);
         let request = Request { id: RequestId(self.next), function, ..Request::default() };
         self.balancer.handle(Micros(until), Event::Request(request), &mut self.actions);
-        self.carry_out();
+        self.execute();
     }
 }
 
-fn module(c: &mut Criterion) {
-    let mut group = c.benchmark_group("module: one request, all its events");
+fn module(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("module: one request, all its events");
     group.sample_size(20);
     for workers in [3, 12, 85, 1_000] {
         let mut world = World::new(workers);
-        group.bench_function(BenchmarkId::from_parameter(workers), |b| b.iter(|| world.request()));
+        group
+            .bench_function(BenchmarkId::from_parameter(workers), |bencher| bencher.iter(|| world.request()));
     }
     group.finish();
 }
 
-/// One worker drains and comes back: the cost of one such change of the list.
-fn change(c: &mut Criterion) {
-    let mut group = c.benchmark_group("module: one change of the list");
+/// One worker drains and becomes ready again.
+fn change(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("module: one change of the list");
     group.sample_size(20);
     for workers in [12, 85, 1_000] {
         let mut world = World::new(workers);
         let mut draining = false;
-        group.bench_function(BenchmarkId::from_parameter(workers), |b| {
-            b.iter(|| {
+        group.bench_function(BenchmarkId::from_parameter(workers), |bencher| {
+            bencher.iter(|| {
                 draining = !draining;
                 let state = if draining { WorkerState::Draining } else { WorkerState::Ready };
                 let entry = WorkerEntry { id: WorkerId(7_919 + 1), state, ..WorkerEntry::default() };
--- a/src/balancer/completion.rs
+++ b/src/balancer/completion.rs
@@ -116,16 +116,16 @@
     /// Ends an undecided request without success: refused if a repeat by the client is safe, else failed.
     pub(super) fn finish_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get(&id).filter(|open| open.is_undecided()) else { return };
-        let may_refuse = self.may_refuse(open);
-        out.push(if may_refuse { Action::Refuse { id, retry_after: None } } else { Action::Fail { id } });
+        let can_refuse = self.can_refuse(open);
+        out.push(if can_refuse { Action::Refuse { id, retry_after: None } } else { Action::Fail { id } });
         self.close(id);
     }
 
     /// Whether a repeat by the client cannot repeat an effect.
-    fn may_refuse(&self, open: &OpenRequest) -> bool {
+    fn can_refuse(&self, open: &OpenRequest) -> bool {
         match self.class(open).effect {
             Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
-            _ => !open.attempts.iter().any(Attempt::may_have_run),
+            _ => !open.attempts.iter().any(Attempt::could_have_run),
         }
     }
 }
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -33,7 +33,7 @@
 
 impl Attempt {
     /// Whether it may have run, as nothing proves the contrary.
-    pub(super) fn may_have_run(&self) -> bool {
+    pub(super) fn could_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::proves_never_ran)
     }
 }
@@ -203,7 +203,7 @@
     /// Sends the next attempt of a request to the worker, if that is still allowed.
     fn send(&mut self, id: RequestId, worker_id: WorkerId, out: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get(&id) else { return };
-        if !self.may_send(open, worker_id, 1) {
+        if !self.can_send(open, worker_id, 1) {
             return;
         }
         let (work_secs, function_id) = (self.class_work(open), open.request.function);
@@ -221,7 +221,7 @@
         worker.add_recent_work(self.now, work_secs, self.settings.rules.fall_window);
         let Some(open) = self.requests.open.get_mut(&id) else { return };
         open.wait_until = None;
-        let possible_runs = open.attempts.iter().filter(|attempt| attempt.may_have_run());
+        let possible_runs = open.attempts.iter().filter(|attempt| attempt.could_have_run());
         let key_sent_at = possible_runs.map(|attempt| attempt.key_sent_at).min().unwrap_or(self.now);
         open.attempts.push(Attempt {
             worker: worker_id,
--- a/src/balancer/hash_ring.rs
+++ b/src/balancer/hash_ring.rs
@@ -15,7 +15,7 @@
 /// The ring is built anew if more than one worker in so many changed; else the points are exchanged.
 const REBUILD_DIVISOR: usize = 8;
 /// Combined with function ids before hashing, so that they do not coincide with worker ids.
-const FUNCTION_HASH_SALT: u64 = 0x51a7_e7a1;
+const FUNCTION_HASH_SEED: u64 = 0x51a7_e7a1;
 
 /// A virtual point of a worker.
 pub(super) struct RingPoint {
@@ -75,7 +75,7 @@
     /// The first `most` distinct workers clockwise from the function's hash. Points of a started worker come into
     /// use one by one as it warms up; until then their arcs belong to the next worker.
     pub(super) fn ring_candidates(&self, function: FunctionId, most: usize) -> Vec<WorkerId> {
-        let position = hash_bits(function.0 ^ FUNCTION_HASH_SALT);
+        let position = hash_bits(function.0 ^ FUNCTION_HASH_SEED);
         let points = &self.hash_ring.points;
         let start = points.partition_point(|point| point.position < position);
         let (mut candidates, mut seen) = (Vec::new(), BTreeSet::new());
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -115,7 +115,7 @@
         let functions = self.placement.functions.values_mut();
         functions.for_each(|function| function.replicas.retain(|id, _| workers.contains_key(id)));
         self.recount_in_flight();
-        self.reset_warm_up_end();
+        self.reset_slow_start_end();
         let zones = self.membership.workers.values().map(|worker| worker.entry.zone.0);
         self.membership.zone_count = zones.collect::<BTreeSet<_>>().len();
         changed.retain(|id, before| self.current_ring_weight(*id) != *before);
@@ -200,7 +200,7 @@
     }
 
     /// Sets when the last started worker has warmed up; the total weight is then summed up once.
-    fn reset_warm_up_end(&mut self) {
+    fn reset_slow_start_end(&mut self) {
         let warm_within = self.settings.rules.warm_within;
         let started = self.membership.workers.values().filter_map(|worker| worker.started_at);
         let end = started.map(|start| after(start, warm_within)).max();
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -29,12 +29,12 @@
 use probing::Probing;
 use retry::RetryBudget;
 use slow_start::SlowStart;
-use statistics::{after, since, TrafficStatistics};
+use statistics::{after, multiplied, since, TrafficStatistics};
 
 /// Interval of the periodic work while requests are open.
 const TICK_INTERVAL: Micros = Micros(20_000);
 /// A request with nothing in flight ends this long before its deadline: the next tick could come too late.
-const FINAL_ANSWER_MARGIN: Micros = Micros(2 * TICK_INTERVAL.0);
+const FINAL_ANSWER_MARGIN: Micros = multiplied(TICK_INTERVAL, 2);
 /// A tick that comes later than this shows that the router's own process was paused.
 const PROCESS_PAUSE_THRESHOLD: Micros = Micros(150_000);
 
@@ -130,7 +130,7 @@
         if self.next_tick.is_some_and(|due| since(self.now, due) > PROCESS_PAUSE_THRESHOLD) {
             self.resume();
         }
-        self.cache_warm_weight();
+        self.cache_total_weight();
     }
 
     /// Discards what the process missed during a pause: silence and latency of the workers are judged from now on.
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -2,6 +2,7 @@
 
 use super::dispatch::{Attempt, OpenRequest};
 use super::membership::Worker;
+use super::outlier::OVERLOAD_EJECTION_BASE;
 use super::statistics::*;
 use super::{Balancer, TICK_INTERVAL};
 use crate::api::*;
@@ -63,7 +64,7 @@
 const NO_ROOM_DELAY_BASE: Micros = Micros(1_000_000);
 const NO_ROOM_DOUBLINGS_MAX: u32 = 3;
 /// Wait after a call that needed a load was rejected for lack of room: twice the first overload ejection.
-const NO_ROOM_CALL_DELAY: Micros = Micros(super::outlier::OVERLOAD_EJECTION_BASE.0 * 2);
+const NO_ROOM_CALL_DELAY: Micros = multiplied(OVERLOAD_EJECTION_BASE, 2);
 /// Wait after a load request failed.
 const LOAD_FAILED_DELAY: Micros = Micros(300_000);
 /// Copies that one load request may ask for.
@@ -288,7 +289,7 @@
         // Requests at the window's edge may count or not: one tick is left out.
         placement
             .request_times
-            .retain(|time| since(now, *time).0 + TICK_INTERVAL.0 <= loading.ration_window.0);
+            .retain(|time| after(since(now, *time), TICK_INTERVAL) <= loading.ration_window);
         let allowed = loading.ration_free + loading.ration_share * placement.request_times.len() as f64;
         if placement.load_request_times.len() as f64 + 1.0 > allowed {
             return false;
@@ -422,7 +423,7 @@
             }
             Outcome::Full => {
                 replica.copies = copies;
-                let delay = Micros(NO_ROOM_DELAY_BASE.0 << replica.no_room_count);
+                let delay = multiplied(NO_ROOM_DELAY_BASE, 1 << replica.no_room_count);
                 replica.no_load_before = after(self.now, delay);
                 replica.no_room_count = (replica.no_room_count + 1).min(NO_ROOM_DOUBLINGS_MAX);
             }
--- a/src/balancer/probing.rs
+++ b/src/balancer/probing.rs
@@ -13,6 +13,8 @@
 pub(super) const PROBE_WAIT: Micros = Micros(10_000);
 /// Silence after a probe that refuses a request, in latency objectives.
 pub(super) const PROBE_SILENCE_OBJECTIVES: f64 = 0.1;
+/// A request with less time left than this is not delayed by a probe: twice a probe's wait and the tick after it.
+const PROBE_DEADLINE_MARGIN: Micros = multiplied(after(TICK_INTERVAL, PROBE_WAIT), 2);
 /// Probes that one request waits for at most.
 const PROBES_PER_REQUEST_MAX: usize = 4;
 /// Probes allowed for each accepted request, and how many can be saved up.
@@ -57,7 +59,7 @@
     pub(super) fn probe_first(&mut self, id: RequestId, worker_id: WorkerId, out: &mut Vec<Action>) -> bool {
         let Some(open) = self.requests.open.get_mut(&id) else { return false };
         let Some(worker) = self.membership.workers.get_mut(&worker_id) else { return false };
-        let is_urgent = since(open.deadline, self.now).0 <= 2 * (TICK_INTERVAL.0 + PROBE_WAIT.0);
+        let is_urgent = since(open.deadline, self.now) <= PROBE_DEADLINE_MARGIN;
         let is_known = worker.last_contact.is_some_and(|time| since(self.now, time) < CONTACT_MAX_AGE)
             || worker.probe_sent_at.is_some_and(|sent| since(self.now, sent) >= PROBE_WAIT);
         // A suspect worker is probed whatever the budget: a call lost there costs more than any probe.
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -62,14 +62,14 @@
     load_secs: f64,
     failure_secs: f64,
     /// Requests over the bounded load.
-    excess_requests: f64,
+    requests_over_limit: f64,
     /// Queue delay in latency objectives.
     queue_delay: f64,
 }
 
 impl CandidateCost {
     fn is_zero(&self) -> bool {
-        self.load_secs + self.failure_secs + self.excess_requests + self.queue_delay == 0.0
+        self.load_secs + self.failure_secs + self.requests_over_limit + self.queue_delay == 0.0
     }
 }
 
@@ -79,7 +79,7 @@
         let comparison = self.compare_by(open)?;
         let replica_count = comparison.replica_count;
         let mut candidates = self.candidates(open, replica_count);
-        if !candidates.iter().any(|id| self.may_send(open, *id, candidates.len())) {
+        if !candidates.iter().any(|id| self.can_send(open, *id, candidates.len())) {
             candidates = self.ring_candidates(open.request.function, usize::MAX);
         }
         let reach = candidates.len();
@@ -88,7 +88,7 @@
         for (step, id) in candidates.into_iter().enumerate() {
             let Some(worker) = self.membership.workers.get(&id) else { continue };
             let serves_first = step < replica_count && open.attempts.is_empty();
-            if !self.may_send(open, id, if serves_first { 1 } else { reach }) {
+            if !self.can_send(open, id, if serves_first { 1 } else { reach }) {
                 continue;
             }
             let cost = self.candidate_cost(&comparison, id, worker, step, is_first);
@@ -134,13 +134,13 @@
             .iter()
             .any(|attempt| attempt.worker == id && attempt.outcome != Some(Outcome::Miss));
         let replica = comparison.function.replicas.get(&id).cloned().unwrap_or_default();
-        let may_assume = step < comparison.replica_count && !comparison.misses_confirmed;
+        let can_assume = step < comparison.replica_count && !comparison.misses_confirmed;
         let record = worker.failure_record(open.request.class.0, self.now);
         CandidateCost {
-            load_secs: self.load_cost_secs(comparison, &replica, may_assume, is_first),
+            load_secs: self.load_cost_secs(comparison, &replica, can_assume, is_first),
             failure_secs: FAILURE_COST_SECS * record.consecutive_failures as f64
                 + REPEATED_WORKER_COST_SECS * indicator(was_tried),
-            excess_requests: self.excess_requests(worker, comparison.total_weight),
+            requests_over_limit: self.requests_over_limit(worker, comparison.total_weight),
             queue_delay: self.queue_delay(worker),
         }
     }
@@ -150,10 +150,10 @@
         &self,
         comparison: &Comparison,
         replica: &Replica,
-        may_assume: bool,
+        can_assume: bool,
         is_first: bool,
     ) -> f64 {
-        let is_there = if may_assume { self.is_likely_loaded(replica) } else { self.is_loaded(replica) };
+        let is_there = if can_assume { self.is_likely_loaded(replica) } else { self.is_loaded(replica) };
         let load_time_secs = comparison.load_time_secs;
         match (is_there, replica.load_expected_at) {
             (true, _) => 0.0,
@@ -171,8 +171,8 @@
     /// or else one by a hash with its seed, so that routers spread over them; then on along the ring.
     fn candidates(&self, open: &OpenRequest, replica_count: usize) -> Vec<WorkerId> {
         let function = open.request.function;
-        let may_have_run = open.attempts.iter().any(Attempt::may_have_run);
-        let most = if may_have_run { usize::MAX } else { replica_count + SPILLOVER_CANDIDATES };
+        let could_have_run = open.attempts.iter().any(Attempt::could_have_run);
+        let most = if could_have_run { usize::MAX } else { replica_count + SPILLOVER_CANDIDATES };
         let mut candidates = self.ring_candidates(function, most);
         let serving = replica_count.min(candidates.len());
         let draw = |id: u64| hash_bits(self.hash_seed ^ hash_bits(function.0) ^ id);
@@ -190,12 +190,12 @@
 
     /// Whether the request may be sent to the worker now: by its attempts and deadline, the worker's state, repeated
     /// effects and slow start.
-    pub(super) fn may_send(&self, open: &OpenRequest, id: WorkerId, reach: usize) -> bool {
+    pub(super) fn can_send(&self, open: &OpenRequest, id: WorkerId, reach: usize) -> bool {
         let Some(worker) = self.membership.workers.get(&id) else { return false };
         let (limits, in_flight) = (&self.settings.limits, open.in_flight());
-        let may_attempt =
+        let can_attempt =
             open.attempts.len() < limits.max_attempts && (limits.second_copies || in_flight == 0);
-        let is_due = open.is_undecided() && self.now < open.deadline && may_attempt;
+        let is_due = open.is_undecided() && self.now < open.deadline && can_attempt;
         is_due
             && worker.is_ready()
             && self.effect_allows(open, worker)
@@ -204,7 +204,7 @@
 
     /// Whether another attempt at the worker cannot repeat an effect.
     pub(super) fn effect_allows(&self, open: &OpenRequest, worker: &Worker) -> bool {
-        let mut possible_runs = open.attempts.iter().filter(|attempt| attempt.may_have_run());
+        let mut possible_runs = open.attempts.iter().filter(|attempt| attempt.could_have_run());
         match self.class(open).effect {
             Effect::Safe => true,
             Effect::Unsafe => possible_runs.next().is_none(),
@@ -214,14 +214,14 @@
                     Group::Zone => attempt.zone == worker.entry.zone,
                     Group::Cell => attempt.cell == worker.entry.cell,
                 };
-                let age = since(self.now, attempt.key_sent_at).0;
-                shares_keys && age + KEY_EXPIRY_MARGIN.0 < memory.0
+                let age = since(self.now, attempt.key_sent_at);
+                shares_keys && after(age, KEY_EXPIRY_MARGIN) < memory
             }),
         }
     }
 
     /// By how many requests a worker would exceed its bounded load; above 0 it is busy.
-    fn excess_requests(&self, worker: &Worker, total_weight: f64) -> f64 {
+    fn requests_over_limit(&self, worker: &Worker, total_weight: f64) -> f64 {
         let fair_share =
             (self.requests.in_flight + 1) as f64 * self.weight(worker) * self.slow_start_factor(worker)
                 / total_weight.max(1e-9);
@@ -244,7 +244,7 @@
 
 fn total_cost_secs(comparison: &Comparison, cost: &CandidateCost, worker: &Worker, step: usize) -> f64 {
     let service_time_secs = comparison.function.service_time_secs;
-    cost.excess_requests * service_time_secs * worker.latency_ratio.max(LATENCY_RATIO_COST_MIN)
+    cost.requests_over_limit * service_time_secs * worker.latency_ratio.max(LATENCY_RATIO_COST_MIN)
         + cost.queue_delay * comparison.objective_secs
         + cost.load_secs
         + cost.failure_secs
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -23,25 +23,25 @@
 #[derive(Default)]
 pub(super) struct SlowStart {
     /// From when on all workers have warmed up.
-    warm_from: Micros,
+    warmed_up_at: Micros,
     /// Total weight, once all workers have warmed up and it was summed up.
-    warm_weight: Option<f64>,
+    total_weight: Option<f64>,
     /// When the offered load was last summed up.
     offered_load_updated_at: Micros,
 }
 
 impl SlowStart {
     /// Sets from when on all workers have warmed up, and discards the total weight.
-    pub(super) fn reset(&mut self, warm_from: Micros) {
-        (self.warm_weight, self.warm_from) = (None, warm_from);
+    pub(super) fn reset(&mut self, warmed_up_at: Micros) {
+        (self.total_weight, self.warmed_up_at) = (None, warmed_up_at);
     }
 }
 
 impl Balancer {
     /// Sums up the total weight once all workers have warmed up, instead of at each call.
-    pub(super) fn cache_warm_weight(&mut self) {
-        if self.slow_start.warm_weight.is_none() && self.now >= self.slow_start.warm_from {
-            self.slow_start.warm_weight = Some(self.effective_weight());
+    pub(super) fn cache_total_weight(&mut self) {
+        if self.slow_start.total_weight.is_none() && self.now >= self.slow_start.warmed_up_at {
+            self.slow_start.total_weight = Some(self.effective_weight());
         }
     }
 
@@ -56,7 +56,7 @@
 
     /// Total weight of the workers, each reduced by its slow-start factor.
     pub(super) fn effective_weight(&self) -> f64 {
-        self.slow_start.warm_weight.unwrap_or_else(|| {
+        self.slow_start.total_weight.unwrap_or_else(|| {
             let workers = self.membership.workers.values();
             workers.map(|worker| self.weight(worker) * self.slow_start_factor(worker)).sum()
         })
--- a/src/balancer/statistics.rs
+++ b/src/balancer/statistics.rs
@@ -48,10 +48,15 @@
 }
 
 /// The point in time `delay` after `start`; saturating.
-pub(super) fn after(start: Micros, delay: Micros) -> Micros {
+pub(super) const fn after(start: Micros, delay: Micros) -> Micros {
     Micros(start.0.saturating_add(delay.0))
 }
 
+/// A length of time multiplied by a whole number.
+pub(super) const fn multiplied(time: Micros, factor: i64) -> Micros {
+    Micros(time.0 * factor)
+}
+
 /// Moves an exponentially weighted mean towards `value` by the fraction `rate` of the difference.
 pub(super) fn update_mean(mean: &mut f64, value: f64, rate: f64) {
     *mean += (value - *mean) * rate;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! Routing decisions before workers that keep only some of many functions loaded.
 //!
-//! The library does no input or output. A router hands each thing that happened to
-//! [`Balancer::handle`] and carries out the [`Action`]s that come back:
+//! The library does no input or output. A router passes each event to [`Balancer::handle`] and executes the
+//! [`Action`]s that it returns:
 //!
 //! ```
 //! use slatevalve::{Action, Balancer, Class, ClassId, Effect, Event, FunctionId, Listing, Micros, Request};
@@ -17,23 +17,23 @@
 //! balancer.handle(Micros(0), Event::WorkersListed(Listing { scope: Scope::Full, entries: vec![worker] }), &mut actions);
 //! let request = Request { id: RequestId(1), function: FunctionId(9), ..Request::default() };
 //! balancer.handle(Micros(1_000), Event::Request(request), &mut actions);
-//! // The worker was not heard from yet and is asked first; then the function, not yet loaded, is ordered, and
-//! // the call follows it a moment later. Each step comes with the wake that was asked for.
+//! // There was no contact with the worker yet, so it is probed first; then a load of the function is requested, and
+//! // the call follows a moment later. Each step ends in a timer.
 //! for ms in 1..15 {
 //!     let now = Micros(1_000 + ms * 4_000);
 //!     let due: Vec<u64> = actions
 //!         .iter()
-//!         .filter_map(|a| match a {
+//!         .filter_map(|action| match action {
 //!             Action::Wake { at, token } if at.0 <= now.0 => Some(*token),
 //!             _ => None,
 //!         })
 //!         .collect();
-//!     actions.retain(|a| !matches!(a, Action::Wake { at, .. } if at.0 <= now.0));
+//!     actions.retain(|action| !matches!(action, Action::Wake { at, .. } if at.0 <= now.0));
 //!     for token in due {
 //!         balancer.handle(now, Event::Wake { token }, &mut actions);
 //!     }
 //! }
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { worker: WorkerId(1), .. })));
+//! assert!(actions.iter().any(|action| matches!(action, Action::Send { worker: WorkerId(1), .. })));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
