--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -9,7 +9,7 @@
     attempts: std::collections::BTreeMap<u64, usize>,
 }
 
-fn keyed(group: Group, memory: i64) -> Effect {
+fn keyed_effect(group: Group, memory: i64) -> Effect {
     Effect::Keyed { group, memory: Micros(memory) }
 }
 
@@ -41,20 +41,20 @@
         r
     }
 
-    fn tell(&mut self, event: Event) -> Vec<Action> {
+    fn handle_event(&mut self, event: Event) -> Vec<Action> {
         let from = self.out.len();
         self.balancer.handle(Micros(self.now), event, &mut self.out);
         self.out[from..].to_vec()
     }
 
     fn list(&mut self, scope: Scope, entries: Vec<WorkerEntry>) {
-        self.tell(Event::WorkersListed(Listing { scope, entries }));
+        self.handle_event(Event::WorkersListed(Listing { scope, entries }));
     }
 
-    fn ask(&mut self, id: u64, function: u64) -> Option<u64> {
+    fn send_request(&mut self, id: u64, function: u64) -> Option<u64> {
         let (id, function) = (RequestId(id), FunctionId(function));
         let budget = Micros(3_000_000);
-        sent(&self.tell(Event::Request(Request { id, function, budget, ..Request::default() })))
+        sent(&self.handle_event(Event::Request(Request { id, function, budget, ..Request::default() })))
     }
 
     /// Time passes; every tick falls due.
@@ -62,7 +62,7 @@
         let from = self.out.len();
         for _ in 0..ms / 20 {
             self.now += 20_000;
-            self.tell(Event::Wake { token: 0 });
+            self.handle_event(Event::Wake { token: 0 });
         }
         self.out[from..].to_vec()
     }
@@ -75,7 +75,7 @@
     }
 
     fn answer_to(&mut self, id: u64, attempt: usize, worker: u64, outcome: Outcome) -> Vec<Action> {
-        self.tell(Event::Answer(Answer {
+        self.handle_event(Event::Answer(Answer {
             id: RequestId(id),
             attempt,
             worker: WorkerId(worker),
@@ -105,27 +105,27 @@
 }
 
 /// Homes of many functions, each asked for once of a router that has no load.
-fn homes(r: &mut Router, count: u64) -> Vec<u64> {
-    let mut homes = Vec::new();
+fn primaries(r: &mut Router, count: u64) -> Vec<u64> {
+    let mut primaries = Vec::new();
     for f in 0..count {
-        let w = r.ask(100_000 + f, f).expect("sent");
+        let w = r.send_request(100_000 + f, f).expect("sent");
         r.answer(100_000 + f, w, Outcome::Ok);
-        homes.push(w);
+        primaries.push(w);
     }
-    homes
+    primaries
 }
 
 #[test]
-fn routers_agree_whatever_the_order_of_the_list() {
-    let a = homes(&mut Router::new(site(Effect::Safe, true), &[1, 2, 3, 4, 5]), 200);
-    let b = homes(&mut Router::new(site(Effect::Safe, true), &[4, 1, 5, 3, 2]), 200);
+fn routers_agree_for_any_order_of_the_list() {
+    let a = primaries(&mut Router::new(site(Effect::Safe, true), &[1, 2, 3, 4, 5]), 200);
+    let b = primaries(&mut Router::new(site(Effect::Safe, true), &[4, 1, 5, 3, 2]), 200);
     assert_eq!(a, b);
 }
 
 #[test]
-fn only_the_arcs_of_a_worker_that_left_move() {
-    let with = homes(&mut Router::new(site(Effect::Safe, true), &[1, 2, 3, 4, 5, 6]), 400);
-    let without = homes(&mut Router::new(site(Effect::Safe, true), &[1, 2, 3, 5, 6]), 400);
+fn only_the_arcs_of_a_removed_worker_move() {
+    let with = primaries(&mut Router::new(site(Effect::Safe, true), &[1, 2, 3, 4, 5, 6]), 400);
+    let without = primaries(&mut Router::new(site(Effect::Safe, true), &[1, 2, 3, 5, 6]), 400);
     for (a, b) in with.iter().zip(&without) {
         assert!(*a == 4 || a == b, "a function of worker {a} moved to {b}");
     }
@@ -139,48 +139,48 @@
     let mut r = Router::new(site(Effect::Safe, true), &[]);
     let heavy = WorkerEntry { weight: 2.0, ..entry(9) };
     r.list(Scope::Full, vec![entry(1), entry(2), entry(3), heavy]);
-    let homes = homes(&mut r, 2_000);
-    let share = homes.iter().filter(|w| **w == 9).count() as f64 / 2_000.0;
+    let primaries = primaries(&mut r, 2_000);
+    let share = primaries.iter().filter(|w| **w == 9).count() as f64 / 2_000.0;
     assert!((0.3..0.5).contains(&share), "two fifths of the weight, {share} of the functions");
 }
 
 #[test]
-fn a_busy_home_spills_to_the_next_and_home_comes_first_again() {
+fn a_busy_primary_spills_over_and_is_preferred_again_when_idle() {
     let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4]);
-    let home = r.ask(1, 7).expect("sent");
-    r.answer(1, home, Outcome::Ok);
+    let primary = r.send_request(1, 7).expect("sent");
+    r.answer(1, primary, Outcome::Ok);
     let mut used = vec![];
     for id in 2..12 {
-        used.push(r.ask(id, 7).expect("sent"));
+        used.push(r.send_request(id, 7).expect("sent"));
     }
-    assert_eq!(used[0], home);
-    assert!(used.iter().any(|w| *w != home), "ten calls at once reach more workers");
+    assert_eq!(used[0], primary);
+    assert!(used.iter().any(|w| *w != primary), "ten calls at once reach more workers");
     for (id, w) in (2..12).zip(&used) {
         r.answer(id, *w, Outcome::Ok);
     }
     // Once it is no longer hot, one worker serves it again.
     r.now += 60_000_000;
-    assert_eq!(r.ask(20, 7), Some(home));
+    assert_eq!(r.send_request(20, 7), Some(primary));
 }
 
 #[test]
-fn a_function_not_loaded_is_ordered_and_sent_after_its_order() {
+fn a_call_follows_the_load_request_of_its_function() {
     let mut r = Router::new(site(Effect::Unsafe, false), &[1, 2, 3]);
-    assert_eq!(r.ask(1, 7), None);
+    assert_eq!(r.send_request(1, 7), None);
     assert!(r.out.iter().any(|a| matches!(a, Action::Load { copies: 1, .. })));
     let orders = |r: &Router| r.out.iter().filter(|a| matches!(a, Action::Load { .. })).count();
-    r.ask(2, 7);
+    r.send_request(2, 7);
     assert_eq!(orders(&r), 1, "one order is out for a function and worker");
-    let home = sent(&r.pass(20)).expect("sent after the order");
-    let again = r.answer(1, home, Outcome::Miss);
+    let primary = sent(&r.pass(20)).expect("sent after the order");
+    let again = r.answer(1, primary, Outcome::Miss);
     assert!(sent(&again).is_some(), "a miss proves that nothing ran: it is sent again");
 }
 
 #[test]
-fn an_unsafe_call_that_may_have_run_is_failed_not_repeated() {
+fn a_non_idempotent_call_that_could_have_run_is_failed_not_retried() {
     for outcome in [Outcome::TimedOut, Outcome::Error, Outcome::Reset, Outcome::Cancelled] {
         let mut r = Router::new(site(Effect::Unsafe, true), &[1, 2, 3]);
-        let w = r.ask(1, 7).expect("sent");
+        let w = r.send_request(1, 7).expect("sent");
         let end = r.answer(1, w, outcome);
         assert!(failed(&end) && sent(&end).is_none() && !refused(&end), "{outcome:?}");
         assert_eq!(r.balancer.open_requests(), 0);
@@ -188,10 +188,10 @@
 }
 
 #[test]
-fn a_call_that_never_ran_goes_to_another_worker() {
+fn a_call_proven_not_to_have_run_is_retried_at_another_worker() {
     for outcome in [Outcome::Full, Outcome::ConnectFailed] {
         let mut r = Router::new(site(Effect::Unsafe, true), &[1, 2, 3]);
-        let w = r.ask(1, 7).expect("sent");
+        let w = r.send_request(1, 7).expect("sent");
         let next = sent(&r.answer(1, w, outcome));
         assert!(next.is_some_and(|n| n != w), "{outcome:?}: {next:?}");
     }
@@ -200,13 +200,13 @@
 /// Found by `hunt --rules` (h2cec5a): the key's time counts from the first try that might have run when the
 /// next was sent, even when that first try is later proven not to have run.
 #[test]
-fn a_keys_time_counts_from_the_first_try() {
-    let mut r = Router::new(site(keyed(Group::All, 2_000_000), true), &[1, 2, 3]);
-    let home = r.ask(1, 7).expect("sent");
-    r.answer(1, home, Outcome::Ok);
+fn an_idempotency_key_expires_from_the_first_attempt_on() {
+    let mut r = Router::new(site(keyed_effect(Group::All, 2_000_000), true), &[1, 2, 3]);
+    let primary = r.send_request(1, 7).expect("sent");
+    r.answer(1, primary, Outcome::Ok);
     r.pass(20);
     let start = r.now;
-    let first = r.ask(2, 7).expect("sent");
+    let first = r.send_request(2, 7).expect("sent");
     let second = sent(&r.pass(1_900)).expect("a silent worker's call goes to a second one");
     r.answer_to(2, 0, first, Outcome::Miss);
     r.now = start + 2_100_000;
@@ -216,15 +216,15 @@
 
 /// Incident ifaa967: a worker that refuses fast has no calls out and must not look idle for that.
 #[test]
-fn a_worker_that_refuses_fast_does_not_draw_the_calls() {
+fn a_worker_that_rejects_fast_does_not_attract_calls() {
     let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4]);
-    let home = r.ask(1, 7).expect("sent");
-    r.answer(1, home, Outcome::Ok);
-    r.ask(2, 7);
-    r.answer(2, home, Outcome::Full);
+    let primary = r.send_request(1, 7).expect("sent");
+    r.answer(1, primary, Outcome::Ok);
+    r.send_request(2, 7);
+    r.answer(2, primary, Outcome::Full);
     for id in 3..9 {
-        let w = r.ask(id, 7).expect("sent");
-        assert_ne!(w, home, "call {id} went to the full worker");
+        let w = r.send_request(id, 7).expect("sent");
+        assert_ne!(w, primary, "call {id} went to the full worker");
         r.answer(id, w, Outcome::Ok);
     }
 }
@@ -233,82 +233,82 @@
 #[test]
 fn a_request_without_a_worker_is_refused_in_time() {
     let mut r = Router::new(site(Effect::Unsafe, true), &[]);
-    assert_eq!(r.ask(1, 7), None);
+    assert_eq!(r.send_request(1, 7), None);
     let end = r.pass(3_000);
     assert!(refused(&end));
     assert_eq!(r.balancer.open_requests(), 0);
     let id = RequestId(2);
-    let short = r.tell(Event::Request(Request { id, budget: Micros(4_000), ..Request::default() }));
+    let short = r.handle_event(Event::Request(Request { id, budget: Micros(4_000), ..Request::default() }));
     assert!(refused(&short), "too short a time for another tick");
 }
 
 #[test]
-fn a_draining_worker_gets_nothing_new() {
+fn a_draining_worker_is_sent_no_new_calls() {
     let mut r = Router::new(site(Effect::Safe, true), &[1, 2]);
     r.list(Scope::Changes, vec![WorkerEntry { state: WorkerState::Draining, ..entry(1) }]);
-    assert!(homes(&mut r, 50).iter().all(|w| *w == 2));
+    assert!(primaries(&mut r, 50).iter().all(|w| *w == 2));
 }
 
 #[test]
-fn a_silent_worker_is_stepped_past_and_its_calls_are_rescued() {
+fn an_unresponsive_worker_is_ejected_and_its_calls_are_retried_elsewhere() {
     let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4]);
-    let home = r.ask(1, 7).expect("sent");
-    r.answer(1, home, Outcome::Ok);
+    let primary = r.send_request(1, 7).expect("sent");
+    r.answer(1, primary, Outcome::Ok);
     r.pass(20);
-    assert_eq!(r.ask(2, 7), Some(home));
-    let rescue = sent(&r.pass(1_900)).expect("a second copy");
-    assert_ne!(rescue, home);
-    assert_ne!(r.ask(3, 7), Some(home), "the silent worker is in doubt");
+    assert_eq!(r.send_request(2, 7), Some(primary));
+    let retried_at = sent(&r.pass(1_900)).expect("a second copy");
+    assert_ne!(retried_at, primary);
+    assert_ne!(r.send_request(3, 7), Some(primary), "the silent worker is in doubt");
 }
 
 /// A started worker is sent little until it warms, also in one burst, and after a restart under its old id.
 #[test]
-fn a_cold_worker_is_spared() {
+fn slow_start_limits_calls_to_a_started_worker() {
     let mut s = site(Effect::Safe, true);
     s.rules = Rules { start_capacity: 0.2, fall_multiple: 2.0, ..Rules::default() };
     let mut r = Router::new(s, &[1]);
     let mut id = 0;
     for _ in 0..500 {
         id += 1;
-        let w = r.ask(id, id % 40).expect("sent");
+        let w = r.send_request(id, id % 40).expect("sent");
         r.answer(id, w, Outcome::Ok);
         r.pass(20);
     }
     let up_since = Some(Micros(r.now));
     r.list(Scope::Changes, vec![WorkerEntry { up_since, ..entry(1) }]);
     r.pass(1_000);
-    let burst: Vec<_> = (0..60).filter_map(|n| r.ask(10_000 + n, n % 40)).collect();
+    let burst: Vec<_> = (0..60).filter_map(|n| r.send_request(10_000 + n, n % 40)).collect();
     // 50 calls a second were served: a quarter of that, twice, and a part kept back.
     assert!((1..=18).contains(&burst.len()), "{} calls to the cold worker", burst.len());
 }
 
 #[test]
-fn loads_keep_to_the_ration() {
+fn load_requests_stay_within_the_quota() {
     let mut s = site(Effect::Safe, false);
     s.loading.ration_window = Micros(5_000_000);
     s.loading.ration_free = 3.0;
     let mut r = Router::new(s, &[1, 2, 3]);
     for id in 0..20 {
-        r.ask(id, id);
+        r.send_request(id, id);
     }
     assert_eq!(r.out.iter().filter(|a| matches!(a, Action::Load { .. })).count(), 3);
 }
 
 /// Overload (incident i4ecc8c): when answers would all come late, a part is refused at once.
 #[test]
-fn overload_is_refused_at_arrival() {
+fn requests_are_shed_under_overload() {
     let mut r = Router::new(site(Effect::Safe, true), &[1, 2]);
     let mut id = 0;
     for _ in 0..100 {
         id += 1;
-        let w = r.ask(id, id % 10).expect("sent");
+        let w = r.send_request(id, id % 10).expect("sent");
         r.pass(20);
         r.answer(id, w, Outcome::Ok);
     }
     let from = r.out.len();
     for _ in 0..200 {
         id += 1;
-        r.ask(id, id % 10);
+        r.send_request(id, id % 10);
     }
     assert!(refused(&r.out[from..]));
     let taken = r.out[from..].iter().filter(|a| matches!(a, Action::Send { .. })).count();
@@ -318,7 +318,7 @@
 /// Incident i2d3d56: a zone goes silent. Calls stuck there are no queue for the workers that answer; counted as
 /// one, they would have the router refuse nearly everything.
 #[test]
-fn calls_stuck_at_silent_workers_do_not_stop_the_rest() {
+fn attempts_at_unresponsive_workers_do_not_count_as_a_queue() {
     let mut s = site(Effect::Unsafe, true);
     s.classes[0].latency_objective = Micros(60_000);
     let mut r = Router::new(s, &[1, 2, 3, 4, 5]);
@@ -327,7 +327,7 @@
         for _ in 0..2 {
             id += 1;
             let from = r.out.len();
-            let to = r.ask(id, id % 30);
+            let to = r.send_request(id, id % 30);
             refusals += usize::from(step >= 300 && refused(&r.out[from..]));
             if let Some(w) = to.filter(|w| step < 100 || *w > 2) {
                 r.answer(id, w, Outcome::Ok);
@@ -341,23 +341,23 @@
 /// Incident i517e3b: a full answer to a call that needs a load says that there is no room for that function;
 /// calls of functions that stand there go on.
 #[test]
-fn no_room_for_a_function_does_not_close_its_worker() {
+fn no_room_for_a_function_does_not_eject_its_worker() {
     let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3]);
-    let homes = homes(&mut r, 30);
+    let primaries = primaries(&mut r, 30);
     // Calls that find their copies, until the loads at the start are forgotten.
     for id in 1_000..1_400 {
-        let w = r.ask(id, id % 30).expect("sent");
+        let w = r.send_request(id, id % 30).expect("sent");
         r.answer(id, w, Outcome::Ok);
     }
-    let home = r.ask(1, 500).expect("sent");
-    let same = homes.iter().position(|w| *w == home).expect("a function at home there") as u64;
-    assert!(sent(&r.answer(1, home, Outcome::Full)).is_some(), "it never ran and is tried again");
-    assert_eq!(r.ask(2, same), Some(home));
+    let primary = r.send_request(1, 500).expect("sent");
+    let same = primaries.iter().position(|w| *w == primary).expect("a function at home there") as u64;
+    assert!(sent(&r.answer(1, primary, Outcome::Full)).is_some(), "it never ran and is tried again");
+    assert_eq!(r.send_request(2, same), Some(primary));
 }
 
 /// A site whose list must be asked for: one call, another some time after a failure, none while subscribed.
 #[test]
-fn the_list_is_asked_for_and_not_in_a_rush() {
+fn the_list_is_requested_at_a_bounded_rate() {
     let mut r = Router::new(site(Effect::Safe, true), &[]);
     r.balancer = Balancer::new(Settings { must_ask: true, ..Settings::default() }, 1);
     let asks = |a: &[Action]| a.iter().filter(|a| matches!(a, Action::Subscribe)).count();
@@ -390,7 +390,7 @@
 /// At size each router has about one call out, so its own counts never call a home busy: hot functions piled
 /// up there. By their share of the calls they spread over the first workers clockwise, which all agree on.
 #[test]
-fn hot_functions_spread_along_the_ring_at_size() {
+fn hot_functions_spread_along_the_ring_in_a_large_fleet() {
     let mut routers = fleet(60, 20, |_| {});
     let (mut hot, mut rare) = (std::collections::BTreeMap::new(), std::collections::BTreeMap::new());
     for step in 0..60u64 {
@@ -398,7 +398,7 @@
             let id = step + 1;
             let cold = 100 + (step * 7 + n as u64 * 13) % 50;
             let f = if step % 3 == 0 { 7 } else { cold };
-            let w = r.ask(id, f).expect("sent");
+            let w = r.send_request(id, f).expect("sent");
             r.answer(id, w, Outcome::Ok);
             r.now += 300_000;
             if step > 40 {
@@ -417,13 +417,13 @@
 /// Each router's part of a cold worker's budget is less than a call; one call from each at once would be many
 /// times what the worker can do.
 #[test]
-fn a_cold_workers_budget_holds_in_sum() {
+fn the_slow_start_budget_holds_over_all_routers() {
     let mut routers = fleet(100, 10, |s| {
         s.rules = Rules { start_capacity: 0.2, fall_multiple: 3.0, ..Rules::default() };
     });
     for step in 0..40u64 {
         for (n, r) in routers.iter_mut().enumerate() {
-            let w = r.ask(step + 1, (step * 11 + n as u64 * 17) % 30).expect("sent");
+            let w = r.send_request(step + 1, (step * 11 + n as u64 * 17) % 30).expect("sent");
             r.answer(step + 1, w, Outcome::Ok);
             r.now += 300_000;
         }
@@ -434,7 +434,7 @@
         r.list(Scope::Changes, vec![WorkerEntry { up_since, ..entry(4) }]);
         // A burst of two and a half times the usual rate, all at once.
         for id in 0..8 {
-            cold += usize::from(r.ask(1_000 + id, (id * 11 + n as u64 * 17) % 30) == Some(4));
+            cold += usize::from(r.send_request(1_000 + id, (id * 11 + n as u64 * 17) % 30) == Some(4));
         }
     }
     // 333 calls a second are served, 33 by a worker, a fifth of that by a cold one; three times that is the limit, 20.
@@ -444,57 +444,57 @@
 
 /// Probes follow requests, whatever the number of workers; an idle router sends nothing and asks for no wake.
 #[test]
-fn probes_are_bounded_by_requests_and_idle_routers_rest() {
+fn probes_are_bounded_by_requests_and_idle_routers_are_inactive() {
     let mut routers = fleet(1, 60, |s| {
         (s.limits.probes, s.reports) = (true, LoadReportSource::Probes);
     });
     let r = &mut routers[0];
     for id in 1..=100 {
-        r.ask(id, id % 40);
+        r.send_request(id, id % 40);
         r.now += 12_000;
-        r.tell(Event::Wake { token: id + 1 });
+        r.handle_event(Event::Wake { token: id + 1 });
         r.now += 200_000;
-        r.tell(Event::ClientDisconnected { id: RequestId(id) });
+        r.handle_event(Event::ClientDisconnected { id: RequestId(id) });
     }
     let probes = r.out.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
     assert!((20..=160).contains(&probes), "{probes} probes for 100 requests");
     for id in 1..=100 {
         r.answer(id, 1, Outcome::Cancelled);
     }
-    r.tell(Event::Wake { token: 0 });
+    r.handle_event(Event::Wake { token: 0 });
     let from = r.out.len();
-    r.tell(Event::Wake { token: 0 });
+    r.handle_event(Event::Wake { token: 0 });
     assert_eq!(r.balancer.open_requests(), 0);
     assert!(r.out[from..].is_empty(), "an idle router asks for nothing: {:?}", &r.out[from..]);
 }
 
 /// A client that left early leaves nothing running.
 #[test]
-fn a_client_that_left_leaves_nothing_running() {
+fn attempts_of_a_disconnected_client_are_cancelled() {
     let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3]);
-    r.ask(1, 7).expect("sent");
-    let end = r.tell(Event::ClientDisconnected { id: RequestId(1) });
+    r.send_request(1, 7).expect("sent");
+    let end = r.handle_event(Event::ClientDisconnected { id: RequestId(1) });
     assert!(end.iter().any(|a| matches!(a, Action::Cancel { id: RequestId(1), attempt: 0 })));
 }
 
 /// The router itself stood still for two seconds: the silence was its own, and no worker is doubted for it.
 #[test]
-fn a_stall_of_the_router_says_nothing_of_workers() {
+fn a_pause_of_the_router_ejects_no_worker() {
     let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4]);
-    let home = r.ask(1, 7).expect("sent");
-    r.answer(1, home, Outcome::Ok);
-    assert_eq!(r.ask(2, 7), Some(home));
+    let primary = r.send_request(1, 7).expect("sent");
+    r.answer(1, primary, Outcome::Ok);
+    assert_eq!(r.send_request(2, 7), Some(primary));
     r.pass(100);
     r.now += 2_500_000;
-    let woken = r.tell(Event::Wake { token: 0 });
+    let woken = r.handle_event(Event::Wake { token: 0 });
     assert_eq!(sent(&woken), None, "no rescue for what only the router missed");
-    r.answer(2, home, Outcome::Ok);
-    assert_eq!(r.ask(3, 7), Some(home));
+    r.answer(2, primary, Outcome::Ok);
+    assert_eq!(r.send_request(3, 7), Some(primary));
 }
 
 /// One class fails at a worker that serves another: only that class steps past it.
 #[test]
-fn one_class_failing_does_not_close_the_worker_to_others() {
+fn one_failing_class_does_not_eject_the_worker_for_others() {
     let mut s = site(Effect::Safe, true);
     s.classes = vec![s.classes[0].clone(), s.classes[0].clone(), s.classes[0].clone()];
     let mut r = Router::new(s, &[1, 2, 3, 4]);
@@ -505,39 +505,39 @@
             function: FunctionId(7),
             ..Request::default()
         };
-        sent(&r.tell(Event::Request(request)))
+        sent(&r.handle_event(Event::Request(request)))
     };
-    let home = call(&mut r, 1, 0).expect("sent");
-    r.answer(1, home, Outcome::Ok);
+    let primary = call(&mut r, 1, 0).expect("sent");
+    r.answer(1, primary, Outcome::Ok);
     // The worker serves others meanwhile, so one error may be chance; a second in a row is not.
     for id in [20, 21] {
-        assert_eq!(call(&mut r, id, 0), Some(home));
-        let other = sent(&r.answer(id, home, Outcome::Error)).expect("a safe call is tried again");
-        if other != home {
+        assert_eq!(call(&mut r, id, 0), Some(primary));
+        let other = sent(&r.answer(id, primary, Outcome::Error)).expect("a safe call is tried again");
+        if other != primary {
             r.answer_to(id, 1, other, Outcome::Ok);
         }
     }
-    assert_ne!(call(&mut r, 3, 0), Some(home), "the failing class steps past");
-    assert_eq!(call(&mut r, 4, 1), Some(home), "the other class stays at home");
+    assert_ne!(call(&mut r, 3, 0), Some(primary), "the failing class steps past");
+    assert_eq!(call(&mut r, 4, 1), Some(primary), "the other class stays at home");
 }
 
 /// Found on sockets: requests that no worker can use failed everywhere they were tried, and each error rested a
 /// worker, whose functions were then loaded elsewhere until the store was overrun.
 #[test]
-fn a_function_that_no_worker_ever_served_closes_no_worker() {
+fn errors_of_a_function_that_was_never_served_eject_no_worker() {
     let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4, 5, 6, 7, 8]);
-    let before = homes(&mut r, 8);
+    let before = primaries(&mut r, 8);
     for id in 0..2 {
         // Each asked anew, and failing wherever it goes.
-        let mut worker = r.ask(id, 900 + id);
+        let mut worker = r.send_request(id, 900 + id);
         while let Some(w) = worker {
             worker = sent(&r.answer(id, w, Outcome::Error));
         }
     }
-    for (f, home) in before.iter().enumerate() {
+    for (f, primary) in before.iter().enumerate() {
         let id = 500 + f as u64;
-        assert_eq!(r.ask(id, f as u64), Some(*home), "function {f} stays at home");
-        r.answer(id, *home, Outcome::Ok);
+        assert_eq!(r.send_request(id, f as u64), Some(*primary), "function {f} stays at home");
+        r.answer(id, *primary, Outcome::Ok);
     }
 }
 
@@ -546,39 +546,39 @@
 #[test]
 fn one_reset_is_not_a_crash_and_two_in_a_row_are() {
     let mut r = Router::new(site(Effect::Safe, false), &[1, 2, 3]);
-    r.ask(1, 7);
-    let home = sent(&r.pass(20)).expect("sent behind its order");
-    r.tell(Event::LoadCompleted {
-        worker: WorkerId(home),
+    r.send_request(1, 7);
+    let primary = sent(&r.pass(20)).expect("sent behind its order");
+    r.handle_event(Event::LoadCompleted {
+        worker: WorkerId(primary),
         function: FunctionId(7),
         outcome: Outcome::Ok,
         copies: 1,
         latency: Micros(300_000),
     });
-    r.answer(1, home, Outcome::Ok);
-    assert_eq!(r.ask(2, 7), Some(home));
-    let again = r.answer(2, home, Outcome::Reset);
+    r.answer(1, primary, Outcome::Ok);
+    assert_eq!(r.send_request(2, 7), Some(primary));
+    let again = r.answer(2, primary, Outcome::Reset);
     assert_ne!(sent(&again), None, "a safe call is tried again");
     assert!(!again.iter().any(|a| matches!(a, Action::Load { .. })), "its copy still stands: {again:?}");
     let tried = sent(&again).expect("sent");
     r.answer(2, tried, Outcome::Ok);
     for id in [3, 4] {
-        assert_eq!(r.ask(id, 7), Some(home));
+        assert_eq!(r.send_request(id, 7), Some(primary));
     }
-    r.answer(3, home, Outcome::Reset);
-    r.answer(4, home, Outcome::Reset);
-    assert_ne!(r.ask(5, 7), Some(home), "two in a row");
+    r.answer(3, primary, Outcome::Reset);
+    r.answer(4, primary, Outcome::Reset);
+    assert_ne!(r.send_request(5, 7), Some(primary), "two in a row");
 }
 
 /// Found on sockets: where a tenth of the attempts are reset, a budget made for overload refused the repeats.
 #[test]
-fn broken_connections_are_repeated_more_freely_than_overload() {
+fn broken_connections_take_fewer_retry_tokens_than_overload() {
     let repeats = |outcome: Outcome| {
         let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4]);
-        homes(&mut r, 20);
+        primaries(&mut r, 20);
         let mut repeated = 0;
         for id in 0..60 {
-            let Some(worker) = r.ask(id, id % 20) else { continue };
+            let Some(worker) = r.send_request(id, id % 20) else { continue };
             // One in six ends so; the others are served.
             let first = if id % 6 == 0 { outcome } else { Outcome::Ok };
             if let Some(other) = sent(&r.answer(id, worker, first)) {
@@ -595,65 +595,65 @@
 
 /// Asks for a function that usually loads in 80 ms; all these tests end within a router's first second, in which it
 /// refuses nothing.
-fn ask_quick(r: &mut Router, id: u64, function: u64) -> Option<u64> {
+fn send_quick_request(r: &mut Router, id: u64, function: u64) -> Option<u64> {
     let (id, function, load_time) = (RequestId(id), FunctionId(function), Some(Micros(80_000)));
     let budget = Micros(3_000_000);
     let request = Request { id, function, budget, load_time, ..Request::default() };
-    sent(&r.tell(Event::Request(request))).or_else(|| sent(&r.pass(20)))
+    sent(&r.handle_event(Event::Request(request))).or_else(|| sent(&r.pass(20)))
 }
 
 /// A router whose function 7 stands at one worker.
-fn standing(workers: &[u64]) -> (Router, u64) {
+fn router_with_copy(workers: &[u64]) -> (Router, u64) {
     let mut r = Router::new(site(Effect::Safe, false), workers);
-    let home = ask_quick(&mut r, 1, 7).expect("sent behind its order");
-    let (worker, function) = (WorkerId(home), FunctionId(7));
+    let primary = send_quick_request(&mut r, 1, 7).expect("sent behind its order");
+    let (worker, function) = (WorkerId(primary), FunctionId(7));
     let (outcome, latency) = (Outcome::Ok, Micros(80_000));
-    r.tell(Event::LoadCompleted { worker, function, outcome, copies: 1, latency });
-    r.answer(1, home, Outcome::Ok);
-    (r, home)
+    r.handle_event(Event::LoadCompleted { worker, function, outcome, copies: 1, latency });
+    r.answer(1, primary, Outcome::Ok);
+    (r, primary)
 }
 
-/// Calls of function 7 that stay at `home`, unanswered, until one goes elsewhere.
-fn held_at(r: &mut Router, home: u64, from: u64) -> u64 {
-    (0..60).find(|n| ask_quick(r, from + n, 7) != Some(home)).unwrap_or(60)
+/// Calls of function 7 that stay at `primary`, unanswered, until one goes elsewhere.
+fn calls_kept_at(r: &mut Router, primary: u64, from: u64) -> u64 {
+    (0..60).find(|n| send_quick_request(r, from + n, 7) != Some(primary)).unwrap_or(60)
 }
 
 /// Found on sockets: where the store was slow, each function learned of it alone and calls left busy copies for loads
 /// that took ten times the usual.
 #[test]
-fn a_slow_store_makes_calls_stay_where_copies_stand() {
-    let (mut r, home) = standing(&[1, 2, 3, 4, 5]);
+fn slow_loads_keep_calls_at_loaded_copies() {
+    let (mut r, primary) = router_with_copy(&[1, 2, 3, 4, 5]);
     let loads = |r: &mut Router, end: bool| {
         for f in 20..28 {
-            let worker = ask_quick(r, 1_000 + f, f).expect("sent behind its order");
+            let worker = send_quick_request(r, 1_000 + f, f).expect("sent behind its order");
             let (worker, function) = (WorkerId(worker), FunctionId(f));
             let (outcome, latency) = (Outcome::Ok, Micros(80_000));
             if end {
-                r.tell(Event::LoadCompleted { worker, function, outcome, copies: 1, latency });
+                r.handle_event(Event::LoadCompleted { worker, function, outcome, copies: 1, latency });
             }
         }
         r.pass(400);
     };
     loads(&mut r, true);
-    let usual = held_at(&mut r, home, 100);
-    let (mut r, home) = standing(&[1, 2, 3, 4, 5]);
+    let usual = calls_kept_at(&mut r, primary, 100);
+    let (mut r, primary) = router_with_copy(&[1, 2, 3, 4, 5]);
     loads(&mut r, false);
-    let slow = held_at(&mut r, home, 100);
+    let slow = calls_kept_at(&mut r, primary, 100);
     assert!(slow > usual, "{slow} calls held, {usual} with a store at its usual pace");
 }
 
 /// Found on sockets: a load that was overdue counted as done in a moment, and half of all time-outs waited for one while
 /// a copy stood elsewhere.
 #[test]
-fn a_load_that_is_overdue_draws_no_calls_from_a_copy_that_stands() {
-    let (mut r, home) = standing(&[1, 2, 3]);
-    let usual = held_at(&mut r, home, 100);
+fn an_overdue_load_attracts_no_calls_from_a_loaded_copy() {
+    let (mut r, primary) = router_with_copy(&[1, 2, 3]);
+    let usual = calls_kept_at(&mut r, primary, 100);
     for id in 100..100 + usual {
-        r.answer(id, home, Outcome::Ok);
+        r.answer(id, primary, Outcome::Ok);
     }
     // The load at the other one was due long ago.
     r.pass(400);
-    let now = held_at(&mut r, home, 500);
+    let now = calls_kept_at(&mut r, primary, 500);
     assert!(now > usual, "{now} calls held before one joined the overdue load, {usual} at first");
 }
 
@@ -669,12 +669,12 @@
         // A hundred calls a second, each answered after 50 ms, but for one in seven.
         r.now += 10_000;
         if id % 2 == 0 {
-            r.tell(Event::Wake { token: 0 });
+            r.handle_event(Event::Wake { token: 0 });
         }
         let actions = {
             let (id, function) = (RequestId(id), FunctionId(id % 11));
             let budget = Micros(1_200_000);
-            r.tell(Event::Request(Request { id, function, budget, ..Request::default() }))
+            r.handle_event(Event::Request(Request { id, function, budget, ..Request::default() }))
         };
         refusals += usize::from(refused(&actions));
         out.extend(sent(&actions).map(|worker| (r.now + 50_000, id, worker)));
@@ -690,10 +690,10 @@
 
 /// Found by a test of the gateway: a worker that fails all it gets was never doubted, as no function was known yet.
 #[test]
-fn a_worker_that_serves_nothing_is_doubted_by_unknown_functions_too() {
+fn a_worker_that_serves_nothing_is_ejected_for_unknown_functions_too() {
     let mut r = Router::new(site(Effect::Safe, true), &[1, 2]);
     for id in 0..20 {
-        let mut worker = r.ask(id, id);
+        let mut worker = r.send_request(id, id);
         while worker == Some(1) {
             worker = sent(&r.answer(id, 1, Outcome::Error));
         }
--- a/tests/routers.rs
+++ b/tests/routers.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_router_that_hears_of_others_decides_from_then_on_as_one_started_among_them() {
+fn a_changed_router_count_has_the_effect_of_one_set_at_start() {
     let (alone, among) = (actions(1, &[]), actions(8, &[]));
     assert_ne!(alone, among, "the number makes a difference in these calls");
     assert_eq!(actions(1, &[8]), among);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_fleet_that_came_about_change_by_change_is_the_same_as_one_told_at_once() {
+fn incremental_lists_lead_to_the_same_ring_as_a_complete_one() {
     let entry = |id: u64, state: WorkerState, weight: f64| WorkerEntry {
         id: WorkerId(id * 7_919),
         state,
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn probes_are_sent_as_long_as_they_gain_more_than_they_cost() {
+fn probes_are_sent_while_they_gain_more_than_they_cost() {
     let (free, dear) = (probes(0.0, None).0, probes(0.2, None).0);
     assert!(free > 300, "where they cost nothing a worker not heard from is asked: {free}");
     assert!(
@@ -177,7 +177,7 @@
 
 /// Calls that a worker which never answers anything swallows in two minutes of ten calls a second before eight, at a price at
 /// which probes do not pay; and the probes sent.
-fn swallowed() -> (usize, usize) {
+fn calls_lost_at_unresponsive_worker() -> (usize, usize) {
     let class = Class { effect: Effect::Safe, ..Class::default() };
     let settings = Settings { routers: 300, classes: vec![class], probe_price: 0.5, ..Settings::default() };
     let (mut balancer, mut out) = (Balancer::new(settings, 1), Vec::new());
@@ -240,8 +240,8 @@
 }
 
 #[test]
-fn a_worker_in_doubt_is_asked_before_a_call_tries_it_again() {
-    let (sent, probes) = swallowed();
+fn a_suspect_worker_is_probed_before_it_is_sent_a_call() {
+    let (sent, probes) = calls_lost_at_unresponsive_worker();
     // The first ones that it swallows tell of it; from then on probes find it silent still.
     assert!((1..=4).contains(&sent), "{sent} calls went to the silent worker");
     assert!(probes < 120, "{probes} probes for 1,200 calls");
@@ -249,7 +249,7 @@
 
 /// A call of a class that is refused behind crowds, before two workers of which the first one asked says nothing for
 /// `silent_ms`; `met` is whether it was heard from before. What was done about the call, and when, in milliseconds.
-fn asked_in_silence(met: bool, silent_ms: i64) -> Vec<(i64, &'static str)> {
+fn outcomes_behind_slow_probes(met: bool, silent_ms: i64) -> Vec<(i64, &'static str)> {
     let class = |latency_objective| Class {
         effect: Effect::Safe,
         latency_objective: Micros(latency_objective),
@@ -296,10 +296,22 @@
 }
 
 #[test]
-fn a_silence_of_ten_milliseconds_refuses_no_call() {
+fn ten_milliseconds_without_a_probe_response_refuse_no_call() {
     // Seen on a machine that was busy: connections and answers took 10 to 20 ms, and calls with five seconds left were refused.
-    assert_eq!(asked_in_silence(false, 20), [(14, "sent")], "one never heard from: it may be coming up");
-    assert_eq!(asked_in_silence(false, 300), [(14, "sent")]);
-    assert_eq!(asked_in_silence(true, 20).last().map(|d| d.1), Some("sent"), "it answered after all");
-    assert_eq!(asked_in_silence(true, 300), [(100, "refused")], "a tenth of the aim tells of a crowd");
+    assert_eq!(
+        outcomes_behind_slow_probes(false, 20),
+        [(14, "sent")],
+        "one never heard from: it may be coming up"
+    );
+    assert_eq!(outcomes_behind_slow_probes(false, 300), [(14, "sent")]);
+    assert_eq!(
+        outcomes_behind_slow_probes(true, 20).last().map(|d| d.1),
+        Some("sent"),
+        "it answered after all"
+    );
+    assert_eq!(
+        outcomes_behind_slow_probes(true, 300),
+        [(100, "refused")],
+        "a tenth of the aim tells of a crowd"
+    );
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -13,7 +13,7 @@
 const SHARE: f64 = 0.5;
 
 #[derive(Clone)]
-struct Try {
+struct CheckedAttempt {
     worker: u64,
     cell: u64,
     at: i64,
@@ -22,10 +22,10 @@
     end: Option<Outcome>,
 }
 
-struct Asked {
+struct CheckedRequest {
     class: usize,
     until: i64,
-    tries: Vec<Try>,
+    attempts: Vec<CheckedAttempt>,
     over: bool,
 }
 
@@ -33,17 +33,17 @@
 struct Checker {
     second: bool,
     ration: bool,
-    asked: BTreeMap<u64, Asked>,
+    requests: BTreeMap<u64, CheckedRequest>,
     /// Worker: cell, and since when it drains or is gone.
     workers: BTreeMap<u64, (u64, Option<i64>)>,
-    took: Vec<i64>,
+    accepted_at: Vec<i64>,
     loads: Vec<i64>,
     orders: Vec<(u64, u64)>,
     probes: Vec<u64>,
 }
 
 impl Checker {
-    fn worker_open(&self, worker: u64, now: i64) -> Result<u64, String> {
+    fn check_worker_accepts(&self, worker: u64, now: i64) -> Result<u64, String> {
         let (cell, stop) = self.workers.get(&worker).ok_or("a worker never named")?;
         if stop.is_some_and(|t| now > t + GRACE) {
             return Err(format!("drain: worker {worker} was used too late"));
@@ -54,30 +54,30 @@
     fn act(&mut self, now: i64, action: &Action) -> Result<(), String> {
         match action {
             Action::Send { id, worker, .. } => {
-                let cell = self.worker_open(worker.0, now)?;
-                let (second, a) = (self.second, self.asked.get_mut(&id.0).ok_or("a request never taken")?);
+                let cell = self.check_worker_accepts(worker.0, now)?;
+                let (second, a) = (self.second, self.requests.get_mut(&id.0).ok_or("a request never taken")?);
                 if a.over {
                     return Err("lost: sent after the end".into());
                 }
-                if a.tries.len() >= ATTEMPTS {
+                if a.attempts.len() >= ATTEMPTS {
                     return Err("limit: attempts".into());
                 }
-                if !second && a.tries.iter().any(|t| t.end.is_none()) {
+                if !second && a.attempts.iter().any(|t| t.end.is_none()) {
                     return Err("limit: two attempts out".into());
                 }
-                for t in a.tries.iter().filter(|t| !t.end.is_some_and(proven)) {
+                for t in a.attempts.iter().filter(|t| !t.end.is_some_and(proves_not_executed)) {
                     let same = t.cell == cell && now - t.from < 1_000_000;
                     if a.class == 2 || (a.class == 1 && !same) {
                         return Err("effect: sent again".into());
                     }
                 }
-                let ran = a.tries.iter().filter(|t| !t.end.is_some_and(proven));
+                let ran = a.attempts.iter().filter(|t| !t.end.is_some_and(proves_not_executed));
                 let from = ran.map(|t| t.from).min().unwrap_or(now);
-                a.tries.push(Try { worker: worker.0, cell, at: now, from, end: None });
+                a.attempts.push(CheckedAttempt { worker: worker.0, cell, at: now, from, end: None });
             }
             Action::Refuse { id, .. } => {
-                let a = self.asked.get_mut(&id.0).ok_or("a request never taken")?;
-                let ran = a.tries.iter().any(|t| !t.end.is_some_and(proven));
+                let a = self.requests.get_mut(&id.0).ok_or("a request never taken")?;
+                let ran = a.attempts.iter().any(|t| !t.end.is_some_and(proves_not_executed));
                 if a.over {
                     return Err("lost: two final answers".into());
                 }
@@ -87,20 +87,21 @@
                 a.over = true;
             }
             Action::Fail { id } => {
-                let a = self.asked.get_mut(&id.0).ok_or("a request never taken")?;
+                let a = self.requests.get_mut(&id.0).ok_or("a request never taken")?;
                 if std::mem::replace(&mut a.over, true) {
                     return Err("lost: two final answers".into());
                 }
             }
             Action::Cancel { id, attempt } => {
-                let a = self.asked.get(&id.0).ok_or("a request never taken")?;
-                a.tries.get(*attempt).ok_or("cancelled an attempt never made")?;
+                let a = self.requests.get(&id.0).ok_or("a request never taken")?;
+                a.attempts.get(*attempt).ok_or("cancelled an attempt never made")?;
             }
             Action::Load { worker, function, copies } => {
-                self.worker_open(worker.0, now)?;
+                self.check_worker_accepts(worker.0, now)?;
                 self.loads.push(now);
                 let count = |v: &[i64]| v.iter().filter(|t| now - **t < WINDOW).count() as f64;
-                if self.ration && *copies > 0 && count(&self.loads) > FREE + SHARE * count(&self.took) {
+                if self.ration && *copies > 0 && count(&self.loads) > FREE + SHARE * count(&self.accepted_at)
+                {
                     return Err("loads: over the ration".into());
                 }
                 if self.orders.contains(&(worker.0, function.0)) {
@@ -116,14 +117,14 @@
     }
 
     fn late(&self, now: i64) -> Result<(), String> {
-        match self.asked.iter().find(|(_, a)| !a.over && now > a.until + SLACK) {
+        match self.requests.iter().find(|(_, a)| !a.over && now > a.until + SLACK) {
             Some((id, _)) => Err(format!("lost: request {id} has no answer in time")),
             None => Ok(()),
         }
     }
 }
 
-fn proven(o: Outcome) -> bool {
+fn proves_not_executed(o: Outcome) -> bool {
     matches!(o, Outcome::Full | Outcome::Miss | Outcome::ConnectFailed | Outcome::NotSent)
 }
 
@@ -169,9 +170,9 @@
         let check = Checker {
             second,
             ration,
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             workers: BTreeMap::new(),
-            took: Vec::new(),
+            accepted_at: Vec::new(),
             loads: Vec::new(),
             orders: Vec::new(),
             probes: Vec::new(),
@@ -180,7 +181,7 @@
         World { balancer, check, now: 1_000, wakes: Vec::new(), log: Vec::new(), next: 1 }
     }
 
-    fn tell(&mut self, event: Event) -> Result<(), String> {
+    fn handle_event(&mut self, event: Event) -> Result<(), String> {
         let mut out = Vec::new();
         self.balancer.handle(Micros(self.now), event, &mut out);
         for a in &out {
@@ -202,11 +203,11 @@
             let (due, later): (Vec<_>, Vec<_>) = wakes.into_iter().partition(|w| w.0 <= now);
             self.wakes = later;
             for (_, token) in due {
-                self.tell(Event::Wake { token })?;
+                self.handle_event(Event::Wake { token })?;
             }
-            let overdue = self.check.asked.iter().filter(|(_, a)| now >= a.until).map(|(id, _)| *id);
+            let overdue = self.check.requests.iter().filter(|(_, a)| now >= a.until).map(|(id, _)| *id);
             for id in overdue.collect::<Vec<_>>() {
-                for n in 0..self.check.asked[&id].tries.len() {
+                for n in 0..self.check.requests[&id].attempts.len() {
                     self.end(id, n, Outcome::TimedOut)?;
                 }
             }
@@ -216,14 +217,14 @@
     }
 
     fn end(&mut self, id: u64, n: usize, outcome: Outcome) -> Result<(), String> {
-        let Some(a) = self.check.asked.get_mut(&id) else { return Ok(()) };
-        let Some(t) = a.tries.get_mut(n).filter(|t| t.end.is_none()) else { return Ok(()) };
+        let Some(a) = self.check.requests.get_mut(&id) else { return Ok(()) };
+        let Some(t) = a.attempts.get_mut(n).filter(|t| t.end.is_none()) else { return Ok(()) };
         t.end = Some(outcome);
         let (worker, latency) = (WorkerId(t.worker), Micros(self.now - t.at));
         a.over |= outcome == Outcome::Ok;
         let closed = a.over;
         let id = RequestId(id);
-        self.tell(Event::Answer(Answer {
+        self.handle_event(Event::Answer(Answer {
             id,
             attempt: n,
             worker,
@@ -255,7 +256,7 @@
         }
         let old = self.check.workers.get(&id).and_then(|w| w.1);
         self.check.workers.insert(id, (id % 2, stop.map(|t| old.unwrap_or(t))));
-        self.tell(Event::WorkersListed(Listing {
+        self.handle_event(Event::WorkersListed(Listing {
             scope: if full { Scope::Full } else { Scope::Changes },
             entries,
         }))
@@ -277,11 +278,12 @@
         match op % 12 {
             0..=3 => {
                 let budget = [5_000, 60_000, 900_000, 3_000_000][y % 4];
-                self.check.took.push(self.now);
-                let asked = Asked { class: x % 3, until: self.now + budget, tries: vec![], over: false };
-                self.check.asked.insert(self.next, asked);
+                self.check.accepted_at.push(self.now);
+                let requests =
+                    CheckedRequest { class: x % 3, until: self.now + budget, attempts: vec![], over: false };
+                self.check.requests.insert(self.next, requests);
                 self.next += 1;
-                self.tell(Event::Request(Request {
+                self.handle_event(Event::Request(Request {
                     id: RequestId(self.next - 1),
                     budget: Micros(budget),
                     class: ClassId(x % 3),
@@ -293,11 +295,11 @@
                 }))
             }
             4..=6 => {
-                let out = |(id, a): (&u64, &Asked)| {
-                    let n = a.tries.iter().position(|t| t.end.is_none())?;
+                let out = |(id, a): (&u64, &CheckedRequest)| {
+                    let n = a.attempts.iter().position(|t| t.end.is_none())?;
                     Some((*id, n))
                 };
-                let all: Vec<_> = self.check.asked.iter().filter_map(out).collect();
+                let all: Vec<_> = self.check.requests.iter().filter_map(out).collect();
                 match all.get(x % all.len().max(1)) {
                     Some(&(id, n)) => self.end(id, n, ENDS[if y % 2 == 0 { 0 } else { y / 2 % 9 }]),
                     None => Ok(()),
@@ -313,7 +315,7 @@
                 let (worker, function) = self.check.orders.remove(x % self.check.orders.len());
                 let (worker, function) = (WorkerId(worker), FunctionId(function));
                 let (outcome, copies) = (ENDS[y % 6], (y % 3) as u32);
-                self.tell(Event::LoadCompleted {
+                self.handle_event(Event::LoadCompleted {
                     worker,
                     function,
                     outcome,
@@ -324,17 +326,17 @@
             10 if !self.check.probes.is_empty() => {
                 let worker = WorkerId(self.check.probes.remove(0));
                 let (outcome, latency) = (ENDS[y % 6], Micros(1_000));
-                self.tell(Event::ProbeCompleted { worker, outcome, latency, report: None })
+                self.handle_event(Event::ProbeCompleted { worker, outcome, latency, report: None })
             }
             11 => {
                 // A client leaves, or an event speaks of what nobody knows.
                 let id = 1 + (a as u64) % self.next;
-                if let Some(a) = self.check.asked.get_mut(&id) {
+                if let Some(a) = self.check.requests.get_mut(&id) {
                     a.over = true;
                 }
-                self.tell(Event::ClientDisconnected { id: RequestId(id) })?;
-                self.tell(Event::Wake { token: b as u64 })?;
-                self.tell(Event::LoadCompleted {
+                self.handle_event(Event::ClientDisconnected { id: RequestId(id) })?;
+                self.handle_event(Event::Wake { token: b as u64 })?;
+                self.handle_event(Event::LoadCompleted {
                     worker: WorkerId(999),
                     function: FunctionId(999),
                     outcome: Outcome::Ok,
@@ -385,7 +387,7 @@
         let mut c = World::new(1).check;
         c.ration = true;
         c.workers.extend([(1, (1, None)), (2, (0, None)), (3, (1, Some(0)))]);
-        c.asked.insert(1, Asked { class, until: 3_000_000, tries: vec![], over: false });
+        c.requests.insert(1, CheckedRequest { class, until: 3_000_000, attempts: vec![], over: false });
         c
     };
     let send = |w| Action::Send { id: RequestId(1), worker: WorkerId(w), timeout: None };
@@ -398,7 +400,7 @@
                 assert_eq!(n + 1, actions.len(), "caught too early: {e}");
                 return e.split(':').next().unwrap_or_default().to_string();
             }
-            for t in c.asked.get_mut(&1).unwrap().tries.iter_mut() {
+            for t in c.requests.get_mut(&1).unwrap().attempts.iter_mut() {
                 t.end = end;
             }
         }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -54,7 +54,7 @@
         self.agenda.insert((self.now + after, self.next), due);
     }
 
-    fn tell(&mut self, after: i64, router: usize, event: Event) {
+    fn handle_event(&mut self, after: i64, router: usize, event: Event) {
         self.at(after, Due::Tell(router, Box::new(event)));
     }
 
@@ -84,7 +84,7 @@
                     load_failed: false,
                     report: None,
                 };
-                self.tell(taken, n, Event::Answer(answer));
+                self.handle_event(taken, n, Event::Answer(answer));
             }
             Action::Load { worker, function, copies } => {
                 self.orders[n].push(self.now);
@@ -97,10 +97,14 @@
                 self.loads += begun;
                 let taken = (stands - now).max(1_000);
                 let (outcome, latency) = (Outcome::Ok, Micros(taken));
-                self.tell(taken, n, Event::LoadCompleted { worker, function, outcome, copies, latency });
+                self.handle_event(
+                    taken,
+                    n,
+                    Event::LoadCompleted { worker, function, outcome, copies, latency },
+                );
             }
             Action::Wake { at, token } => {
-                self.tell((at.0 - self.now).max(0), n, Event::Wake { token });
+                self.handle_event((at.0 - self.now).max(0), n, Event::Wake { token });
             }
             Action::Refuse { id, .. } | Action::Fail { id } => self.lost.push(self.asked[&(n, id.0)]),
             _ => {}
@@ -133,7 +137,7 @@
         (1..=WORKERS).map(|w| WorkerEntry { id: WorkerId(w), ..WorkerEntry::default() }).collect();
     for n in 0..ROUTERS {
         let listing = Listing { scope: Scope::Full, entries: entries.clone() };
-        day.tell(0, n, Event::WorkersListed(listing));
+        day.handle_event(0, n, Event::WorkersListed(listing));
         let first = 1_000 + n as i64 * EVERY / ROUTERS as i64;
         day.at(first, Due::Call(n));
     }
@@ -150,7 +154,7 @@
             let up_since = Some(Micros(at));
             let cold = WorkerEntry { id: WorkerId(COLD), up_since, ..WorkerEntry::default() };
             for n in 0..ROUTERS {
-                day.tell(
+                day.handle_event(
                     0,
                     n,
                     Event::WorkersListed(Listing { scope: Scope::Changes, entries: vec![cold.clone()] }),
@@ -189,7 +193,7 @@
 }
 
 /// The most that a router ordered beyond its ration at any order.
-fn beyond_ration(day: &Day) -> f64 {
+fn load_requests_over_quota(day: &Day) -> f64 {
     let mut most = f64::MIN;
     for (orders, taken) in day.orders.iter().zip(&day.taken) {
         let mut window: VecDeque<i64> = VecDeque::new();
@@ -211,11 +215,15 @@
 }
 
 #[test]
-fn service_comes_back_within_the_ration_and_the_cold_budget_when_all_copies_go_at_once() {
+fn service_recovers_within_quota_and_slow_start_budget_when_all_copies_are_lost() {
     let (quiet, day) = (day(false), day(true));
     let usual = share_served(&quiet, NEW, END - 3_000_000);
     assert!(usual > 0.99, "{usual} of a day without news");
-    assert!(beyond_ration(&day) <= 0.0, "an order beyond the ration: {}", beyond_ration(&day));
+    assert!(
+        load_requests_over_quota(&day) <= 0.0,
+        "an order beyond the ration: {}",
+        load_requests_over_quota(&day)
+    );
     let (first, then) =
         (share_served(&day, NEW, NEW + 2_000_000), share_served(&day, NEW + 2_000_000, END - 3_000_000));
     let waited = |d: &Day| {
