--- a/src/api/actions.rs
+++ b/src/api/actions.rs
@@ -56,7 +56,7 @@
     },
     /// Subscribe to the worker list.
     Subscribe,
-    /// Start a timer that ends in [`Event::Wake`].
+    /// Start a timer that ends in [`Event::Wake`](super::Event::Wake).
     Wake {
         /// Expiry time.
         at: Micros,
--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -191,7 +191,7 @@
         /// Maximum load requests to issue now.
         most: usize,
     },
-    /// A timer requested by [`Action::Wake`] expired.
+    /// A timer requested by [`Action::Wake`](super::Action::Wake) expired.
     Wake {
         /// The timer's token.
         token: u64,
