--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod clock;
 pub mod commands;
 pub mod documents;
+mod event_loop;
 mod loop_timer;
 pub mod members;
 pub mod platform;
--- a/crates/gateway/src/platform/mod.rs
+++ b/crates/gateway/src/platform/mod.rs
@@ -8,7 +8,7 @@
 mod stop;
 
 use crate::clock::Clock;
-use crate::loop_timer::{LoopTimer, Turn};
+use crate::loop_timer::{LoopIteration, LoopTimer};
 use crate::server::pool::{Pool, RequestEnd};
 use crate::settings::PoolSettings;
 use slatevalve::{Micros, WorkerId, WorkerState};
@@ -231,7 +231,7 @@
         let wait = self.wait_from(self.clock.now()).min(most);
         let turn =
             self.turns.wait(&self.clock, &mut self.reactor, wait, None).map_err(PlatformError::Loop)?;
-        let Turn { now, age, happened } = turn;
+        let LoopIteration { now, read_delay: age, events: happened } = turn;
         self.age = age;
         let quiet = !happened.iter().any(|h| self.is_of_client(h));
         self.handle(now, happened);
--- /dev/null
+++ b/crates/gateway/src/server/error.rs
@@ -0,0 +1,45 @@
+//! Errors of the gateway server.
+
+use crate::plugins::folder::FolderError;
+use std::error::Error;
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// Why a gateway could not start or go on.
+#[derive(Debug)]
+pub enum GatewayError {
+    /// The public listener could not be opened.
+    Listen(SocketAddr, io::Error),
+    /// The admin socket could not be opened.
+    Admin(PathBuf, io::Error),
+    /// A recorded worker list cannot be read, or none be written; also a file that identifies this process in the registry.
+    Record(PathBuf, io::Error),
+    /// The plug-in folder cannot be read.
+    Plugins(FolderError),
+    /// The poller or a signal failed.
+    Loop(io::Error),
+}
+
+impl fmt::Display for GatewayError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            GatewayError::Listen(address, e) => write!(f, "cannot listen on {address}: {e}"),
+            GatewayError::Admin(path, e) => write!(f, "admin socket {}: {e}", path.display()),
+            GatewayError::Record(path, e) => write!(f, "{}: {e}", path.display()),
+            GatewayError::Plugins(e) => write!(f, "plug-ins: {e}"),
+            GatewayError::Loop(e) => write!(f, "the loop failed: {e}"),
+        }
+    }
+}
+
+impl Error for GatewayError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            GatewayError::Listen(_, e) | GatewayError::Admin(_, e) | GatewayError::Record(_, e) => Some(e),
+            GatewayError::Loop(e) => Some(e),
+            GatewayError::Plugins(e) => Some(e),
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/server/outputs.rs
@@ -0,0 +1,91 @@
+//! Execution of the outputs of front end, bridge and engine.
+
+use super::{bridge, GatewayServer};
+use slatevalve::Micros;
+use slatevalve_engine::{Answer, Call, Output, Ticket};
+use slatevalve_mqtt::FrontOutput;
+use tracing::error;
+
+impl GatewayServer {
+    /// Executes pending outputs until none is left; an output may lead to others.
+    pub(super) fn drain_outputs(&mut self, now: Micros) {
+        while self.has_outputs() {
+            for output in std::mem::take(&mut self.to_bridge) {
+                let Some(link) = &mut self.bridge else { continue };
+                if let Some(call) = link.execute(now, &mut self.reactor, output) {
+                    self.submit_call(now, *call);
+                }
+            }
+            for output in std::mem::take(&mut self.to_front) {
+                self.execute_front(now, output);
+            }
+            for output in std::mem::take(&mut self.to_engine) {
+                self.execute(now, output);
+            }
+        }
+    }
+
+    fn has_outputs(&self) -> bool {
+        !(self.to_front.is_empty() && self.to_engine.is_empty() && self.to_bridge.is_empty())
+    }
+
+    fn execute_front(&mut self, now: Micros, output: FrontOutput) {
+        match output {
+            FrontOutput::Write(link, bytes) => self.clients.write(&mut self.reactor, link, &bytes),
+            FrontOutput::Finish(link) => self.clients.finish(&mut self.reactor, link),
+            FrontOutput::Call(call) => self.submit_call(now, *call),
+            FrontOutput::Left(ticket) => {
+                self.plugins.iter_mut().for_each(|plugins| plugins.call_withdrawn(now, ticket));
+                self.engine.client_disconnected(now, ticket, &mut self.to_engine);
+            }
+        }
+    }
+
+    /// Hands a call to the engine, with the version that its function's name means now.
+    fn submit_call(&mut self, now: Micros, mut call: Call) {
+        call.age = self.read_delay;
+        if let Some(plugins) = &mut self.plugins {
+            plugins.resolve(now, &mut call);
+        }
+        self.engine.call(now, call, &mut self.to_engine);
+    }
+
+    fn execute(&mut self, now: Micros, output: Output) {
+        // Split by hand: the classes are borrowed beside the worker side.
+        let mut worker_side = crate::event_loop::WorkerSide {
+            pool: &mut self.pool,
+            reactor: &mut self.reactor,
+            engine: &mut self.engine,
+            outputs: &mut self.to_engine,
+        };
+        match worker_side.execute(now, output, &self.site.classes) {
+            Some(Output::RanOther { worker, version, ran }) => {
+                let worker = self.pool.name(worker);
+                error!(worker, digest = %version.digest, ran = ran.as_deref().unwrap_or("nothing named"),
+                    "worker ran other content; its answer was discarded");
+            }
+            Some(Output::Answer(ticket, answer)) => self.answer(now, ticket, &answer),
+            Some(Output::Superseded(ticket)) => self.superseded(now, ticket),
+            // The remaining outputs ask for a worker list, which arrives by itself.
+            _ => {}
+        }
+    }
+
+    /// Passes a call's final answer to where the call came from.
+    fn answer(&mut self, now: Micros, ticket: Ticket, answer: &Answer) {
+        self.plugins.iter_mut().for_each(|plugins| plugins.call_answered(now, ticket, answer));
+        match bridge::by_ticket(&mut self.bridge, ticket) {
+            Some(link) => link.bridge.answer(now, ticket, answer, &mut self.to_bridge),
+            None => self.front.answer(now, ticket, answer, &mut self.to_front),
+        }
+    }
+
+    /// The same client repeated the call: the repeat's ticket gets the answer, this one gets none.
+    fn superseded(&mut self, now: Micros, ticket: Ticket) {
+        self.plugins.iter_mut().for_each(|plugins| plugins.call_withdrawn(now, ticket));
+        match bridge::by_ticket(&mut self.bridge, ticket) {
+            Some(link) => link.bridge.superseded(now, ticket, &mut self.to_bridge),
+            None => self.front.superseded(ticket),
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/server/plugins/mod.rs
@@ -0,0 +1,181 @@
+//! Plug-ins in the running gateway: which version of its function a call runs, and rollouts of `current`.
+//!
+//! It joins the catalogue, one [`Rollout`](slatevalve_plugins::Rollout) for each function whose `current` moved, and the
+//! engine, and decides nothing itself. A call's version is fixed when the call is accepted (`calls`); its result is counted by
+//! the rollout that it was part of (`rollouts`). Commands run on a background worker (`commands`).
+
+mod calls;
+mod commands;
+mod rollouts;
+
+use crate::clock::Clock;
+use crate::plugins::background::{BackgroundWorker, BackgroundWorkerSettings, Requester, Task};
+use crate::plugins::command::Command;
+use crate::plugins::folder::{unix_ms, verify, FolderError, PluginFolder};
+use crate::settings::{PluginSettings, Site};
+use calls::OpenCall;
+use commands::PullStatistics;
+use rollouts::{ActiveRollout, RolledBack};
+use slatevalve::Micros;
+use slatevalve_engine::{Engine, Output, Ticket};
+use slatevalve_oci::{Wanted, WantedSettings};
+use slatevalve_plugins::{Catalogue, CatalogueError, Digest, Reference, Resolved, Selector, Terms};
+use slatevalve_reactor::Waker;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::sync::Arc;
+use tracing::{error, warn};
+
+/// What a class of calls contributes to the choice and the judgement of a version.
+struct ClassObjective {
+    name: String,
+    latency_objective: Micros,
+}
+
+/// The plug-ins of a running gateway.
+pub(super) struct PluginHost {
+    settings: PluginSettings,
+    background: BackgroundWorker,
+    catalogue: Catalogue,
+    /// The version that `current` of each function means for calls outside an active rollout.
+    stable: BTreeMap<String, Resolved>,
+    rollouts: BTreeMap<String, ActiveRollout>,
+    /// The version that a rollout was rolled back from; it is not rolled out again until the alias is moved again.
+    rolled_back: BTreeMap<String, RolledBack>,
+    calls: HashMap<Ticket, OpenCall>,
+    /// In the order of the classes' ids.
+    classes: Vec<ClassObjective>,
+    /// A load request that has shown no copy after this long has failed.
+    load_timeout: Micros,
+    /// When rollouts are advanced next.
+    rollouts_due: Micros,
+    /// Versions to be pulled because a call needed them.
+    pull_queue: Wanted,
+    pulls: PullStatistics,
+}
+
+/// The name by which the engine and the workers know one version of a function.
+fn run_name(name: &str, digest: &Digest) -> Arc<str> {
+    format!("{name}@{digest}").into()
+}
+
+impl PluginHost {
+    /// Reads the folder and verifies its content: what is corrupt is quarantined before a call can need it.
+    ///
+    /// # Errors
+    /// When the folder cannot be read, or the background worker cannot be started.
+    pub(super) fn open(
+        settings: PluginSettings,
+        site: &Site,
+        clock: Clock,
+        waker: Waker,
+    ) -> Result<Self, FolderError> {
+        let now = clock.now();
+        let catalogue = open_catalogue(&settings)?;
+        let worker_settings = BackgroundWorkerSettings {
+            registry: settings.registry.clone(),
+            scrub_per_s: settings.scrub_per_s,
+            clock,
+        };
+        let classes = site.classes.iter().zip(&site.engine.module.classes);
+        let mut host = PluginHost {
+            classes: classes
+                .map(|(name, class)| ClassObjective {
+                    name: name.clone(),
+                    latency_objective: class.latency_objective,
+                })
+                .collect(),
+            load_timeout: site.engine.module.loading.order_timeout,
+            background: BackgroundWorker::start(&settings.folder, worker_settings, waker)?,
+            settings,
+            catalogue,
+            stable: BTreeMap::new(),
+            rollouts: BTreeMap::new(),
+            rolled_back: BTreeMap::new(),
+            calls: HashMap::new(),
+            rollouts_due: now,
+            pull_queue: Wanted::new(WantedSettings::default(), site.engine.seed),
+            pulls: PullStatistics::default(),
+        };
+        for name in host.names() {
+            if let Ok(current) = host.current(&name) {
+                host.stable.insert(name, current);
+            }
+        }
+        host.repair(now);
+        Ok(host)
+    }
+
+    /// Asks for the folder to be read again.
+    pub(super) fn reload(&self) {
+        if !self.submit(Requester::Signal, Command::Reload) {
+            warn!("plug-in folder not reloaded: the task queue is full");
+        }
+    }
+
+    /// Sets what versions must fulfil from now on: keys may change while a gateway runs.
+    pub(super) fn require(&mut self, terms: Terms) {
+        self.catalogue.require(terms.clone());
+        self.settings.terms = terms;
+    }
+
+    /// Starts the next pull, and advances rollouts.
+    pub(super) fn advance(&mut self, now: Micros, engine: &mut Engine, outputs: &mut Vec<Output>) {
+        self.start_next_pull(now);
+        self.advance_rollouts(now, engine, outputs);
+    }
+
+    fn start_next_pull(&mut self, now: Micros) {
+        let Some(reference) = self.pull_queue.begin() else { return };
+        let Some((name, version)) = reference.split_once('@') else { return };
+        let command = Command::Pull { name: name.into(), version: version.into() };
+        if !self.submit(Requester::Calls, command) {
+            self.pull_queue.ended(now.0, false);
+        }
+    }
+
+    fn names(&self) -> Vec<String> {
+        self.catalogue.names().map(str::to_string).collect()
+    }
+
+    fn current(&self, name: &str) -> Result<Resolved, CatalogueError> {
+        self.catalogue.resolve(&Reference { name: name.into(), selector: Selector::Current })
+    }
+
+    /// Queues a pull of every version whose content was found corrupt, where there is a registry. Versions that an operator
+    /// quarantined stay so.
+    fn repair(&mut self, now: Micros) {
+        if self.settings.registry.is_none() {
+            return;
+        }
+        for name in self.names() {
+            for version in self.catalogue.versions(&name).unwrap_or_default() {
+                if version.quarantine.is_some_and(|quarantine| !quarantine.held) {
+                    self.pull_queue.want(now.0, &format!("{name}@{}", version.version));
+                }
+            }
+        }
+    }
+
+    /// Hands a command to the background worker; `false` where its queue is full.
+    #[must_use]
+    fn submit(&self, asker: Requester, command: Command) -> bool {
+        // Content of open calls stays, whatever was deleted since.
+        let keep = if command == Command::Gc { self.catalogue.reachable() } else { BTreeSet::new() };
+        self.background.submit(Task { asker, command, keep })
+    }
+}
+
+/// Verifies the folder's content and reads its catalogue, with the settings' terms for versions.
+fn open_catalogue(settings: &PluginSettings) -> Result<Catalogue, FolderError> {
+    let mut folder = PluginFolder::open(&settings.folder)?;
+    let corrupt = folder.change(|catalogue, store| Ok(verify(catalogue, store, unix_ms(), &mut |_| {})))?;
+    for (version, _, reason) in corrupt {
+        error!(version, reason, "in quarantine: content does not match its digest");
+    }
+    let mut catalogue = folder.catalogue()?;
+    catalogue.require(settings.terms.clone());
+    for (digest, reason) in catalogue.barred() {
+        warn!(%digest, %reason, "version is not allowed to run here");
+    }
+    Ok(catalogue)
+}
