--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,13 +1,14 @@
-//! The gateway's clock: monotonic, in the module's microseconds, with a way from the Unix clock for what others
-//! tell. The shell alone reads it; everything else is handed the time.
+//! The gateway's clock: monotonic, in microseconds, with a conversion from the Unix clock for times that others report.
+//!
+//! Only the event loops and commands read it; everything below them takes the time as an argument.
 
 use slatevalve::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What the clock shows when it starts: later than 0, so that times before the start have their place.
-const ORIGIN: i64 = 86_400_000_000;
+/// The clock's time at its start, in microseconds: one day, so that times before the start are positive too.
+const ORIGIN_US: i64 = 86_400_000_000;
 
-/// See the module's documentation.
+/// A monotonic clock with a fixed offset to the Unix clock, taken at its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -16,29 +17,35 @@
 
 impl Clock {
     /// A clock that starts now.
+    #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix_start_us: i64::try_from(unix.as_micros()).unwrap_or(i64::MAX) }
     }
 
     /// The time now.
+    #[must_use]
     pub fn now(&self) -> Micros {
-        Micros(ORIGIN.saturating_add(i64::try_from(self.start.elapsed().as_micros()).unwrap_or(i64::MAX)))
+        let elapsed_us = i64::try_from(self.start.elapsed().as_micros()).unwrap_or(i64::MAX);
+        Micros(ORIGIN_US.saturating_add(elapsed_us))
     }
 
-    /// A time of this clock as the system's.
+    /// Converts a time of this clock to the system's monotonic clock; times before the start become the start.
+    #[must_use]
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros(at.0.saturating_sub(ORIGIN).max(0) as u64)
+        self.start + Duration::from_micros(at.0.saturating_sub(ORIGIN_US).max(0) as u64)
     }
 
-    /// The Unix clock at the start, in milliseconds.
+    /// The Unix time at this clock's start, in milliseconds.
+    #[must_use]
     pub fn unix_ms(&self) -> i64 {
         self.unix_start_us / 1_000
     }
 
-    /// A time of the Unix clock, in milliseconds, as this clock shows it; never 0, which means unknown.
+    /// Converts a Unix time in milliseconds to this clock. Never 0, which stands for an unknown time.
+    #[must_use]
     pub fn at_unix_ms(&self, millis: f64) -> Micros {
-        let since_start = (millis * 1_000.0) as i64 - self.unix_start_us;
-        Micros(ORIGIN.saturating_add(since_start).max(1))
+        let since_start_us = (millis * 1_000.0) as i64 - self.unix_start_us;
+        Micros(ORIGIN_US.saturating_add(since_start_us).max(1))
     }
 }
--- a/crates/gateway/src/event_loop/worker_side.rs
+++ b/crates/gateway/src/event_loop/worker_side.rs
@@ -11,6 +11,8 @@
     pub(crate) pool: &'a mut Pool,
     pub(crate) reactor: &'a mut Reactor,
     pub(crate) engine: &'a mut Engine,
+    /// Names of the classes, in the order of their ids.
+    pub(crate) classes: &'a [String],
     /// Receives the engine's outputs, which the loop executes later.
     pub(crate) outputs: &'a mut Vec<Output>,
 }
@@ -48,10 +50,10 @@
         }
     }
 
-    /// Executes an output that concerns workers; returns any other. `classes` are the classes' names by id.
+    /// Executes an output that concerns workers; returns any other.
     #[must_use]
-    pub(crate) fn execute(&mut self, now: Micros, output: Output, classes: &[String]) -> Option<Output> {
-        self.pool.execute(now, self.reactor, self.engine, output, classes, self.outputs)
+    pub(crate) fn execute(&mut self, now: Micros, output: Output) -> Option<Output> {
+        self.pool.execute(now, self.reactor, self.engine, output, self.classes, self.outputs)
     }
 
     /// Passes completed requests to the engine, in order.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,8 @@
-//! The gateway's shell: settings, the loop, and the command line's sub-commands.
+//! The gateway: settings, event loops, and the command line's sub-commands.
 //!
-//! The binary `slatevalve` is a few lines over [`commands::run`]. Sockets, files, signals and the clock are here
-//! and nowhere below.
+//! The binary `slatevalve` is a few lines over [`commands::run`]. Sockets, files, signals and the clock are in this crate
+//! and in no crate below it. Where to start reading: [`server`] is the event loop of the gateway, [`platform`] that of the
+//! platform's router.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- /dev/null
+++ b/crates/gateway/src/platform/change_log.rs
@@ -0,0 +1,118 @@
+//! The change log: its connection, and its changes of the worker list.
+
+use super::{Router, MAX_UNUSABLE_LOGGED};
+use slatevalve::{Micros, WorkerId, WorkerState};
+use slatevalve_platform::changes::{Change, Wanted};
+use slatevalve_reactor::ReactorEvent;
+use tracing::{debug, warn};
+
+/// Workers that a change affects beyond their new state.
+#[derive(Default)]
+struct AffectedWorkers {
+    removed: Vec<WorkerId>,
+    /// Workers whose unsent requests are cancelled: draining, moved to another address, replaced or removed.
+    not_accepting: Vec<WorkerId>,
+}
+
+impl Router {
+    /// Handles an event of the change log's connection.
+    pub(super) fn handle_log_event(&mut self, now: Micros, event: ReactorEvent) {
+        let outputs = &mut self.log_outputs;
+        match event {
+            ReactorEvent::Connected(_) => self.watch_state.connected(now, outputs),
+            ReactorEvent::Received(_, bytes) => self.watch_state.received(now, &bytes, outputs),
+            ReactorEvent::Closed { .. } => {
+                self.log_connection = None;
+                self.watch_state.closed(now, outputs);
+            }
+            _ => {}
+        }
+        self.drain_log_outputs(now);
+    }
+
+    /// Fires the timers of the change log's client.
+    pub(super) fn advance_log(&mut self, now: Micros) {
+        self.watch_state.advance(now, &mut self.log_outputs);
+        self.drain_log_outputs(now);
+    }
+
+    /// Executes the outputs of the change log's client until none is left, then what follows from the changes.
+    fn drain_log_outputs(&mut self, now: Micros) {
+        while !self.log_outputs.is_empty() {
+            for output in std::mem::take(&mut self.log_outputs) {
+                self.execute_log(now, output);
+            }
+        }
+        self.drain_outputs(now);
+    }
+
+    fn execute_log(&mut self, now: Micros, output: Wanted) {
+        match output {
+            Wanted::Connect(address) => match self.reactor.connect(address) {
+                Ok(id) => self.log_connection = Some(id),
+                Err(_) => self.watch_state.closed(now, &mut self.log_outputs),
+            },
+            Wanted::Write(bytes) => {
+                if let Some(id) = self.log_connection {
+                    self.reactor.write(id, &bytes);
+                }
+            }
+            Wanted::Close => {
+                if let Some(id) = self.log_connection.take() {
+                    self.reactor.close(id);
+                }
+            }
+            Wanted::Change(change) => self.apply_change(now, change),
+            Wanted::Unread(error) => {
+                self.unusable += 1;
+                if self.unusable <= MAX_UNUSABLE_LOGGED {
+                    warn!(%error, "invalid response, or line of one, from the change log");
+                }
+            }
+        }
+    }
+
+    /// Applies an event of the change log to pool and engine.
+    pub(super) fn apply_change(&mut self, now: Micros, change: Change) {
+        let AffectedWorkers { removed, not_accepting } = self.update_workers(&change);
+        debug!(now = now.0, seq = self.watch_state.seq(), ?change, "change");
+        // The engine first: it decides about cancelled requests anew, with the drain known.
+        self.engine.listed(now, change.listing(), &mut self.to_engine);
+        self.worker_side().cancel_unsent(now, not_accepting);
+        for worker in removed {
+            self.pool.unlist(&mut self.reactor, worker);
+        }
+    }
+
+    /// Updates the worker table, and the addresses in the pool.
+    fn update_workers(&mut self, change: &Change) -> AffectedWorkers {
+        let mut affected = AffectedWorkers::default();
+        if change.complete {
+            let is_named = |worker: &WorkerId| change.lines.iter().any(|line| line.entry.id == *worker);
+            affected.removed.extend(self.workers.keys().filter(|worker| !is_named(worker)));
+        }
+        for line in &change.lines {
+            let worker = line.entry.id;
+            let (state, address) = match (line.entry.state, line.address) {
+                (WorkerState::Gone, _) | (_, None) => {
+                    affected.removed.push(worker);
+                    continue;
+                }
+                (state, Some(address)) => (state, address),
+            };
+            // Removed and back in one event: waiting requests were for the one that was removed.
+            let replaced = affected.removed.contains(&worker);
+            affected.removed.retain(|removed| *removed != worker);
+            let moved = self.pool.list(&mut self.reactor, worker, &line.name, address);
+            self.workers.insert(worker, state);
+            if state == WorkerState::Draining || moved || replaced {
+                affected.not_accepting.push(worker);
+            }
+        }
+        for worker in &affected.removed {
+            self.workers.remove(worker);
+            affected.not_accepting.push(*worker);
+        }
+        affected
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/platform/events.rs
@@ -0,0 +1,85 @@
+//! Dispatch of the reactor's events to clients, workers, the change log and the signals' handlers.
+
+use super::Router;
+use signal_hook::consts::SIGHUP;
+use slatevalve::{Micros, WorkerState};
+use slatevalve_reactor::{Id, ReactorEvent};
+use tracing::warn;
+
+impl Router {
+    /// Handles the events of an iteration, each with all that follows from it before the next.
+    pub(super) fn handle_events(&mut self, now: Micros, mut events: Vec<ReactorEvent>) {
+        // The change log comes before anything else in the iteration: a drain that has arrived is respected. The sort is
+        // stable: other events stay in the order of the poller.
+        events.sort_by_key(|event| !self.is_of_log(event));
+        for event in events {
+            if self.is_of_log(&event) {
+                self.handle_log_event(now, event);
+            } else {
+                self.handle_event(now, event);
+            }
+        }
+    }
+
+    fn handle_event(&mut self, now: Micros, event: ReactorEvent) {
+        match event {
+            ReactorEvent::Accepted { connection, .. } => {
+                let link = self.clients.add(connection);
+                self.front.opened(now, link, &mut self.to_front);
+            }
+            ReactorEvent::Received(id, bytes) => self.received(now, id, &bytes),
+            ReactorEvent::Connected(id) => self.worker_side().connected(now, id),
+            ReactorEvent::Closed { id, connected, written } => match self.clients.remove(id) {
+                Some(link) => self.front.closed(link, &mut self.to_front),
+                None => self.worker_side().closed(now, id, connected, written),
+            },
+            ReactorEvent::Drained(_) | ReactorEvent::Woken => {}
+            ReactorEvent::Signal(SIGHUP) => self.reload_on_signal(now),
+            ReactorEvent::Signal(_) => self.begin_shutdown(now),
+            ReactorEvent::AcceptFailed { error, .. } => {
+                warn!(%error, "cannot accept connections; open ones are served");
+                self.listener.pause(now);
+            }
+        }
+        self.drain_outputs(now);
+    }
+
+    fn received(&mut self, now: Micros, id: Id, bytes: &[u8]) {
+        match self.clients.link(id) {
+            Some(link) => {
+                let ready = self.is_ready();
+                self.front.received(now, link, bytes, ready, &mut self.to_front);
+            }
+            None => self.worker_side().received(now, id, bytes),
+        }
+    }
+
+    /// The answer to readiness checks: some worker is ready, and no shutdown has begun.
+    fn is_ready(&self) -> bool {
+        !self.shutdown.has_begun() && self.workers.values().any(|state| *state == WorkerState::Ready)
+    }
+
+    /// Whether an event is a client's input: a new connection, or bytes of a client.
+    pub(super) fn is_client_input(&self, event: &ReactorEvent) -> bool {
+        match event {
+            ReactorEvent::Accepted { .. } => true,
+            ReactorEvent::Received(id, _) => self.clients.link(*id).is_some(),
+            _ => false,
+        }
+    }
+
+    fn is_of_log(&self, event: &ReactorEvent) -> bool {
+        self.log_connection.is_some() && connection_of(event) == self.log_connection
+    }
+}
+
+/// The connection of an event; none for listeners, wakers and signals.
+fn connection_of(event: &ReactorEvent) -> Option<Id> {
+    match event {
+        ReactorEvent::Connected(id)
+        | ReactorEvent::Received(id, _)
+        | ReactorEvent::Drained(id)
+        | ReactorEvent::Closed { id, .. } => Some(*id),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/platform/outputs.rs
@@ -0,0 +1,72 @@
+//! Execution of the outputs of front end and engine.
+
+use super::{Router, MAX_UNUSABLE_LOGGED};
+use slatevalve::Micros;
+use slatevalve_engine::{Answer, Call, Output, Ticket};
+use slatevalve_platform::front::FrontOutput;
+use tracing::{debug, info};
+
+impl Router {
+    /// Executes pending outputs until none is left; an output may lead to others.
+    pub(super) fn drain_outputs(&mut self, now: Micros) {
+        while !(self.to_front.is_empty() && self.to_engine.is_empty()) {
+            for output in std::mem::take(&mut self.to_front) {
+                self.execute_front(now, output);
+            }
+            for output in std::mem::take(&mut self.to_engine) {
+                self.execute(now, output);
+            }
+        }
+    }
+
+    fn execute_front(&mut self, now: Micros, output: FrontOutput) {
+        match output {
+            FrontOutput::Write(link, bytes) => self.clients.write(&mut self.reactor, link, &bytes),
+            FrontOutput::Finish(link) => self.clients.finish(&mut self.reactor, link),
+            FrontOutput::Call(call) => self.submit_call(now, *call),
+            FrontOutput::Left(ticket) => {
+                debug!(now = now.0, ticket = ticket.0, "client disconnected");
+                self.engine.client_disconnected(now, ticket, &mut self.to_engine);
+            }
+            FrontOutput::Unusable(link, reason) => {
+                self.unusable += 1;
+                if self.unusable <= MAX_UNUSABLE_LOGGED {
+                    info!(link = link.0, ?reason, "invalid message from a client");
+                }
+            }
+        }
+    }
+
+    fn submit_call(&mut self, now: Micros, mut call: Call) {
+        call.age = self.read_delay;
+        debug!(
+            now = now.0,
+            ticket = call.ticket.0,
+            class = call.class.0,
+            function = &*call.function,
+            budget_us = call.budget.0,
+            read_delay_us = call.age.0,
+            "call"
+        );
+        self.engine.call(now, call, &mut self.to_engine);
+    }
+
+    fn execute(&mut self, now: Micros, output: Output) {
+        // What is left is an answer: the worker list arrives by itself, and neither versions nor keys are held here.
+        if let Some(Output::Answer(ticket, answer)) = self.worker_side().execute(now, output) {
+            self.answer(now, ticket, &answer);
+        }
+    }
+
+    fn answer(&mut self, now: Micros, ticket: Ticket, answer: &Answer) {
+        debug!(
+            now = now.0,
+            ticket = ticket.0,
+            outcome = answer.verdict.word(),
+            reason = ?answer.verdict.reason(),
+            attempts = answer.attempts,
+            "answer"
+        );
+        self.front.answer(now, ticket, answer, &mut self.to_front);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/platform/startup.rs
@@ -0,0 +1,156 @@
+//! Start of a router: the configuration, and the settings of its parts that follow from it.
+
+use super::shutdown::Shutdown;
+use super::{PlatformError, Router};
+use crate::clock::Clock;
+use crate::event_loop::{self, ClientConnections, Listener};
+use crate::loop_timer::LoopTimer;
+use crate::server::pool::Pool;
+use crate::settings::PoolSettings;
+use slatevalve::{Micros, Settings};
+use slatevalve_engine::{Engine, EngineSettings, FunctionTraits};
+use slatevalve_platform::changes::{Follower, Told};
+use slatevalve_platform::config::Config;
+use slatevalve_platform::front::{Front, FrontSettings, LinkId};
+use slatevalve_platform::workers::Lines;
+use slatevalve_reactor::{Reactor, MAX_LINGERING};
+use slatevalve_site_config::{Connections, Site};
+use std::collections::HashMap;
+use std::path::{Path, PathBuf};
+use tracing::warn;
+
+/// Bytes buffered for one connection at most; a client that reads more slowly is disconnected.
+const MAX_BUFFERED: usize = 512 * 1024;
+/// Pause of the listener after a failed accept.
+const ACCEPT_PAUSE: Micros = Micros(20_000);
+/// Descriptors that are neither a client's nor a worker's: standard streams, listener, poller, signals, change log, and
+/// client connections that linger after their end.
+const OTHER_DESCRIPTORS: usize = 24 + MAX_LINGERING;
+/// Descriptors for connections at least, whatever the process's limit.
+const MIN_CONNECTIONS: usize = 8;
+/// Part of the remaining descriptors that is for clients. Usual clients hold a third of all descriptors at most; the rest of
+/// this share is for unusual ones.
+const CLIENT_PERCENT: usize = 45;
+/// Part of the workers' idle timeout after which this side closes an idle connection, to close it first.
+const IDLE_PERCENT: i64 = 90;
+/// Time kept back from each call's budget for the answer's way to the client.
+const ANSWER_MARGIN: Micros = Micros(4_000);
+/// Functions whose names are held; the least recently used one is evicted.
+const MAX_FUNCTIONS: usize = 8_192;
+
+/// Reads a configuration file.
+///
+/// # Errors
+/// When the file cannot be read or is invalid.
+pub(super) fn load(path: &Path) -> Result<Config, PlatformError> {
+    let text = std::fs::read_to_string(path).map_err(|e| PlatformError::Read(path.into(), e))?;
+    Config::read(&text).map_err(|e| PlatformError::Config(path.into(), e))
+}
+
+/// How many connections each side may have.
+struct ConnectionLimits {
+    clients: usize,
+    workers: usize,
+}
+
+impl ConnectionLimits {
+    /// Divides the process's file descriptors.
+    fn new(descriptors: usize) -> Self {
+        let connections = descriptors.saturating_sub(OTHER_DESCRIPTORS).max(MIN_CONNECTIONS);
+        let clients = connections * CLIENT_PERCENT / 100;
+        ConnectionLimits { clients, workers: connections - clients }
+    }
+}
+
+impl Router {
+    /// Reads the configuration, listens, and applies the configuration's first events of the change log.
+    ///
+    /// # Errors
+    /// When the file is missing or invalid, or a socket is not available.
+    pub fn new(file: PathBuf, clock: Clock) -> Result<Self, PlatformError> {
+        let config = load(&file)?;
+        let mut reactor = Reactor::new(MAX_BUFFERED).map_err(PlatformError::Loop)?;
+        event_loop::subscribe_to_signals(&mut reactor).map_err(PlatformError::Loop)?;
+        let listener = Listener::open(&mut reactor, config.listen, ACCEPT_PAUSE)
+            .map_err(|e| PlatformError::Listen(config.listen, e))?;
+        let site = &config.site;
+        let loop_timer = LoopTimer::new(clock.now(), site.settings.rules.drain_grace);
+        let limits = ConnectionLimits::new(config.limits.sockets);
+        let longest_deadline = site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+        let (watch_state, known) = new_follower(&config, &file, clock)?;
+        let mut router = Router {
+            clock,
+            file,
+            classes: site.names.classes.clone(),
+            reactor,
+            engine: Engine::new(engine_settings(site.settings.clone(), config.seed)),
+            front: Front::new(front_settings(site, limits.clients)),
+            pool: new_pool(site, limits.workers),
+            watch_state,
+            log_connection: None,
+            listener,
+            clients: ClientConnections::new(LinkId),
+            workers: HashMap::new(),
+            read_delay: Micros(0),
+            loop_timer,
+            shutdown: Shutdown::new(longest_deadline),
+            reload_retry: None,
+            unusable: 0,
+            to_engine: Vec::new(),
+            to_front: Vec::new(),
+            log_outputs: Vec::new(),
+        };
+        router.apply_known(clock.now(), known);
+        Ok(router)
+    }
+
+    /// Applies the events that the configuration holds.
+    fn apply_known(&mut self, now: Micros, known: Told) {
+        for error in known.unread {
+            warn!(%error, "invalid event in the configuration");
+        }
+        for change in known.changes {
+            self.apply_change(now, change);
+        }
+        self.drain_outputs(now);
+    }
+}
+
+fn new_follower(config: &Config, file: &Path, clock: Clock) -> Result<(Follower, Told), PlatformError> {
+    let at_unix_ms = Box::new(move |millis| clock.at_unix_ms(millis));
+    Follower::new(config.site.names.clone(), at_unix_ms, config.changelog, &config.known, config.seed)
+        .map_err(|e| PlatformError::Known(file.into(), e))
+}
+
+fn engine_settings(module: Settings, seed: u64) -> EngineSettings {
+    EngineSettings {
+        module,
+        seed,
+        classes: Vec::new(),
+        key_spaces: Vec::new(),
+        functions: HashMap::new(),
+        other_functions: FunctionTraits::default(),
+        duplicates: None,
+        margin: ANSWER_MARGIN,
+        max_open: usize::MAX,
+        max_functions: MAX_FUNCTIONS,
+    }
+}
+
+fn front_settings(site: &Site, connections: usize) -> FrontSettings {
+    let effects = site.settings.classes.iter().map(|class| class.effect);
+    FrontSettings { classes: site.names.classes.iter().cloned().zip(effects).collect(), connections }
+}
+
+fn new_pool(site: &Site, connections: usize) -> Pool {
+    let Connections { connect_timeout, idle, streams } = site.connections;
+    let settings = PoolSettings {
+        connect_timeout,
+        idle: Micros(idle.0 * IDLE_PERCENT / 100),
+        most: usize::MAX,
+        total: connections,
+        probe_timeout: connect_timeout,
+    };
+    let protocol = Lines { streams, tells_crowd: site.names.queue_depth };
+    Pool::new(settings, Box::new(protocol), site.settings.loading.order_timeout)
+}
--- a/crates/gateway/src/remembered_file.rs
+++ b/crates/gateway/src/remembered_file.rs
@@ -7,33 +7,35 @@
 use std::thread;
 use tracing::warn;
 
-/// What the writing thread is asked for.
+/// A request to the writing thread.
 enum Request {
     Write(Vec<u8>),
-    /// Answered by dropping the sender, once everything asked for earlier has been written or has failed.
+    /// Answered by dropping the sender, once every earlier write has succeeded or failed.
     Flush(Sender<()>),
 }
 
-/// Writes the latest content to a file off the event loop. A failure is logged; the content before it stays on disk.
+/// Writes the latest content to a file off the event loop. A failure is logged; the content before it stays on disk. The
+/// writing thread ends after the handle is dropped, once the last content is written.
 pub(crate) struct RememberedFile {
     requests: Sender<Request>,
 }
 
 impl RememberedFile {
-    /// Starts the writing thread. `what` names the content in logs.
-    pub(crate) fn open(path: PathBuf, what: &'static str) -> Self {
+    /// Starts the writing thread. `content_name` names the content in logs, and the thread.
+    pub(crate) fn open(path: PathBuf, content_name: &'static str) -> Self {
         let (requests, received) = mpsc::channel();
-        let spawned =
-            thread::Builder::new().name(what.into()).spawn(move || write_all(&received, &path, what));
+        let spawned = thread::Builder::new()
+            .name(content_name.into())
+            .spawn(move || write_requested(&received, &path, content_name));
         if let Err(error) = spawned {
-            warn!(%error, what, "not kept for the next start");
+            warn!(%error, content = content_name, "writing thread not started; nothing is remembered");
         }
         RememberedFile { requests }
     }
 
-    /// Replaces the file's content soon. Of several contents that wait only the last is written.
+    /// Replaces the file's content soon. Of several contents that are pending only the last is written.
     pub(crate) fn write(&self, content: Vec<u8>) {
-        // Where the thread could not be started that has been logged.
+        // Fails only where the thread could not be started, which has been logged.
         let _ = self.requests.send(Request::Write(content));
     }
 
@@ -41,12 +43,14 @@
     pub(crate) fn flush(&self) {
         let (done, wait) = mpsc::channel();
         if self.requests.send(Request::Flush(done)).is_ok() {
+            // Ends by the sender's drop, whether the writes succeeded or not.
             let _ = wait.recv();
         }
     }
 }
 
-fn write_all(received: &Receiver<Request>, path: &Path, what: &str) {
+/// The writing thread: takes all pending requests at a time until the handle is dropped.
+fn write_requested(received: &Receiver<Request>, path: &Path, content_name: &str) {
     while let Ok(first) = received.recv() {
         let (mut latest, mut flushed) = (None, Vec::new());
         for request in std::iter::once(first).chain(received.try_iter()) {
@@ -56,18 +60,18 @@
             }
         }
         if let Some(Err(error)) = latest.map(|content| replace(path, &content)) {
-            warn!(path = %path.display(), %error, what, "not kept for the next start");
+            warn!(path = %path.display(), %error, content = content_name, "file not written; the one before stays");
         }
     }
 }
 
-/// Replaces a file as a whole: written beside it, synced, renamed.
+/// Replaces a file atomically: a new file is written, synced and renamed over it.
 fn replace(path: &Path, content: &[u8]) -> io::Result<()> {
     let mut name = path.as_os_str().to_os_string();
     name.push(".new");
-    let beside = PathBuf::from(name);
-    let mut file = fs::File::create(&beside)?;
+    let new_path = PathBuf::from(name);
+    let mut file = fs::File::create(&new_path)?;
     file.write_all(content)?;
     file.sync_all()?;
-    fs::rename(&beside, path)
+    fs::rename(&new_path, path)
 }
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -229,6 +229,7 @@
             pool: &mut self.pool,
             reactor: &mut self.reactor,
             engine: &mut self.engine,
+            classes: &self.site.classes,
             outputs: &mut self.to_engine,
         }
     }
--- a/crates/gateway/src/server/outputs.rs
+++ b/crates/gateway/src/server/outputs.rs
@@ -51,18 +51,11 @@
     }
 
     fn execute(&mut self, now: Micros, output: Output) {
-        // Split by hand: the classes are borrowed beside the worker side.
-        let mut worker_side = crate::event_loop::WorkerSide {
-            pool: &mut self.pool,
-            reactor: &mut self.reactor,
-            engine: &mut self.engine,
-            outputs: &mut self.to_engine,
-        };
-        match worker_side.execute(now, output, &self.site.classes) {
+        match self.worker_side().execute(now, output) {
             Some(Output::RanOther { worker, version, ran }) => {
                 let worker = self.pool.name(worker);
                 error!(worker, digest = %version.digest, ran = ran.as_deref().unwrap_or("nothing named"),
-                    "worker ran other content; its answer was discarded");
+                    "a worker ran other content; its answer was not passed on");
             }
             Some(Output::Answer(ticket, answer)) => self.answer(now, ticket, &answer),
             Some(Output::Superseded(ticket)) => self.superseded(now, ticket),
