--- a/crates/gateway/tests/platform/main.rs
+++ b/crates/gateway/tests/platform/main.rs
@@ -1,15 +1,16 @@
 //! The platform's router as a process: what passes on its sockets when workers, clients and the change log misbehave.
 
 mod crossings;
-mod standins;
+mod stepped_router;
 #[path = "../support/mod.rs"]
 mod support;
+mod test_servers;
 
-use standins::*;
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 use support::until;
+use test_servers::*;
 
 fn served() -> End {
     End::Served(b"done".to_vec())
--- /dev/null
+++ b/crates/gateway/tests/platform/test_servers/change_log.rs
@@ -0,0 +1,136 @@
+//! The platform's change log, served by HTTP long polls.
+
+use crate::support::until;
+use serde_json::{json, Value};
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Condvar, Mutex};
+use std::thread;
+use std::time::Duration;
+
+/// A change log.
+#[derive(Clone)]
+pub struct ChangeLog {
+    pub address: SocketAddr,
+    events: Arc<(Mutex<Vec<Value>>, Condvar)>,
+    /// Answers that break off in the middle before one is whole.
+    breaks: Arc<Mutex<usize>>,
+    /// Questions read, and answers written whole.
+    asked: Arc<AtomicUsize>,
+    answered: Arc<AtomicUsize>,
+}
+
+fn member(id: &str, address: SocketAddr, phase: &str) -> Value {
+    json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": "duo", "cell": 0,
+        "phase": phase, "size": 4, "up_since_ms": 0})
+}
+
+impl ChangeLog {
+    /// One whose first event is the whole list of these workers.
+    pub fn start(workers: &[(&str, SocketAddr)]) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let members: Vec<Value> = workers.iter().map(|(id, a)| member(id, *a, "active")).collect();
+        let first = json!({"seq": 1, "fleet": {"revision": 1, "complete": true, "members": members}});
+        let log = ChangeLog {
+            address: listener.local_addr().unwrap(),
+            events: Arc::new((Mutex::new(vec![first]), Condvar::new())),
+            breaks: Arc::default(),
+            asked: Arc::default(),
+            answered: Arc::default(),
+        };
+        log.listen(listener);
+        log
+    }
+
+    /// The same log at another address.
+    pub fn elsewhere(&self) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let log = ChangeLog { address: listener.local_addr().unwrap(), ..self.clone() };
+        log.listen(listener);
+        log
+    }
+
+    fn listen(&self, listener: TcpListener) {
+        let this = self.clone();
+        thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let this = this.clone();
+                thread::spawn(move || this.serve(stream));
+            }
+        });
+    }
+
+    fn serve(&self, mut stream: TcpStream) -> Option<()> {
+        let mut reader = BufReader::new(stream.try_clone().ok()?);
+        loop {
+            let (mut line, mut target) = (String::new(), String::new());
+            while line != "\r\n" {
+                line.clear();
+                if reader.read_line(&mut line).ok()? == 0 {
+                    return None;
+                }
+                if let Some(rest) = line.strip_prefix("GET ") {
+                    target = rest.to_string();
+                }
+            }
+            let figure = |name: &str| -> usize {
+                let rest = target.split(name).nth(1).expect("the question has both");
+                rest.split(|c: char| !c.is_ascii_digit()).next().unwrap().parse().unwrap()
+            };
+            self.asked.fetch_add(1, Ordering::SeqCst);
+            let (since, wait) = (figure("since="), Duration::from_millis(figure("timeout=") as u64));
+            let (events, told) = &*self.events;
+            let all = told.wait_timeout_while(events.lock().unwrap(), wait, |e| e.len() <= since).unwrap().0;
+            let body = json!({"seq": all.len(), "results": all.get(since..).unwrap_or_default()}).to_string();
+            drop(all);
+            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let mut breaks = self.breaks.lock().unwrap();
+            if *breaks > 0 {
+                *breaks -= 1;
+                stream.write_all(&answer.as_bytes()[..answer.len() - 20]).ok()?;
+                let _ = stream.shutdown(std::net::Shutdown::Both);
+                return None;
+            }
+            stream.write_all(answer.as_bytes()).ok()?;
+            self.answered.fetch_add(1, Ordering::SeqCst);
+        }
+    }
+
+    /// Answers that were written whole.
+    pub fn answers(&self) -> usize {
+        self.answered.load(Ordering::SeqCst)
+    }
+
+    /// Questions that wait for news.
+    pub fn waiting(&self) -> usize {
+        self.asked.load(Ordering::SeqCst).saturating_sub(self.answers())
+    }
+
+    /// Tells of workers' new states.
+    pub fn tell(&self, changes: &[(&str, SocketAddr, &str)]) {
+        let (events, told) = &*self.events;
+        let mut all = events.lock().unwrap();
+        let seq = all.len() + 1;
+        let members: Vec<Value> = changes.iter().map(|(id, a, phase)| member(id, *a, phase)).collect();
+        all.push(json!({"seq": seq, "fleet": {"revision": seq, "complete": false, "members": members}}));
+        told.notify_all();
+    }
+
+    /// The same to a follower whose question waits, until the answer has been written to it whole.
+    pub fn tell_whole(&self, changes: &[(&str, SocketAddr, &str)]) {
+        let told = self.answers();
+        self.tell(changes);
+        until("the news to be in the router's socket", || self.answers() > told);
+    }
+
+    /// The next answers break off in the middle.
+    pub fn break_off(&self, times: usize) {
+        *self.breaks.lock().unwrap() = times;
+    }
+
+    pub(super) fn known(&self) -> Value {
+        let all = self.events.0.lock().unwrap();
+        json!({"seq": all.len(), "results": *all})
+    }
+}
