--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -38,7 +38,7 @@
 
     /// The Unix time at this clock's start, in milliseconds.
     #[must_use]
-    pub fn unix_ms(&self) -> i64 {
+    pub fn start_unix_ms(&self) -> i64 {
         self.unix_start_us / 1_000
     }
 
@@ -49,3 +49,15 @@
         Micros(ORIGIN_US.saturating_add(since_start_us).max(1))
     }
 }
+
+/// The time `delay` after `time`.
+#[must_use]
+pub(crate) fn after(time: Micros, delay: Micros) -> Micros {
+    Micros(time.0 + delay.0)
+}
+
+/// The duration from `earlier` to `later`.
+#[must_use]
+pub(crate) fn elapsed(earlier: Micros, later: Micros) -> Micros {
+    Micros(later.0 - earlier.0)
+}
--- a/crates/gateway/src/event_loop/client_connections.rs
+++ b/crates/gateway/src/event_loop/client_connections.rs
@@ -50,15 +50,15 @@
     }
 
     /// Closes a client's connection after its buffered bytes are sent, and forgets it.
-    pub(crate) fn finish(&mut self, reactor: &mut Reactor, link: Link) {
+    pub(crate) fn close_gracefully(&mut self, reactor: &mut Reactor, link: Link) {
         if let Some(connection) = self.sockets.remove(&link) {
             self.links.remove(&connection);
             reactor.finish(connection);
         }
     }
 
-    /// Like [`ClientConnections::finish`] for all clients.
-    pub(crate) fn finish_all(&mut self, reactor: &mut Reactor) {
+    /// Like [`ClientConnections::close_gracefully`] for all clients.
+    pub(crate) fn close_all_gracefully(&mut self, reactor: &mut Reactor) {
         for (connection, _) in self.links.drain() {
             reactor.finish(connection);
         }
--- a/crates/gateway/src/event_loop/listener.rs
+++ b/crates/gateway/src/event_loop/listener.rs
@@ -1,5 +1,6 @@
 //! The public listener of an event loop, and its pause after a failed accept.
 
+use crate::clock::after;
 use slatevalve::Micros;
 use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use std::io;
@@ -42,7 +43,7 @@
 
     /// Starts the pause after a failed accept; the reactor has stopped watching the listener already.
     pub(crate) fn pause(&mut self, now: Micros) {
-        self.resume_at = Some(Micros(now.0 + self.accept_pause.0));
+        self.resume_at = Some(after(now, self.accept_pause));
     }
 
     /// Ends the pause once its time is up.
--- a/crates/gateway/src/platform/outputs.rs
+++ b/crates/gateway/src/platform/outputs.rs
@@ -22,7 +22,7 @@
     fn execute_front(&mut self, now: Micros, output: FrontOutput) {
         match output {
             FrontOutput::Write(link, bytes) => self.clients.write(&mut self.reactor, link, &bytes),
-            FrontOutput::Finish(link) => self.clients.finish(&mut self.reactor, link),
+            FrontOutput::Finish(link) => self.clients.close_gracefully(&mut self.reactor, link),
             FrontOutput::Call(call) => self.submit_call(now, *call),
             FrontOutput::Left(ticket) => {
                 debug!(now = now.0, ticket = ticket.0, "client disconnected");
--- a/crates/gateway/src/platform/reload.rs
+++ b/crates/gateway/src/platform/reload.rs
@@ -1,6 +1,7 @@
 //! SIGHUP: reload of the configuration.
 
 use super::{startup, Router};
+use crate::clock::after;
 use slatevalve::Micros;
 use tracing::{error, info};
 
@@ -46,7 +47,7 @@
                 }
                 self.reload_retry = retries.checked_sub(1).map(|retries_after| ReloadRetry {
                     retries_after,
-                    at: Micros(now.0 + RELOAD_RETRY_INTERVAL.0),
+                    at: after(now, RELOAD_RETRY_INTERVAL),
                 });
             }
         }
--- a/crates/gateway/src/platform/shutdown.rs
+++ b/crates/gateway/src/platform/shutdown.rs
@@ -6,6 +6,7 @@
 //! peers close, as closing over unread bytes would discard answers that were written. Called at the end of each iteration.
 
 use super::Router;
+use crate::clock::{after, elapsed};
 use slatevalve::Micros;
 use tracing::info;
 
@@ -53,7 +54,7 @@
 impl Shutdown {
     /// Not begun; `longest_deadline` is that of the settings' classes.
     pub(super) fn new(longest_deadline: Micros) -> Self {
-        let kill_after = Micros(longest_deadline.min(MAX_DEADLINE_COUNTED).0.max(0) + KILL_DELAY.0);
+        let kill_after = after(longest_deadline.clamp(Micros(0), MAX_DEADLINE_COUNTED), KILL_DELAY);
         Shutdown { stage: Stage::Running, began_at: Micros(0), kill_after, engine_stopped: false }
     }
 
@@ -79,11 +80,11 @@
         if stage == Stage::Running {
             return false;
         }
-        let elapsed = Micros(now.0 - self.shutdown.began_at.0);
-        self.stop_engine_if_due(now, elapsed);
+        let since_signal = elapsed(self.shutdown.began_at, now);
+        self.stop_engine_if_due(now, since_signal);
         match stage {
-            Stage::LameDuck if elapsed >= LAME_DUCK_PERIOD => self.close_listener(now),
-            Stage::Draining if self.is_drained(elapsed, client_input) => self.close_clients(),
+            Stage::LameDuck if since_signal >= LAME_DUCK_PERIOD => self.close_listener(now),
+            Stage::Draining if self.is_drained(since_signal, client_input) => self.close_clients(),
             Stage::Closing => return self.reactor.lingering() == 0,
             Stage::Running | Stage::LameDuck | Stage::Draining => {}
         }
@@ -91,8 +92,8 @@
     }
 
     /// Ends all open calls shortly before the kill; from then on new ones are refused at once.
-    fn stop_engine_if_due(&mut self, now: Micros, elapsed: Micros) {
-        if elapsed.0 < self.shutdown.kill_after.0 - ANSWER_MARGIN.0 || self.shutdown.engine_stopped {
+    fn stop_engine_if_due(&mut self, now: Micros, since_signal: Micros) {
+        if after(since_signal, ANSWER_MARGIN) < self.shutdown.kill_after || self.shutdown.engine_stopped {
             return;
         }
         self.shutdown.engine_stopped = true;
@@ -109,10 +110,10 @@
     }
 
     /// Whether nothing is left to be answered or sent, or the time for that is up.
-    fn is_drained(&self, elapsed: Micros, client_input: ClientInput) -> bool {
+    fn is_drained(&self, since_signal: Micros, client_input: ClientInput) -> bool {
         let open = self.front.unanswered() + self.front.incomplete();
         let idle = client_input == ClientInput::None && open == 0 && !self.reactor.has_pending();
-        idle || elapsed.0 > self.shutdown.kill_after.0 + DRAIN_EXTENSION.0
+        idle || since_signal > after(self.shutdown.kill_after, DRAIN_EXTENSION)
     }
 
     fn close_clients(&mut self) {
@@ -129,7 +130,7 @@
             "stopped"
         );
         self.reactor.set_max_lingering(usize::MAX);
-        self.clients.finish_all(&mut self.reactor);
+        self.clients.close_all_gracefully(&mut self.reactor);
         self.shutdown.stage = Stage::Closing;
     }
 }
--- a/crates/gateway/src/platform/startup.rs
+++ b/crates/gateway/src/platform/startup.rs
@@ -43,8 +43,8 @@
 /// # Errors
 /// When the file cannot be read or is invalid.
 pub(super) fn load(path: &Path) -> Result<Config, PlatformError> {
-    let text = std::fs::read_to_string(path).map_err(|e| PlatformError::Read(path.into(), e))?;
-    Config::read(&text).map_err(|e| PlatformError::Config(path.into(), e))
+    let text = std::fs::read_to_string(path).map_err(|error| PlatformError::Read(path.into(), error))?;
+    Config::read(&text).map_err(|error| PlatformError::Config(path.into(), error))
 }
 
 /// How many connections each side may have.
@@ -72,12 +72,13 @@
         let mut reactor = Reactor::new(MAX_BUFFERED).map_err(PlatformError::Loop)?;
         event_loop::subscribe_to_signals(&mut reactor).map_err(PlatformError::Loop)?;
         let listener = Listener::open(&mut reactor, config.listen, ACCEPT_PAUSE)
-            .map_err(|e| PlatformError::Listen(config.listen, e))?;
+            .map_err(|error| PlatformError::Listen(config.listen, error))?;
         let site = &config.site;
         let loop_timer = LoopTimer::new(clock.now(), site.settings.rules.drain_grace);
         let limits = ConnectionLimits::new(config.limits.sockets);
-        let longest_deadline = site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-        let (watch_state, known) = new_follower(&config, &file, clock)?;
+        let longest_deadline =
+            site.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+        let (watch_state, known) = new_watch_state(&config, &file, clock)?;
         let mut router = Router {
             clock,
             file,
@@ -116,10 +117,10 @@
     }
 }
 
-fn new_follower(config: &Config, file: &Path, clock: Clock) -> Result<(Follower, Told), PlatformError> {
+fn new_watch_state(config: &Config, file: &Path, clock: Clock) -> Result<(Follower, Told), PlatformError> {
     let at_unix_ms = Box::new(move |millis| clock.at_unix_ms(millis));
     Follower::new(config.site.names.clone(), at_unix_ms, config.changelog, &config.known, config.seed)
-        .map_err(|e| PlatformError::Known(file.into(), e))
+        .map_err(|error| PlatformError::Known(file.into(), error))
 }
 
 fn engine_settings(module: Settings, seed: u64) -> EngineSettings {
--- a/crates/gateway/src/server/admin.rs
+++ b/crates/gateway/src/server/admin.rs
@@ -84,7 +84,7 @@
     ) -> Option<Command> {
         let state = self.connections.get_mut(&connection)?;
         state.line.extend_from_slice(bytes);
-        let end_of_line = state.line.iter().position(|b| *b == b'\n');
+        let end_of_line = state.line.iter().position(|byte| *byte == b'\n');
         let problem = match end_of_line {
             _ if state.in_progress => "a command of this connection is at work",
             None if state.line.len() <= MAX_LINE => return None,
--- a/crates/gateway/src/server/events.rs
+++ b/crates/gateway/src/server/events.rs
@@ -11,10 +11,14 @@
 impl GatewayServer {
     /// Handles one event and executes what follows from it, so that the next event finds its effects.
     pub(super) fn handle_event(&mut self, now: Micros, event: ReactorEvent) {
-        if self.source.as_mut().is_some_and(|s| s.handle_event(now, &mut self.reactor, &event)) {
+        if self.source.as_mut().is_some_and(|source| source.handle_event(now, &mut self.reactor, &event)) {
             return self.take_news(now);
         }
-        if self.agreement.as_mut().is_some_and(|a| a.handle_event(now, &mut self.reactor, &event)) {
+        if self
+            .agreement
+            .as_mut()
+            .is_some_and(|agreement| agreement.handle_event(now, &mut self.reactor, &event))
+        {
             return;
         }
         match event {
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -97,10 +97,10 @@
     ) -> Result<Self, GatewayError> {
         event_loop::subscribe_to_signals(&mut reactor).map_err(GatewayError::Loop)?;
         let listener = Listener::open(&mut reactor, site.listen, ACCEPT_PAUSE)
-            .map_err(|e| GatewayError::Listen(site.listen, e))?;
+            .map_err(|error| GatewayError::Listen(site.listen, error))?;
         let admin = open_admin(&site, &mut reactor)?;
         let plugins = open_plugins(&site, &mut reactor, clock)?;
-        let (source, recorder) = members::open(&site, clock.unix_ms())?;
+        let (source, recorder) = members::open(&site, clock.start_unix_ms())?;
         let bridge = site.bridge.clone();
         let mut server = GatewayServer {
             clock,
@@ -243,7 +243,8 @@
 /// Opens the admin socket, where the settings name one.
 fn open_admin(site: &Site, reactor: &mut Reactor) -> Result<Option<Admin>, GatewayError> {
     let path = site.plugins.as_ref().and_then(|settings| settings.admin.as_ref());
-    path.map(|path| Admin::open(reactor, path).map_err(|e| GatewayError::Admin(path.clone(), e))).transpose()
+    path.map(|path| Admin::open(reactor, path).map_err(|error| GatewayError::Admin(path.clone(), error)))
+        .transpose()
 }
 
 /// Opens the plug-in folder, where the settings name one.
--- a/crates/gateway/src/server/outputs.rs
+++ b/crates/gateway/src/server/outputs.rs
@@ -32,7 +32,7 @@
     fn execute_front(&mut self, now: Micros, output: FrontOutput) {
         match output {
             FrontOutput::Write(link, bytes) => self.clients.write(&mut self.reactor, link, &bytes),
-            FrontOutput::Finish(link) => self.clients.finish(&mut self.reactor, link),
+            FrontOutput::Finish(link) => self.clients.close_gracefully(&mut self.reactor, link),
             FrontOutput::Call(call) => self.submit_call(now, *call),
             FrontOutput::Left(ticket) => {
                 self.plugins.iter_mut().for_each(|plugins| plugins.call_withdrawn(now, ticket));
--- a/crates/gateway/src/server/plugins/calls.rs
+++ b/crates/gateway/src/server/plugins/calls.rs
@@ -37,7 +37,8 @@
             load_time: Some(Micros((manifest.load_ms * 1_000.0) as i64)).filter(|time| time.0 > 0),
             memory_mb: manifest.memory_mb,
         });
-        let objective = self.classes.get(call.class.0).map_or(Micros(i64::MAX), |c| c.latency_objective);
+        let objective =
+            self.classes.get(call.class.0).map_or(Micros(i64::MAX), |class| class.latency_objective);
         let open = OpenCall {
             name: name.clone(),
             digest: version.digest,
@@ -58,7 +59,7 @@
     /// admit that.
     fn resolve_function(&mut self, now: Micros, call: &Call) -> Result<Option<ResolvedFunction>, Reason> {
         let reference: Option<Reference> = call.function.parse().ok();
-        let Some(reference) = reference.filter(|r| self.catalogue.knows(&r.name)) else {
+        let Some(reference) = reference.filter(|reference| self.catalogue.knows(&reference.name)) else {
             return if self.settings.unlisted { Ok(None) } else { Err(Reason::UnknownVersion) };
         };
         let version = match self.resolve_reference(call, &reference) {
@@ -109,7 +110,8 @@
     pub(in crate::server) fn call_answered(&mut self, now: Micros, ticket: Ticket, answer: &Answer) {
         let Some(call) = self.close_call(ticket) else { return };
         // A repeat gets the first call's version, and a call refused without an attempt shows nothing of any.
-        let same_version = answer.version.as_ref().is_some_and(|v| *v.digest == *call.digest.to_string());
+        let same_version =
+            answer.version.as_ref().is_some_and(|version| *version.digest == *call.digest.to_string());
         if answer.recorded || !same_version || answer.attempts == 0 {
             return self.observe(now, &call, Observed::Withdrawn);
         }
--- a/crates/gateway/src/server/plugins/rollouts.rs
+++ b/crates/gateway/src/server/plugins/rollouts.rs
@@ -1,6 +1,7 @@
 //! Rollouts: the move of calls from the version that `current` meant to the one that it means now.
 
 use super::{run_name, PluginHost};
+use crate::clock::after;
 use crate::plugins::background::Requester;
 use crate::plugins::command::Command;
 use slatevalve::Micros;
@@ -144,7 +145,7 @@
         if now < self.rollouts_due || self.rollouts.is_empty() {
             return;
         }
-        self.rollouts_due = Micros(now.0 + ROLLOUT_INTERVAL.0);
+        self.rollouts_due = after(now, ROLLOUT_INTERVAL);
         let mut completed = Vec::new();
         for (name, active) in &mut self.rollouts {
             if let Some(end) = active.advance(now, name, self.load_timeout, engine, outputs) {
--- a/crates/gateway/src/server/reload.rs
+++ b/crates/gateway/src/server/reload.rs
@@ -38,7 +38,7 @@
         let now = self.clock.now();
         let mut named = BTreeSet::new();
         let mut not_accepting = Vec::new();
-        for line in workers.iter().filter(|w| w.entry.state != WorkerState::Gone) {
+        for line in workers.iter().filter(|line| line.entry.state != WorkerState::Gone) {
             let worker = line.entry.id;
             let moved = self.pool.list(&mut self.reactor, worker, &line.name, line.address);
             if moved || line.entry.state == WorkerState::Draining {
@@ -52,7 +52,7 @@
             not_accepting.push(*worker);
         }
         self.listed = named;
-        let entries = workers.iter().map(|w| w.entry.clone()).collect();
+        let entries = workers.iter().map(|line| line.entry.clone()).collect();
         let listing = Listing { scope, entries };
         self.engine.listed(now, listing, &mut self.to_engine);
         self.cancel_unsent(now, not_accepting);
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -1,6 +1,7 @@
 //! The orderly stop: open calls are finished first, then connections.
 
 use super::{GatewayError, GatewayServer};
+use crate::clock::after;
 use slatevalve::Micros;
 use std::time::Duration;
 use tracing::{info, warn};
@@ -22,7 +23,7 @@
         if let Some(link) = &mut self.bridge {
             link.bridge.hold();
         }
-        self.engine.stop(now, Micros(now.0 + self.site.stop_within.0));
+        self.engine.stop(now, after(now, self.site.stop_within));
         if let Some(source) = &mut self.source {
             source.leave(now, &mut self.reactor);
         }
@@ -38,7 +39,7 @@
         }
         self.front.stop(now, &mut self.to_front);
         self.drain_outputs(now);
-        let until = Micros(now.0 + FLUSH_TIMEOUT.0);
+        let until = after(now, FLUSH_TIMEOUT);
         let mut events = Vec::new();
         while self.has_unfinished() && self.clock.now() < until {
             self.reactor.poll(Some(FLUSH_POLL_TIMEOUT), &mut events).map_err(GatewayError::Loop)?;
