--- a/crates/oci/src/exchange/tests.rs
+++ b/crates/oci/src/exchange/tests.rs
@@ -6,7 +6,7 @@
 
 fn exchange(policy: Policy) -> Exchange {
     let credentials = Some(Credentials { user: "u".into(), password: "p".into() });
-    Exchange::new(0, policy, credentials, 1, Ask::get(url("http://r:5000/v2/a/blobs/x")))
+    Exchange::new(0, policy, credentials, 1, RegistryRequest::get(url("http://r:5000/v2/a/blobs/x")))
 }
 
 fn head(status: u16, headers: &[(&str, &str)]) -> Head {
@@ -26,7 +26,7 @@
     let policy = Policy { first_wait_us: 100, longest_wait_us: 1_000_000, tries: 4, ..Policy::default() };
     let mut e = exchange(policy);
     sent(&mut e, 0);
-    assert_eq!(e.head(0, &head(503, &[("Retry-After", "1")])), Ok(Heard::Mine));
+    assert_eq!(e.head(0, &head(503, &[("Retry-After", "1")])), Ok(HeadOutcome::Consumed));
     assert_eq!(e.next(10), Ok(Next::Wait(1_000_000)));
     sent(&mut e, 1_000_000);
     e.broke(1_000_000, Broke::Cut).unwrap();
@@ -46,11 +46,11 @@
     assert!(!sent(&mut e, 0).2.contains("Authorization"));
     let ask = r#"Bearer realm="http://auth/token",service="r""#;
     e.head(0, &head(401, &[("WWW-Authenticate", ask)])).unwrap();
-    assert_eq!(e.ended(), Ok(Over::Again));
+    assert_eq!(e.ended(), Ok(EndOutcome::Resend));
     let (host, _, text) = sent(&mut e, 0);
     assert!(host == "auth" && text.contains("Authorization: Basic"), "{text}");
     e.head(0, &head(200, &[])).unwrap();
-    assert_eq!(e.piece(0, br#"{"token":"T"}"#), Ok(false));
+    assert_eq!(e.body(0, br#"{"token":"T"}"#), Ok(false));
     e.ended().unwrap();
     assert!(sent(&mut e, 0).2.contains("Authorization: Bearer T"));
     e.head(0, &head(307, &[("Location", "http://cdn/x")])).unwrap();
--- a/crates/oci/src/lib.rs
+++ b/crates/oci/src/lib.rs
@@ -23,7 +23,7 @@
     pack, read_signatures, sign_document, unpack, DocumentError, Packed, Unpacked, CONFIG_TYPE,
     SIGNATURE_TYPE,
 };
-pub use exchange::{Ask, Broke, ExchangeError, Next, Policy, Request};
+pub use exchange::{Broke, ExchangeError, Next, Policy, Request};
 pub use job::{Job, Pulling};
 pub use location::{Location, LocationError};
 pub use pull::{Pull, PullError, PullSettings, Pulled};
--- a/crates/oci/src/pull.rs
+++ b/crates/oci/src/pull.rs
@@ -7,7 +7,9 @@
 
 use crate::challenge::Credentials;
 use crate::document::{read_signatures, unpack, DocumentError, Unpacked};
-use crate::exchange::{Ask, Broke, Exchange, ExchangeError, Heard, Next, Over, Policy};
+use crate::exchange::{
+    Broke, EndOutcome, Exchange, ExchangeError, HeadOutcome, Next, Policy, RegistryRequest,
+};
 use crate::location::{is_tag, Location, LocationError};
 use slatevalve_blobs::{BlobError, BlobStore, Files, Partial};
 use slatevalve_http::Head;
@@ -179,7 +181,8 @@
         if reference.parse::<Digest>().is_err() && !is_tag(reference) {
             return Err(PullError::Name(LocationError::Tag(reference.into())));
         }
-        let mut ask = Ask::get(settings.location.url(&format!("{repository}/manifests/{reference}")));
+        let mut ask =
+            RegistryRequest::get(settings.location.url(&format!("{repository}/manifests/{reference}")));
         ask.headers.push(("Accept", "application/vnd.oci.image.manifest.v1+json".into()));
         let (policy, credentials) = (settings.policy.clone(), settings.credentials.clone());
         Ok(Pull {
@@ -233,7 +236,7 @@
         store: &mut BlobStore<F>,
         head: &Head,
     ) -> Result<(), PullError> {
-        if self.exchange.head(now_us, head)? == Heard::Mine {
+        if self.exchange.head(now_us, head)? == HeadOutcome::Consumed {
             return Ok(());
         }
         match &mut self.phase {
@@ -301,7 +304,7 @@
         store: &mut BlobStore<F>,
         piece: &[u8],
     ) -> Result<(), PullError> {
-        if !self.exchange.piece(now_us, piece)? {
+        if !self.exchange.body(now_us, piece)? {
             return Ok(());
         }
         match &mut self.phase {
@@ -338,7 +341,7 @@
     /// # Errors
     /// When that ends the pull.
     pub fn ended<F: Files>(&mut self, now_us: i64, store: &mut BlobStore<F>) -> Result<(), PullError> {
-        if self.exchange.ended()? == Over::Again {
+        if self.exchange.ended()? == EndOutcome::Resend {
             return Ok(());
         }
         match std::mem::replace(&mut self.phase, Phase::Done) {
@@ -372,7 +375,7 @@
             content.came = 0;
             content.taking = false;
             let ask = content_ask(&self.settings, &self.repository, content);
-            self.exchange.amend(ask);
+            self.exchange.replace(ask);
         }
         Ok(())
     }
@@ -411,7 +414,7 @@
             let Some(blob) = blob.copied() else {
                 let path = format!("{}/referrers/{image_digest}", self.repository);
                 self.phase = Phase::Referrers(Vec::new());
-                self.exchange.ask(Ask::get(self.settings.location.url(&path)));
+                self.exchange.start(RegistryRequest::get(self.settings.location.url(&path)));
                 return Ok(());
             };
             // Here already counts only when it is whole: reading verifies.
@@ -446,7 +449,7 @@
                     Err(e) => return Err(e.into()),
                 }
             }
-            self.exchange.ask(content_ask(&self.settings, &self.repository, &content));
+            self.exchange.start(content_ask(&self.settings, &self.repository, &content));
             self.phase = Phase::Content(content);
             return Ok(());
         }
@@ -468,10 +471,10 @@
             self.phase = Phase::Content(content);
             if nothing {
                 self.exchange.broke(now_us, Broke::Cut)?;
-                self.exchange.amend(ask);
+                self.exchange.replace(ask);
             } else {
                 self.exchange.progress();
-                self.exchange.ask(ask);
+                self.exchange.start(ask);
             }
             return Ok(());
         }
@@ -510,7 +513,7 @@
         content.came = 0;
         let ask = content_ask(&self.settings, &self.repository, content);
         self.exchange.broke(now_us, Broke::Garbage)?;
-        self.exchange.amend(ask);
+        self.exchange.replace(ask);
         Ok(())
     }
 
@@ -555,8 +558,9 @@
     image.layers.iter().fold(image.config.size, |sum, l| sum.saturating_add(l.size))
 }
 
-fn content_ask(settings: &PullSettings, repository: &str, content: &Content) -> Ask {
-    let mut ask = Ask::get(settings.location.url(&format!("{repository}/blobs/{}", content.blob.digest)));
+fn content_ask(settings: &PullSettings, repository: &str, content: &Content) -> RegistryRequest {
+    let mut ask =
+        RegistryRequest::get(settings.location.url(&format!("{repository}/blobs/{}", content.blob.digest)));
     let have = content.partial.as_ref().map_or(0, Partial::have);
     let last = have.saturating_add(settings.range.max(1)).min(content.blob.size).saturating_sub(1);
     if have > 0 || last + 1 < content.blob.size {
--- a/crates/oci/src/push.rs
+++ b/crates/oci/src/push.rs
@@ -4,7 +4,9 @@
 
 use crate::challenge::Credentials;
 use crate::document::{pack, sign_document, DocumentError, Packed};
-use crate::exchange::{Ask, Broke, Exchange, ExchangeError, Heard, Next, Over, Policy};
+use crate::exchange::{
+    Broke, EndOutcome, Exchange, ExchangeError, HeadOutcome, Next, Policy, RegistryRequest,
+};
 use crate::location::{is_tag, Location, LocationError};
 use slatevalve_http::Head;
 use slatevalve_plugins::{Digest, Manifest, Signature};
@@ -188,7 +190,7 @@
     /// When that ends the push.
     pub fn head(&mut self, now_us: i64, head: &Head) -> Result<(), PushError> {
         let heard = self.exchange.head(now_us, head)?;
-        self.answer = (heard == Heard::Yours).then(|| head.clone());
+        self.answer = (heard == HeadOutcome::ForCaller).then(|| head.clone());
         Ok(())
     }
 
@@ -197,7 +199,7 @@
     /// # Errors
     /// When that ends the push.
     pub fn piece(&mut self, now_us: i64, piece: &[u8]) -> Result<(), PushError> {
-        Ok(self.exchange.piece(now_us, piece).map(drop)?)
+        Ok(self.exchange.body(now_us, piece).map(drop)?)
     }
 
     /// A connection failed.
@@ -210,7 +212,7 @@
         if matches!(self.step, Step::Part(_)) {
             self.step = Step::Status;
             if let Some(ask) = self.ask() {
-                self.exchange.amend(ask);
+                self.exchange.replace(ask);
             }
         }
         Ok(())
@@ -221,7 +223,7 @@
     /// # Errors
     /// When that ends the push.
     pub fn ended(&mut self, now_us: i64) -> Result<(), PushError> {
-        if self.exchange.ended()? == Over::Again {
+        if self.exchange.ended()? == EndOutcome::Resend {
             return Ok(());
         }
         let Some(head) = self.answer.take() else { return Ok(()) };
@@ -232,7 +234,7 @@
         }
         self.exchange.progress();
         if let Some(ask) = self.ask() {
-            self.exchange.ask(ask);
+            self.exchange.start(ask);
         }
         Ok(())
     }
@@ -329,19 +331,19 @@
     }
 
     /// The request of the present step; none when all is done.
-    fn ask(&self) -> Option<Ask> {
+    fn ask(&self) -> Option<RegistryRequest> {
         let Some((digest, content)) = self.blobs.get(self.at) else {
             let (reference, packed) = self.manifests.get(self.at.checked_sub(self.blobs.len())?)?;
             let url = self.location.url(&format!("{}/manifests/{reference}", self.repository));
             let headers = vec![("Content-Type", "application/vnd.oci.image.manifest.v1+json".to_string())];
-            return Some(Ask { method: "PUT", url, headers, body: packed.bytes.clone() });
+            return Some(RegistryRequest { method: "PUT", url, headers, body: packed.bytes.clone() });
         };
         let upload = || self.upload.clone().unwrap_or_else(|| self.location.url(""));
         Some(match self.step {
             Step::Head => head_ask(&self.location, &self.repository, digest),
             Step::Begin => {
                 let url = self.location.url(&format!("{}/blobs/uploads/", self.repository));
-                Ask { method: "POST", url, headers: Vec::new(), body: Vec::new() }
+                RegistryRequest { method: "POST", url, headers: Vec::new(), body: Vec::new() }
             }
             Step::Part(from) => {
                 let from = usize::try_from(from).unwrap_or(usize::MAX).min(content.len());
@@ -350,13 +352,13 @@
                     ("Content-Type", "application/octet-stream".to_string()),
                     ("Content-Range", format!("{from}-{}", to.saturating_sub(1))),
                 ];
-                Ask { method: "PATCH", url: upload(), headers, body: content[from..to].to_vec() }
+                RegistryRequest { method: "PATCH", url: upload(), headers, body: content[from..to].to_vec() }
             }
-            Step::Status => Ask::get(upload()),
+            Step::Status => RegistryRequest::get(upload()),
             Step::Finish => {
                 let mut url = upload();
                 url.query_pairs_mut().append_pair("digest", &digest.to_string());
-                Ask { method: "PUT", url, headers: Vec::new(), body: Vec::new() }
+                RegistryRequest { method: "PUT", url, headers: Vec::new(), body: Vec::new() }
             }
         })
     }
@@ -369,6 +371,9 @@
     }
 }
 
-fn head_ask(location: &Location, repository: &str, digest: &Digest) -> Ask {
-    Ask { method: "HEAD", ..Ask::get(location.url(&format!("{repository}/blobs/{digest}"))) }
+fn head_ask(location: &Location, repository: &str, digest: &Digest) -> RegistryRequest {
+    RegistryRequest {
+        method: "HEAD",
+        ..RegistryRequest::get(location.url(&format!("{repository}/blobs/{digest}")))
+    }
 }
