--- /dev/null
+++ b/crates/oci/src/server/error.rs
@@ -0,0 +1,45 @@
+//! Why a registry's folder cannot be used.
+
+use super::DOCUMENT;
+use slatevalve_blobs::BlobError;
+use std::error::Error;
+use std::fmt;
+
+/// Why a registry's folder cannot be read or written.
+#[derive(Debug)]
+pub enum RegistryError {
+    /// The blob store failed.
+    Folder(BlobError),
+    /// The document of repositories cannot be parsed.
+    Document(serde_json::Error),
+}
+
+impl fmt::Display for RegistryError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            RegistryError::Folder(e) => write!(f, "the folder: {e}"),
+            RegistryError::Document(e) => write!(f, "{DOCUMENT}: {e}"),
+        }
+    }
+}
+
+impl Error for RegistryError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            RegistryError::Folder(e) => Some(e),
+            RegistryError::Document(e) => Some(e),
+        }
+    }
+}
+
+impl From<BlobError> for RegistryError {
+    fn from(e: BlobError) -> Self {
+        RegistryError::Folder(e)
+    }
+}
+
+impl From<serde_json::Error> for RegistryError {
+    fn from(e: serde_json::Error) -> Self {
+        RegistryError::Document(e)
+    }
+}
