--- a/crates/oci/src/document.rs
+++ b/crates/oci/src/document.rs
@@ -93,6 +93,16 @@
             false => Err(DocumentError::Layers),
         }
     }
+
+    /// The blob at an index: the config at 0, the layers in order from 1 on.
+    pub(crate) fn blob(&self, index: usize) -> Option<LayerRef> {
+        std::iter::once(&self.config).chain(&self.layers).nth(index).copied()
+    }
+
+    /// Bytes of the config and all layers.
+    pub(crate) fn size(&self) -> u64 {
+        self.layers.iter().fold(self.config.size, |sum, layer| sum.saturating_add(layer.size))
+    }
 }
 
 fn descriptor(media_type: &str, digest: &Digest, size: u64) -> Result<Descriptor, DocumentError> {
--- a/crates/oci/src/exchange.rs
+++ b/crates/oci/src/exchange.rs
@@ -14,7 +14,7 @@
 pub use policy::Policy;
 pub use request::Request;
 
-pub(crate) use request::RegistryRequest;
+pub(crate) use request::{RegistryRequest, IMAGE_MANIFEST_TYPE};
 
 use crate::challenge::{read_token, Challenge, Credentials};
 use rand::{RngExt, SeedableRng};
--- a/crates/oci/src/exchange/request.rs
+++ b/crates/oci/src/exchange/request.rs
@@ -2,6 +2,8 @@
 
 use url::Url;
 
+/// Media type of an image manifest (image specification, "Media Types").
+pub(crate) const IMAGE_MANIFEST_TYPE: &str = "application/vnd.oci.image.manifest.v1+json";
 const USER_AGENT: &str = "slatevalve";
 /// Port of an `http` URL that names none.
 const DEFAULT_PORT: u16 = 80;
--- a/crates/oci/src/lib.rs
+++ b/crates/oci/src/lib.rs
@@ -24,9 +24,9 @@
     SIGNATURE_TYPE,
 };
 pub use exchange::{Broke, ExchangeError, Next, Policy, Request};
-pub use job::{Job, Pulling};
+pub use job::Job;
 pub use location::{Location, LocationError};
-pub use pull::{Pull, PullError, PullSettings, Pulled};
+pub use pull::{Pull, PullError, PullSettings, Pulled, Pulling};
 pub use push::{Package, Push, PushError, Pushed};
 pub use server::{Access, Registry, RegistryError};
 pub use wanted::{Wanted, WantedSettings};
--- a/crates/oci/src/pull.rs
+++ b/crates/oci/src/pull.rs
@@ -1,160 +1,96 @@
-//! A pull: one version of a plug-in from a registry into the folder, verified, resumed where it broke off.
+//! A pull: transfers one version of a plug-in from a registry into the blob store, verified and resumable.
 //!
-//! Phases: the image manifest, the plug-in's own manifest (its config), each layer, the signatures. Content that is here
-//! already, verified, is not asked for. A layer is asked for in ranges; what came is kept on the disk and the next request
-//! asks for the rest. Content that does not match its digest is thrown away and asked for once more from its start, as the
-//! part that an earlier process left may have been what was wrong; twice is the registry's fault and ends the pull.
+//! Phases: the image manifest, the plug-in's own manifest (the image's config), each layer, the signatures. Verified
+//! content that is in the store is not requested. A blob is requested in ranges; what arrives is stored, and the next
+//! request continues from there. Content that does not match its digest is discarded and requested once more from its
+//! start, as the part stored by an earlier process may have been corrupt; the second time the registry is at fault, and
+//! the pull fails.
+
+mod download;
+mod error;
+mod job;
+
+pub use error::PullError;
+pub use job::Pulling;
 
 use crate::challenge::Credentials;
-use crate::document::{read_signatures, unpack, DocumentError, Unpacked};
+use crate::document::{read_signatures, unpack, Unpacked};
 use crate::exchange::{
-    Broke, EndOutcome, Exchange, ExchangeError, HeadOutcome, Next, Policy, RegistryRequest,
+    Broke, EndOutcome, Exchange, HeadOutcome, Next, Policy, RegistryRequest, IMAGE_MANIFEST_TYPE,
 };
 use crate::location::{is_tag, Location, LocationError};
-use slatevalve_blobs::{BlobError, BlobStore, Files, Partial};
+use download::{ContentHead, Download};
+use slatevalve_blobs::{BlobError, BlobStore, Files};
 use slatevalve_http::Head;
-use slatevalve_plugins::{
-    check_manifest, ClassRights, Digest, LayerRef, Manifest, ManifestProblem, Signature, VerifyError,
-};
-use std::fmt;
+use slatevalve_plugins::{check_manifest, ClassRights, Digest, LayerRef, Manifest, Signature, VerifyError};
 
-/// Bytes of a manifest or list of referrers (the specification asks registries to take 4 MiB).
+/// Limit of an image manifest's or list of referrers' size, in bytes (the specification asks registries to accept 4 MiB).
 const MAX_DOCUMENT: usize = 4 * 1024 * 1024;
-/// Bytes of a plug-in's own manifest.
+/// Limit of a plug-in's own manifest's size, in bytes.
 const MAX_CONFIG: u64 = 1024 * 1024;
-/// A try that brings one part in so many of what it asked for counts as one that went on.
-const GOOD_PART: u64 = 16;
-/// Times that content may be wrong before it is the registry's fault.
-const SPOILED: u32 = 2;
+/// Position of the config among an image's blobs.
+const CONFIG_INDEX: usize = 0;
 
-/// What a pull is to do.
+/// Settings of a pull.
 #[derive(Clone, Debug)]
 pub struct PullSettings {
     /// The registry.
     pub location: Location,
-    /// Who we are, where it wants to know.
+    /// Credentials, where the registry requires them.
     pub credentials: Option<Credentials>,
-    /// How long and how often it is asked.
+    /// Timeouts, retries and redirects.
     pub policy: Policy,
-    /// Bytes asked for at a time.
+    /// Bytes of content requested at a time.
     pub range: u64,
-    /// Bytes of one plug-in's content at most.
+    /// Limit of one plug-in's content, in bytes.
     pub max_size: u64,
-    /// What the classes are, and who may use which; `None` where that is not known.
+    /// The classes and which tenant may claim which; `None` where they are not known.
     pub rights: Option<ClassRights>,
-    /// Seed of the jitter.
+    /// Seed of the backoff's jitter.
     pub seed: u64,
 }
 
-/// Why a pull ended without a version.
-#[derive(Debug)]
-pub enum PullError {
-    /// The name or reference is none that a registry could hold.
-    Name(LocationError),
-    /// No answer.
-    Exchange(ExchangeError),
-    /// The registry has no such thing, or does not give it: what, and its status.
-    Refused(String, u16),
-    /// The content of a digest is not what it promises, twice.
-    Corrupt(Digest, VerifyError),
-    /// The document is no plug-in's.
-    Document(DocumentError),
-    /// The plug-in's own manifest is wrong.
-    Manifest(Vec<ManifestProblem>),
-    /// It is another plug-in or version than was asked for.
-    Other {
-        /// Asked for.
-        wanted: String,
-        /// Found.
-        found: String,
-    },
-    /// Its content is larger than is taken: bytes.
-    TooLarge(u64),
-    /// The folder. What came is kept to be resumed.
-    Folder(BlobError),
-}
-
-impl fmt::Display for PullError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            PullError::Name(e) => e.fmt(f),
-            PullError::Exchange(e) => e.fmt(f),
-            PullError::Refused(what, status) => write!(f, "the registry answered {status} for {what}"),
-            PullError::Corrupt(digest, why) => write!(f, "the registry's content of {digest}: {why}"),
-            PullError::Document(e) => e.fmt(f),
-            PullError::Manifest(problems) => {
-                let words: Vec<String> = problems.iter().map(ToString::to_string).collect();
-                f.write_str(&words.join("\n"))
-            }
-            PullError::Other { wanted, found } => write!(f, "{wanted} was asked for, and it is {found}"),
-            PullError::TooLarge(bytes) => write!(f, "its content is {bytes} bytes, more than is taken"),
-            PullError::Folder(e) => write!(f, "the folder of plug-ins: {e}"),
-        }
-    }
-}
-
-impl std::error::Error for PullError {}
-
-impl From<ExchangeError> for PullError {
-    fn from(e: ExchangeError) -> Self {
-        PullError::Exchange(e)
-    }
-}
-
-impl From<BlobError> for PullError {
-    fn from(e: BlobError) -> Self {
-        PullError::Folder(e)
-    }
-}
-
-impl PullError {
-    /// The digest whose content the registry serves wrongly, where that is why.
-    pub fn corrupt(&self) -> Option<Digest> {
-        match self {
-            PullError::Corrupt(digest, _) => Some(*digest),
-            _ => None,
-        }
-    }
-}
-
-/// What a pull brought.
+/// The result of a pull.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pulled {
     /// The plug-in's manifest, checked.
     pub manifest: Manifest,
-    /// The digest of its bytes: the version's.
+    /// The digest of the manifest's bytes, which identifies the version.
     pub digest: Digest,
-    /// What vouches for it; not judged here.
+    /// The signatures that the registry lists, not verified.
     pub signatures: Vec<Signature>,
-    /// Bytes of content that came.
+    /// Bytes of content that were transferred.
     pub bytes: u64,
-    /// Bytes that were here already.
+    /// Bytes of content that were in the store already.
     pub had: u64,
-    /// Requests that went out.
+    /// Requests that were sent.
     pub requests: u64,
 }
 
 enum Phase {
-    Manifest(Vec<u8>),
+    /// The image manifest, as far as received.
+    ImageManifest(Vec<u8>),
     /// The config, then the layers in order.
-    Content(Box<Content>),
+    Content(Box<Download>),
+    /// The list of referrers, as far as received.
     Referrers(Vec<u8>),
     Done,
 }
 
-struct Content {
-    at: usize,
-    blob: LayerRef,
-    /// `None` between blobs and while what came is thrown away.
-    partial: Option<Partial>,
-    /// Whether the answer under way is one whose body is content.
-    taking: bool,
-    /// Bytes that the answer under way brought.
-    came: u64,
-    spoiled: u32,
+/// The image manifest of the plug-in that is pulled.
+struct Image {
+    digest: Digest,
+    content: Unpacked,
+}
+
+/// How a blob of the image is brought into the store.
+enum BlobStart {
+    /// It is there, verified; holds its content.
+    Present(Vec<u8>),
+    Download(Box<Download>),
 }
 
-/// See the module's documentation.
+/// A pull of one version; see the module's documentation. [`Pulling`] drives it.
 pub struct Pull {
     settings: PullSettings,
     name: String,
@@ -162,12 +98,13 @@
     repository: String,
     exchange: Exchange,
     phase: Phase,
-    image: Option<(Digest, Unpacked)>,
+    image: Option<Image>,
     manifest: Option<Manifest>,
-    spoiled_manifest: bool,
+    /// Whether an image manifest that did not match its digest was received before.
+    manifest_was_corrupt: bool,
     signatures: Vec<Signature>,
-    bytes: u64,
-    had: u64,
+    transferred_bytes: u64,
+    present_bytes: u64,
     requests: u64,
 }
 
@@ -175,49 +112,63 @@
     /// A pull of a plug-in by tag (its version) or by the digest of its image manifest.
     ///
     /// # Errors
-    /// When the name or reference cannot be one.
+    /// [`PullError::Name`] when the name or reference is not valid in a registry.
     pub fn new(now_us: i64, settings: PullSettings, name: &str, reference: &str) -> Result<Self, PullError> {
-        let repository = settings.location.repository(name).map_err(PullError::Name)?;
+        let repository = settings.location.repository(name)?;
         if reference.parse::<Digest>().is_err() && !is_tag(reference) {
-            return Err(PullError::Name(LocationError::Tag(reference.into())));
+            return Err(LocationError::Tag(reference.into()).into());
         }
-        let mut ask =
-            RegistryRequest::get(settings.location.url(&format!("{repository}/manifests/{reference}")));
-        ask.headers.push(("Accept", "application/vnd.oci.image.manifest.v1+json".into()));
+        let url = settings.location.url(&format!("{repository}/manifests/{reference}"));
+        let mut request = RegistryRequest::get(url);
+        request.headers.push(("Accept", IMAGE_MANIFEST_TYPE.into()));
         let (policy, credentials) = (settings.policy.clone(), settings.credentials.clone());
         Ok(Pull {
-            exchange: Exchange::new(now_us, policy, credentials, settings.seed, ask),
+            exchange: Exchange::new(now_us, policy, credentials, settings.seed, request),
             settings,
             name: name.into(),
             reference: reference.into(),
             repository,
-            phase: Phase::Manifest(Vec::new()),
+            phase: Phase::ImageManifest(Vec::new()),
             image: None,
             manifest: None,
-            spoiled_manifest: false,
+            manifest_was_corrupt: false,
             signatures: Vec::new(),
-            bytes: 0,
-            had: 0,
+            transferred_bytes: 0,
+            present_bytes: 0,
             requests: 0,
         })
     }
 
-    /// Whether an answer is waited for or read.
-    pub fn is_receiving(&self) -> bool {
+    /// The plug-in's manifest and its digest once they are received and checked, whatever becomes of the layers.
+    pub fn begun(&self) -> Option<(Manifest, Digest)> {
+        Some((self.manifest.clone()?, self.image.as_ref()?.content.config.digest))
+    }
+
+    /// The result, once [`crate::Job::next`] has returned [`Next::Done`].
+    pub fn result(self) -> Option<Pulled> {
+        if !matches!(self.phase, Phase::Done) {
+            return None;
+        }
+        Some(Pulled {
+            manifest: self.manifest?,
+            digest: self.image?.content.config.digest,
+            signatures: self.signatures,
+            bytes: self.transferred_bytes,
+            had: self.present_bytes,
+            requests: self.requests,
+        })
+    }
+
+    fn is_receiving(&self) -> bool {
         self.exchange.is_receiving()
     }
 
-    /// Bytes of content that came or were here, and all that there will be, as far as is known.
-    pub fn progress(&self) -> (u64, u64) {
-        let image = self.image.as_ref().map_or(0, |(_, i)| total(i));
-        (self.bytes + self.had, image)
+    fn progress(&self) -> (u64, u64) {
+        let total = self.image.as_ref().map_or(0, |image| image.content.size());
+        (self.transferred_bytes + self.present_bytes, total)
     }
 
-    /// What is to be done now.
-    ///
-    /// # Errors
-    /// When the time is up.
-    pub fn next(&mut self, now_us: i64) -> Result<Next, PullError> {
+    fn next(&mut self, now_us: i64) -> Result<Next, PullError> {
         if matches!(self.phase, Phase::Done) {
             return Ok(Next::Done);
         }
@@ -226,11 +177,7 @@
         Ok(next)
     }
 
-    /// The head of an answer came.
-    ///
-    /// # Errors
-    /// When that ends the pull.
-    pub fn head<F: Files>(
+    fn handle_head<F: Files>(
         &mut self,
         now_us: i64,
         store: &mut BlobStore<F>,
@@ -240,113 +187,84 @@
             return Ok(());
         }
         match &mut self.phase {
-            Phase::Manifest(bytes) => {
-                bytes.clear();
-                match head.status {
-                    200 => Ok(()),
-                    status => {
-                        Err(PullError::Refused(format!("{}:{}", self.repository, self.reference), status))
-                    }
-                }
+            Phase::ImageManifest(_) if head.status != 200 => {
+                let subject = format!("{}:{}", self.repository, self.reference);
+                Err(PullError::Refused(subject, head.status))
             }
-            // Registries without the list of referrers answer 404: there are no signatures then.
-            Phase::Referrers(bytes) => {
+            // A registry without the referrers API answers 404: then there are no signatures.
+            Phase::ImageManifest(bytes) | Phase::Referrers(bytes) => {
                 bytes.clear();
                 Ok(())
             }
-            Phase::Content(_) => self.content_head(now_us, store, head),
+            Phase::Content(_) => self.handle_content_head(now_us, store, head),
             Phase::Done => Ok(()),
         }
     }
 
-    fn content_head<F: Files>(
+    fn handle_content_head<F: Files>(
         &mut self,
         now_us: i64,
         store: &mut BlobStore<F>,
         head: &Head,
     ) -> Result<(), PullError> {
-        let Phase::Content(content) = &mut self.phase else { return Ok(()) };
-        let have = content.partial.as_ref().map_or(0, Partial::have);
-        content.came = 0;
-        content.taking = true;
-        match head.status {
-            // The whole of it, though a part was asked for: what is here gives way to it.
-            200 if have > 0 => {
-                store.discard(&content.blob.digest)?;
-                content.partial = Some(store.begin(content.blob.digest, content.blob.size)?);
-                self.had = self.had.saturating_sub(have);
-                Ok(())
+        let Phase::Content(download) = &mut self.phase else { return Ok(()) };
+        let stored = download.stored();
+        match download.handle_head(head) {
+            ContentHead::Continues => {}
+            ContentHead::Restarts => {
+                download.restart(store)?;
+                self.present_bytes = self.present_bytes.saturating_sub(stored);
             }
-            200 => Ok(()),
-            206 if range_start(head) == Some(have) => Ok(()),
-            206 => {
-                content.taking = false;
-                self.exchange.broke(now_us, Broke::Range)?;
-                Ok(())
+            ContentHead::WrongRange => self.exchange.broke(now_us, Broke::Range)?,
+            ContentHead::RangeUnsatisfiable => {
+                return self.restart_corrupt(now_us, store, VerifyError::TooLong);
             }
-            // Nothing there from where we are: what is here cannot be a part of it.
-            416 => {
-                content.taking = false;
-                let digest = content.blob.digest;
-                self.spoiled(now_us, store, digest, VerifyError::TooLong)
+            ContentHead::Refused(status) => {
+                return Err(PullError::Refused(download.blob.digest.to_string(), status));
             }
-            status => Err(PullError::Refused(content.blob.digest.to_string(), status)),
         }
+        Ok(())
     }
 
-    /// A piece of an answer's body came.
-    ///
-    /// # Errors
-    /// When that ends the pull.
-    pub fn piece<F: Files>(
+    fn handle_body<F: Files>(
         &mut self,
         now_us: i64,
         store: &mut BlobStore<F>,
-        piece: &[u8],
+        chunk: &[u8],
     ) -> Result<(), PullError> {
-        if !self.exchange.body(now_us, piece)? {
+        if !self.exchange.body(now_us, chunk)? {
             return Ok(());
         }
         match &mut self.phase {
-            Phase::Manifest(bytes) | Phase::Referrers(bytes) => {
-                bytes.extend_from_slice(piece);
+            Phase::ImageManifest(bytes) | Phase::Referrers(bytes) => {
+                bytes.extend_from_slice(chunk);
                 match bytes.len() > MAX_DOCUMENT {
                     true => Err(PullError::TooLarge(bytes.len() as u64)),
                     false => Ok(()),
                 }
             }
-            Phase::Content(content) => {
-                let Some(partial) = content.partial.as_mut().filter(|_| content.taking) else {
-                    return Ok(());
-                };
-                content.came += piece.len() as u64;
-                self.bytes += piece.len() as u64;
-                match store.append(partial, piece) {
-                    Ok(()) => Ok(()),
-                    // An endless body ends here, at the promised size.
-                    Err(BlobError::Corrupt(why)) => {
-                        content.taking = false;
-                        let digest = content.blob.digest;
-                        self.spoiled(now_us, store, digest, why)
-                    }
-                    Err(e) => Err(e.into()),
+            Phase::Content(download) if download.is_accepting() => {
+                self.transferred_bytes += chunk.len() as u64;
+                match download.append(store, chunk) {
+                    // An endless body ends here, at the blob's size.
+                    Err(BlobError::Corrupt(reason)) => self.restart_corrupt(now_us, store, reason),
+                    appended => Ok(appended?),
                 }
             }
-            Phase::Done => Ok(()),
+            Phase::Content(_) | Phase::Done => Ok(()),
         }
     }
 
-    /// An answer is whole.
-    ///
-    /// # Errors
-    /// When that ends the pull.
-    pub fn ended<F: Files>(&mut self, now_us: i64, store: &mut BlobStore<F>) -> Result<(), PullError> {
+    fn handle_end<F: Files>(&mut self, now_us: i64, store: &mut BlobStore<F>) -> Result<(), PullError> {
         if self.exchange.ended()? == EndOutcome::Resend {
             return Ok(());
         }
         match std::mem::replace(&mut self.phase, Phase::Done) {
-            Phase::Manifest(bytes) => self.manifest_came(now_us, store, bytes),
-            Phase::Content(content) => self.content_came(now_us, store, content),
+            Phase::ImageManifest(bytes) => self.finish_image_manifest(now_us, store, &bytes),
+            Phase::Content(download) if download.is_complete() => {
+                self.finish_download(now_us, store, download)
+            }
+            Phase::Content(download) => self.continue_download(now_us, download),
             Phase::Referrers(bytes) => {
                 self.signatures = read_signatures(&bytes).unwrap_or_default();
                 Ok(())
@@ -355,222 +273,183 @@
         }
     }
 
-    /// A connection failed within a request, or before.
-    ///
-    /// # Errors
-    /// When it was the last try.
-    pub fn broke(&mut self, now_us: i64, broke: Broke) -> Result<(), PullError> {
-        // What came is kept, so a try that brought a good part of what it asked for is none in vain. One that brought a few
-        // bytes is: a registry that drips a byte for each connection would hold the pull for all the time that it has.
-        let asked =
-            |c: &Content| c.blob.size.saturating_sub(c.partial.as_ref().map_or(0, Partial::have)) + c.came;
-        if matches!(&self.phase, Phase::Content(c)
-            if c.came > 0 && c.came.saturating_mul(GOOD_PART) >= asked(c).min(self.settings.range))
-        {
+    fn handle_failure(&mut self, now_us: i64, failure: Broke) -> Result<(), PullError> {
+        let range = self.settings.range;
+        if matches!(&self.phase, Phase::Content(download) if download.has_progressed(range)) {
             self.exchange.progress();
         }
-        self.exchange.broke(now_us, broke)?;
-        // The next try asks for what is still missing.
-        if let Phase::Content(content) = &mut self.phase {
-            content.came = 0;
-            content.taking = false;
-            let ask = content_ask(&self.settings, &self.repository, content);
-            self.exchange.replace(ask);
+        self.exchange.broke(now_us, failure)?;
+        // The next attempt requests what is still missing.
+        if let Phase::Content(download) = &mut self.phase {
+            download.end_attempt();
+            self.exchange.replace(download.request(&self.settings, &self.repository));
         }
         Ok(())
     }
 
-    fn manifest_came<F: Files>(
+    fn finish_image_manifest<F: Files>(
         &mut self,
         now_us: i64,
         store: &mut BlobStore<F>,
-        bytes: Vec<u8>,
+        bytes: &[u8],
     ) -> Result<(), PullError> {
-        let digest = Digest::of(&bytes);
-        let promised = self.reference.parse::<Digest>().ok();
-        if promised.is_some_and(|p| p != digest) {
-            if std::mem::replace(&mut self.spoiled_manifest, true) {
-                return Err(PullError::Corrupt(promised.unwrap_or(digest), VerifyError::Other));
+        let digest = Digest::of(bytes);
+        if let Ok(expected) = self.reference.parse::<Digest>() {
+            if expected != digest {
+                return self.retry_image_manifest(now_us, expected);
             }
-            self.phase = Phase::Manifest(Vec::new());
-            self.exchange.broke(now_us, Broke::Garbage)?;
-            return Ok(());
         }
-        let image = unpack(&bytes).map_err(PullError::Document)?;
-        let size = total(&image);
-        if size > self.settings.max_size || image.config.size > MAX_CONFIG {
+        let content = unpack(bytes)?;
+        let size = content.size();
+        if size > self.settings.max_size || content.config.size > MAX_CONFIG {
             return Err(PullError::TooLarge(size));
         }
-        self.image = Some((digest, image));
+        self.image = Some(Image { digest, content });
         self.exchange.progress();
-        self.content(store, 0)
+        self.start_blobs(store, CONFIG_INDEX)
     }
 
-    /// Goes on with the blob at a place: the config at 0, layers from 1 on.
-    fn content<F: Files>(&mut self, store: &mut BlobStore<F>, from: usize) -> Result<(), PullError> {
-        for at in from.. {
-            let Some((image_digest, image)) = &self.image else { return Ok(()) };
-            let blob = if at == 0 { Some(&image.config) } else { image.layers.get(at - 1) };
-            let Some(blob) = blob.copied() else {
-                let path = format!("{}/referrers/{image_digest}", self.repository);
+    /// Requests an image manifest that did not match its digest once more.
+    fn retry_image_manifest(&mut self, now_us: i64, expected: Digest) -> Result<(), PullError> {
+        if std::mem::replace(&mut self.manifest_was_corrupt, true) {
+            return Err(PullError::Corrupt(expected, VerifyError::Other));
+        }
+        self.phase = Phase::ImageManifest(Vec::new());
+        Ok(self.exchange.broke(now_us, Broke::Garbage)?)
+    }
+
+    /// Starts the download of the first blob from an index on that is not in the store, or requests the referrers after the
+    /// last one.
+    fn start_blobs<F: Files>(&mut self, store: &mut BlobStore<F>, first: usize) -> Result<(), PullError> {
+        for index in first.. {
+            let Some(image) = &self.image else { return Ok(()) };
+            let Some(blob) = image.content.blob(index) else {
+                let path = format!("{}/referrers/{}", self.repository, image.digest);
                 self.phase = Phase::Referrers(Vec::new());
                 self.exchange.start(RegistryRequest::get(self.settings.location.url(&path)));
                 return Ok(());
             };
-            // Here already counts only when it is whole: reading verifies.
-            match store.read(&blob.digest) {
-                Ok(content) if content.len() as u64 == blob.size => {
-                    self.had += blob.size;
-                    self.check_config(at, &content)?;
-                    continue;
+            match self.start_blob(store, index, blob)? {
+                BlobStart::Present(content) => self.check_config(index, &content)?,
+                BlobStart::Download(download) => {
+                    self.exchange.start(download.request(&self.settings, &self.repository));
+                    self.phase = Phase::Content(download);
+                    return Ok(());
                 }
-                Ok(_) => return Err(PullError::Corrupt(blob.digest, VerifyError::Other)),
-                Err(BlobError::Missing | BlobError::Corrupt(_)) => {}
-                Err(e) => return Err(e.into()),
             }
-            let content = Content { at, blob, partial: None, taking: false, came: 0, spoiled: 0 };
-            let mut content = Box::new(content);
-            let partial = store.begin(blob.digest, blob.size)?;
-            self.had += partial.have();
-            content.partial = Some(partial);
-            let whole = content.partial.as_ref().is_some_and(|p| p.have() == blob.size);
-            if whole {
-                // All of it was written before a crash, only not taken in; or it is empty.
-                match content.partial.take().map_or(Ok(()), |p| store.commit(p)) {
-                    Ok(()) => {
-                        let bytes = store.read(&blob.digest)?;
-                        self.check_config(at, &bytes)?;
-                        continue;
-                    }
-                    Err(BlobError::Corrupt(_)) => {
-                        self.had = self.had.saturating_sub(blob.size);
-                        content.partial = Some(store.begin(blob.digest, blob.size)?);
-                    }
-                    Err(e) => return Err(e.into()),
-                }
+        }
+        Ok(())
+    }
+
+    fn start_blob<F: Files>(
+        &mut self,
+        store: &mut BlobStore<F>,
+        index: usize,
+        blob: LayerRef,
+    ) -> Result<BlobStart, PullError> {
+        // A stored blob counts only if it is intact: reading verifies it.
+        match store.read(&blob.digest) {
+            Ok(content) if content.len() as u64 == blob.size => {
+                self.present_bytes += blob.size;
+                return Ok(BlobStart::Present(content));
             }
-            self.exchange.start(content_ask(&self.settings, &self.repository, &content));
-            self.phase = Phase::Content(content);
-            return Ok(());
+            Ok(_) => return Err(PullError::Corrupt(blob.digest, VerifyError::Other)),
+            Err(BlobError::Missing | BlobError::Corrupt(_)) => {}
+            Err(e) => return Err(e.into()),
+        }
+        let partial = store.begin(blob.digest, blob.size)?;
+        self.present_bytes += partial.have();
+        if partial.have() < blob.size {
+            return Ok(BlobStart::Download(Box::new(Download::new(index, blob, partial))));
+        }
+        // All of it was written but not committed before a crash, or it is empty.
+        match store.commit(partial) {
+            Ok(()) => Ok(BlobStart::Present(store.read(&blob.digest)?)),
+            Err(BlobError::Corrupt(_)) => {
+                self.present_bytes = self.present_bytes.saturating_sub(blob.size);
+                let partial = store.begin(blob.digest, blob.size)?;
+                Ok(BlobStart::Download(Box::new(Download::new(index, blob, partial))))
+            }
+            Err(e) => Err(e.into()),
+        }
+    }
+
+    /// Requests the next range after a complete response.
+    fn continue_download(&mut self, now_us: i64, mut download: Box<Download>) -> Result<(), PullError> {
+        let has_received = download.has_received();
+        download.end_attempt();
+        let request = download.request(&self.settings, &self.repository);
+        self.phase = Phase::Content(download);
+        if has_received {
+            self.exchange.progress();
+            self.exchange.start(request);
+        } else {
+            // An empty response is a failed attempt, so that a registry cannot go on with them without end.
+            self.exchange.broke(now_us, Broke::Cut)?;
+            self.exchange.replace(request);
         }
         Ok(())
     }
 
-    fn content_came<F: Files>(
+    fn finish_download<F: Files>(
         &mut self,
         now_us: i64,
         store: &mut BlobStore<F>,
-        mut content: Box<Content>,
+        mut download: Box<Download>,
     ) -> Result<(), PullError> {
-        let have = content.partial.as_ref().map_or(0, Partial::have);
-        if have < content.blob.size {
-            let nothing = content.came == 0;
-            content.came = 0;
-            content.taking = false;
-            let ask = content_ask(&self.settings, &self.repository, &content);
-            self.phase = Phase::Content(content);
-            if nothing {
-                self.exchange.broke(now_us, Broke::Cut)?;
-                self.exchange.replace(ask);
-            } else {
-                self.exchange.progress();
-                self.exchange.start(ask);
+        let (index, digest) = (download.index, download.blob.digest);
+        match download.commit(store) {
+            Err(BlobError::Corrupt(reason)) => {
+                self.phase = Phase::Content(download);
+                return self.restart_corrupt(now_us, store, reason);
             }
-            return Ok(());
-        }
-        let (at, digest) = (content.at, content.blob.digest);
-        match content.partial.take().map_or(Ok(()), |p| store.commit(p)) {
-            Ok(()) => {}
-            Err(BlobError::Corrupt(why)) => {
-                self.phase = Phase::Content(content);
-                return self.spoiled(now_us, store, digest, why);
-            }
-            Err(e) => return Err(e.into()),
+            committed => committed?,
         }
         self.exchange.progress();
-        if at == 0 {
+        if index == CONFIG_INDEX {
             let bytes = store.read(&digest)?;
-            self.check_config(0, &bytes)?;
+            self.check_config(index, &bytes)?;
         }
-        self.content(store, at + 1)
+        self.start_blobs(store, index + 1)
     }
 
-    /// Content was wrong: thrown away, and asked for from its start.
-    fn spoiled<F: Files>(
+    /// Discards the corrupt content of the present download and requests it from its first byte.
+    fn restart_corrupt<F: Files>(
         &mut self,
         now_us: i64,
         store: &mut BlobStore<F>,
-        digest: Digest,
-        why: VerifyError,
+        reason: VerifyError,
     ) -> Result<(), PullError> {
-        let Phase::Content(content) = &mut self.phase else { return Ok(()) };
-        store.discard(&digest)?;
-        content.spoiled += 1;
-        if content.spoiled >= SPOILED {
-            return Err(PullError::Corrupt(digest, why));
+        let Phase::Content(download) = &mut self.phase else { return Ok(()) };
+        if !download.restart_corrupt(store)? {
+            return Err(PullError::Corrupt(download.blob.digest, reason));
         }
-        content.partial = Some(store.begin(content.blob.digest, content.blob.size)?);
-        content.came = 0;
-        let ask = content_ask(&self.settings, &self.repository, content);
+        let request = download.request(&self.settings, &self.repository);
         self.exchange.broke(now_us, Broke::Garbage)?;
-        self.exchange.replace(ask);
+        self.exchange.replace(request);
         Ok(())
     }
 
-    /// The plug-in's own manifest is checked as soon as it is here: a layer is not pulled for what will be refused.
-    fn check_config(&mut self, at: usize, bytes: &[u8]) -> Result<(), PullError> {
-        if at != 0 {
+    /// Checks the plug-in's own manifest as soon as it is there, so that no layer of a rejected plug-in is pulled. Other
+    /// blobs are passed over.
+    fn check_config(&mut self, index: usize, bytes: &[u8]) -> Result<(), PullError> {
+        if index != CONFIG_INDEX {
             return Ok(());
         }
         let file = format!("{}:{}", self.repository, self.reference);
         let rights = self.settings.rights.as_ref();
         let (manifest, _) = check_manifest(&file, bytes, rights).map_err(PullError::Manifest)?;
-        let by_digest = self.reference.contains(':');
-        if manifest.name != self.name || (!by_digest && manifest.version != self.reference) {
-            return Err(PullError::Other {
-                wanted: format!("{}@{}", self.name, self.reference),
+        let is_by_digest = self.reference.contains(':');
+        if manifest.name != self.name || (!is_by_digest && manifest.version != self.reference) {
+            return Err(PullError::OtherVersion {
+                requested: format!("{}@{}", self.name, self.reference),
                 found: format!("{}@{}", manifest.name, manifest.version),
             });
         }
-        if let Some((_, image)) = &self.image {
-            image.matches(&manifest).map_err(PullError::Document)?;
+        if let Some(image) = &self.image {
+            image.content.matches(&manifest)?;
         }
         self.manifest = Some(manifest);
         Ok(())
     }
-
-    /// The plug-in's manifest and digest as soon as they are here and checked, whatever comes of its layers.
-    pub fn begun(&self) -> Option<(Manifest, Digest)> {
-        Some((self.manifest.clone()?, self.image.as_ref()?.1.config.digest))
-    }
-
-    /// What it brought, once [`Pull::next`] says that it is done.
-    pub fn result(self) -> Option<Pulled> {
-        let (manifest, (_, image)) = (self.manifest?, self.image?);
-        let (bytes, had, requests) = (self.bytes, self.had, self.requests);
-        let done = matches!(self.phase, Phase::Done);
-        let digest = image.config.digest;
-        done.then_some(Pulled { manifest, digest, signatures: self.signatures, bytes, had, requests })
-    }
-}
-
-fn total(image: &Unpacked) -> u64 {
-    image.layers.iter().fold(image.config.size, |sum, l| sum.saturating_add(l.size))
-}
-
-fn content_ask(settings: &PullSettings, repository: &str, content: &Content) -> RegistryRequest {
-    let mut ask =
-        RegistryRequest::get(settings.location.url(&format!("{repository}/blobs/{}", content.blob.digest)));
-    let have = content.partial.as_ref().map_or(0, Partial::have);
-    let last = have.saturating_add(settings.range.max(1)).min(content.blob.size).saturating_sub(1);
-    if have > 0 || last + 1 < content.blob.size {
-        ask.headers.push(("Range", format!("bytes={have}-{last}")));
-    }
-    ask
-}
-
-/// Where the part in a 206 answer begins (RFC 9110 section 14.4).
-fn range_start(head: &Head) -> Option<u64> {
-    let (start, _) = head.header("Content-Range")?.strip_prefix("bytes ")?.split_once('-')?;
-    start.parse().ok()
 }
--- a/crates/oci/src/push.rs
+++ b/crates/oci/src/push.rs
@@ -1,379 +1,379 @@
-//! A push: one version of a plug-in from the folder to a registry. Content that the registry has is not sent; an upload
-//! that breaks off goes on from where the registry says that it is (distribution specification, "Pushing a blob in
-//! chunks"); the image manifest goes last, so that a push that was killed leaves no version half there.
+//! A push: transfers one version of a plug-in from the blob store to a registry. Blobs that the registry has are not sent;
+//! an upload that was interrupted continues from the registry's offset (distribution specification, "Pushing a blob in
+//! chunks"); the image manifest is sent last, so that an interrupted push leaves no incomplete version.
+
+mod error;
+
+pub use error::PushError;
 
 use crate::challenge::Credentials;
-use crate::document::{pack, sign_document, DocumentError, Packed};
+use crate::document::{pack, sign_document, Packed};
 use crate::exchange::{
-    Broke, EndOutcome, Exchange, ExchangeError, HeadOutcome, Next, Policy, RegistryRequest,
+    Broke, EndOutcome, Exchange, HeadOutcome, Next, Policy, RegistryRequest, IMAGE_MANIFEST_TYPE,
 };
+use crate::job::Job;
 use crate::location::{is_tag, Location, LocationError};
-use slatevalve_http::Head;
+use slatevalve_http::{Head, Part};
 use slatevalve_plugins::{Digest, Manifest, Signature};
-use std::fmt;
 use std::sync::Arc;
 use url::Url;
 
-/// What is pushed.
+/// Content of the empty descriptor, the config of signatures (image specification, "Guidance for an Empty Descriptor").
+const EMPTY_CONFIG: &[u8] = b"{}";
+
+/// A version with its content, to be pushed.
 #[derive(Clone, Debug)]
 pub struct Package {
     /// The plug-in's manifest.
     pub manifest: Manifest,
-    /// Its bytes.
+    /// The manifest's bytes.
     pub config: Arc<[u8]>,
-    /// Its content, in the manifest's order.
+    /// The layers' content, in the manifest's order.
     pub layers: Vec<Arc<[u8]>>,
-    /// Signatures that go along.
+    /// Signatures to be pushed with it.
     pub signatures: Vec<Signature>,
 }
 
-/// Why a push ended.
-#[derive(Debug)]
-pub enum PushError {
-    /// The name or version is none that a registry takes.
-    Name(LocationError),
-    /// No answer.
-    Exchange(ExchangeError),
-    /// The registry does not take it: what, and its status.
-    Refused(String, u16),
-    /// A document could not be made.
-    Document(DocumentError),
-    /// The registry says that the content that it got has this other digest.
-    OtherDigest(String),
-    /// The registry begins an upload and does not say where, or sends it to another place.
-    Upload,
+/// The result of a push.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Pushed {
+    /// The digest of the image manifest.
+    pub image: Digest,
+    /// Bytes of content that were transferred.
+    pub bytes: u64,
+    /// Bytes of content that the registry had already.
+    pub had: u64,
 }
 
-impl fmt::Display for PushError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            PushError::Name(e) => e.fmt(f),
-            PushError::Exchange(e) => e.fmt(f),
-            PushError::Refused(what, status) => write!(f, "the registry answered {status} to {what}"),
-            PushError::Document(e) => e.fmt(f),
-            PushError::OtherDigest(found) => write!(f, "the registry took it as {found}"),
-            PushError::Upload => f.write_str("the registry does not say where to upload to"),
-        }
-    }
+/// The next request of a blob's upload.
+#[derive(Clone, Debug, PartialEq, Eq)]
+enum UploadStep {
+    /// Check whether the registry has the blob.
+    CheckExistence,
+    /// Open an upload session.
+    Open,
+    /// Send the chunk from this offset on.
+    SendChunk(u64),
+    /// Query the session's offset.
+    QueryOffset,
+    /// Close the session with the blob's digest.
+    Close,
 }
 
-impl std::error::Error for PushError {}
+struct Blob {
+    digest: Digest,
+    content: Arc<[u8]>,
+}
 
-impl From<ExchangeError> for PushError {
-    fn from(e: ExchangeError) -> Self {
-        PushError::Exchange(e)
+impl Blob {
+    fn new(content: Arc<[u8]>) -> Self {
+        Blob { digest: Digest::of(&content), content }
     }
-}
 
-impl From<DocumentError> for PushError {
-    fn from(e: DocumentError) -> Self {
-        PushError::Document(e)
+    fn size(&self) -> u64 {
+        self.content.len() as u64
     }
-}
 
-/// What a push did.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pushed {
-    /// The digest of the image manifest.
-    pub image: Digest,
-    /// Bytes of content that went over.
-    pub bytes: u64,
-    /// Bytes that the registry had.
-    pub had: u64,
+    /// The step of an upload whose offset is known.
+    fn step_from(&self, offset: u64) -> UploadStep {
+        match offset == self.size() {
+            true => UploadStep::Close,
+            false => UploadStep::SendChunk(offset),
+        }
+    }
 }
 
-#[derive(Clone, Debug, PartialEq, Eq)]
-enum Step {
-    /// Asks whether the registry has the blob.
-    Head,
-    /// Asks for an upload.
-    Begin,
-    /// Sends from this byte on.
-    Part(u64),
-    /// Asks how far the upload is.
-    Status,
-    /// Ends the upload.
-    Finish,
+/// A manifest and the tag or digest that it is pushed by.
+struct TaggedManifest {
+    reference: String,
+    packed: Packed,
 }
 
-/// See the module's documentation.
+/// A push of one version; see the module's documentation.
 pub struct Push {
     location: Location,
     repository: String,
     exchange: Exchange,
-    /// Bytes sent at a time.
-    part: usize,
-    blobs: Vec<(Digest, Arc<[u8]>)>,
-    /// Manifests after the blobs: the plug-in's by tag, then signatures by digest.
-    manifests: Vec<(String, Packed)>,
-    /// The blob under way; beyond them the manifest.
-    at: usize,
-    step: Step,
-    upload: Option<Url>,
-    bytes: u64,
-    had: u64,
-    answer: Option<Head>,
+    /// Bytes sent in one request.
+    chunk_size: usize,
+    blobs: Vec<Blob>,
+    /// The plug-in's image manifest by tag, then the signatures by digest.
+    manifests: Vec<TaggedManifest>,
+    /// Position among the blobs, then the manifests.
+    position: usize,
+    step: UploadStep,
+    upload_url: Option<Url>,
+    transferred_bytes: u64,
+    present_bytes: u64,
+    response_head: Option<Head>,
 }
 
 impl Push {
-    /// A push of a package; its tag is its version. `part` is how many bytes are sent at a time.
+    /// A push of a package; its tag is its version. `chunk_size` is the number of bytes sent in one request.
     ///
     /// # Errors
-    /// When registries take no such name or version.
+    /// [`PushError::Name`] when the name or version is not valid in a registry.
     pub fn new(
         now_us: i64,
         location: Location,
         credentials: Option<Credentials>,
         policy: Policy,
         seed: u64,
-        part: usize,
+        chunk_size: usize,
         package: &Package,
     ) -> Result<Self, PushError> {
-        let repository = location.repository(&package.manifest.name).map_err(PushError::Name)?;
+        let repository = location.repository(&package.manifest.name)?;
         let tag = &package.manifest.version;
         if !is_tag(tag) {
-            return Err(PushError::Name(LocationError::Tag(tag.clone())));
+            return Err(LocationError::Tag(tag.clone()).into());
         }
-        let image = pack(&package.manifest, &package.config)?;
+        let manifests = pack_manifests(package)?;
         let contents = std::iter::once(&package.config).chain(&package.layers);
-        let mut blobs: Vec<_> = contents.map(|c| (Digest::of(c), c.clone())).collect();
-        let mut manifests = vec![(tag.clone(), image.clone())];
-        for signature in &package.signatures {
-            let document = sign_document(&image, signature)?;
-            manifests.push((document.digest.to_string(), document));
-        }
-        if manifests.len() > 1 {
-            blobs.push((Digest::of(b"{}"), Arc::from(&b"{}"[..])));
+        let mut blobs: Vec<Blob> = contents.map(|content| Blob::new(content.clone())).collect();
+        if !package.signatures.is_empty() {
+            blobs.push(Blob::new(Arc::from(EMPTY_CONFIG)));
         }
-        let ask = head_ask(&location, &repository, &blobs[0].0);
-        let exchange = Exchange::new(now_us, policy, credentials, seed, ask);
+        let request = existence_request(&location, &repository, &blobs[0].digest);
         Ok(Push {
             location,
             repository,
-            exchange,
-            part: part.max(1),
+            exchange: Exchange::new(now_us, policy, credentials, seed, request),
+            chunk_size: chunk_size.max(1),
             blobs,
             manifests,
-            at: 0,
-            step: Step::Head,
-            upload: None,
-            bytes: 0,
-            had: 0,
-            answer: None,
+            position: 0,
+            step: UploadStep::CheckExistence,
+            upload_url: None,
+            transferred_bytes: 0,
+            present_bytes: 0,
+            response_head: None,
         })
     }
 
-    /// Whether an answer is waited for or read.
-    pub fn is_receiving(&self) -> bool {
-        self.exchange.is_receiving()
-    }
-
-    /// Bytes that went over or were there, and all that there are.
-    pub fn progress(&self) -> (u64, u64) {
-        (self.bytes + self.had, self.blobs.iter().map(|(_, c)| c.len() as u64).sum())
-    }
-
-    /// What is to be done now.
-    ///
-    /// # Errors
-    /// When the time is up.
-    pub fn next(&mut self, now_us: i64) -> Result<Next, PushError> {
-        if self.at >= self.blobs.len() + self.manifests.len() {
-            return Ok(Next::Done);
-        }
-        Ok(self.exchange.next(now_us)?)
-    }
-
-    /// The head of an answer came.
-    ///
-    /// # Errors
-    /// When that ends the push.
-    pub fn head(&mut self, now_us: i64, head: &Head) -> Result<(), PushError> {
-        let heard = self.exchange.head(now_us, head)?;
-        self.answer = (heard == HeadOutcome::ForCaller).then(|| head.clone());
-        Ok(())
+    /// The result, once [`Job::next`] has returned [`Next::Done`].
+    pub fn result(&self) -> Option<Pushed> {
+        let image = self.manifests.first()?.packed.digest;
+        let (bytes, had) = (self.transferred_bytes, self.present_bytes);
+        self.is_done().then_some(Pushed { image, bytes, had })
     }
 
-    /// A piece of an answer's body came; nothing in it matters here.
-    ///
-    /// # Errors
-    /// When that ends the push.
-    pub fn piece(&mut self, now_us: i64, piece: &[u8]) -> Result<(), PushError> {
-        Ok(self.exchange.body(now_us, piece).map(drop)?)
+    fn is_done(&self) -> bool {
+        self.position >= self.blobs.len() + self.manifests.len()
     }
 
-    /// A connection failed.
-    ///
-    /// # Errors
-    /// When it was the last try.
-    pub fn broke(&mut self, now_us: i64, broke: Broke) -> Result<(), PushError> {
-        self.exchange.broke(now_us, broke)?;
-        // How much of a part arrived only the registry knows.
-        if matches!(self.step, Step::Part(_)) {
-            self.step = Step::Status;
-            if let Some(ask) = self.ask() {
-                self.exchange.replace(ask);
-            }
-        }
-        Ok(())
+    /// The manifest that is being pushed; none while blobs are, or when all is done.
+    fn current_manifest(&self) -> Option<&TaggedManifest> {
+        self.manifests.get(self.position.checked_sub(self.blobs.len())?)
     }
 
-    /// An answer is whole.
-    ///
-    /// # Errors
-    /// When that ends the push.
-    pub fn ended(&mut self, now_us: i64) -> Result<(), PushError> {
+    fn handle_end(&mut self, now_us: i64) -> Result<(), PushError> {
         if self.exchange.ended()? == EndOutcome::Resend {
             return Ok(());
         }
-        let Some(head) = self.answer.take() else { return Ok(()) };
-        if self.at >= self.blobs.len() {
-            self.manifest_answered(&head)?;
+        let Some(head) = self.response_head.take() else { return Ok(()) };
+        if self.position >= self.blobs.len() {
+            self.handle_manifest_response(&head)?;
         } else {
-            self.blob_answered(now_us, &head)?;
+            self.handle_blob_response(now_us, &head)?;
         }
         self.exchange.progress();
-        if let Some(ask) = self.ask() {
-            self.exchange.start(ask);
+        if let Some(request) = self.request() {
+            self.exchange.start(request);
         }
         Ok(())
     }
 
-    fn manifest_answered(&mut self, head: &Head) -> Result<(), PushError> {
-        let (reference, packed) = &self.manifests[self.at - self.blobs.len()];
+    fn handle_manifest_response(&mut self, head: &Head) -> Result<(), PushError> {
+        let Some(TaggedManifest { reference, packed }) = self.current_manifest() else { return Ok(()) };
         if head.status != 201 {
             return Err(PushError::Refused(format!("{}:{reference}", self.repository), head.status));
         }
-        let told = head.header("Docker-Content-Digest");
-        if let Some(other) = told.filter(|d| *d != packed.digest.to_string()) {
+        let reported = head.header("Docker-Content-Digest");
+        if let Some(other) = reported.filter(|digest| *digest != packed.digest.to_string()) {
             return Err(PushError::OtherDigest(other.into()));
         }
-        self.at += 1;
+        self.position += 1;
         Ok(())
     }
 
-    fn blob_answered(&mut self, now_us: i64, head: &Head) -> Result<(), PushError> {
-        let (digest, size) = (self.blobs[self.at].0, self.blobs[self.at].1.len() as u64);
-        let refused = || Err(PushError::Refused(digest.to_string(), head.status));
-        self.step = match (&self.step, head.status) {
-            (Step::Head, 200) => {
-                self.had += size;
-                self.next_blob();
-                return Ok(());
+    fn handle_blob_response(&mut self, now_us: i64, head: &Head) -> Result<(), PushError> {
+        match self.next_step(now_us, head)? {
+            Some(step) => self.step = step,
+            None => {
+                self.position += 1;
+                self.step = UploadStep::CheckExistence;
+                self.upload_url = None;
             }
-            (Step::Head, 404) => Step::Begin,
-            (Step::Begin, 202) => {
-                self.upload = Some(self.place(head)?);
-                if size == 0 {
-                    Step::Finish
-                } else {
-                    Step::Part(0)
-                }
+        }
+        Ok(())
+    }
+
+    /// The step that follows a response; none when the registry has the blob.
+    fn next_step(&mut self, now_us: i64, head: &Head) -> Result<Option<UploadStep>, PushError> {
+        let blob = &self.blobs[self.position];
+        let size = blob.size();
+        let refused = || PushError::Refused(blob.digest.to_string(), head.status);
+        Ok(Some(match (&self.step, head.status) {
+            (UploadStep::CheckExistence, 200) => {
+                self.present_bytes += size;
+                return Ok(None);
             }
-            (Step::Part(from), 202) => {
-                let sent = size.min(from + self.part as u64);
-                self.bytes += sent - from;
-                self.upload = Some(self.place(head)?);
-                if sent == size {
-                    Step::Finish
-                } else {
-                    Step::Part(sent)
-                }
+            (UploadStep::CheckExistence, 404) => UploadStep::Open,
+            (UploadStep::Open, 202) => {
+                self.upload_url = Some(self.upload_location(head)?);
+                blob.step_from(0)
             }
-            (Step::Status, 204) => {
-                // "0-N" is N + 1 bytes, and so is "0-0": one that holds none says no range.
-                let here = head.header("Range").and_then(|r| r.split_once('-')?.1.parse::<u64>().ok());
-                let here = here.map_or(0, |last| last.saturating_add(1));
-                if here > size {
-                    return refused();
-                }
-                if here == size {
-                    Step::Finish
-                } else {
-                    Step::Part(here)
-                }
+            (UploadStep::SendChunk(offset), 202) => {
+                let sent = size.min(offset + self.chunk_size as u64);
+                self.transferred_bytes += sent - offset;
+                self.upload_url = Some(self.upload_location(head)?);
+                blob.step_from(sent)
             }
-            // It counts otherwise than we do: it says from where it wants to go on.
-            (Step::Part(_), 416) => Step::Status,
-            // The upload is not there any more.
-            (Step::Status | Step::Part(_) | Step::Finish, 404) => {
+            (UploadStep::QueryOffset, 204) => match upload_offset(head) {
+                offset if offset > size => return Err(refused()),
+                offset => blob.step_from(offset),
+            },
+            // The registry's offset is another one than ours.
+            (UploadStep::SendChunk(_), 416) => UploadStep::QueryOffset,
+            // The upload session is gone.
+            (UploadStep::QueryOffset | UploadStep::SendChunk(_) | UploadStep::Close, 404) => {
                 self.exchange.broke(now_us, Broke::Cut)?;
-                Step::Begin
+                UploadStep::Open
             }
-            (Step::Finish, 201) => {
-                self.next_blob();
-                return Ok(());
-            }
-            _ => return refused(),
-        };
-        Ok(())
+            (UploadStep::Close, 201) => return Ok(None),
+            _ => return Err(refused()),
+        }))
     }
 
-    fn next_blob(&mut self) {
-        self.at += 1;
-        self.step = Step::Head;
-        self.upload = None;
+    /// The `Location` of an upload session. It must be at the registry's own address, as the content is sent there.
+    fn upload_location(&self, head: &Head) -> Result<Url, PushError> {
+        let base = self.current_upload_url();
+        let location = head.header("Location").and_then(|location| base.join(location).ok());
+        let location = location.ok_or(PushError::Upload)?;
+        let registry = self.location.url("");
+        let is_same_origin = location.scheme() == registry.scheme()
+            && location.host_str() == registry.host_str()
+            && location.port_or_known_default() == registry.port_or_known_default();
+        match is_same_origin {
+            true => Ok(location),
+            false => Err(PushError::Upload),
+        }
     }
 
-    /// Where an upload goes on: below the registry itself, as it gets the content.
-    fn place(&self, head: &Head) -> Result<Url, PushError> {
-        let base = self.upload.clone().unwrap_or_else(|| self.location.url(""));
-        let to = head.header("Location").and_then(|l| base.join(l).ok()).ok_or(PushError::Upload)?;
-        let own = self.location.url("");
-        let same = to.scheme() == own.scheme()
-            && to.host_str() == own.host_str()
-            && to.port_or_known_default() == own.port_or_known_default();
-        if same {
-            Ok(to)
-        } else {
-            Err(PushError::Upload)
+    fn current_upload_url(&self) -> Url {
+        self.upload_url.clone().unwrap_or_else(|| self.location.url(""))
+    }
+
+    /// The request of the present position and step; none when all is done.
+    fn request(&self) -> Option<RegistryRequest> {
+        match self.blobs.get(self.position) {
+            Some(blob) => Some(self.blob_request(blob)),
+            None => self.current_manifest().map(|manifest| self.manifest_request(manifest)),
+        }
+    }
+
+    fn manifest_request(&self, manifest: &TaggedManifest) -> RegistryRequest {
+        let path = format!("{}/manifests/{}", self.repository, manifest.reference);
+        RegistryRequest {
+            headers: vec![("Content-Type", IMAGE_MANIFEST_TYPE.to_string())],
+            body: manifest.packed.bytes.clone(),
+            ..RegistryRequest::new("PUT", self.location.url(&path))
         }
     }
 
-    /// The request of the present step; none when all is done.
-    fn ask(&self) -> Option<RegistryRequest> {
-        let Some((digest, content)) = self.blobs.get(self.at) else {
-            let (reference, packed) = self.manifests.get(self.at.checked_sub(self.blobs.len())?)?;
-            let url = self.location.url(&format!("{}/manifests/{reference}", self.repository));
-            let headers = vec![("Content-Type", "application/vnd.oci.image.manifest.v1+json".to_string())];
-            return Some(RegistryRequest { method: "PUT", url, headers, body: packed.bytes.clone() });
-        };
-        let upload = || self.upload.clone().unwrap_or_else(|| self.location.url(""));
-        Some(match self.step {
-            Step::Head => head_ask(&self.location, &self.repository, digest),
-            Step::Begin => {
-                let url = self.location.url(&format!("{}/blobs/uploads/", self.repository));
-                RegistryRequest { method: "POST", url, headers: Vec::new(), body: Vec::new() }
+    fn blob_request(&self, blob: &Blob) -> RegistryRequest {
+        match self.step {
+            UploadStep::CheckExistence => existence_request(&self.location, &self.repository, &blob.digest),
+            UploadStep::Open => {
+                let path = format!("{}/blobs/uploads/", self.repository);
+                RegistryRequest::new("POST", self.location.url(&path))
             }
-            Step::Part(from) => {
-                let from = usize::try_from(from).unwrap_or(usize::MAX).min(content.len());
-                let to = from.saturating_add(self.part).min(content.len());
-                let headers = vec![
-                    ("Content-Type", "application/octet-stream".to_string()),
-                    ("Content-Range", format!("{from}-{}", to.saturating_sub(1))),
-                ];
-                RegistryRequest { method: "PATCH", url: upload(), headers, body: content[from..to].to_vec() }
+            UploadStep::SendChunk(offset) => self.chunk_request(blob, offset),
+            UploadStep::QueryOffset => RegistryRequest::get(self.current_upload_url()),
+            UploadStep::Close => {
+                let mut url = self.current_upload_url();
+                url.query_pairs_mut().append_pair("digest", &blob.digest.to_string());
+                RegistryRequest::new("PUT", url)
             }
-            Step::Status => RegistryRequest::get(upload()),
-            Step::Finish => {
-                let mut url = upload();
-                url.query_pairs_mut().append_pair("digest", &digest.to_string());
-                RegistryRequest { method: "PUT", url, headers: Vec::new(), body: Vec::new() }
+        }
+    }
+
+    fn chunk_request(&self, blob: &Blob, offset: u64) -> RegistryRequest {
+        let size = blob.content.len();
+        let start = usize::try_from(offset).unwrap_or(usize::MAX).min(size);
+        let end = start.saturating_add(self.chunk_size).min(size);
+        let headers = vec![
+            ("Content-Type", "application/octet-stream".to_string()),
+            ("Content-Range", format!("{start}-{}", end.saturating_sub(1))),
+        ];
+        let body = blob.content[start..end].to_vec();
+        RegistryRequest { headers, body, ..RegistryRequest::new("PATCH", self.current_upload_url()) }
+    }
+}
+
+impl Job for Push {
+    type Error = PushError;
+
+    fn next(&mut self, now_us: i64) -> Result<Next, PushError> {
+        if self.is_done() {
+            return Ok(Next::Done);
+        }
+        Ok(self.exchange.next(now_us)?)
+    }
+
+    fn part(&mut self, now_us: i64, response_part: Part) -> Result<(), PushError> {
+        match response_part {
+            Part::Head(head) => {
+                let outcome = self.exchange.head(now_us, &head)?;
+                self.response_head = (outcome == HeadOutcome::ForCaller).then_some(head);
+                Ok(())
             }
-        })
+            // A push needs no response's body.
+            Part::Body(chunk) => Ok(self.exchange.body(now_us, &chunk).map(drop)?),
+            Part::End => self.handle_end(now_us),
+        }
     }
 
-    /// What it did, once [`Push::next`] says that it is done.
-    pub fn result(&self) -> Option<Pushed> {
-        let image = self.manifests.first()?.1.digest;
-        let done = self.at >= self.blobs.len() + self.manifests.len();
-        done.then_some(Pushed { image, bytes: self.bytes, had: self.had })
+    fn broke(&mut self, now_us: i64, failure: Broke) -> Result<(), PushError> {
+        self.exchange.broke(now_us, failure)?;
+        // How much of a chunk arrived is known to the registry alone.
+        if matches!(self.step, UploadStep::SendChunk(_)) {
+            self.step = UploadStep::QueryOffset;
+            if let Some(request) = self.request() {
+                self.exchange.replace(request);
+            }
+        }
+        Ok(())
+    }
+
+    fn is_receiving(&self) -> bool {
+        self.exchange.is_receiving()
+    }
+
+    fn progress(&self) -> (u64, u64) {
+        let total = self.blobs.iter().map(Blob::size).sum();
+        (self.transferred_bytes + self.present_bytes, total)
     }
 }
 
-fn head_ask(location: &Location, repository: &str, digest: &Digest) -> RegistryRequest {
-    RegistryRequest {
-        method: "HEAD",
-        ..RegistryRequest::get(location.url(&format!("{repository}/blobs/{digest}")))
+/// The image manifest, then the signatures.
+fn pack_manifests(package: &Package) -> Result<Vec<TaggedManifest>, PushError> {
+    let image = pack(&package.manifest, &package.config)?;
+    let mut manifests = Vec::new();
+    for signature in &package.signatures {
+        let packed = sign_document(&image, signature)?;
+        manifests.push(TaggedManifest { reference: packed.digest.to_string(), packed });
     }
+    manifests.insert(0, TaggedManifest { reference: package.manifest.version.clone(), packed: image });
+    Ok(manifests)
+}
+
+fn existence_request(location: &Location, repository: &str, digest: &Digest) -> RegistryRequest {
+    RegistryRequest::new("HEAD", location.url(&format!("{repository}/blobs/{digest}")))
+}
+
+/// Bytes that an upload session holds. `Range` is inclusive, so `0-0` is one byte; it is absent where there is none.
+fn upload_offset(head: &Head) -> u64 {
+    let last = head.header("Range").and_then(|range| range.split_once('-')?.1.parse::<u64>().ok());
+    last.map_or(0, |last| last.saturating_add(1))
 }
--- /dev/null
+++ b/crates/oci/src/push/error.rs
@@ -0,0 +1,68 @@
+//! Why a push failed.
+
+use crate::document::DocumentError;
+use crate::exchange::ExchangeError;
+use crate::location::LocationError;
+use std::error::Error;
+use std::fmt;
+
+/// Why a push ended before all was transferred.
+#[derive(Debug)]
+pub enum PushError {
+    /// The name or version is not valid in a registry.
+    Name(LocationError),
+    /// A request got no response.
+    Exchange(ExchangeError),
+    /// The registry rejected a blob or manifest; holds its name and the status.
+    Refused(String, u16),
+    /// A manifest could not be encoded.
+    Document(DocumentError),
+    /// The registry reports another digest for a manifest than the pushed one.
+    OtherDigest(String),
+    /// The registry opened an upload without a usable `Location`, or with one at another address.
+    Upload,
+}
+
+impl fmt::Display for PushError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            PushError::Name(e) => e.fmt(f),
+            PushError::Exchange(e) => e.fmt(f),
+            PushError::Refused(subject, status) => {
+                write!(f, "the registry answered {status} to {subject}")
+            }
+            PushError::Document(e) => e.fmt(f),
+            PushError::OtherDigest(found) => write!(f, "the registry took it as {found}"),
+            PushError::Upload => f.write_str("the registry does not say where to upload to"),
+        }
+    }
+}
+
+impl Error for PushError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            PushError::Name(e) => Some(e),
+            PushError::Exchange(e) => Some(e),
+            PushError::Document(e) => Some(e),
+            PushError::Refused(..) | PushError::OtherDigest(_) | PushError::Upload => None,
+        }
+    }
+}
+
+impl From<LocationError> for PushError {
+    fn from(e: LocationError) -> Self {
+        PushError::Name(e)
+    }
+}
+
+impl From<ExchangeError> for PushError {
+    fn from(e: ExchangeError) -> Self {
+        PushError::Exchange(e)
+    }
+}
+
+impl From<DocumentError> for PushError {
+    fn from(e: DocumentError) -> Self {
+        PushError::Document(e)
+    }
+}
--- a/crates/oci/src/server/error.rs
+++ b/crates/oci/src/server/error.rs
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 pub enum RegistryError {
     /// The blob store failed.
-    Folder(BlobError),
+    Store(BlobError),
     /// The document of repositories cannot be parsed.
     Document(serde_json::Error),
 }
@@ -17,7 +17,7 @@
 impl fmt::Display for RegistryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RegistryError::Folder(e) => write!(f, "the folder: {e}"),
+            RegistryError::Store(e) => write!(f, "the folder: {e}"),
             RegistryError::Document(e) => write!(f, "{DOCUMENT}: {e}"),
         }
     }
@@ -26,7 +26,7 @@
 impl Error for RegistryError {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
-            RegistryError::Folder(e) => Some(e),
+            RegistryError::Store(e) => Some(e),
             RegistryError::Document(e) => Some(e),
         }
     }
@@ -34,7 +34,7 @@
 
 impl From<BlobError> for RegistryError {
     fn from(e: BlobError) -> Self {
-        RegistryError::Folder(e)
+        RegistryError::Store(e)
     }
 }
 
--- a/crates/oci/tests/pulls.rs
+++ b/crates/oci/tests/pulls.rs
@@ -246,7 +246,7 @@
         let befall = |_: usize, line: &str| line.contains(&large.hex()).then(|| fault.clone());
         let (done, asked) = pull_into(&mut pushed(), &mut store, settings(), &befall);
         let error = done.unwrap_err();
-        assert_eq!(error.corrupt(), Some(large), "{error}");
+        assert_eq!(error.corrupt_digest(), Some(large), "{error}");
         assert!(!store.has(&large) && asked.len() < 12, "{asked:?}");
     }
 }
@@ -316,7 +316,7 @@
     let mut job = Pulling { pull, store: &mut store };
     let befall = |n: usize, _: &str| (n == 0).then(|| Fault::Instead(mislabelled.clone()));
     let error = WorkerProtocol::new(&mut pushed(), &befall).drive(&mut job).unwrap_err();
-    assert!(matches!(error, PullError::Other { .. }), "{error}");
+    assert!(matches!(error, PullError::OtherVersion { .. }), "{error}");
 }
 
 #[test]
@@ -330,7 +330,7 @@
         for keep in [0, 300, 10_000] {
             let mut store = BlobStore::new(Memory { until: Some(until), ..Memory::default() });
             let cut = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0;
-            assert!(matches!(cut, Err(PullError::Folder(BlobError::Disk(_)))), "step {until}: {cut:?}");
+            assert!(matches!(cut, Err(PullError::Store(BlobError::Disk(_)))), "step {until}: {cut:?}");
             let mut store = BlobStore::new(store.files().clone().after_power(keep));
             for digest in store.digests().unwrap() {
                 assert!(store.read(&digest).is_ok(), "step {until}: a blob is not whole");
@@ -349,7 +349,7 @@
     let mut store = BlobStore::new(Memory { full: true, ..Memory::default() });
     let full = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0;
     assert!(
-        matches!(full, Err(PullError::Folder(BlobError::Disk(e))) if e.kind() == std::io::ErrorKind::StorageFull)
+        matches!(full, Err(PullError::Store(BlobError::Disk(e))) if e.kind() == std::io::ErrorKind::StorageFull)
     );
     store.files().full = false;
     let done = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
