--- a/crates/oci/src/challenge.rs
+++ b/crates/oci/src/challenge.rs
@@ -1,4 +1,4 @@
-//! What a registry wants to know of a caller before it serves it (RFC 9110 section 11.6.1; the token protocol of
+//! Authentication challenges and credentials of registries (RFC 9110 section 11.6.1; RFC 7617; the token protocol of
 //! container registries: `Bearer realm=...,service=...,scope=...`).
 
 use base64::engine::general_purpose::STANDARD;
@@ -7,7 +7,7 @@
 use std::fmt;
 use url::Url;
 
-/// Who the caller is, towards a registry.
+/// Name and password for a registry. `Debug` does not show the password.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Credentials {
     /// The user's name.
@@ -24,29 +24,30 @@
 
 impl Credentials {
     /// The value of an `Authorization` header (RFC 7617).
+    #[must_use]
     pub fn basic(&self) -> String {
         format!("Basic {}", STANDARD.encode(format!("{}:{}", self.user, self.password)))
     }
 }
 
-/// What a `WWW-Authenticate` header asks for.
+/// A challenge of a `WWW-Authenticate` header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Challenge {
-    /// Name and password.
+    /// Name and password are required.
     Basic,
-    /// A token, to be had at a URL.
+    /// A token of a token service is required.
     Bearer {
-        /// Where.
+        /// The URL of the token service.
         realm: String,
-        /// For which service.
+        /// The service that the token is for.
         service: Option<String>,
-        /// For what.
+        /// The access that the token is for.
         scope: Option<String>,
     },
 }
 
 impl Challenge {
-    /// Reads the header's value; of several schemes the first that is known.
+    /// Parses a header's value; `None` where its scheme is not supported or it is malformed.
     pub fn parse(value: &str) -> Option<Self> {
         let (scheme, rest) = value.trim().split_once(' ').unwrap_or((value.trim(), ""));
         if scheme.eq_ignore_ascii_case("basic") {
@@ -67,7 +68,7 @@
         Some(Challenge::Bearer { realm: realm?, service, scope })
     }
 
-    /// Where a token is asked for.
+    /// The URL to request a token from; `None` unless it is a bearer challenge with an `http` realm.
     pub fn token_url(&self) -> Option<Url> {
         let Challenge::Bearer { realm, service, scope } = self else { return None };
         let mut url = Url::parse(realm).ok().filter(|u| u.scheme() == "http" && u.host().is_some())?;
@@ -80,12 +81,12 @@
     }
 }
 
-/// `name=token` and `name="quoted, \"text\""`, by commas; what is malformed ends the list.
+/// Parses a list of `name=token` and `name="quoted, \"text\""`, separated by commas; stops at what is malformed.
 fn parameters(text: &str) -> Vec<(String, String)> {
-    let (mut found, mut rest) = (Vec::new(), text.trim());
-    while let Some((name, after)) = rest.split_once('=') {
+    let (mut parsed, mut remaining) = (Vec::new(), text.trim());
+    while let Some((name, after)) = remaining.split_once('=') {
         let name = name.trim_matches([' ', ',', '\t']).to_string();
-        let (value, left) = match after.strip_prefix('"') {
+        let (value, tail) = match after.strip_prefix('"') {
             Some(quoted) => match unquote(quoted) {
                 Some(unquoted) => unquoted,
                 None => break,
@@ -95,39 +96,40 @@
                 (after[..end].trim().to_string(), &after[end..])
             }
         };
-        found.push((name, value));
-        rest = left.trim_start_matches([' ', ',', '\t']);
+        parsed.push((name, value));
+        remaining = tail.trim_start_matches([' ', ',', '\t']);
     }
-    found
+    parsed
 }
 
-/// The text up to the closing quote, and what follows it.
+/// The text up to the closing quote, and the text after it.
 fn unquote(quoted: &str) -> Option<(String, &str)> {
     let (mut value, mut escaped) = (String::new(), false);
-    for (at, c) in quoted.char_indices() {
-        match c {
+    for (index, character) in quoted.char_indices() {
+        match character {
             _ if escaped => {
-                value.push(c);
+                value.push(character);
                 escaped = false;
             }
             '\\' => escaped = true,
-            '"' => return Some((value, &quoted[at + 1..])),
-            _ => value.push(c),
+            '"' => return Some((value, &quoted[index + 1..])),
+            _ => value.push(character),
         }
     }
     None
 }
 
+/// A token service's response; both names are in use.
 #[derive(Deserialize)]
-struct TokenAnswer {
+struct TokenResponse {
     token: Option<String>,
     access_token: Option<String>,
 }
 
-/// The token in a token service's answer; one that could not stand in a header is none.
+/// The token of a token service's response; `None` where it is not valid in a header.
 pub(crate) fn read_token(body: &[u8]) -> Option<String> {
-    let answer: TokenAnswer = serde_json::from_slice(body).ok()?;
-    let token = answer.token.or(answer.access_token)?;
+    let response: TokenResponse = serde_json::from_slice(body).ok()?;
+    let token = response.token.or(response.access_token)?;
     (!token.is_empty() && token.bytes().all(|b| b.is_ascii_graphic())).then_some(token)
 }
 
--- a/crates/oci/src/document.rs
+++ b/crates/oci/src/document.rs
@@ -1,5 +1,5 @@
-//! Plug-ins as OCI artifacts: the image manifest whose config is the plug-in's own manifest and whose layers are its
-//! content, and signatures as artifacts that refer to it (OCI image specification 1.1, "Guidelines for Artifact Usage").
+//! Plug-ins as OCI artifacts: an image manifest whose config is the plug-in's own manifest and whose layers are its
+//! content, and signatures as artifacts whose subject is that image manifest (OCI image specification 1.1, "Guidelines for Artifact Usage").
 //!
 //! A plug-in's digest is that of its config, so it is the same in every registry and in the folder.
 
@@ -8,6 +8,7 @@
 };
 use slatevalve_plugins::{Digest, DigestError, LayerRef, Manifest, Signature};
 use std::collections::HashMap;
+use std::error::Error;
 use std::fmt;
 use std::str::FromStr;
 
@@ -17,33 +18,38 @@
 const LAYER_TYPE: &str = "application/vnd.slatevalve.plugin.layer.v1";
 /// Artifact type of a signature.
 pub const SIGNATURE_TYPE: &str = "application/vnd.slatevalve.signature.v1";
-/// Annotations of a signature: the key's id and the signature in base64.
-const KEY: &str = "dev.slatevalve.key";
-const SIGNATURE: &str = "dev.slatevalve.signature";
-/// Layers of one plug-in at most.
+/// Annotation of a signature: the key's id.
+const KEY_ANNOTATION: &str = "dev.slatevalve.key";
+/// Annotation of a signature: the signature in base64.
+const SIGNATURE_ANNOTATION: &str = "dev.slatevalve.signature";
+/// Limit of one plug-in's layers.
 const MAX_LAYERS: usize = 128;
-/// Signatures of one plug-in that are looked at.
+/// Limit of one plug-in's signatures that are read.
 const MAX_SIGNATURES: usize = 32;
+/// Content of the config of a signature (image specification, "Guidance for an Empty Descriptor").
+pub(crate) const EMPTY_CONFIG: &[u8] = b"{}";
+/// Schema version of image manifests and indexes (image specification, "Image Manifest Property Descriptions").
+const SCHEMA_VERSION: u32 = 2;
 
-/// Why a document is no plug-in's.
+/// Why a document is not a plug-in's.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DocumentError {
     /// Not an OCI image manifest or index.
     Syntax(String),
-    /// An artifact of something else.
+    /// An artifact of another type; holds its config's media type.
     OtherType(String),
-    /// A digest that cannot be checked here.
+    /// A digest that is malformed or whose algorithm is not supported.
     Digest(DigestError),
-    /// More layers than a plug-in may have.
+    /// More layers than a plug-in may have; holds their number.
     TooMany(usize),
-    /// Its layers are not those that the plug-in's own manifest names.
+    /// Other layers than those of the plug-in's own manifest.
     Layers,
 }
 
 impl fmt::Display for DocumentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DocumentError::Syntax(words) => write!(f, "no OCI manifest: {words}"),
+            DocumentError::Syntax(reason) => write!(f, "no OCI manifest: {reason}"),
             DocumentError::OtherType(found) => write!(f, "an artifact of type {found}, not a plug-in"),
             DocumentError::Digest(e) => e.fmt(f),
             DocumentError::TooMany(count) => write!(f, "{count} layers; {MAX_LAYERS} at most"),
@@ -54,12 +60,28 @@
     }
 }
 
-impl std::error::Error for DocumentError {}
+impl Error for DocumentError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            DocumentError::Digest(e) => Some(e),
+            DocumentError::Syntax(_)
+            | DocumentError::OtherType(_)
+            | DocumentError::TooMany(_)
+            | DocumentError::Layers => None,
+        }
+    }
+}
+
+impl From<DigestError> for DocumentError {
+    fn from(e: DigestError) -> Self {
+        DocumentError::Digest(e)
+    }
+}
 
-/// An image manifest as bytes.
+/// An encoded image manifest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Packed {
-    /// The bytes that go to the registry.
+    /// The bytes that are pushed.
     pub bytes: Vec<u8>,
     /// Their digest.
     pub digest: Digest,
@@ -67,26 +89,26 @@
 
 impl Packed {
     fn of(manifest: &ImageManifest) -> Result<Self, DocumentError> {
-        let bytes = serde_json::to_vec(manifest).map_err(|e| DocumentError::Syntax(e.to_string()))?;
+        let bytes = serde_json::to_vec(manifest).map_err(syntax)?;
         let digest = Digest::of(&bytes);
         Ok(Packed { bytes, digest })
     }
 }
 
-/// What an image manifest of a plug-in names.
+/// The blobs that a plug-in's image manifest references.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unpacked {
-    /// The plug-in's own manifest.
+    /// The config: the plug-in's own manifest.
     pub config: LayerRef,
-    /// Its content.
+    /// The layers: the plug-in's content.
     pub layers: Vec<LayerRef>,
 }
 
 impl Unpacked {
-    /// Checks that the layers are those that the plug-in's own manifest names, in its order.
+    /// Checks that the layers are those of the plug-in's own manifest, in the same order.
     ///
     /// # Errors
-    /// When they are not.
+    /// [`DocumentError::Layers`] when they are not.
     pub fn matches(&self, manifest: &Manifest) -> Result<(), DocumentError> {
         match self.layers == manifest.layers {
             true => Ok(()),
@@ -106,42 +128,40 @@
 }
 
 fn descriptor(media_type: &str, digest: &Digest, size: u64) -> Result<Descriptor, DocumentError> {
-    let digest =
-        OciDigest::from_str(&digest.to_string()).map_err(|e| DocumentError::Syntax(e.to_string()))?;
+    let digest = OciDigest::from_str(&digest.to_string()).map_err(syntax)?;
     Ok(Descriptor::new(MediaType::Other(media_type.into()), size, digest))
 }
 
-fn reference(descriptor: &Descriptor) -> Result<LayerRef, DocumentError> {
-    let digest = descriptor.digest().to_string().parse().map_err(DocumentError::Digest)?;
+fn layer_ref(descriptor: &Descriptor) -> Result<LayerRef, DocumentError> {
+    let digest = descriptor.digest().to_string().parse()?;
     Ok(LayerRef { digest, size: descriptor.size() })
 }
 
-/// The image manifest of a plug-in, given the bytes of its own manifest.
+/// Encodes the image manifest of a plug-in; `bytes` are those of its own manifest.
 ///
 /// # Errors
-/// When it cannot be written.
+/// When it cannot be encoded.
 pub fn pack(manifest: &Manifest, bytes: &[u8]) -> Result<Packed, DocumentError> {
-    let layers = manifest.layers.iter().map(|l| descriptor(LAYER_TYPE, &l.digest, l.size));
+    let layers = manifest.layers.iter().map(|layer| descriptor(LAYER_TYPE, &layer.digest, layer.size));
     let image = ImageManifestBuilder::default()
-        .schema_version(2u32)
+        .schema_version(SCHEMA_VERSION)
         .media_type(MediaType::ImageManifest)
         .artifact_type(MediaType::Other(CONFIG_TYPE.into()))
         .config(descriptor(CONFIG_TYPE, &Digest::of(bytes), bytes.len() as u64)?)
         .layers(layers.collect::<Result<Vec<_>, _>>()?)
         .build()
-        .map_err(|e| DocumentError::Syntax(e.to_string()))?;
+        .map_err(syntax)?;
     Packed::of(&image)
 }
 
-/// Reads the image manifest of a plug-in.
+/// Parses the image manifest of a plug-in.
 ///
 /// # Errors
-/// When it is none, or names content that cannot be checked here.
+/// When it is malformed or another artifact's, or has a digest of an unsupported algorithm.
 pub fn unpack(bytes: &[u8]) -> Result<Unpacked, DocumentError> {
-    let image: ImageManifest =
-        serde_json::from_slice(bytes).map_err(|e| DocumentError::Syntax(e.to_string()))?;
-    if image.schema_version() != 2 {
-        return Err(DocumentError::Syntax(format!("schema version {}", image.schema_version())));
+    let image: ImageManifest = serde_json::from_slice(bytes).map_err(syntax)?;
+    if image.schema_version() != SCHEMA_VERSION {
+        return Err(syntax(format!("schema version {}", image.schema_version())));
     }
     let config_type = image.config().media_type().to_string();
     if config_type != CONFIG_TYPE {
@@ -150,50 +170,58 @@
     if image.layers().len() > MAX_LAYERS {
         return Err(DocumentError::TooMany(image.layers().len()));
     }
-    let layers = image.layers().iter().map(reference).collect::<Result<_, _>>()?;
-    Ok(Unpacked { config: reference(image.config())?, layers })
+    let layers = image.layers().iter().map(layer_ref).collect::<Result<_, _>>()?;
+    Ok(Unpacked { config: layer_ref(image.config())?, layers })
 }
 
-/// The artifact that carries a signature of a plug-in; `subject` is the plug-in's image manifest.
+/// Encodes the manifest of an artifact that carries a signature of a plug-in; `subject` is the plug-in's image manifest.
 ///
 /// # Errors
-/// When it cannot be written.
+/// When it cannot be encoded.
 pub fn sign_document(subject: &Packed, signature: &Signature) -> Result<Packed, DocumentError> {
     let subject_type = MediaType::ImageManifest.to_string();
     let annotations = HashMap::from([
-        (KEY.to_string(), signature.key.clone()),
-        (SIGNATURE.to_string(), signature.base64()),
+        (KEY_ANNOTATION.to_string(), signature.key.clone()),
+        (SIGNATURE_ANNOTATION.to_string(), signature.base64()),
     ]);
-    // The empty config of the image specification ("Guidance for an Empty Descriptor").
     let image = ImageManifestBuilder::default()
-        .schema_version(2u32)
+        .schema_version(SCHEMA_VERSION)
         .media_type(MediaType::ImageManifest)
         .artifact_type(MediaType::Other(SIGNATURE_TYPE.into()))
-        .config(descriptor(MediaType::EmptyJSON.as_ref(), &Digest::of(b"{}"), 2)?)
+        .config(descriptor(
+            MediaType::EmptyJSON.as_ref(),
+            &Digest::of(EMPTY_CONFIG),
+            EMPTY_CONFIG.len() as u64,
+        )?)
         .layers(Vec::new())
         .subject(descriptor(&subject_type, &subject.digest, subject.bytes.len() as u64)?)
         .annotations(annotations)
         .build()
-        .map_err(|e| DocumentError::Syntax(e.to_string()))?;
+        .map_err(syntax)?;
     Packed::of(&image)
 }
 
-/// The signatures in a registry's list of referrers; entries that are none are passed over, as anybody may refer.
+/// Parses the signatures in a registry's list of referrers; other entries are skipped, as anybody may add referrers.
 ///
 /// # Errors
-/// When it is no image index.
+/// When it is not an image index.
 pub fn read_signatures(bytes: &[u8]) -> Result<Vec<Signature>, DocumentError> {
-    let index: ImageIndex =
-        serde_json::from_slice(bytes).map_err(|e| DocumentError::Syntax(e.to_string()))?;
-    let of_ours = index
-        .manifests()
-        .iter()
-        .filter(|d| d.artifact_type().as_ref().is_some_and(|t| t.to_string() == SIGNATURE_TYPE));
-    let read = |d: &Descriptor| {
-        let annotations = d.annotations().as_ref()?;
-        Signature::read(annotations.get(KEY)?, annotations.get(SIGNATURE)?)
-    };
-    Ok(of_ours.filter_map(read).take(MAX_SIGNATURES).collect())
+    let index: ImageIndex = serde_json::from_slice(bytes).map_err(syntax)?;
+    Ok(index.manifests().iter().filter_map(read_signature).take(MAX_SIGNATURES).collect())
+}
+
+/// The signature that a descriptor carries in its annotations; `None` where it is not a signature's.
+fn read_signature(descriptor: &Descriptor) -> Option<Signature> {
+    let artifact_type = descriptor.artifact_type().as_ref()?;
+    if artifact_type.to_string() != SIGNATURE_TYPE {
+        return None;
+    }
+    let annotations = descriptor.annotations().as_ref()?;
+    Signature::read(annotations.get(KEY_ANNOTATION)?, annotations.get(SIGNATURE_ANNOTATION)?)
+}
+
+fn syntax(reason: impl fmt::Display) -> DocumentError {
+    DocumentError::Syntax(reason.to_string())
 }
 
 #[cfg(test)]
--- a/crates/oci/src/lib.rs
+++ b/crates/oci/src/lib.rs
@@ -1,10 +1,12 @@
-//! The OCI distribution protocol for plug-ins, both sides, without I/O (OCI distribution specification 1.1, OCI image
-//! specification 1.1).
+//! The OCI distribution protocol for plug-ins, client and server, without I/O (OCI distribution specification 1.1, OCI
+//! image specification 1.1).
 //!
-//! It guards what a gateway takes in against a registry that lies, breaks off, stalls, never ends, sends it elsewhere or
-//! wants to be left alone: nothing counts as here that was not verified against its digest, what broke off is resumed, and
-//! every way of failing ends in a stated time. [`Pull`] and [`Push`] are the client's two jobs, driven by the gateway
-//! ([`Next`] says what to do); [`Registry`] is the server's side, over any [`slatevalve_blobs::Files`].
+//! [`Pull`] and [`Push`] are the client's jobs. An event loop drives them through [`Job`]; [`Next`] tells it what to do.
+//! [`Registry`] is the server, over any [`slatevalve_blobs::Files`].
+//!
+//! The client protects a gateway from a faulty or malicious registry: content counts as present only after it was verified
+//! against its digest, interrupted transfers resume, redirects go to allowed hosts only, and each job fails or completes
+//! before its deadline.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,9 +16,9 @@
 mod job;
 mod location;
 mod pull;
+mod pull_queue;
 mod push;
 mod server;
-mod wanted;
 
 pub use challenge::{Challenge, Credentials};
 pub use document::{
@@ -27,6 +29,6 @@
 pub use job::Job;
 pub use location::{Location, LocationError};
 pub use pull::{Pull, PullError, PullSettings, Pulled, Pulling};
+pub use pull_queue::{Wanted, WantedSettings};
 pub use push::{Package, Push, PushError, Pushed};
 pub use server::{Access, Registry, RegistryError};
-pub use wanted::{Wanted, WantedSettings};
--- a/crates/oci/src/location.rs
+++ b/crates/oci/src/location.rs
@@ -1,39 +1,41 @@
-//! Where a registry is, and the names that it takes (distribution specification, "Pulling manifests": grammar of names
-//! and references).
+//! The address of a registry, and the grammar of repository names and tags (distribution specification, "Pulling
+//! manifests").
 
+use std::error::Error;
 use std::fmt;
 use url::Url;
 
-/// Longest tag (the specification's own limit) and repository name (what common registries take), in bytes.
+/// Limit of a tag, in bytes, by the specification.
 const MAX_TAG: usize = 128;
+/// Limit of a repository name, in bytes, as common registries have it.
 const MAX_NAME: usize = 255;
 
-/// A registry and the path below which plug-ins lie in it.
+/// The address of a registry, and the prefix of the repositories of plug-ins in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
     base: Url,
     prefix: String,
 }
 
-/// Why a text is no registry's address, or a name none that it could hold.
+/// Why a registry's address, or a name or tag in a registry, is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LocationError {
-    /// No URL.
-    Url(String),
-    /// Not `http`; other schemes are not spoken yet.
+    /// Not a URL.
+    Url(url::ParseError),
+    /// A scheme other than `http`; holds the scheme.
     Scheme(String),
-    /// A query, fragment, user or no host.
+    /// A query, a fragment, a user, or no host.
     Extra,
-    /// A repository name that registries do not take.
+    /// An invalid repository name.
     Repository(String),
-    /// A tag that registries do not take.
+    /// An invalid tag.
     Tag(String),
 }
 
 impl fmt::Display for LocationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LocationError::Url(words) => write!(f, "no address of a registry: {words}"),
+            LocationError::Url(e) => write!(f, "no address of a registry: {e}"),
             LocationError::Scheme(scheme) => write!(f, "{scheme} is not spoken to registries, only http"),
             LocationError::Extra => {
                 f.write_str("a registry's address is http://HOST[:PORT][/PREFIX] and no more")
@@ -47,15 +49,31 @@
     }
 }
 
-impl std::error::Error for LocationError {}
+impl Error for LocationError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            LocationError::Url(e) => Some(e),
+            LocationError::Scheme(_)
+            | LocationError::Extra
+            | LocationError::Repository(_)
+            | LocationError::Tag(_) => None,
+        }
+    }
+}
+
+impl From<url::ParseError> for LocationError {
+    fn from(e: url::ParseError) -> Self {
+        LocationError::Url(e)
+    }
+}
 
 impl Location {
-    /// Reads `http://HOST[:PORT][/PREFIX]`.
+    /// Parses `http://HOST[:PORT][/PREFIX]`.
     ///
     /// # Errors
-    /// When it is anything else.
+    /// When the text has another form.
     pub fn parse(text: &str) -> Result<Self, LocationError> {
-        let url = Url::parse(text).map_err(|e| LocationError::Url(e.to_string()))?;
+        let url = Url::parse(text)?;
         if url.scheme() != "http" {
             return Err(LocationError::Scheme(url.scheme().into()));
         }
@@ -75,7 +93,7 @@
     /// The repository of a plug-in.
     ///
     /// # Errors
-    /// When registries take no such name.
+    /// [`LocationError::Repository`] when the name is not valid in a registry.
     pub fn repository(&self, name: &str) -> Result<String, LocationError> {
         let full = if self.prefix.is_empty() { name.to_string() } else { format!("{}/{name}", self.prefix) };
         match is_repository(&full) {
@@ -84,10 +102,10 @@
         }
     }
 
-    /// A path below `/v2/`.
+    /// The URL of a path, which may have a query, below `/v2/`.
     pub(crate) fn url(&self, path: &str) -> Url {
         let mut url = self.base.clone();
-        let (path, query) = path.split_once('?').map_or((path, None), |(p, q)| (p, Some(q)));
+        let (path, query) = path.split_once('?').map_or((path, None), |(path, query)| (path, Some(query)));
         url.set_path(&format!("/v2/{path}"));
         url.set_query(query);
         url
@@ -100,23 +118,25 @@
     }
 }
 
-/// `[a-z0-9]+((\.|_|__|-+)[a-z0-9]+)*(\/[a-z0-9]+((\.|_|__|-+)[a-z0-9]+)*)*`
+/// Whether a name matches `[a-z0-9]+((\.|_|__|-+)[a-z0-9]+)*(\/[a-z0-9]+((\.|_|__|-+)[a-z0-9]+)*)*`
 pub(crate) fn is_repository(name: &str) -> bool {
-    let component = |part: &str| {
-        let bytes = part.as_bytes();
-        let word = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit();
-        let ends = bytes.first().copied().is_some_and(word) && bytes.last().copied().is_some_and(word);
-        let separators = part.split(|c: char| word(c as u8) && c.is_ascii()).filter(|s| !s.is_empty());
-        ends && separators.into_iter().all(|s| matches!(s, "." | "_" | "__") || s.bytes().all(|b| b == b'-'))
-    };
-    name.len() <= MAX_NAME && name.split('/').all(component)
+    name.len() <= MAX_NAME && name.split('/').all(is_repository_component)
+}
+
+fn is_repository_component(component: &str) -> bool {
+    let is_alphanumeric = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
+    let is_separator = |text: &str| matches!(text, "." | "_" | "__") || text.bytes().all(|b| b == b'-');
+    let mut separators = component.split(is_alphanumeric).filter(|text| !text.is_empty());
+    component.starts_with(is_alphanumeric)
+        && component.ends_with(is_alphanumeric)
+        && separators.all(is_separator)
 }
 
-/// `[a-zA-Z0-9_][a-zA-Z0-9._-]{0,127}`
+/// Whether a tag matches `[a-zA-Z0-9_][a-zA-Z0-9._-]{0,127}`
 pub(crate) fn is_tag(tag: &str) -> bool {
-    let word = |b: u8| b.is_ascii_alphanumeric() || b == b'_';
-    let first = tag.bytes().next().is_some_and(word);
-    first && tag.len() <= MAX_TAG && tag.bytes().all(|b| word(b) || b == b'.' || b == b'-')
+    let is_word = |b: u8| b.is_ascii_alphanumeric() || b == b'_';
+    let is_allowed = |b: u8| is_word(b) || b == b'.' || b == b'-';
+    tag.len() <= MAX_TAG && tag.bytes().next().is_some_and(is_word) && tag.bytes().all(is_allowed)
 }
 
 #[cfg(test)]
--- a/crates/oci/src/wanted/tests.rs
+++ b/crates/oci/src/pull_queue/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use proptest::prelude::*;
 
-fn wanted(names: usize) -> Wanted {
-    Wanted::new(WantedSettings { names, first_wait_us: 1_000, longest_wait_us: 60_000 }, 1)
+fn wanted(capacity: usize) -> Wanted {
+    Wanted::new(WantedSettings { capacity, first_wait_us: 1_000, longest_wait_us: 60_000 }, 1)
 }
 
 #[test]
@@ -27,7 +27,7 @@
         while !w.want(now + wait, "x") {
             wait += 100;
         }
-        w.waiting.clear();
+        w.queued.clear();
         assert!(wait <= 75_100, "{wait}");
         assert!(n > 5 || wait > last, "{n}: {wait} after {last}");
         (now, last) = (now + wait, wait);
@@ -47,7 +47,7 @@
                 w.begin();
                 w.ended(now, good);
             }
-            prop_assert!(w.waiting.len() <= 16 && w.failed.len() <= 16);
+            prop_assert!(w.queued.len() <= 16 && w.failed.len() <= 16);
         }
     }
 }
--- a/crates/oci/src/push.rs
+++ b/crates/oci/src/push.rs
@@ -7,7 +7,7 @@
 pub use error::PushError;
 
 use crate::challenge::Credentials;
-use crate::document::{pack, sign_document, Packed};
+use crate::document::{pack, sign_document, Packed, EMPTY_CONFIG};
 use crate::exchange::{
     Broke, EndOutcome, Exchange, HeadOutcome, Next, Policy, RegistryRequest, IMAGE_MANIFEST_TYPE,
 };
@@ -18,9 +18,6 @@
 use std::sync::Arc;
 use url::Url;
 
-/// Content of the empty descriptor, the config of signatures (image specification, "Guidance for an Empty Descriptor").
-const EMPTY_CONFIG: &[u8] = b"{}";
-
 /// A version with its content, to be pushed.
 #[derive(Clone, Debug)]
 pub struct Package {
