--- a/crates/blobs/src/files.rs
+++ b/crates/blobs/src/files.rs
@@ -1,67 +1,74 @@
-//! The few file operations that the store is made of, and the real disk behind them.
+//! The file operations that the store needs, and their implementation on a disk.
 
+use crate::layout::{BLOBS, DOCUMENTS, PARTIAL, STAGED};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// File operations on paths relative to one folder. Each is one step that a crash may come before or after.
+/// File operations on paths relative to one folder. A crash may come before or after each of them.
 pub trait Files {
-    /// A file's content.
+    /// Reads a whole file.
     ///
     /// # Errors
-    /// What the disk says; `NotFound` where there is none.
+    /// Those of the file system; `NotFound` where there is no such file.
     fn read(&self, path: &str) -> io::Result<Vec<u8>>;
-    /// Appends to a file, which is made where there is none.
+
+    /// Appends to a file, which is created if it does not exist.
     ///
     /// # Errors
-    /// What the disk says, such as that it is full.
+    /// Those of the file system, such as `StorageFull`; a part of the bytes may be written.
     fn append(&mut self, path: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Waits until a file's content is on the disk.
+
+    /// Returns once a file's content is durable.
     ///
     /// # Errors
-    /// What the disk says.
+    /// Those of the file system.
     fn sync(&mut self, path: &str) -> io::Result<()>;
-    /// Renames a file over another or none, and waits until both folders say so on the disk.
+
+    /// Renames a file, replacing the target if it exists, and returns once that is durable.
     ///
     /// # Errors
-    /// What the disk says.
+    /// Those of the file system.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes a file; one that is not there is passed by.
+
+    /// Removes a file, if it exists.
     ///
     /// # Errors
-    /// What the disk says.
+    /// Those of the file system.
     fn remove(&mut self, path: &str) -> io::Result<()>;
+
     /// The size of a file in bytes.
     ///
     /// # Errors
-    /// What the disk says; `NotFound` where there is none.
+    /// Those of the file system; `NotFound` where there is no such file.
     fn size(&self, path: &str) -> io::Result<u64>;
-    /// Names in a folder; none where there is no folder.
+
+    /// The names in a folder; none where the folder does not exist.
     ///
     /// # Errors
-    /// What the disk says.
+    /// Those of the file system.
     fn list(&self, folder: &str) -> io::Result<Vec<String>>;
 }
 
-/// The real disk, below one folder.
+/// Files on a disk, below a root folder.
 #[derive(Clone, Debug)]
 pub struct Disk {
     root: PathBuf,
 }
 
 impl Disk {
-    /// The disk below a folder, which is made.
+    /// Creates the root folder and the store's folders in it, where they do not exist.
     ///
     /// # Errors
-    /// When it cannot be made.
+    /// When a folder cannot be created.
     pub fn new(root: &Path) -> io::Result<Self> {
-        for folder in ["blobs/sha256", "partial", "staged", "documents"] {
+        for folder in [BLOBS, PARTIAL, STAGED, DOCUMENTS] {
             fs::create_dir_all(root.join(folder))?;
         }
         Ok(Disk { root: root.into() })
     }
 
-    fn sync_folder_of(&self, path: &str) -> io::Result<()> {
+    fn sync_parent_folder(&self, path: &str) -> io::Result<()> {
         match self.root.join(path).parent() {
             Some(folder) => File::open(folder)?.sync_all(),
             None => Ok(()),
@@ -82,19 +89,19 @@
 
     fn sync(&mut self, path: &str) -> io::Result<()> {
         File::open(self.root.join(path))?.sync_all()?;
-        self.sync_folder_of(path)
+        self.sync_parent_folder(path)
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         fs::rename(self.root.join(from), self.root.join(to))?;
-        self.sync_folder_of(to)?;
-        self.sync_folder_of(from)
+        self.sync_parent_folder(to)?;
+        self.sync_parent_folder(from)
     }
 
     fn remove(&mut self, path: &str) -> io::Result<()> {
         match fs::remove_file(self.root.join(path)) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
-            other => other,
+            removed => removed,
         }
     }
 
@@ -105,8 +112,8 @@
     fn list(&self, folder: &str) -> io::Result<Vec<String>> {
         let entries = match fs::read_dir(self.root.join(folder)) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
-            other => other?,
+            entries => entries?,
         };
-        entries.map(|e| Ok(e?.file_name().to_string_lossy().into_owned())).collect()
+        entries.map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned())).collect()
     }
 }
--- /dev/null
+++ b/crates/blobs/src/layout.rs
@@ -0,0 +1,28 @@
+//! Folders and paths of the store, relative to its root.
+
+use slatevalve_plugins::Digest;
+
+/// Verified blobs, named by the hexadecimal digest.
+pub(crate) const BLOBS: &str = "blobs/sha256";
+/// Incomplete blobs of a known digest, by which they are named.
+pub(crate) const PARTIAL: &str = "partial";
+/// Incomplete content whose digest is not known yet, under a name of the caller's.
+pub(crate) const STAGED: &str = "staged";
+/// Documents, by name.
+pub(crate) const DOCUMENTS: &str = "documents";
+
+pub(crate) fn blob_path(digest: &Digest) -> String {
+    format!("{BLOBS}/{}", digest.hex())
+}
+
+pub(crate) fn partial_path(digest: &Digest) -> String {
+    format!("{PARTIAL}/{}", digest.hex())
+}
+
+pub(crate) fn staged_path(name: &str) -> String {
+    format!("{STAGED}/{name}")
+}
+
+pub(crate) fn document_path(name: &str) -> String {
+    format!("{DOCUMENTS}/{name}")
+}
--- a/crates/blobs/src/lib.rs
+++ b/crates/blobs/src/lib.rs
@@ -1,19 +1,22 @@
-//! A folder of content-addressed blobs, and of small documents beside them, that survives a crash at every step.
+//! A crash-safe store of content-addressed blobs, and of small documents beside them, in one folder.
 //!
-//! It guards content against half writes and against rot: a blob is written under a temporary name, synced, verified
-//! against its digest and only then renamed to its own; a reader gets content that matches its digest or an error. It
-//! does no I/O of its own but through [`Files`], so that tests can cut the power at each step. The gateway's plug-in
-//! host and its commands call it.
+//! Invariants: a blob has its final name only after it was written under a temporary one, verified against its digest and
+//! synced; a reader gets content that matches its digest, or an error; a document is the old or the new one after a crash.
+//! The store does no I/O but through [`Files`], so that tests can interrupt it at each step. The gateway's plug-in host, its
+//! commands and the registry of plug-ins use it.
 //!
-//! Layout: `blobs/sha256/HEX`, `partial/HEX` (a pull that broke off and can be resumed), `staged/NAME`
-//! (a push in parts, whose digest comes at its end), `documents/NAME`.
+//! Layout: `blobs/sha256/HEX`, `partial/HEX` (an interrupted pull, to be resumed), `staged/NAME` (a push in chunks, whose
+//! digest follows at its end), `documents/NAME`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod error;
 mod files;
+mod layout;
 mod memory;
 mod store;
 
+pub use error::BlobError;
 pub use files::{Disk, Files};
-pub use memory::Memory;
-pub use store::{BlobError, BlobStore, Partial};
+pub use memory::{MemoryFile, MemoryFiles};
+pub use store::{BlobStore, Partial};
--- a/crates/blobs/src/memory.rs
+++ b/crates/blobs/src/memory.rs
@@ -1,68 +1,79 @@
-//! A disk in memory whose power can be cut at each step, for whoever tests that a store goes on from there.
+//! Files in memory that can lose power at each step, for tests of crash safety.
 
 use crate::files::Files;
 use std::collections::BTreeMap;
 use std::io;
 
-/// A disk in memory that knows what is synced, and loses power after so many steps.
+/// A file of [`MemoryFiles`].
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
-    /// Content by path, and how many bytes of it are synced.
-    pub files: BTreeMap<String, (Vec<u8>, usize)>,
-    /// Steps taken so far.
+pub struct MemoryFile {
+    /// All that was written.
+    pub content: Vec<u8>,
+    /// Bytes of the content that are durable.
+    pub synced: usize,
+}
+
+/// Files in memory that distinguish synced from unsynced content, and fail from a given step on.
+#[derive(Clone, Debug, Default)]
+pub struct MemoryFiles {
+    /// The files by path.
+    pub files: BTreeMap<String, MemoryFile>,
+    /// Modifying operations so far, failed ones included.
     pub steps: usize,
-    /// Steps until the power goes; `None` for never.
-    pub until: Option<usize>,
-    /// Whether the disk is full: it takes the first half of what is written and says so.
+    /// Modifying operations that succeed before the power fails; `None` for all.
+    pub power_fails_after: Option<usize>,
+    /// Whether the disk is full: an append writes half of its bytes and fails.
     pub full: bool,
 }
 
-impl Memory {
+impl MemoryFiles {
     fn step(&mut self) -> io::Result<()> {
         self.steps += 1;
-        match self.until {
-            Some(until) if self.steps > until => Err(io::Error::other("the power is gone")),
+        match self.power_fails_after {
+            Some(steps) if self.steps > steps => Err(io::Error::other("the power is gone")),
             _ => Ok(()),
         }
     }
 
-    /// What a restart finds: of unsynced content, only `keep` bytes.
+    /// The files after a restart: of each file's unsynced content, only the first `unsynced_kept` bytes remain.
     #[must_use]
-    pub fn after_power(mut self, keep: usize) -> Self {
-        for (content, synced) in self.files.values_mut() {
-            content.truncate((*synced + keep).min(content.len()));
-            *synced = content.len();
+    pub fn after_power_failure(mut self, unsynced_kept: usize) -> Self {
+        for file in self.files.values_mut() {
+            file.content.truncate(file.synced + unsynced_kept);
+            file.synced = file.content.len();
         }
-        Memory { files: self.files, ..Memory::default() }
+        MemoryFiles { files: self.files, ..MemoryFiles::default() }
     }
 
-    /// Flips a bit of a file's first byte, as rot does.
-    pub fn rot(&mut self, path: &str) {
-        self.files.get_mut(path).and_then(|f| f.0.first_mut()).into_iter().for_each(|b| *b ^= 1);
+    /// Flips a bit of a file's first byte, if the file exists and is not empty.
+    pub fn corrupt(&mut self, path: &str) {
+        if let Some(byte) = self.files.get_mut(path).and_then(|file| file.content.first_mut()) {
+            *byte ^= 1;
+        }
     }
 }
 
-impl Files for Memory {
+impl Files for MemoryFiles {
     fn read(&self, path: &str) -> io::Result<Vec<u8>> {
-        self.files.get(path).map(|f| f.0.clone()).ok_or_else(|| io::ErrorKind::NotFound.into())
+        let file = self.files.get(path).ok_or(io::ErrorKind::NotFound)?;
+        Ok(file.content.clone())
     }
 
     fn append(&mut self, path: &str, bytes: &[u8]) -> io::Result<()> {
         self.step()?;
+        let content = &mut self.files.entry(path.into()).or_default().content;
         if self.full {
-            // A full disk takes a part.
-            let part = &bytes[..bytes.len() / 2];
-            self.files.entry(path.into()).or_default().0.extend_from_slice(part);
+            content.extend_from_slice(&bytes[..bytes.len() / 2]);
             return Err(io::ErrorKind::StorageFull.into());
         }
-        self.files.entry(path.into()).or_default().0.extend_from_slice(bytes);
+        content.extend_from_slice(bytes);
         Ok(())
     }
 
     fn sync(&mut self, path: &str) -> io::Result<()> {
         self.step()?;
         let file = self.files.get_mut(path).ok_or(io::ErrorKind::NotFound)?;
-        file.1 = file.0.len();
+        file.synced = file.content.len();
         Ok(())
     }
 
@@ -85,6 +96,7 @@
 
     fn list(&self, folder: &str) -> io::Result<Vec<String>> {
         let prefix = format!("{folder}/");
-        Ok(self.files.keys().filter_map(|k| k.strip_prefix(&prefix)).map(str::to_string).collect())
+        let names = self.files.keys().filter_map(|path| path.strip_prefix(&prefix));
+        Ok(names.map(str::to_string).collect())
     }
 }
--- a/crates/blobs/src/store.rs
+++ b/crates/blobs/src/store.rs
@@ -1,44 +1,13 @@
-//! The store over [`Files`].
+//! The store of blobs and documents over [`Files`].
 
+use crate::error::BlobError;
 use crate::files::Files;
+use crate::layout::{blob_path, document_path, partial_path, staged_path, BLOBS, STAGED};
 use slatevalve_plugins::{Digest, Verifier, VerifyError};
 use std::collections::BTreeSet;
-use std::fmt;
 use std::io;
 
-/// Why content is not to be had or not to be kept.
-#[derive(Debug)]
-pub enum BlobError {
-    /// There is no such blob or document.
-    Missing,
-    /// What is there, or what came, is not what the digest says. What was there is moved out of the way.
-    Corrupt(VerifyError),
-    /// The disk; a full one leaves what was written so far to be resumed.
-    Disk(io::Error),
-}
-
-impl fmt::Display for BlobError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            BlobError::Missing => f.write_str("it is not here"),
-            BlobError::Corrupt(e) => e.fmt(f),
-            BlobError::Disk(e) => write!(f, "the disk: {e}"),
-        }
-    }
-}
-
-impl std::error::Error for BlobError {}
-
-impl From<io::Error> for BlobError {
-    fn from(e: io::Error) -> Self {
-        match e.kind() {
-            io::ErrorKind::NotFound => BlobError::Missing,
-            _ => BlobError::Disk(e),
-        }
-    }
-}
-
-/// A blob that is being written.
+/// An incomplete blob that is being written.
 pub struct Partial {
     digest: Digest,
     path: String,
@@ -46,78 +15,76 @@
 }
 
 impl Partial {
-    /// Bytes that are here: a pull asks for the rest.
-    pub fn have(&self) -> u64 {
+    /// Bytes that are stored, from the start of the blob.
+    #[must_use]
+    pub fn stored_bytes(&self) -> u64 {
         self.verifier.seen()
     }
 }
 
-/// See the crate's documentation.
+/// A store of blobs and documents; see the crate's documentation.
 pub struct BlobStore<F> {
     files: F,
 }
 
-fn blob_path(digest: &Digest) -> String {
-    format!("blobs/sha256/{}", digest.hex())
-}
-
 impl<F: Files> BlobStore<F> {
-    /// A store over a folder as a crash may have left it.
+    /// A store over files in whatever state a crash left them.
     pub fn new(files: F) -> Self {
         BlobStore { files }
     }
 
-    /// The files below, for tests that look at them.
+    /// The underlying files, for tests.
     pub fn files(&mut self) -> &mut F {
         &mut self.files
     }
 
-    /// Whether a blob is here; whether it is whole only reading tells.
-    pub fn has(&self, digest: &Digest) -> bool {
+    /// Whether a blob exists; only reading verifies its content.
+    pub fn contains(&self, digest: &Digest) -> bool {
         self.files.size(&blob_path(digest)).is_ok()
     }
 
     /// The size of a blob, in bytes.
     ///
     /// # Errors
-    /// When it is not here, or the disk fails.
+    /// When it does not exist, or the disk fails.
     pub fn size(&self, digest: &Digest) -> Result<u64, BlobError> {
         Ok(self.files.size(&blob_path(digest))?)
     }
 
-    /// Every blob that is here.
+    /// The digests of all blobs.
     ///
     /// # Errors
     /// When the disk fails.
     pub fn digests(&self) -> Result<BTreeSet<Digest>, BlobError> {
-        let names = self.files.list("blobs/sha256")?;
-        Ok(names.iter().filter_map(|n| format!("sha256:{n}").parse().ok()).collect())
+        let names = self.files.list(BLOBS)?;
+        Ok(names.iter().filter_map(|name| format!("sha256:{name}").parse().ok()).collect())
     }
 
-    /// A blob's content, verified. One that is corrupt is removed, so that the next pull brings it anew.
+    /// Reads and verifies a blob. A corrupt one is removed, so that the next pull transfers it again.
     ///
     /// # Errors
-    /// When it is not here, or was corrupt.
+    /// When it does not exist or is corrupt, or the disk fails.
     pub fn read(&mut self, digest: &Digest) -> Result<Vec<u8>, BlobError> {
-        let content = self.files.read(&blob_path(digest))?;
+        let path = blob_path(digest);
+        let content = self.files.read(&path)?;
         if Digest::of(&content) != *digest {
-            self.files.remove(&blob_path(digest))?;
-            return Err(BlobError::Corrupt(VerifyError::Other));
+            self.files.remove(&path)?;
+            return Err(VerifyError::Other.into());
         }
         Ok(content)
     }
 
-    /// Begins a blob, or goes on with one that broke off.
+    /// Starts writing a blob of `size` bytes, or resumes it with what is stored of it.
     ///
     /// # Errors
     /// When the disk fails.
-    pub fn begin(&mut self, digest: Digest, size: u64) -> Result<Partial, BlobError> {
-        let path = format!("partial/{}", digest.hex());
+    pub fn open_partial(&mut self, digest: Digest, size: u64) -> Result<Partial, BlobError> {
+        let path = partial_path(&digest);
         let mut verifier = Verifier::new(digest, size);
         match self.files.read(&path) {
-            Ok(have) => {
-                if verifier.update(&have).is_err() {
-                    // More than it can ever be: nothing of it can be trusted.
+            Ok(stored) => {
+                if verifier.update(&stored).is_err() {
+                    // It is larger than the blob, so no part of it can be trusted.
                     self.files.remove(&path)?;
                     verifier = Verifier::new(digest, size);
                 }
@@ -128,143 +95,153 @@
         Ok(Partial { digest, path, verifier })
     }
 
-    /// Adds a piece to a blob.
+    /// Appends a chunk to an incomplete blob.
     ///
     /// # Errors
-    /// When it goes beyond the promised size, in which case what came is thrown away, or the disk fails.
-    pub fn append(&mut self, partial: &mut Partial, piece: &[u8]) -> Result<(), BlobError> {
-        if let Err(e) = partial.verifier.update(piece) {
+    /// When the blob grows beyond its size, in which case all of it is removed, or the disk fails.
+    pub fn append(&mut self, partial: &mut Partial, chunk: &[u8]) -> Result<(), BlobError> {
+        if let Err(e) = partial.verifier.update(chunk) {
             self.files.remove(&partial.path)?;
-            return Err(BlobError::Corrupt(e));
+            return Err(e.into());
         }
-        Ok(self.files.append(&partial.path, piece)?)
+        Ok(self.files.append(&partial.path, chunk)?)
     }
 
-    /// Makes a blob whole: verified, synced, renamed to its digest. Content that is not what was promised is thrown
-    /// away; content that is only short stays, to be resumed.
+    /// Completes a blob: verifies, syncs and renames it. Content that does not match its digest is removed; content that is
+    /// too short is kept, to be resumed.
     ///
     /// # Errors
-    /// When it is not whole, or the disk fails.
+    /// When it is incomplete or corrupt, or the disk fails.
     pub fn commit(&mut self, partial: Partial) -> Result<(), BlobError> {
-        if partial.have() == 0 {
+        if partial.stored_bytes() == 0 {
+            // An empty blob has no chunk that would have created its file.
             self.files.append(&partial.path, &[])?;
         }
-        match partial.verifier.finish() {
-            Ok(()) => {}
-            Err(VerifyError::TooShort) => return Err(BlobError::Corrupt(VerifyError::TooShort)),
-            Err(e) => {
+        if let Err(e) = partial.verifier.finish() {
+            if e != VerifyError::TooShort {
                 self.files.remove(&partial.path)?;
-                return Err(BlobError::Corrupt(e));
             }
+            return Err(e.into());
         }
-        self.files.sync(&partial.path)?;
-        Ok(self.files.rename(&partial.path, &blob_path(&partial.digest))?)
+        self.sync_and_rename(&partial.path, &blob_path(&partial.digest))
     }
 
-    /// Writes a whole blob.
+    /// Stores a whole blob; returns its digest.
     ///
     /// # Errors
     /// When the disk fails.
     pub fn put(&mut self, content: &[u8]) -> Result<Digest, BlobError> {
         let digest = Digest::of(content);
-        // What an earlier try left is written anew, as all of it is at hand.
-        self.files.remove(&format!("partial/{}", digest.hex()))?;
-        let mut partial = self.begin(digest, content.len() as u64)?;
+        // All of the content is at hand, so an interrupted earlier attempt is not resumed.
+        self.discard(&digest)?;
+        let mut partial = self.open_partial(digest, content.len() as u64)?;
         self.append(&mut partial, content)?;
         self.commit(partial)?;
         Ok(digest)
     }
 
-    /// Throws away what is here of a blob that is not whole, so that the next [`BlobStore::begin`] starts from nothing.
+    /// Removes what is stored of an incomplete blob, so that the next [`BlobStore::open_partial`] starts at its first byte.
     ///
     /// # Errors
     /// When the disk fails.
     pub fn discard(&mut self, digest: &Digest) -> Result<(), BlobError> {
-        Ok(self.files.remove(&format!("partial/{}", digest.hex()))?)
+        Ok(self.files.remove(&partial_path(digest))?)
     }
 
-    /// Adds a piece to content whose digest is not known yet, under a name of the caller's (a push in parts).
+    /// Appends a chunk to staged content, whose digest is not known yet, under a name of the caller's; returns its size in
+    /// bytes.
     ///
     /// # Errors
     /// When the disk fails.
-    pub fn stage(&mut self, name: &str, piece: &[u8]) -> Result<u64, BlobError> {
-        let path = format!("staged/{name}");
-        self.files.append(&path, piece)?;
+    pub fn append_staged(&mut self, name: &str, chunk: &[u8]) -> Result<u64, BlobError> {
+        let path = staged_path(name);
+        self.files.append(&path, chunk)?;
         Ok(self.files.size(&path)?)
     }
 
-    /// Makes staged content a blob: verified, synced, renamed to its digest. What does not match is thrown away.
+    /// Makes staged content a blob: verifies, syncs and renames it. Content that does not match the digest is removed.
     ///
     /// # Errors
-    /// When it is not what the digest says, was never staged, or the disk fails.
+    /// When it does not match the digest or was never staged, or the disk fails.
     pub fn commit_staged(&mut self, name: &str, digest: &Digest) -> Result<(), BlobError> {
-        let path = format!("staged/{name}");
+        let path = staged_path(name);
         if Digest::of(&self.files.read(&path)?) != *digest {
             self.files.remove(&path)?;
-            return Err(BlobError::Corrupt(VerifyError::Other));
+            return Err(VerifyError::Other.into());
         }
-        self.files.sync(&path)?;
-        Ok(self.files.rename(&path, &blob_path(digest))?)
+        self.sync_and_rename(&path, &blob_path(digest))
     }
 
-    /// Throws away staged content; all of it where no name is given, as after a restart nobody knows its names.
+    /// Removes staged content.
     ///
     /// # Errors
     /// When the disk fails.
-    pub fn discard_staged(&mut self, name: Option<&str>) -> Result<(), BlobError> {
-        let names = match name {
-            Some(name) => vec![name.to_string()],
-            None => self.files.list("staged")?,
-        };
-        names.iter().try_for_each(|n| Ok(self.files.remove(&format!("staged/{n}"))?))
+    pub fn discard_staged(&mut self, name: &str) -> Result<(), BlobError> {
+        Ok(self.files.remove(&staged_path(name))?)
     }
 
-    /// Checks every blob; gives those that were corrupt, which are removed. `progress` is told how many are done.
+    /// Removes all staged content: its names do not survive a restart of the caller.
+    ///
+    /// # Errors
+    /// When the disk fails.
+    pub fn discard_all_staged(&mut self) -> Result<(), BlobError> {
+        let names = self.files.list(STAGED)?;
+        names.iter().try_for_each(|name| self.discard_staged(name))
+    }
+
+    /// Verifies every blob and removes corrupt ones; returns their digests. `progress` is called with the number of verified
+    /// blobs and their total.
     ///
     /// # Errors
     /// When the disk fails.
     pub fn verify(&mut self, mut progress: impl FnMut(usize, usize)) -> Result<Vec<Digest>, BlobError> {
-        let (all, mut corrupt) = (self.digests()?, Vec::new());
-        for (n, digest) in all.iter().enumerate() {
+        let digests = self.digests()?;
+        let mut corrupt = Vec::new();
+        for (index, digest) in digests.iter().enumerate() {
             match self.read(digest) {
                 Ok(_) | Err(BlobError::Missing) => {}
                 Err(BlobError::Corrupt(_)) => corrupt.push(*digest),
                 Err(e) => return Err(e),
             }
-            progress(n + 1, all.len());
+            progress(index + 1, digests.len());
         }
         Ok(corrupt)
     }
 
-    /// Removes every blob that is not to be kept; gives how many went.
+    /// Garbage collection: removes every blob that is not reachable; returns the number of removed ones.
     ///
     /// # Errors
     /// When the disk fails.
-    pub fn collect(&mut self, keep: &BTreeSet<Digest>) -> Result<usize, BlobError> {
-        let gone: Vec<Digest> = self.digests()?.into_iter().filter(|d| !keep.contains(d)).collect();
-        for digest in &gone {
+    pub fn collect(&mut self, reachable: &BTreeSet<Digest>) -> Result<usize, BlobError> {
+        let digests = self.digests()?;
+        let unreachable: Vec<&Digest> = digests.difference(reachable).collect();
+        for digest in &unreachable {
             self.files.remove(&blob_path(digest))?;
         }
-        Ok(gone.len())
+        Ok(unreachable.len())
     }
 
-    /// A small document.
+    /// Reads a document.
     ///
     /// # Errors
-    /// When it is not here.
+    /// When it does not exist, or the disk fails.
     pub fn document(&self, name: &str) -> Result<Vec<u8>, BlobError> {
-        Ok(self.files.read(&format!("documents/{name}"))?)
+        Ok(self.files.read(&document_path(name))?)
     }
 
-    /// Writes a small document anew: a crash leaves the old one or the new one.
+    /// Replaces a document atomically: after a crash it is the old or the new one.
     ///
     /// # Errors
     /// When the disk fails.
     pub fn write_document(&mut self, name: &str, content: &[u8]) -> Result<(), BlobError> {
-        let beside = format!("documents/{name}.new");
-        self.files.remove(&beside)?;
-        self.files.append(&beside, content)?;
-        self.files.sync(&beside)?;
-        Ok(self.files.rename(&beside, &format!("documents/{name}"))?)
+        let temporary = document_path(&format!("{name}.new"));
+        self.files.remove(&temporary)?;
+        self.files.append(&temporary, content)?;
+        self.sync_and_rename(&temporary, &document_path(name))
+    }
+
+    fn sync_and_rename(&mut self, from: &str, to: &str) -> Result<(), BlobError> {
+        self.files.sync(from)?;
+        Ok(self.files.rename(from, to)?)
     }
 }
--- a/crates/blobs/tests/power.rs
+++ b/crates/blobs/tests/power.rs
@@ -1,15 +1,15 @@
 //! The power goes at every step, and what was not synced is gone in part or whole: a blob is whole or not there, a
 //! document is the old one or the new one, and the store goes on from there.
 
-use slatevalve_blobs::{BlobError, BlobStore, Disk, Memory};
+use slatevalve_blobs::{BlobError, BlobStore, Disk, MemoryFiles};
 use slatevalve_plugins::{Digest, VerifyError};
 use std::collections::BTreeSet;
 
 /// What a gateway does when it takes a version in: layers in pieces, the manifest, the document that names it.
-fn take_in(store: &mut BlobStore<Memory>, layers: &[Vec<u8>]) -> Result<(), BlobError> {
+fn take_in(store: &mut BlobStore<MemoryFiles>, layers: &[Vec<u8>]) -> Result<(), BlobError> {
     for layer in layers {
-        let mut partial = store.begin(Digest::of(layer), layer.len() as u64)?;
-        let have = partial.have() as usize;
+        let mut partial = store.open_partial(Digest::of(layer), layer.len() as u64)?;
+        let have = partial.stored_bytes() as usize;
         for piece in layer[have..].chunks(7) {
             store.append(&mut partial, piece)?;
         }
@@ -22,7 +22,7 @@
 fn after_a_power_cut_at_each_step_blobs_are_whole_or_absent_and_taking_in_again_succeeds() {
     let layers = [b"the first layer of the rules".to_vec(), b"a second one".to_vec(), Vec::new()];
     let fresh = || {
-        let mut store = BlobStore::new(Memory::default());
+        let mut store = BlobStore::new(MemoryFiles::default());
         store.write_document("catalogue", b"old catalogue").unwrap();
         let mut files = store.files().clone();
         files.steps = 0;
@@ -34,16 +34,16 @@
     assert!(steps > 15, "{steps}");
     for until in 0..steps {
         for keep in [0, 3, 1_000] {
-            let mut store = BlobStore::new(Memory { until: Some(until), ..fresh() });
+            let mut store = BlobStore::new(MemoryFiles { power_fails_after: Some(until), ..fresh() });
             assert!(take_in(&mut store, &layers).is_err());
-            let mut store = BlobStore::new(store.files().clone().after_power(keep));
+            let mut store = BlobStore::new(store.files().clone().after_power_failure(keep));
             for digest in store.digests().unwrap() {
                 assert!(store.read(&digest).is_ok(), "step {until}, {keep} bytes kept: a blob is not whole");
             }
             let document = store.document("catalogue").unwrap();
             assert!(document == b"old catalogue" || document == b"new catalogue");
             if document == b"new catalogue" {
-                assert!(layers.iter().all(|l| store.has(&Digest::of(l))), "it names what is not here");
+                assert!(layers.iter().all(|l| store.contains(&Digest::of(l))), "it names what is not here");
             }
             // The disk may have kept a part that was never verified: a second try ends it either way.
             let again = take_in(&mut store, &layers).or_else(|_| take_in(&mut store, &layers));
@@ -57,13 +57,13 @@
 fn a_full_disk_leaves_what_can_be_resumed_and_nothing_that_looks_whole() {
     let content = b"more than the disk takes".to_vec();
     let digest = Digest::of(&content);
-    let mut store = BlobStore::new(Memory { full: true, ..Memory::default() });
-    let mut partial = store.begin(digest, content.len() as u64).unwrap();
+    let mut store = BlobStore::new(MemoryFiles { full: true, ..MemoryFiles::default() });
+    let mut partial = store.open_partial(digest, content.len() as u64).unwrap();
     assert!(matches!(store.append(&mut partial, &content), Err(BlobError::Disk(_))));
-    assert!(!store.has(&digest));
+    assert!(!store.contains(&digest));
     store.files().full = false;
-    let mut partial = store.begin(digest, content.len() as u64).unwrap();
-    let have = partial.have() as usize;
+    let mut partial = store.open_partial(digest, content.len() as u64).unwrap();
+    let have = partial.stored_bytes() as usize;
     assert_eq!(have, content.len() / 2);
     store.append(&mut partial, &content[have..]).unwrap();
     store.commit(partial).unwrap();
@@ -75,11 +75,11 @@
     let directory = tempfile::tempdir().unwrap();
     let mut store = BlobStore::new(Disk::new(directory.path()).unwrap());
     let digest = Digest::of(b"rules");
-    let mut partial = store.begin(digest, 5).unwrap();
+    let mut partial = store.open_partial(digest, 5).unwrap();
     store.append(&mut partial, b"rulez").unwrap();
     assert!(matches!(store.commit(partial), Err(BlobError::Corrupt(VerifyError::Other))));
-    let mut partial = store.begin(digest, 5).unwrap();
-    assert_eq!(partial.have(), 0);
+    let mut partial = store.open_partial(digest, 5).unwrap();
+    assert_eq!(partial.stored_bytes(), 0);
     assert!(matches!(
         store.append(&mut partial, b"rules for ever"),
         Err(BlobError::Corrupt(VerifyError::TooLong))
@@ -88,13 +88,13 @@
     // Rot on the disk.
     std::fs::write(directory.path().join("blobs/sha256").join(digest.hex()), b"rotten").unwrap();
     assert_eq!(store.verify(|_, _| {}).unwrap(), [digest]);
-    assert!(!store.has(&digest));
+    assert!(!store.contains(&digest));
 }
 
 #[test]
 fn collecting_keeps_what_is_to_be_kept() {
-    let mut store = BlobStore::new(Memory::default());
+    let mut store = BlobStore::new(MemoryFiles::default());
     let (kept, gone) = (store.put(b"kept").unwrap(), store.put(b"gone").unwrap());
     assert_eq!(store.collect(&BTreeSet::from([kept])).unwrap(), 1);
-    assert!(store.has(&kept) && !store.has(&gone));
+    assert!(store.contains(&kept) && !store.contains(&gone));
 }
--- a/crates/oci/src/pull.rs
+++ b/crates/oci/src/pull.rs
@@ -357,9 +357,9 @@
             Err(BlobError::Missing | BlobError::Corrupt(_)) => {}
             Err(e) => return Err(e.into()),
         }
-        let partial = store.begin(blob.digest, blob.size)?;
-        self.present_bytes += partial.have();
-        if partial.have() < blob.size {
+        let partial = store.open_partial(blob.digest, blob.size)?;
+        self.present_bytes += partial.stored_bytes();
+        if partial.stored_bytes() < blob.size {
             return Ok(BlobStart::Download(Box::new(Download::new(index, blob, partial))));
         }
         // All of it was written but not committed before a crash, or it is empty.
@@ -367,7 +367,7 @@
             Ok(()) => Ok(BlobStart::Present(store.read(&blob.digest)?)),
             Err(BlobError::Corrupt(_)) => {
                 self.present_bytes = self.present_bytes.saturating_sub(blob.size);
-                let partial = store.begin(blob.digest, blob.size)?;
+                let partial = store.open_partial(blob.digest, blob.size)?;
                 Ok(BlobStart::Download(Box::new(Download::new(index, blob, partial))))
             }
             Err(e) => Err(e.into()),
--- a/crates/oci/src/pull/download.rs
+++ b/crates/oci/src/pull/download.rs
@@ -46,7 +46,7 @@
 
     /// Bytes that are stored.
     pub(super) fn stored(&self) -> u64 {
-        self.partial.as_ref().map_or(0, Partial::have)
+        self.partial.as_ref().map_or(0, Partial::stored_bytes)
     }
 
     fn missing(&self) -> u64 {
@@ -130,7 +130,7 @@
     /// Discards what is stored and starts from the first byte.
     pub(super) fn restart<F: Files>(&mut self, store: &mut BlobStore<F>) -> Result<(), BlobError> {
         store.discard(&self.blob.digest)?;
-        self.partial = Some(store.begin(self.blob.digest, self.blob.size)?);
+        self.partial = Some(store.open_partial(self.blob.digest, self.blob.size)?);
         Ok(())
     }
 
--- a/crates/oci/src/server.rs
+++ b/crates/oci/src/server.rs
@@ -64,7 +64,7 @@
     /// When the folder cannot be read.
     pub fn open(mut store: BlobStore<F>, access: Access, token: &str) -> Result<Self, RegistryError> {
         // Upload sessions end with the process that opened them.
-        store.discard_staged(None)?;
+        store.discard_all_staged()?;
         let repositories = match store.document(DOCUMENT) {
             Ok(bytes) => serde_json::from_slice(&bytes)?,
             Err(BlobError::Missing) => BTreeMap::new(),
--- a/crates/oci/src/server/blobs.rs
+++ b/crates/oci/src/server/blobs.rs
@@ -70,7 +70,7 @@
         }
         self.last_upload += 1;
         let id = format!("upload-{}", self.last_upload);
-        self.store.stage(&id, &[])?;
+        self.store.append_staged(&id, &[])?;
         self.uploads.insert(id.clone(), Upload { repository: repository.into(), size: 0 });
         Ok(upload_response(202, repository, &id, 0))
     }
@@ -105,7 +105,7 @@
                 return Err(upload_response(416, repository, id, received));
             }
         }
-        let size = self.store.stage(id, &request.body)?;
+        let size = self.store.append_staged(id, &request.body)?;
         self.uploads.entry(id.into()).and_modify(|upload| upload.size = size);
         Ok(upload_response(202, repository, id, size))
     }
@@ -132,7 +132,7 @@
     pub(super) fn cancel_upload(&mut self, repository: &str, id: &str) -> ServeResult {
         self.find_upload(repository, id)?;
         self.uploads.remove(id);
-        self.store.discard_staged(Some(id))?;
+        self.store.discard_staged(id)?;
         Ok(Response::new(204))
     }
 
--- a/crates/oci/tests/pulls.rs
+++ b/crates/oci/tests/pulls.rs
@@ -2,7 +2,7 @@
 //! wrong. Time is an argument: nothing here waits.
 
 use serde_json::json;
-use slatevalve_blobs::{BlobError, BlobStore, Memory};
+use slatevalve_blobs::{BlobError, BlobStore, MemoryFiles};
 use slatevalve_http::{Limits, MessageReader, Part, PartReader, Side};
 use slatevalve_oci::*;
 use slatevalve_plugins::{check_manifest, ClassRights, Digest, SigningSecret};
@@ -29,7 +29,7 @@
 
 /// The wire: which fault befalls the nth request, counted from 0, and what was asked.
 struct WorkerProtocol<'a> {
-    registry: &'a mut Registry<Memory>,
+    registry: &'a mut Registry<MemoryFiles>,
     faults: &'a dyn Fn(usize, &str) -> Option<Fault>,
     asked: Vec<String>,
     now_us: i64,
@@ -51,8 +51,8 @@
     ClassRights { effects: [("quote".to_string(), "safe".to_string())].into(), ..ClassRights::default() }
 }
 
-fn registry() -> Registry<Memory> {
-    Registry::open(BlobStore::new(Memory::default()), Access::Open, "t").unwrap()
+fn registry() -> Registry<MemoryFiles> {
+    Registry::open(BlobStore::new(MemoryFiles::default()), Access::Open, "t").unwrap()
 }
 
 fn location() -> Location {
@@ -72,7 +72,10 @@
 }
 
 impl<'a> WorkerProtocol<'a> {
-    fn new(registry: &'a mut Registry<Memory>, faults: &'a dyn Fn(usize, &str) -> Option<Fault>) -> Self {
+    fn new(
+        registry: &'a mut Registry<MemoryFiles>,
+        faults: &'a dyn Fn(usize, &str) -> Option<Fault>,
+    ) -> Self {
         WorkerProtocol { registry, faults, asked: Vec::new(), now_us: 0 }
     }
 
@@ -141,7 +144,7 @@
     }
 }
 
-fn pushed() -> Registry<Memory> {
+fn pushed() -> Registry<MemoryFiles> {
     let mut registry = registry();
     push(&mut registry, &package(), &|_, _| None).unwrap();
     registry
@@ -149,7 +152,11 @@
 
 type Faults<'a> = &'a dyn Fn(usize, &str) -> Option<Fault>;
 
-fn push(registry: &mut Registry<Memory>, package: &Package, faults: Faults<'_>) -> Result<Pushed, PushError> {
+fn push(
+    registry: &mut Registry<MemoryFiles>,
+    package: &Package,
+    faults: Faults<'_>,
+) -> Result<Pushed, PushError> {
     let mut push = Push::new(0, location(), None, Policy::default(), 1, 600, package)?;
     WorkerProtocol::new(registry, faults).drive(&mut push)?;
     Ok(push.result().unwrap())
@@ -157,8 +164,8 @@
 
 /// Pulls fare 1; gives what was asked as well.
 fn pull_into(
-    registry: &mut Registry<Memory>,
-    store: &mut BlobStore<Memory>,
+    registry: &mut Registry<MemoryFiles>,
+    store: &mut BlobStore<MemoryFiles>,
     settings: PullSettings,
     faults: Faults<'_>,
 ) -> (Result<Pulled, PullError>, Vec<String>) {
@@ -169,10 +176,10 @@
 }
 
 fn pull(faults: Faults<'_>) -> Result<Pulled, PullError> {
-    pull_into(&mut pushed(), &mut BlobStore::new(Memory::default()), settings(), faults).0
+    pull_into(&mut pushed(), &mut BlobStore::new(MemoryFiles::default()), settings(), faults).0
 }
 
-fn is_whole(store: &mut BlobStore<Memory>) -> bool {
+fn is_whole(store: &mut BlobStore<MemoryFiles>) -> bool {
     let package = package();
     let mut here = |content: &Arc<[u8]>| store.read(&Digest::of(content)).is_ok_and(|r| r[..] == content[..]);
     package.layers.iter().all(&mut here) && here(&package.config)
@@ -184,7 +191,7 @@
     let first = push(&mut registry, &package(), &|_, _| None).unwrap();
     let again = push(&mut registry, &package(), &|_, _| None).unwrap();
     assert_eq!((first.had, again.bytes, again.had), (0, 0, first.bytes));
-    let mut store = BlobStore::new(Memory::default());
+    let mut store = BlobStore::new(MemoryFiles::default());
     let (done, asked) = pull_into(&mut registry, &mut store, settings(), &|_, _| None);
     let done = done.unwrap();
     assert!(is_whole(&mut store));
@@ -218,7 +225,7 @@
         Fault::Endless,
     ];
     let mut registry = pushed();
-    let mut store = BlobStore::new(Memory::default());
+    let mut store = BlobStore::new(MemoryFiles::default());
     let requests = pull_into(&mut registry, &mut store, settings(), &|_, _| None).1;
     for fault in &faults {
         for at in 0..requests.len() {
@@ -229,7 +236,7 @@
             if matches!(fault, Fault::Instead(a) if a.contains("206")) && !requests[at].contains("/blobs/") {
                 continue;
             }
-            let mut store = BlobStore::new(Memory::default());
+            let mut store = BlobStore::new(MemoryFiles::default());
             let befall = |n: usize, _: &str| (n == at).then(|| fault.clone());
             let (done, asked) = pull_into(&mut registry, &mut store, settings(), &befall);
             assert!(done.is_ok() && is_whole(&mut store), "{fault:?} at {}: {done:?}", requests[at]);
@@ -242,12 +249,12 @@
 fn a_registry_that_serves_other_bytes_again_and_again_is_refused_by_name_and_leaves_nothing() {
     let large = Digest::of(&[b'a'; 2_500]);
     for fault in [Fault::Flip, Fault::Endless] {
-        let mut store = BlobStore::new(Memory::default());
+        let mut store = BlobStore::new(MemoryFiles::default());
         let befall = |_: usize, line: &str| line.contains(&large.hex()).then(|| fault.clone());
         let (done, asked) = pull_into(&mut pushed(), &mut store, settings(), &befall);
         let error = done.unwrap_err();
         assert_eq!(error.corrupt_digest(), Some(large), "{error}");
-        assert!(!store.has(&large) && asked.len() < 12, "{asked:?}");
+        assert!(!store.contains(&large) && asked.len() < 12, "{asked:?}");
     }
 }
 
@@ -266,7 +273,7 @@
     let drip = |n: usize, _: &str| (n > 1).then_some(Fault::Cut(700));
     let mut slow = settings();
     (slow.policy.first_wait_us, slow.policy.within_us) = (2_000_000, 3_000_000);
-    let mut store = BlobStore::new(Memory::default());
+    let mut store = BlobStore::new(MemoryFiles::default());
     let error = pull_into(&mut pushed(), &mut store, slow, &drip).0.unwrap_err();
     assert!(matches!(error, PullError::Exchange(ExchangeError::TimeUp(_))), "{error}");
     // A byte or so for each connection is nothing new.
@@ -274,7 +281,7 @@
         let answer = "HTTP/1.1 206 P\r\nContent-Length: 1000\r\nContent-Range: bytes 0-999/2500\r\n\r\na";
         (n > 1).then(|| Fault::Instead(answer.into()))
     };
-    let mut store = BlobStore::new(Memory::default());
+    let mut store = BlobStore::new(MemoryFiles::default());
     let (done, asked) = pull_into(&mut pushed(), &mut store, settings(), &byte);
     assert!(matches!(done, Err(PullError::Exchange(ExchangeError::GaveUp(_)))), "{done:?}");
     assert!(asked.len() < 12, "{asked:?}");
@@ -291,7 +298,7 @@
     ));
     let mut small = settings();
     small.max_size = 100;
-    let mut store = BlobStore::new(Memory::default());
+    let mut store = BlobStore::new(MemoryFiles::default());
     let found = pull_into(&mut pushed(), &mut store, small, &|_, _| None).0;
     assert!(matches!(found, Err(PullError::TooLarge(_))));
     let mut rights = settings();
@@ -299,7 +306,7 @@
     assert!(pull_into(&mut pushed(), &mut store, rights, &|_, _| None).0.is_ok(), "it claims no effect");
     let mut none = settings();
     none.rights = Some(ClassRights::default());
-    let found = pull_into(&mut pushed(), &mut BlobStore::new(Memory::default()), none, &|_, _| None).0;
+    let found = pull_into(&mut pushed(), &mut BlobStore::new(MemoryFiles::default()), none, &|_, _| None).0;
     assert!(matches!(found, Err(PullError::Manifest(_))));
     for (name, reference) in [("Fare", "1"), ("fare", "a/b"), ("../x", "1")] {
         assert!(matches!(Pull::new(0, settings(), name, reference), Err(PullError::Name(_))));
@@ -311,7 +318,7 @@
         image.bytes.len(),
         String::from_utf8(image.bytes).unwrap()
     );
-    let mut store = BlobStore::new(Memory::default());
+    let mut store = BlobStore::new(MemoryFiles::default());
     let pull = Pull::new(0, settings(), "fare", "2").unwrap();
     let mut job = Pulling { pull, store: &mut store };
     let befall = |n: usize, _: &str| (n == 0).then(|| Fault::Instead(mislabelled.clone()));
@@ -322,16 +329,17 @@
 #[test]
 fn the_power_cut_at_each_step_of_a_pull_leaves_it_to_be_resumed_and_nothing_half_there() {
     let mut registry = pushed();
-    let mut store = BlobStore::new(Memory::default());
+    let mut store = BlobStore::new(MemoryFiles::default());
     let whole = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
     let steps = store.files().steps;
     let mut resumed = 0;
     for until in 0..steps {
         for keep in [0, 300, 10_000] {
-            let mut store = BlobStore::new(Memory { until: Some(until), ..Memory::default() });
+            let mut store =
+                BlobStore::new(MemoryFiles { power_fails_after: Some(until), ..MemoryFiles::default() });
             let cut = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0;
             assert!(matches!(cut, Err(PullError::Store(BlobError::Disk(_)))), "step {until}: {cut:?}");
-            let mut store = BlobStore::new(store.files().clone().after_power(keep));
+            let mut store = BlobStore::new(store.files().clone().after_power_failure(keep));
             for digest in store.digests().unwrap() {
                 assert!(store.read(&digest).is_ok(), "step {until}: a blob is not whole");
             }
@@ -346,7 +354,7 @@
 #[test]
 fn a_full_disk_ends_the_pull_with_its_reason_and_the_next_one_goes_on() {
     let mut registry = pushed();
-    let mut store = BlobStore::new(Memory { full: true, ..Memory::default() });
+    let mut store = BlobStore::new(MemoryFiles { full: true, ..MemoryFiles::default() });
     let full = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0;
     assert!(
         matches!(full, Err(PullError::Store(BlobError::Disk(e))) if e.kind() == std::io::ErrorKind::StorageFull)
@@ -359,13 +367,13 @@
 #[test]
 fn a_part_that_rotted_on_the_disk_is_found_and_pulled_anew() {
     let mut registry = pushed();
-    let mut store = BlobStore::new(Memory::default());
+    let mut store = BlobStore::new(MemoryFiles::default());
     let large = Digest::of(&[b'a'; 2_500]);
-    let mut partial = store.begin(large, 2_500).unwrap();
+    let mut partial = store.open_partial(large, 2_500).unwrap();
     store.append(&mut partial, &[b'z'; 1_200]).unwrap();
     pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
     assert!(is_whole(&mut store));
-    store.files().rot(&format!("blobs/sha256/{}", large.hex()));
+    store.files().corrupt(&format!("blobs/sha256/{}", large.hex()));
     pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
     assert!(is_whole(&mut store));
 }
@@ -387,14 +395,14 @@
         for fault in [Fault::Cut(5), Fault::Stall, Fault::NoConnection] {
             let mut registry = registry();
             push(&mut registry, &signed, &|n, _| (n == at).then(|| fault.clone())).unwrap();
-            let mut store = BlobStore::new(Memory::default());
+            let mut store = BlobStore::new(MemoryFiles::default());
             let pulled = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
             assert!(is_whole(&mut store) && pulled.signatures == signed.signatures, "{fault:?} at {at}");
         }
         let mut registry = registry();
         let killed = push(&mut registry, &signed, &|n, _| (n >= at).then_some(Fault::NoConnection));
         assert!(killed.is_err());
-        let mut store = BlobStore::new(Memory::default());
+        let mut store = BlobStore::new(MemoryFiles::default());
         let found = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0;
         assert!(found.is_ok() == is_whole(&mut store), "a version is half there: {found:?}");
     }
@@ -408,7 +416,7 @@
         [Access::Basic(credentials.clone()), Access::Token(credentials.clone(), "http://r:5000".into())]
     {
         let by_token = matches!(access, Access::Token(..));
-        let mut registry = Registry::open(BlobStore::new(Memory::default()), access, "secret").unwrap();
+        let mut registry = Registry::open(BlobStore::new(MemoryFiles::default()), access, "secret").unwrap();
         let policy = Policy::default;
         let mut push =
             Push::new(0, location(), Some(credentials.clone()), policy(), 1, 600, &package()).unwrap();
@@ -416,7 +424,7 @@
         for (shown, good) in [(Some(credentials.clone()), true), (Some(wrong.clone()), false), (None, false)]
         {
             let settings = PullSettings { credentials: shown, ..settings() };
-            let mut store = BlobStore::new(Memory::default());
+            let mut store = BlobStore::new(MemoryFiles::default());
             // In the middle the registry forgets the token that it gave.
             let forget = "HTTP/1.1 401 X\r\nWWW-Authenticate: Bearer realm=\"http://r:5000/token\"\r\n\
                 Content-Length: 0\r\n\r\n";
@@ -445,7 +453,7 @@
     let secret = SigningSecret::from_random([3; 32]);
     signed.signatures = vec![secret.sign("anna", &Digest::of(&signed.config))];
     push(&mut registry, &signed, &|_, _| None).unwrap();
-    let mut store = BlobStore::new(Memory::default());
+    let mut store = BlobStore::new(MemoryFiles::default());
     let pulled = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
     assert_eq!(pulled.signatures, signed.signatures);
     let stranger = r#"{"schemaVersion":2,"manifests":[{"mediaType":"a/b","digest":"sha256:0000000000000000000000000000000000000000000000000000000000000000","size":1,"artifactType":"a/b"}]}"#;
@@ -458,7 +466,7 @@
 #[test]
 fn collecting_keeps_what_tags_need_and_a_restart_forgets_open_uploads_only() {
     let mut registry = pushed();
-    let ask = |registry: &mut Registry<Memory>, text: &str| {
+    let ask = |registry: &mut Registry<MemoryFiles>, text: &str| {
         let message =
             MessageReader::new(Side::Request, Limits::default()).feed(text.as_bytes()).unwrap().unwrap();
         String::from_utf8_lossy(&registry.answer(&message)).into_owned()
@@ -470,7 +478,7 @@
     let stray = ask(&mut registry, "POST /v2/fare/blobs/uploads/?digest=sha256:2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae HTTP/1.1\r\nContent-Length: 3\r\n\r\nfoo");
     assert!(stray.starts_with("HTTP/1.1 201"), "{stray}");
     assert_eq!(registry.collect().unwrap(), 1);
-    let mut store = BlobStore::new(Memory::default());
+    let mut store = BlobStore::new(MemoryFiles::default());
     assert!(pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.is_ok());
     let gone = ask(&mut registry, "DELETE /v2/fare/manifests/1 HTTP/1.1\r\n\r\n");
     assert!(gone.starts_with("HTTP/1.1 202"));
