--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -83,7 +83,7 @@
     fn end(&mut self, ended: &Ended) {
         match *ended {
             Ended::Attempt { id, last } => {
-                self.requests.attempt_ended(id);
+                self.requests.attempt_completed(id);
                 if last {
                     self.requests.completed(id);
                 }
--- a/adapter/src/requests.rs
+++ b/adapter/src/requests.rs
@@ -57,7 +57,7 @@
     }
 
     /// Notes that an attempt ended.
-    pub(crate) fn attempt_ended(&mut self, id: RequestId) {
+    pub(crate) fn attempt_completed(&mut self, id: RequestId) {
         if let Some(request) = self.open.get_mut(&id) {
             request.attempts = request.attempts.saturating_sub(1);
             self.remove_if_over(id);
--- a/adapter/tests/platform.rs
+++ b/adapter/tests/platform.rs
@@ -35,7 +35,7 @@
     Ends { id: &'static str, attempt: usize, outcome: Outcome, queue_depth: u64 },
     Probed { worker: usize, queue: f64 },
     Loaded { worker: usize, function: &'static str, outcome: Outcome },
-    Left { id: &'static str },
+    ClientDisconnected { id: &'static str },
 }
 
 const CLASSES: [&str; 3] = ["quote", "booking", "charge"];
@@ -66,7 +66,7 @@
     story.push((425.0, Call { id: "4", class: 0, function: g }));
     story.push((500.0, List(vec![("w2", WorkerState::Draining)])));
     story.push((510.0, Ends { id: "3", attempt: 0, outcome: Outcome::Reset, queue_depth: 0 }));
-    story.push((530.0, Left { id: "4" }));
+    story.push((530.0, ClientDisconnected { id: "4" }));
     story.push((560.0, Ends { id: "2", attempt: 1, outcome: Outcome::Ok, queue_depth: 0 }));
     for n in 0..30 {
         story.push((
@@ -196,7 +196,7 @@
             ScriptedEvent::Loaded { worker, function, outcome } => vec![json!({"m": "InPlace", "i": "r",
                 "worker": number(worker), "app": function_id(function).0, "rc": rc(outcome), "copies": 1,
                 "lag": 250.0})],
-            ScriptedEvent::Left { id } => vec![json!({"m": "Vanished", "i": "r", "id": id})],
+            ScriptedEvent::ClientDisconnected { id } => vec![json!({"m": "Vanished", "i": "r", "id": id})],
         };
         self.tell(at, events);
     }
@@ -230,10 +230,10 @@
         let classes = site.names.classes.iter().cloned();
         let classes = classes.zip(site.settings.classes.iter().map(|c| c.effect)).collect();
         let engine = Engine::new(EngineSettings {
-            module: site.settings,
+            balancer: site.settings,
             seed,
-            max_open: 1_000,
-            max_functions: 100,
+            max_open_calls: 1_000,
+            max_function_names: 100,
             ..EngineSettings::default()
         });
         let mut front = Front::new(FrontSettings { classes, connections: 4 });
@@ -263,7 +263,7 @@
                 Output::Answer(ticket, answer) => {
                     let mut bytes = Vec::new();
                     self.front.answer(self.now, ticket, &answer, &mut bytes);
-                    match answer.verdict.word() {
+                    match answer.verdict.as_str() {
                         "refused" => format!("refuse {}", self.id(ticket.0)),
                         "failed" => format!("fail {}", self.id(ticket.0)),
                         _ => continue,
@@ -272,7 +272,7 @@
                 // Deadlines are the simulator's own on the other side, and come as outcomes there.
                 Output::Expire(_) => continue,
                 // What has not left is kept back whatever the module says: no decision of its.
-                Output::Withhold(_) => continue,
+                Output::CancelUnsent(_) => continue,
                 other => panic!("{other:?}"),
             };
             self.wanted.push((self.now.0, words));
@@ -285,7 +285,9 @@
         for output in out {
             match output {
                 FrontOutput::Call(call) => self.engine.call(self.now, *call, &mut wanted),
-                FrontOutput::Left(ticket) => self.engine.client_disconnected(self.now, ticket, &mut wanted),
+                FrontOutput::ClientDisconnected(ticket) => {
+                    self.engine.client_disconnected(self.now, ticket, &mut wanted)
+                }
                 other => panic!("{other:?}"),
             }
         }
@@ -345,7 +347,7 @@
                     up_since: None,
                 };
                 let listing = Listing { scope, entries: lines.iter().map(entry).collect() };
-                self.engine.listed(self.now, listing, &mut out);
+                self.engine.workers_listed(self.now, listing, &mut out);
             }
             ScriptedEvent::Call { id, class, function } => {
                 // Story ids that come again are new requests once the old one is over.
@@ -359,18 +361,31 @@
                 let told = matches!(outcome, Outcome::Ok | Outcome::Full).then_some(*queue_depth);
                 let request = slatevalve::RequestId(self.ids[*id].0);
                 let end = AttemptEnd { queue_depth: told, ..AttemptEnd::without_payload(*outcome) };
-                self.engine.attempt_ended(self.now, AttemptRef { request, attempt: *attempt }, end, &mut out);
+                self.engine.attempt_completed(
+                    self.now,
+                    AttemptRef { request, attempt: *attempt },
+                    end,
+                    &mut out,
+                );
             }
             ScriptedEvent::Probed { worker, queue } => {
                 let report = Some(Report { queue: Some(*queue), ..Report::default() });
                 let lag = Micros(1_000);
-                self.engine.probed(self.now, number(worker), Outcome::Ok, lag, report, &mut out);
+                self.engine.probe_completed(self.now, number(worker), Outcome::Ok, lag, report, &mut out);
             }
             ScriptedEvent::Loaded { worker, function, outcome } => {
                 let (worker, function): (WorkerId, _) = (number(worker), function_id(function));
-                self.engine.loaded(self.now, worker, function, *outcome, 1, Micros(250_000), &mut out);
+                self.engine.load_completed(
+                    self.now,
+                    worker,
+                    function,
+                    *outcome,
+                    1,
+                    Micros(250_000),
+                    &mut out,
+                );
             }
-            ScriptedEvent::Left { id } => {
+            ScriptedEvent::ClientDisconnected { id } => {
                 let number = self.ids[*id].1;
                 let mut bytes = Vec::new();
                 encode::write_array_len(&mut bytes, 3).unwrap();
--- a/crates/engine/src/answer.rs
+++ b/crates/engine/src/answer.rs
@@ -38,7 +38,7 @@
 impl Verdict {
     /// `served`, `refused` or `failed`, as clients receive it.
     #[must_use]
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Verdict::Served { .. } => "served",
             Verdict::Refused(_) => "refused",
@@ -58,7 +58,7 @@
 
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.as_str())
     }
 }
 
@@ -98,7 +98,7 @@
     /// The gateway's lease to act by its settings has expired.
     LeaseExpired,
     /// Two settings documents that are both in use differ about the topic.
-    InChange,
+    SettingsChanging,
     /// No attempt returned a result in time; the call may have run.
     NoResult,
     /// The call was served, but its result is no longer stored.
@@ -110,7 +110,7 @@
 impl Reason {
     /// The text that clients receive.
     #[must_use]
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Reason::NoCapacity => "no worker can answer in time",
             Reason::KeyMissing => "this class needs a key and the call has none",
@@ -130,7 +130,7 @@
             Reason::NoRoute => "no route takes this topic",
             Reason::Stopping => "the gateway is stopping",
             Reason::LeaseExpired => "not sent: the gateway cannot tell whether its settings still count",
-            Reason::InChange => "not sent: the settings of this topic are being changed",
+            Reason::SettingsChanging => "not sent: the settings of this topic are being changed",
             Reason::NoResult => "no result in time; it may have run",
             Reason::ResultEvicted => "it ran; its result is no longer held",
             Reason::ClientDisconnected => "called off as its client left; it may have run",
@@ -140,6 +140,6 @@
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.words())
+        f.write_str(self.description())
     }
 }
--- a/crates/engine/src/duplicates/tests.rs
+++ b/crates/engine/src/duplicates/tests.rs
@@ -67,7 +67,7 @@
     assert_eq!(answer.verdict, Verdict::Failed(Reason::ResultEvicted));
     let (digest, fingerprint) = key(2);
     assert!(
-        matches!(duplicates.lookup(Micros(1), digest, fingerprint), KeyStatus::Completed(a) if a.verdict.word() == "served")
+        matches!(duplicates.lookup(Micros(1), digest, fingerprint), KeyStatus::Completed(a) if a.verdict.as_str() == "served")
     );
     assert!(duplicates.result_bytes <= 100);
 }
--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -54,8 +54,8 @@
             return Some(Event::Answer(not_sent(attempt, worker)));
         }
         self.statistics.attempts += 1;
-        let time_left = Micros(call.deadline.0.saturating_sub(now.0));
-        out.push(Output::Send { attempt, worker, body: call.body.clone(), time_left });
+        let time_remaining = Micros(call.deadline.0.saturating_sub(now.0));
+        out.push(Output::Send { attempt, worker, body: call.body.clone(), time_remaining });
         None
     }
 
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -8,7 +8,7 @@
 
 impl Engine {
     /// An attempt ended. The end of an attempt that is unknown or has ended before is ignored.
-    pub fn attempt_ended(&mut self, now: Micros, of: AttemptRef, end: AttemptEnd, out: &mut Vec<Output>) {
+    pub fn attempt_completed(&mut self, now: Micros, of: AttemptRef, end: AttemptEnd, out: &mut Vec<Output>) {
         self.advance_clock(now);
         let id = of.request;
         let Some(open_call) = self.open_calls.get(&id) else { return };
@@ -51,8 +51,8 @@
         if end.ran.as_ref() == Some(&version.digest) {
             return end;
         }
-        self.statistics.ran_other += 1;
-        out.push(Output::RanOther { worker, version: version.clone(), ran: end.ran });
+        self.statistics.version_mismatches += 1;
+        out.push(Output::VersionMismatch { worker, version: version.clone(), ran: end.ran });
         AttemptEnd { report: end.report, ..AttemptEnd::without_payload(Outcome::Error) }
     }
 
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -92,7 +92,7 @@
     }
 
     fn class_rules(&self, class: ClassId) -> Option<ClassRules> {
-        let rules = self.settings.module.classes.get(class.0)?;
+        let rules = self.settings.balancer.classes.get(class.0)?;
         let policy = self.settings.classes.get(class.0);
         Some(ClassRules {
             has_side_effects: rules.effect != Effect::Safe,
@@ -173,7 +173,7 @@
         if budget.0 <= 0 {
             return Err(Reason::BudgetTooShort);
         }
-        if self.open_calls.len() >= self.settings.max_open {
+        if self.open_calls.len() >= self.settings.max_open_calls {
             return Err(Reason::TooManyOpen);
         }
         Ok(budget)
--- a/crates/engine/src/engine/completion.rs
+++ b/crates/engine/src/engine/completion.rs
@@ -14,7 +14,7 @@
         let Some(call) = self.open_calls.get_mut(&id).filter(|call| !call.answered) else { return };
         call.answered = true;
         let in_flight = call.in_flight();
-        out.extend(in_flight.map(|attempt| Output::Withhold(AttemptRef { request: id, attempt })));
+        out.extend(in_flight.map(|attempt| Output::CancelUnsent(AttemptRef { request: id, attempt })));
         let answer = Answer {
             verdict,
             attempts: call.attempts.len(),
--- a/crates/engine/src/engine/deadlines.rs
+++ b/crates/engine/src/engine/deadlines.rs
@@ -35,7 +35,7 @@
     /// Sets the timers of a call: for its deadline, and for the time at which the balancer should have ended it.
     pub(super) fn set_deadline(&mut self, id: RequestId, deadline: Micros) {
         self.timers.set(deadline, Timer::Deadline(id));
-        let overdue_at = deadline.0.saturating_add(self.settings.module.rules.answer_slack.0);
+        let overdue_at = deadline.0.saturating_add(self.settings.balancer.rules.answer_slack.0);
         self.timers.set(Micros(overdue_at), Timer::Overdue(id));
     }
 
--- a/crates/engine/src/engine/fleet.rs
+++ b/crates/engine/src/engine/fleet.rs
@@ -8,7 +8,7 @@
 
 impl Engine {
     /// The worker list was received, or an update of it.
-    pub fn listed(&mut self, now: Micros, listing: Listing, out: &mut Vec<Output>) {
+    pub fn workers_listed(&mut self, now: Micros, listing: Listing, out: &mut Vec<Output>) {
         self.advance_clock(now);
         self.dispatch(Event::WorkersListed(listing), out);
     }
@@ -20,7 +20,7 @@
     }
 
     /// A health check ended.
-    pub fn probed(
+    pub fn probe_completed(
         &mut self,
         now: Micros,
         worker: WorkerId,
@@ -35,7 +35,7 @@
 
     /// A load request ended.
     #[allow(clippy::too_many_arguments)] // The fields of the balancer's event, one by one.
-    pub fn loaded(
+    pub fn load_completed(
         &mut self,
         now: Micros,
         worker: WorkerId,
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -46,7 +46,7 @@
     /// Calls that the balancer had not ended some time after their deadline; each one is a defect.
     pub overdue: u64,
     /// Results that were discarded because another version than the call's had run.
-    pub ran_other: u64,
+    pub version_mismatches: u64,
 }
 
 /// What happens when a timer fires.
@@ -100,12 +100,12 @@
     #[must_use]
     pub fn new(settings: EngineSettings) -> Self {
         Engine {
-            balancer: Balancer::new(settings.module.clone(), settings.seed),
+            balancer: Balancer::new(settings.balancer.clone(), settings.seed),
             now: Micros(0),
             next_request: 1,
             open_calls: BTreeMap::new(),
             tickets: HashMap::new(),
-            names: Names::new(settings.max_functions),
+            names: Names::new(settings.max_function_names),
             keys: DuplicateTable::new(settings.duplicates.unwrap_or_default()),
             timers: Timers::default(),
             is_stopping: false,
--- a/crates/engine/src/engine/open_call.rs
+++ b/crates/engine/src/engine/open_call.rs
@@ -38,7 +38,7 @@
 impl OpenCall {
     /// Whether any attempt is not proven never to have run.
     pub(super) fn can_have_run(&self) -> bool {
-        self.attempts.iter().any(|attempt| !attempt.outcome.is_some_and(Outcome::proves_never_ran))
+        self.attempts.iter().any(|attempt| !attempt.outcome.is_some_and(Outcome::proves_not_run))
     }
 
     /// Numbers of the attempts in flight, in the order in which they were sent.
--- a/crates/engine/src/engine/settings_change.rs
+++ b/crates/engine/src/engine/settings_change.rs
@@ -13,19 +13,19 @@
     /// Replaces the settings. The seed, the limits of the duplicate table and the maxima of open calls and of function
     /// names stay as they were. A raised limit of attempts applies once all calls that are open now are closed.
     pub fn update_settings(&mut self, settings: EngineSettings) {
-        let EngineSettings { mut module, classes, key_spaces, functions, other_functions, margin, .. } =
+        let EngineSettings { mut balancer, classes, key_spaces, functions, other_functions, margin, .. } =
             settings;
         self.deferred_attempt_limit = None;
-        let current_limit = self.settings.module.limits.max_attempts;
-        let new_limit = module.limits.max_attempts;
+        let current_limit = self.settings.balancer.limits.max_attempts;
+        let new_limit = balancer.limits.max_attempts;
         if new_limit > current_limit && !self.open_calls.is_empty() {
-            module.limits.max_attempts = current_limit;
+            balancer.limits.max_attempts = current_limit;
             let first_request = RequestId(self.next_request);
             self.deferred_attempt_limit =
                 Some(DeferredAttemptLimit { first_request, max_attempts: new_limit });
         }
-        self.balancer.update_settings(module.clone());
-        self.settings.module = module;
+        self.balancer.update_settings(balancer.clone());
+        self.settings.balancer = balancer;
         self.settings.classes = classes;
         self.settings.key_spaces = key_spaces;
         self.settings.functions = functions;
@@ -40,9 +40,9 @@
         if oldest.is_some_and(|id| *id < deferred.first_request) {
             return;
         }
-        self.settings.module.limits.max_attempts = deferred.max_attempts;
+        self.settings.balancer.limits.max_attempts = deferred.max_attempts;
         self.deferred_attempt_limit = None;
-        self.balancer.update_settings(self.settings.module.clone());
+        self.balancer.update_settings(self.settings.balancer.clone());
     }
 
     /// Suspends or resumes calls with side effects. While they are suspended, new ones are refused, because nothing of
--- a/crates/engine/src/output.rs
+++ b/crates/engine/src/output.rs
@@ -10,7 +10,7 @@
 /// A command for the event loop, the connection pool or a front end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send an attempt. It must be followed by exactly one [`crate::Engine::attempt_ended`].
+    /// Send an attempt. It must be followed by exactly one [`crate::Engine::attempt_completed`].
     Send {
         /// The attempt.
         attempt: AttemptRef,
@@ -19,16 +19,16 @@
         /// The request's content.
         body: Arc<RunBody>,
         /// Time until the deadline of the call.
-        time_left: Micros,
+        time_remaining: Micros,
     },
     /// Cancel an attempt. It ends as cancelled, or as not sent if no byte of it was written.
     Cancel(AttemptRef),
     /// The call has its final answer: cancel the attempt if no byte of it was written, so that it ends as not sent. An
     /// attempt that was partly written runs on. Unlike [`Output::Cancel`] it needs no permission by the settings.
-    Withhold(AttemptRef),
+    CancelUnsent(AttemptRef),
     /// The deadline of the call passed. The attempt ends as timed out, or as not sent if no byte of it was written.
     Expire(AttemptRef),
-    /// Load replicas of a function. It must be followed by one [`crate::Engine::loaded`]. With 0 copies
+    /// Load replicas of a function. It must be followed by one [`crate::Engine::load_completed`]. With 0 copies
     /// the worker only reports how many are loaded.
     Load {
         /// The worker.
@@ -47,12 +47,12 @@
         /// Name of the function.
         name: Arc<str>,
     },
-    /// Send a health check. It must be followed by one [`crate::Engine::probed`].
+    /// Send a health check. It must be followed by one [`crate::Engine::probe_completed`].
     Probe(WorkerId),
     /// Subscribe to the worker list and its changes.
     Subscribe,
     /// A worker ran another version than the call's, or reported none. Its result was discarded.
-    RanOther {
+    VersionMismatch {
         /// The worker.
         worker: WorkerId,
         /// The version that was to run.
--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct EngineSettings {
     /// Settings of the balancer; its classes are the classes of the engine.
-    pub module: Settings,
+    pub balancer: Settings,
     /// Seed of the balancer's random numbers.
     pub seed: u64,
     /// One policy for each class of the balancer's settings, in the same order.
@@ -52,7 +52,7 @@
     /// Time that is subtracted from each budget for the delivery of the answer.
     pub margin: Micros,
     /// Maximum number of open calls.
-    pub max_open: usize,
+    pub max_open_calls: usize,
     /// Maximum number of function names held.
-    pub max_functions: usize,
+    pub max_function_names: usize,
 }
--- a/crates/engine/tests/engine/calls.rs
+++ b/crates/engine/tests/engine/calls.rs
@@ -27,7 +27,7 @@
                 let end =
                     AttemptEnd { ran: Some("sha256:bb".into()), ..AttemptEnd::without_payload(Outcome::Ok) };
                 harness.waiting.clear();
-                harness.engine.attempt_ended(harness.now, attempt, end, &mut harness.out);
+                harness.engine.attempt_completed(harness.now, attempt, end, &mut harness.out);
                 harness.drain_outputs();
             }
         }
@@ -36,7 +36,10 @@
         assert!(verdicts == ["failed"] || (class == SAFE && verdicts == ["refused"]), "{verdicts:?}");
         assert_eq!(harness.answers[&ticket][0].version.as_ref().map(|v| &*v.digest), Some("sha256:aa"));
         let sent = harness.sent.len() as u64;
-        assert_eq!((harness.engine.statistics().ran_other, class == SAFE || sent == 1), (sent, true));
+        assert_eq!(
+            (harness.engine.statistics().version_mismatches, class == SAFE || sent == 1),
+            (sent, true)
+        );
     }
 }
 
--- a/crates/engine/tests/engine/harness.rs
+++ b/crates/engine/tests/engine/harness.rs
@@ -30,7 +30,7 @@
     let class = |effect| Class { effect, deadline: Micros(1_000_000), ..Class::default() };
     let keyed = Effect::Keyed { group: Group::All, memory: Micros(5_000_000) };
     EngineSettings {
-        module: Settings {
+        balancer: Settings {
             classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
             limits: Limits { probes: false, ..Limits::default() },
             loading: Loading { on_request: true, orders: true, ..Loading::default() },
@@ -39,8 +39,8 @@
         classes: vec![ClassPolicy { remember }; 3],
         duplicates: Some(DuplicateLimits { keys: 64, ..DuplicateLimits::default() }),
         margin: Micros(10_000),
-        max_open: 32,
-        max_functions: 16,
+        max_open_calls: 32,
+        max_function_names: 16,
         ..EngineSettings::default()
     }
 }
@@ -83,7 +83,7 @@
         };
         let entries = ["a", "b"].map(|n| WorkerEntry { id: worker_id(n), ..WorkerEntry::default() });
         let listing = Listing { scope: Scope::Full, entries: entries.into() };
-        harness.engine.listed(harness.now, listing, &mut harness.out);
+        harness.engine.workers_listed(harness.now, listing, &mut harness.out);
         harness
     }
 
@@ -127,7 +127,7 @@
         if body.class == UNSAFE {
             let key = body.key.clone().expect("a charge without a key was sent");
             let earlier = self.charges.entry(key).or_default();
-            let safe = earlier.values().all(|o| o.is_some_and(Outcome::proves_never_ran));
+            let safe = earlier.values().all(|o| o.is_some_and(Outcome::proves_not_run));
             assert!(safe, "{attempt:?} was sent after {earlier:?}");
             earlier.insert(attempt, None);
         }
@@ -139,7 +139,7 @@
             ends.entry(attempt).and_modify(|end| *end = end.or(Some(outcome)));
         }
         self.waiting.retain(|(a, _)| *a != attempt);
-        self.engine.attempt_ended(self.now, attempt, AttemptEnd::without_payload(outcome), &mut self.out);
+        self.engine.attempt_completed(self.now, attempt, AttemptEnd::without_payload(outcome), &mut self.out);
     }
 
     /// Ends the attempt that is in flight for longest, if any.
@@ -162,7 +162,7 @@
     }
 
     pub(crate) fn verdicts(&self, ticket: Ticket) -> Vec<&'static str> {
-        self.answers.get(&ticket).into_iter().flatten().map(|a| a.verdict.word()).collect()
+        self.answers.get(&ticket).into_iter().flatten().map(|a| a.verdict.as_str()).collect()
     }
 
     pub(crate) fn reason(&self, ticket: Ticket) -> Option<Reason> {
--- a/crates/engine/tests/engine/properties.rs
+++ b/crates/engine/tests/engine/properties.rs
@@ -87,7 +87,7 @@
                     let state = if gone { slatevalve::WorkerState::Gone } else { slatevalve::WorkerState::Ready };
                     let entries = vec![WorkerEntry { id: worker_id("a"), state, ..WorkerEntry::default() }];
                     let listing = Listing { scope: Scope::Changes, entries };
-                    harness.engine.listed(harness.now, listing, &mut harness.out);
+                    harness.engine.workers_listed(harness.now, listing, &mut harness.out);
                     harness.drain_outputs();
                 }
             }
--- a/crates/engine/tests/engine/repeats.rs
+++ b/crates/engine/tests/engine/repeats.rs
@@ -121,7 +121,7 @@
     let mut out = Vec::new();
     let worker = WorkerEntry { id: WorkerId(1), ..WorkerEntry::default() };
     let listing = Listing { scope: Scope::Full, entries: vec![worker] };
-    engine.listed(Micros(1_000), listing, &mut out);
+    engine.workers_listed(Micros(1_000), listing, &mut out);
     let call = |ticket: u64, key: Option<&[u8]>| Call {
         request_id: Some(format!("id-{ticket}").into()),
         key: key.map(Into::into),
--- a/crates/engine/tests/engine/settings_change.rs
+++ b/crates/engine/tests/engine/settings_change.rs
@@ -9,10 +9,10 @@
 fn other_settings(classes: Vec<Class>, spaces: &[usize], max_attempts: usize) -> EngineSettings {
     let base = settings(Micros(2_000_000));
     let policies = vec![ClassPolicy { remember: Micros(2_000_000) }; classes.len()];
-    let limits = Limits { max_attempts, ..base.module.limits.clone() };
-    let module = Settings { classes, limits, ..base.module };
+    let limits = Limits { max_attempts, ..base.balancer.limits.clone() };
+    let balancer = Settings { classes, limits, ..base.balancer };
     EngineSettings {
-        module,
+        balancer,
         classes: policies,
         key_spaces: spaces.iter().map(|s| ClassId(*s)).collect(),
         ..base
@@ -21,7 +21,7 @@
 
 #[test]
 fn an_open_call_goes_by_stricter_rules_at_once_and_by_more_attempts_never() {
-    let classes = settings(Micros(0)).module.classes;
+    let classes = settings(Micros(0)).balancer.classes;
     let mut harness = Harness::new();
     let open = harness.call(1, KEYED, Some("k"), Repeat::Unmarked);
     let mut stricter = classes.clone();
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_class_that_got_another_place_keeps_its_keys() {
-    let mut classes = settings(Micros(0)).module.classes;
+    let mut classes = settings(Micros(0)).balancer.classes;
     classes.push(Class { effect: Effect::Safe, ..classes[UNSAFE.0] });
     let mut harness = Harness::new();
     let first = harness.call(1, UNSAFE, Some("k"), Repeat::Unmarked);
--- a/crates/fleet-test/src/link/mod.rs
+++ b/crates/fleet-test/src/link/mod.rs
@@ -11,7 +11,7 @@
 use plan::Flow;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use slatevalve_http::{Limits, Part, PartReader, Side};
+use slatevalve_http::{Limits, MessageDecoder, MessageEvent, Side};
 use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use std::collections::HashMap;
 use std::io;
@@ -30,7 +30,7 @@
     upstream: Id,
     to_service: Pipe,
     from_service: Pipe,
-    request_reader: PartReader,
+    request_reader: MessageDecoder,
     /// The last segment of the path of the current request.
     path: String,
 }
@@ -106,7 +106,7 @@
                 let accepted = self.accepted_by_upstream.get(&id).copied().unwrap_or(id);
                 self.close(accepted);
             }
-            ReactorEvent::AcceptFailed { listener, .. } => self.reactor.resume(listener),
+            ReactorEvent::AcceptFailed { listener, .. } => self.reactor.resume_accepting(listener),
             ReactorEvent::Connected(_)
             | ReactorEvent::Drained(_)
             | ReactorEvent::Signal(_)
@@ -126,7 +126,7 @@
             upstream,
             to_service: Pipe::default(),
             from_service: Pipe::default(),
-            request_reader: PartReader::new(Side::Request, limits),
+            request_reader: MessageDecoder::new(Side::Request, limits),
             path: String::new(),
         };
         self.connections.insert(accepted, connection);
@@ -205,11 +205,11 @@
         let _ = self.request_reader.feed(bytes, &mut parts);
         for part in parts {
             match part {
-                Part::Head(head) => {
+                MessageEvent::Head(head) => {
                     self.path = head.target.rsplit('/').next().unwrap_or_default().to_string();
                 }
-                Part::End => count(&self.path),
-                Part::Body(_) => {}
+                MessageEvent::End => count(&self.path),
+                MessageEvent::Body(_) => {}
             }
         }
     }
--- a/crates/gateway/benches/drains.rs
+++ b/crates/gateway/benches/drains.rs
@@ -204,7 +204,7 @@
         work_us: 3_000,
         connection: (index % CONNECTIONS) as usize,
         qos: 1,
-        again: false,
+        republished: false,
     };
     std::thread::spawn(move || {
         let arrivals = (0..seconds * CALLS_PER_S).map(arrival).collect();
--- a/crates/gateway/benches/plugins.rs
+++ b/crates/gateway/benches/plugins.rs
@@ -29,7 +29,7 @@
             tenant: None,
             class: "quote".into(),
             effect: None,
-            lanes: 1,
+            concurrency: 1,
             memory_mb: 0.0,
             load_ms: 0.0,
             engine: None,
--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -132,7 +132,7 @@
             function: "f".into(),
             payload: PAYLOAD.to_vec(),
             request_id: "1234567".into(),
-            time_left_ms: 9_000,
+            time_remaining_ms: 9_000,
             class: "quote".into(),
             ..Call::default()
         };
--- a/crates/gateway/src/chaos_test/arrivals.rs
+++ b/crates/gateway/src/chaos_test/arrivals.rs
@@ -91,7 +91,7 @@
             work_us: (load.work_ms * 1_000.0 * work) as i64,
             connection,
             qos: if random.random_bool(QOS_2_SHARE) { 2 } else { 1 },
-            again: false,
+            republished: false,
         })
     }
 
@@ -146,6 +146,6 @@
     let Some(repeats) = load.repeats.filter(|repeats| is_drawn(repeats.share, random)) else { return };
     for count in 1..=repeats.times {
         let after_us = (repeats.after_ms * 1_000.0 * count as f64) as i64;
-        arrivals.push(Arrival { at_us: arrival.at_us + after_us, again: true, ..arrival.clone() });
+        arrivals.push(Arrival { at_us: arrival.at_us + after_us, republished: true, ..arrival.clone() });
     }
 }
--- a/crates/gateway/src/chaos_test/report/mod.rs
+++ b/crates/gateway/src/chaos_test/report/mod.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use slatevalve_test_servers::ClientReport;
-use slatevalve_trace_checker::trace::Seen;
+use slatevalve_trace_checker::trace::TraceEvent;
 use slatevalve_trace_checker::{check, ClassTerms, EffectTerms, Rule, Violation};
 use std::collections::BTreeMap;
 
@@ -128,15 +128,15 @@
             let latency_us = (answered_us - published_us).max(1);
             ServedCall { latency_us, weight: earned_weight(class, latency_us, call.budget_us) }
         });
-        CallResult { weight: class.worth, served }
+        CallResult { weight: class.priority_weight, served }
     }
 }
 
 fn earned_weight(class: &ClassTerms, latency_us: i64, budget_us: i64) -> f64 {
-    if latency_us <= class.aim_us {
-        class.worth
+    if latency_us <= class.latency_objective_us {
+        class.priority_weight
     } else if latency_us <= budget_us {
-        class.worth * class.late_worth
+        class.priority_weight * class.late_value
     } else {
         0.0
     }
@@ -215,18 +215,18 @@
     violation.rule == Rule::Answered && violation.what.contains("never")
 }
 
-fn is_load_request(seen: &Seen) -> bool {
-    matches!(seen, Seen::LoadRequested { copies, .. } if *copies > 0)
+fn is_load_request(event: &TraceEvent) -> bool {
+    matches!(event, TraceEvent::LoadRequested { copies, .. } if *copies > 0)
 }
 
-fn is_fetch(seen: &Seen) -> bool {
-    matches!(seen, Seen::Fetched { .. })
+fn is_fetch(event: &TraceEvent) -> bool {
+    matches!(event, TraceEvent::Fetched { .. })
 }
 
 /// Counts events, in a window if one is given.
-fn count_events(record: &RunRecord, window: Option<ClockWindow>, is_counted: fn(&Seen) -> bool) -> u64 {
+fn count_events(record: &RunRecord, window: Option<ClockWindow>, is_counted: fn(&TraceEvent) -> bool) -> u64 {
     let is_in_window = |at_us| window.is_none_or(|window| window.contains(at_us));
-    let counted = record.lines.iter().filter(|line| is_in_window(line.at_us) && is_counted(&line.seen));
+    let counted = record.lines.iter().filter(|line| is_in_window(line.at_us) && is_counted(&line.event));
     counted.count() as u64
 }
 
@@ -237,8 +237,10 @@
     };
     let mut runs: BTreeMap<&str, u64> = BTreeMap::new();
     for line in &record.lines {
-        match &line.seen {
-            Seen::Ran { call, class, .. } if is_non_idempotent(class) => *runs.entry(call).or_default() += 1,
+        match &line.event {
+            TraceEvent::Ran { call, class, .. } if is_non_idempotent(class) => {
+                *runs.entry(call).or_default() += 1
+            }
             _ => {}
         }
     }
--- a/crates/gateway/src/chaos_test/runner/mod.rs
+++ b/crates/gateway/src/chaos_test/runner/mod.rs
@@ -201,7 +201,7 @@
 }
 
 fn class_requirements(site: &Site) -> Vec<ClassRequirements> {
-    let classes = site.classes.iter().zip(&site.engine.module.classes);
+    let classes = site.classes.iter().zip(&site.engine.balancer.classes);
     let requirements = classes.map(|(name, class)| ClassRequirements {
         name: name.clone(),
         is_keyed: class.effect != slatevalve::Effect::Safe,
--- a/crates/gateway/src/chaos_test/runner/steps.rs
+++ b/crates/gateway/src/chaos_test/runner/steps.rs
@@ -7,7 +7,7 @@
 use crate::chaos_test::ChaosTestError;
 use rustix::process::Signal;
 use slatevalve_test_servers::Driver;
-use slatevalve_trace_checker::trace::Seen;
+use slatevalve_trace_checker::trace::TraceEvent;
 use std::fs;
 
 impl Runner<'_> {
@@ -73,7 +73,7 @@
 
     /// Records in the trace that a gateway was notified of a worker's state.
     fn record_notice(&mut self, gateway: usize, worker: usize) {
-        self.list_trace.record(Seen::StateNotified {
+        self.list_trace.record(TraceEvent::StateNotified {
             worker: format!("worker-{worker}"),
             state: self.workers[worker].state.as_str().into(),
             gateway: self.gateways[gateway].name.clone(),
--- a/crates/gateway/src/chaos_test/runner/terms.rs
+++ b/crates/gateway/src/chaos_test/runner/terms.rs
@@ -8,18 +8,18 @@
 
 impl Runner<'_> {
     pub(super) fn terms(&self, site: &Site) -> Terms {
-        let module = &site.engine.module;
-        let classes = site.classes.iter().zip(&module.classes);
+        let balancer = &site.engine.balancer;
+        let classes = site.classes.iter().zip(&balancer.classes);
         Terms {
             classes: classes.map(|(name, class)| (name.clone(), class_terms(class))).collect(),
             workers: self.worker_terms(),
-            answer_slack_us: module.rules.answer_slack.0,
-            drain_grace_us: module.rules.drain_grace.0,
-            fall_multiple: module.rules.fall_multiple,
-            fall_window_us: module.rules.fall_window.0,
-            ration_window_us: module.loading.ration_window.0,
-            ration_free: module.loading.ration_free,
-            ration_share: module.loading.ration_share,
+            answer_slack_us: balancer.rules.answer_slack.0,
+            drain_grace_us: balancer.rules.drain_grace.0,
+            fall_multiple: balancer.rules.fall_multiple,
+            fall_window_us: balancer.rules.fall_window.0,
+            ration_window_us: balancer.loading.ration_window.0,
+            ration_free: balancer.loading.ration_free,
+            ration_share: balancer.loading.ration_share,
             settings: None,
         }
     }
@@ -33,9 +33,9 @@
 fn class_terms(class: &Class) -> ClassTerms {
     ClassTerms {
         effect: effect_terms(class.effect),
-        aim_us: class.latency_objective.0,
-        worth: class.priority_weight,
-        late_worth: class.late_value,
+        latency_objective_us: class.latency_objective.0,
+        priority_weight: class.priority_weight,
+        late_value: class.late_value,
     }
 }
 
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -1,6 +1,6 @@
 //! The demo: a gateway and three test workers as child processes, a few calls, and commands to try.
 
-use super::Outcome;
+use super::CommandResult;
 use crate::child_processes;
 use serde_json::json;
 use slatevalve_test_servers::{unix_micros, Arrival, ClientPlan, Driver, ServicePlan, WorkerPlan};
@@ -48,7 +48,7 @@
     latency_us: i64,
 }
 
-pub(super) fn demo(seconds: Option<f64>, listen: SocketAddr, json: bool) -> Outcome {
+pub(super) fn demo(seconds: Option<f64>, listen: SocketAddr, json: bool) -> CommandResult {
     let directory = tempfile::tempdir()?;
     let mut workers = Vec::new();
     let mut settings = format!("(gateway (name \"demo\"))\n(mqtt (listen \"{listen}\"))\n{SITE}");
@@ -98,7 +98,7 @@
         work_us: WORK_US,
         connection: 0,
         qos: 1,
-        again: false,
+        republished: false,
     };
     let mut driver = Driver::new(ClientPlan {
         gateways: vec![("demo".into(), address)],
--- a/crates/gateway/src/commands/fleet_test.rs
+++ b/crates/gateway/src/commands/fleet_test.rs
@@ -1,6 +1,6 @@
 //! `slatevalve fleet-test`: many processes of this program under a script of faults, and `slatevalve link`, one link of it.
 
-use super::{say_ready, Outcome};
+use super::{print_ready, CommandResult};
 use clap::Args;
 use serde_json::json;
 use slatevalve_fleet_test::{page, run as run_script, run_link, LinkPlan, Options, Script, TitledReport};
@@ -33,7 +33,7 @@
     json: bool,
 }
 
-pub(super) fn run(arguments: FleetTestArguments) -> Outcome {
+pub(super) fn run(arguments: FleetTestArguments) -> CommandResult {
     let path = &arguments.script;
     let text = fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     let script = Script::parse(&path.display().to_string(), &text)?;
@@ -66,11 +66,11 @@
     Ok(fs::write(path, page(reports, &bands)?)?)
 }
 
-pub(super) fn link(plan: &str) -> Outcome {
+pub(super) fn link(plan: &str) -> CommandResult {
     let plan: LinkPlan = serde_json::from_str(plan)?;
     run_link(plan, |address| {
         // The link works as well where the reader of its output has gone.
-        let _ = say_ready(address);
+        let _ = print_ready(address);
     })?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/gateway/src/commands/gateway.rs
+++ b/crates/gateway/src/commands/gateway.rs
@@ -1,10 +1,10 @@
 //! The sub-commands `run`, `platform` and `check`: the two event loops, and a settings file without starting anything.
 
-use super::{say_ready, CommandResult};
+use super::{print_ready, CommandResult};
 use crate::clock::Clock;
 use crate::platform::{PlatformError, Router};
 use crate::server::GatewayServer;
-use crate::settings::{Agreed, Named, Site};
+use crate::settings::{Named, Site, VersionedSettings};
 use serde_json::json;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -15,14 +15,16 @@
 /// Runs a gateway by a settings file until it is stopped by a signal.
 pub(super) fn run(settings: PathBuf) -> CommandResult {
     let clock = Clock::start();
-    let mut server = match Agreed::read(&settings)? {
-        Some((agreed_by, agreed)) => GatewayServer::agreed(agreed_by, agreed, clock)?,
+    let mut server = match VersionedSettings::read(&settings)? {
+        Some((registry_settings, versioned)) => {
+            GatewayServer::versioned(registry_settings, versioned, clock)?
+        }
         None => {
             let site = Site::load(&settings, &clock, Named::default())?;
             GatewayServer::new(site, Some(settings), clock)?
         }
     };
-    say_ready(server.address())?;
+    print_ready(server.address())?;
     server.run()?;
     Ok(ExitCode::SUCCESS)
 }
@@ -32,7 +34,7 @@
     let file = std::env::var_os(PLATFORM_CONFIG_VARIABLE)
         .ok_or(PlatformError::Variable(PLATFORM_CONFIG_VARIABLE))?;
     let mut router = Router::new(file.into(), Clock::start())?;
-    say_ready(router.address())?;
+    print_ready(router.address())?;
     router.run()?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/gateway/src/commands/members.rs
+++ b/crates/gateway/src/commands/members.rs
@@ -1,7 +1,7 @@
 //! `slatevalve members`: lists the members in the registry, follows their changes, and drains workers.
 
 use super::session::{RegistryArguments, Res, Session};
-use super::Outcome;
+use super::CommandResult;
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
 use slatevalve_registry::wire::{
@@ -50,7 +50,7 @@
 }
 
 /// Runs `slatevalve members`.
-pub(super) fn members(arguments: MembersArguments) -> Outcome {
+pub(super) fn members(arguments: MembersArguments) -> CommandResult {
     let MembersArguments { registry, json, command } = arguments;
     let follow = match command {
         MembersCommand::List | MembersCommand::Watch { .. } => WatchScope::All,
@@ -156,7 +156,7 @@
         let key = Bytes::of(&worker_key(&self.prefix, worker));
         for _ in 0..ATTEMPTS_MAX {
             let found: RangeResponse =
-                self.ask(RANGE, &RangeRequest { key: key.clone(), ..RangeRequest::default() })?;
+                self.request(RANGE, &RangeRequest { key: key.clone(), ..RangeRequest::default() })?;
             let Some(KeyValue { value, mod_revision, lease, .. }) = found.kvs.into_iter().next() else {
                 return Err(format!("there is no worker {worker} in the registry").into());
             };
@@ -169,7 +169,7 @@
                 compare: vec![Compare::unchanged(key.clone(), mod_revision)],
                 success: vec![RequestOp { request_put: Some(put), request_delete_range: None }],
             };
-            let response: PlainResponse = self.ask(TXN, &request)?;
+            let response: PlainResponse = self.request(TXN, &request)?;
             if response.succeeded {
                 let revision = response.header.revision;
                 let row = json!({"worker": worker, "record": record, "revision": revision});
--- a/crates/gateway/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -27,8 +27,6 @@
 
 /// What a command ends with: its exit code, or an error that is printed.
 type CommandResult = Result<ExitCode, Box<dyn Error>>;
-/// Earlier name, until all commands use the new one.
-type Outcome = CommandResult;
 
 /// A gateway that runs calls on workers which keep only some of many functions loaded.
 ///
@@ -223,7 +221,7 @@
 }
 
 /// Prints the line that says that clients can connect, which scripts wait for.
-fn say_ready(address: SocketAddr) -> io::Result<()> {
+fn print_ready(address: SocketAddr) -> io::Result<()> {
     let mut out = io::stdout().lock();
     writeln!(out, "ready {address}")?;
     out.flush()
--- a/crates/gateway/src/commands/plugin/registry.rs
+++ b/crates/gateway/src/commands/plugin/registry.rs
@@ -57,6 +57,6 @@
     driven?;
     let pushed = push.result().ok_or("the push ended early")?;
     Ok(
-        json!({"name": name, "version": version, "image": pushed.image, "bytes": pushed.bytes, "had": pushed.had}),
+        json!({"name": name, "version": version, "image": pushed.image, "bytes": pushed.bytes, "had": pushed.present_bytes}),
     )
 }
--- a/crates/gateway/src/commands/registry.rs
+++ b/crates/gateway/src/commands/registry.rs
@@ -1,7 +1,7 @@
 //! The `registry` sub-command: a registry of plug-ins over a folder.
 
 use super::login::LoginArguments;
-use super::{say_ready, CommandResult};
+use super::{print_ready, CommandResult};
 use clap::Args;
 use slatevalve_blobs::{BlobStore, Disk};
 use slatevalve_oci::{Access, Registry};
@@ -58,7 +58,7 @@
     plan.token = random.iter().map(|b| format!("{b:02x}")).collect();
     run_registry(plan, |address| {
         // Whoever started it may not listen any more; it works all the same.
-        let _ = say_ready(address);
+        let _ = print_ready(address);
     })?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/gateway/src/commands/relay.rs
+++ b/crates/gateway/src/commands/relay.rs
@@ -2,7 +2,7 @@
 
 use super::login::LoginArguments;
 use super::session::resolve;
-use super::{say_ready, Outcome};
+use super::{print_ready, CommandResult};
 use clap::Args;
 use slatevalve_pacing::seed_of;
 use slatevalve_registry::{ClientSettings, Login, RegistrationSettings, WatchScope, WatchSettings};
@@ -47,7 +47,7 @@
 }
 
 /// Runs `slatevalve relay`.
-pub(super) fn relay(arguments: RelayArguments) -> Outcome {
+pub(super) fn relay(arguments: RelayArguments) -> CommandResult {
     let RelayArguments {
         name,
         listen,
@@ -75,8 +75,8 @@
         follow: WatchScope::Workers,
         own: None,
         watch_state: WatchSettings {
-            look_us: micros(liveness_interval_ms.max(1)),
-            silence_us: micros(stale_after_ms),
+            liveness_interval_us: micros(liveness_interval_ms.max(1)),
+            stale_after_us: micros(stale_after_ms),
             ..defaults
         },
         registration: RegistrationSettings { ttl_s: LEASE_TTL_S },
@@ -85,7 +85,7 @@
             ..slatevalve_pacing::Limits::default()
         },
         // Relays are few; routers send their requests to the relays.
-        askers: 1,
+        clients: 1,
         drain_within_us: DRAIN_WITHIN_US,
         timeout_us: REQUEST_TIMEOUT_US,
         seed: seed_of(1, &name),
@@ -93,7 +93,7 @@
     let limits = Limits { peers: connections, ..Limits::default() };
     run_relay(RelayPlan { name, listen, client, addresses, limits }, |address| {
         // The reader of the output may have exited; the relay runs nevertheless.
-        let _ = say_ready(address);
+        let _ = print_ready(address);
     })?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/gateway/src/commands/session.rs
+++ b/crates/gateway/src/commands/session.rs
@@ -77,7 +77,7 @@
             watch_state: WatchSettings::default(),
             registration: RegistrationSettings { ttl_s: LEASE_TTL_S },
             pace: Limits::default(),
-            askers: 1,
+            clients: 1,
             drain_within_us: DRAIN_WITHIN_US,
             timeout_us: REQUEST_TIMEOUT_US,
             seed: u64::from(std::process::id()),
@@ -122,12 +122,12 @@
     }
 
     /// Sends a request and waits for its response.
-    pub(super) fn ask<T: serde::de::DeserializeOwned>(
+    pub(super) fn request<T: serde::de::DeserializeOwned>(
         &mut self,
         path: &'static str,
         body: &impl serde::Serialize,
     ) -> Res<T> {
-        let ticket = self.link.client_mut().ask(path, body);
+        let ticket = self.link.client_mut().send_request(path, body);
         let body = self.poll_until(|_, events| {
             events.into_iter().find_map(|event| match event {
                 ClientEvent::Answered(answered, response) if answered == ticket => {
--- a/crates/gateway/src/commands/settings/client.rs
+++ b/crates/gateway/src/commands/settings/client.rs
@@ -3,7 +3,7 @@
 use super::error::SettingsError;
 use super::output::{OutputFormat, PendingAcks};
 use crate::commands::session::{RegistryArguments, Res, Session};
-use crate::commands::Outcome;
+use crate::commands::CommandResult;
 use crate::documents::{request, snapshot, DocumentRollout};
 use crate::settings::SharedSettings;
 use serde_json::json;
@@ -85,7 +85,7 @@
             revision,
             ..RangeRequest::default()
         };
-        let response: RangeResponse = self.session.ask(RANGE, &request)?;
+        let response: RangeResponse = self.session.request(RANGE, &request)?;
         Ok(ReadEntries { entries: response.kvs, revision: response.header.revision })
     }
 
@@ -134,7 +134,7 @@
 
     /// Requests a transaction; returns whether it was done.
     fn write(&mut self, txn: &Txn) -> Res<bool> {
-        let response: PlainResponse = self.session.ask(TXN, &request(txn))?;
+        let response: PlainResponse = self.session.request(TXN, &request(txn))?;
         Ok(response.succeeded)
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Drives a change until it is committed, or `wait_s` seconds have passed. With `published`, the change to this document.
-    pub(super) fn drive(&mut self, published: Option<u64>, wait_s: f64) -> Outcome {
+    pub(super) fn drive(&mut self, published: Option<u64>, wait_s: f64) -> CommandResult {
         let deadline = Instant::now() + Duration::from_secs_f64(wait_s.clamp(0.0, MAX_WAIT_S));
         let mut rollout = DocumentRollout::new(self.keys.clone());
         let mut printed: Vec<PendingAck> = Vec::new();
@@ -219,7 +219,7 @@
     }
 
     /// Prints the end of a change. A committed document that is older than the published one means a withdrawal.
-    fn finish(&self, published: Option<u64>, committed: u64) -> Outcome {
+    fn finish(&self, published: Option<u64>, committed: u64) -> CommandResult {
         if published.is_some_and(|number| number > committed) {
             return Err(SettingsError::Withdrawn.into());
         }
--- a/crates/gateway/src/commands/settings/diff.rs
+++ b/crates/gateway/src/commands/settings/diff.rs
@@ -4,14 +4,14 @@
 use super::output::OutputFormat;
 use super::{parse, read_file};
 use crate::commands::session::{RegistryArguments, Res};
-use crate::commands::Outcome;
+use crate::commands::CommandResult;
 use serde_json::{json, Value};
 use slatevalve_config_versioning::{contradictions, Class, Contradiction, Terms};
 use std::path::Path;
 use std::process::ExitCode;
 
 /// Compares two documents, each a file or the number of a published one.
-pub(super) fn diff(registry: RegistryArguments, format: OutputFormat, old: &str, new: &str) -> Outcome {
+pub(super) fn diff(registry: RegistryArguments, format: OutputFormat, old: &str, new: &str) -> CommandResult {
     let needs_registry = [old, new].into_iter().any(|name| published_number(name).is_some());
     let mut client = needs_registry.then(|| SettingsClient::new(registry, format)).transpose()?;
     let old = read_terms(client.as_mut(), old)?;
--- a/crates/gateway/src/commands/settings/mod.rs
+++ b/crates/gateway/src/commands/settings/mod.rs
@@ -10,7 +10,7 @@
 mod output;
 
 use super::session::{RegistryArguments, Res};
-use super::Outcome;
+use super::CommandResult;
 use crate::clock::Clock;
 use crate::settings::{read_text, SharedSettings};
 use clap::{Args, Subcommand};
@@ -99,7 +99,7 @@
 }
 
 /// Runs a `settings` sub-command.
-pub(super) fn settings(arguments: SettingsArguments) -> Outcome {
+pub(super) fn settings(arguments: SettingsArguments) -> CommandResult {
     let SettingsArguments { registry, json, command } = arguments;
     let format = OutputFormat::new(json);
     match command {
@@ -123,7 +123,7 @@
     }
 }
 
-fn check(format: OutputFormat, file: &Path) -> Outcome {
+fn check(format: OutputFormat, file: &Path) -> CommandResult {
     let DocumentFile { text, shared } = read_file(file)?;
     let (classes, routes) = (shared.site.classes.len(), shared.site.front.routes.routes.len());
     let digest = Document::digest_of(&text);
@@ -133,13 +133,13 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn status(mut client: SettingsClient) -> Outcome {
+fn status(mut client: SettingsClient) -> CommandResult {
     let status = output::status(&client.read()?);
     client.format.print(&status, || output::status_text(&status));
     Ok(ExitCode::SUCCESS)
 }
 
-fn history(mut client: SettingsClient) -> Outcome {
+fn history(mut client: SettingsClient) -> CommandResult {
     let documents = client.history()?;
     let rows = documents.iter().map(output::history_row).collect();
     client.format.print(&rows, || {
@@ -150,7 +150,7 @@
 }
 
 /// Withdraws a prepared change; else publishes an older document again.
-fn rollback(mut client: SettingsClient, number: Option<u64>, wait_s: f64) -> Outcome {
+fn rollback(mut client: SettingsClient, number: Option<u64>, wait_s: f64) -> CommandResult {
     let snapshot = client.read()?;
     if let (Some(txn), None) = (snapshot.withdraw(&client.keys), number) {
         client.write_or_fail(&txn)?;
@@ -168,7 +168,7 @@
     client.drive(Some(number), wait_s)
 }
 
-fn revoke_leases(mut client: SettingsClient, name: &str, incarnation: Option<&str>) -> Outcome {
+fn revoke_leases(mut client: SettingsClient, name: &str, incarnation: Option<&str>) -> CommandResult {
     let snapshot = client.read()?;
     let txn = snapshot.revoke_leases(&client.keys, name, incarnation);
     let txn = txn.ok_or_else(|| SettingsError::NoLease(name.into()))?;
--- a/crates/gateway/src/commands/test_servers.rs
+++ b/crates/gateway/src/commands/test_servers.rs
@@ -1,6 +1,6 @@
 //! The sub-commands `worker`, `broker` and `kv`: test servers for trying the gateway out and for chaos tests.
 
-use super::{say_ready, CommandResult};
+use super::{print_ready, CommandResult};
 use clap::Args;
 use slatevalve_test_servers::{
     run_broker, run_kv, run_worker, BrokerPlan, KvPlan, RegisterPlan, ServicePlan, WorkerPlan,
@@ -54,7 +54,7 @@
 
 /// Prints where a test server listens. Whoever started it may have closed its standard output; it serves all the same.
 fn announce(address: SocketAddr) {
-    let _ = say_ready(address);
+    let _ = print_ready(address);
 }
 
 /// Runs a test worker until it is killed.
@@ -87,7 +87,7 @@
         listen: arguments.listen,
         service,
         trace: arguments.trace,
-        refuse_overtaken_us: arguments.refuse_overtaken_ms.map(|ms| i64::from(ms) * 1_000),
+        refuse_superseded_us: arguments.refuse_overtaken_ms.map(|ms| i64::from(ms) * 1_000),
         register,
         ..WorkerPlan::default()
     }
--- a/crates/gateway/src/event_loop/client_connections.rs
+++ b/crates/gateway/src/event_loop/client_connections.rs
@@ -53,14 +53,14 @@
     pub(crate) fn close_gracefully(&mut self, reactor: &mut Reactor, link: Link) {
         if let Some(connection) = self.sockets.remove(&link) {
             self.links.remove(&connection);
-            reactor.finish(connection);
+            reactor.close_gracefully(connection);
         }
     }
 
     /// Like [`ClientConnections::close_gracefully`] for all clients.
     pub(crate) fn close_all_gracefully(&mut self, reactor: &mut Reactor) {
         for (connection, _) in self.links.drain() {
-            reactor.finish(connection);
+            reactor.close_gracefully(connection);
         }
         self.sockets.clear();
     }
--- a/crates/gateway/src/event_loop/listener.rs
+++ b/crates/gateway/src/event_loop/listener.rs
@@ -50,7 +50,7 @@
     pub(crate) fn resume_if_due(&mut self, now: Micros, reactor: &mut Reactor) {
         if self.resume_at.is_some_and(|at| at <= now) {
             self.resume_at = None;
-            reactor.resume(self.id);
+            reactor.resume_accepting(self.id);
         }
     }
 
--- a/crates/gateway/src/event_loop/worker_side.rs
+++ b/crates/gateway/src/event_loop/worker_side.rs
@@ -59,7 +59,7 @@
     /// Passes completed requests to the engine, in order.
     pub(crate) fn report(&mut self, now: Micros, ends: impl IntoIterator<Item = RequestEnd>) {
         for end in ends {
-            self.pool.tell(now, end, self.engine, self.outputs);
+            self.pool.report_completion(now, end, self.engine, self.outputs);
         }
     }
 }
--- a/crates/gateway/src/loop_timer.rs
+++ b/crates/gateway/src/loop_timer.rs
@@ -95,7 +95,7 @@
 fn read_until_idle(reactor: &mut Reactor, events: &mut Vec<ReactorEvent>) -> io::Result<()> {
     for _ in 0..MAX_READS_AFTER_PAUSE {
         let before = events.len();
-        reactor.look(Some(Duration::ZERO), events)?;
+        reactor.poll_without_writing(Some(Duration::ZERO), events)?;
         if events.len() == before {
             break;
         }
--- a/crates/gateway/src/members/mod.rs
+++ b/crates/gateway/src/members/mod.rs
@@ -8,7 +8,7 @@
 
 pub use registry::{MemberSettings, RegistrySource};
 pub use replay::{Recorder, ReplaySource};
-pub use start_times::Starts;
+pub use start_times::WorkerStartTimes;
 
 use serde::{Deserialize, Serialize};
 use slatevalve::Micros;
@@ -19,7 +19,7 @@
 /// An event of the membership. Its JSON form is stored by [`Recorder`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum News {
+pub enum MembershipEvent {
     /// All workers at present.
     Full(BTreeMap<String, WorkerRecord>),
     /// All workers from the snapshot of an earlier process.
@@ -41,9 +41,9 @@
     /// Returns when [`Source::advance`] is due.
     fn next_wake(&self, now: Micros) -> Micros;
     /// Removes and returns the events since the last call.
-    fn take_news(&mut self) -> Vec<News>;
+    fn take_membership_events(&mut self) -> Vec<MembershipEvent>;
     /// Starts an orderly stop: removes this process's own entry.
     fn leave(&mut self, now: Micros, reactor: &mut Reactor);
     /// Returns whether the stop is complete.
-    fn has_left(&self) -> bool;
+    fn is_deregistered(&self) -> bool;
 }
--- a/crates/gateway/src/members/registry.rs
+++ b/crates/gateway/src/members/registry.rs
@@ -1,7 +1,7 @@
 //! The registry as a source of members: the client on the event loop's sockets, its changes as events, the number of routers,
 //! and the snapshot for the next process.
 
-use super::{News, Source};
+use super::{MembershipEvent, Source};
 use crate::remembered_file::RememberedFile;
 use slatevalve::Micros;
 use slatevalve_reactor::{Reactor, ReactorEvent};
@@ -24,7 +24,7 @@
     /// Addresses of the endpoints, in the client's order.
     pub addresses: Vec<SocketAddr>,
     /// Settings of the router count.
-    pub census: RouterCountSettings,
+    pub router_count: RouterCountSettings,
     /// The file of the snapshot for the next process.
     pub remember: Option<PathBuf>,
     /// The file in which events are recorded.
@@ -58,7 +58,7 @@
     router_count: RouterCount,
     /// The number of routers that the registry lists, once it was read.
     listed_routers: Option<usize>,
-    events: Vec<News>,
+    events: Vec<MembershipEvent>,
     reported: Reported,
     snapshot_file: Option<RememberedFile>,
     departure: Departure,
@@ -74,7 +74,7 @@
         let mut source = RegistrySource {
             link: Link::new(client, settings.addresses),
             members,
-            router_count: RouterCount::new(settings.census, routers),
+            router_count: RouterCount::new(settings.router_count, routers),
             listed_routers: None,
             events: Vec::new(),
             reported: Reported::Nothing,
@@ -82,7 +82,7 @@
             departure: Departure::Running,
         };
         if let Some(path) = settings.remember {
-            source.load_snapshot(&path, settings.census);
+            source.load_snapshot(&path, settings.router_count);
             source.snapshot_file = Some(RememberedFile::open(path, "list"));
         }
         source
@@ -112,12 +112,12 @@
         let AppliedChanges { errors, .. } = self.members.apply(changes);
         errors.iter().for_each(|error| warn!(%error, "a record is not taken"));
         info!(workers = self.members.workers().len(), "the last list of workers, from the disk");
-        self.events.push(News::Remembered(self.members.workers().clone()));
+        self.events.push(MembershipEvent::Remembered(self.members.workers().clone()));
     }
 
     fn report_routers(&mut self, routers: usize) {
-        self.link.client_mut().askers(routers);
-        self.events.push(News::Routers(routers));
+        self.link.client_mut().set_clients(routers);
+        self.events.push(MembershipEvent::Routers(routers));
     }
 
     /// Turns the client's events into events of the source, and saves a snapshot after a change.
@@ -165,7 +165,7 @@
         });
         let workers: Vec<_> = workers.collect();
         if !workers.is_empty() {
-            self.events.push(News::Changes(workers));
+            self.events.push(MembershipEvent::Changes(workers));
         }
     }
 
@@ -173,12 +173,12 @@
         match freshness {
             Freshness::Current if self.reported != Reported::Current => {
                 self.reported = Reported::Current;
-                self.events.push(News::Full(self.members.workers().clone()));
+                self.events.push(MembershipEvent::Full(self.members.workers().clone()));
             }
             Freshness::Stale if self.reported != Reported::Stale => {
                 self.reported = Reported::Stale;
                 error!("nothing is heard of the registry; the workers that were known are used on");
-                self.events.push(News::Refused);
+                self.events.push(MembershipEvent::Refused);
             }
             _ => {}
         }
@@ -221,7 +221,7 @@
         Micros(due_us.max(now.0))
     }
 
-    fn take_news(&mut self) -> Vec<News> {
+    fn take_membership_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.events)
     }
 
@@ -233,7 +233,7 @@
         self.link.advance(now.0, reactor);
     }
 
-    fn has_left(&self) -> bool {
+    fn is_deregistered(&self) -> bool {
         self.departure == Departure::Done
     }
 }
--- a/crates/gateway/src/members/replay.rs
+++ b/crates/gateway/src/members/replay.rs
@@ -1,6 +1,6 @@
 //! A recorded source: each event as a line of JSON with its time, written by a running gateway and replayed by another one.
 
-use super::{News, Source};
+use super::{MembershipEvent, Source};
 use serde::{Deserialize, Serialize};
 use slatevalve::Micros;
 use slatevalve_reactor::{Reactor, ReactorEvent};
@@ -15,7 +15,7 @@
     /// Microseconds since the first line.
     at_us: i64,
     #[serde(rename = "news")]
-    event: News,
+    event: MembershipEvent,
 }
 
 /// Writes events to a file.
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// When the file cannot be written.
-    pub fn note(&mut self, now: Micros, event: &News) -> io::Result<()> {
+    pub fn note(&mut self, now: Micros, event: &MembershipEvent) -> io::Result<()> {
         let started = *self.started.get_or_insert(now);
         let line = RecordedEvent { at_us: now.0 - started.0, event: event.clone() };
         writeln!(self.file, "{}", serde_json::to_string(&line).map_err(io::Error::other)?)
@@ -51,7 +51,7 @@
     /// When the replay started.
     started: Option<Micros>,
     recorded: VecDeque<RecordedEvent>,
-    due: Vec<News>,
+    due: Vec<MembershipEvent>,
 }
 
 impl ReplaySource {
@@ -89,13 +89,13 @@
         Micros(due_us.max(now.0))
     }
 
-    fn take_news(&mut self) -> Vec<News> {
+    fn take_membership_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.due)
     }
 
     fn leave(&mut self, _: Micros, _: &mut Reactor) {}
 
-    fn has_left(&self) -> bool {
+    fn is_deregistered(&self) -> bool {
         true
     }
 }
--- a/crates/gateway/src/members/start_times.rs
+++ b/crates/gateway/src/members/start_times.rs
@@ -15,11 +15,11 @@
 
 /// The last start time of each worker; see the module's documentation.
 #[derive(Debug, Default)]
-pub struct Starts {
+pub struct WorkerStartTimes {
     known: HashMap<WorkerId, KnownStart>,
 }
 
-impl Starts {
+impl WorkerStartTimes {
     /// Returns the start time of a worker that reports a Unix time in milliseconds, which is `converted` by this process's
     /// clock. The same report gives the same time again; another one is a new process, which started later than the one
     /// before and not later than now.
--- a/crates/gateway/src/members/start_times/tests.rs
+++ b/crates/gateway/src/members/start_times/tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_clock_that_is_ahead_makes_no_worker_cold_for_longer_than_it_is() {
-    let mut starts = Starts::default();
+    let mut starts = WorkerStartTimes::default();
     let hour_ahead = Micros(10_000_000 + 3_600_000_000);
     assert_eq!(starts.resolve(Micros(10_000_000), WORKER, 5.0, hour_ahead), Micros(10_000_000));
     // Told again later, such as with a drain: the same process.
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_restart_is_one_also_where_the_clock_was_set_back() {
-    let mut starts = Starts::default();
+    let mut starts = WorkerStartTimes::default();
     let first = starts.resolve(Micros(50), WORKER, 5.0, Micros(40));
     let second = starts.resolve(Micros(100), WORKER, 3.0, Micros(10));
     assert!(second > first && second <= Micros(100));
--- a/crates/gateway/src/platform/change_log.rs
+++ b/crates/gateway/src/platform/change_log.rs
@@ -2,7 +2,7 @@
 
 use super::{Router, MAX_UNUSABLE_LOGGED};
 use slatevalve::{Micros, WorkerId, WorkerState};
-use slatevalve_platform::changes::{Change, Wanted};
+use slatevalve_platform::changes::{Change, ChangeLogOutput};
 use slatevalve_reactor::ReactorEvent;
 use tracing::{debug, warn};
 
@@ -46,24 +46,24 @@
         self.drain_outputs(now);
     }
 
-    fn execute_log(&mut self, now: Micros, output: Wanted) {
+    fn execute_log(&mut self, now: Micros, output: ChangeLogOutput) {
         match output {
-            Wanted::Connect(address) => match self.reactor.connect(address) {
+            ChangeLogOutput::Connect(address) => match self.reactor.connect(address) {
                 Ok(id) => self.log_connection = Some(id),
                 Err(_) => self.watch_state.closed(now, &mut self.log_outputs),
             },
-            Wanted::Write(bytes) => {
+            ChangeLogOutput::Write(bytes) => {
                 if let Some(id) = self.log_connection {
                     self.reactor.write(id, &bytes);
                 }
             }
-            Wanted::Close => {
+            ChangeLogOutput::Close => {
                 if let Some(id) = self.log_connection.take() {
                     self.reactor.close(id);
                 }
             }
-            Wanted::Change(change) => self.apply_change(now, change),
-            Wanted::Unread(error) => {
+            ChangeLogOutput::Change(change) => self.apply_change(now, change),
+            ChangeLogOutput::Malformed(error) => {
                 self.unusable += 1;
                 if self.unusable <= MAX_UNUSABLE_LOGGED {
                     warn!(%error, "invalid response, or line of one, from the change log");
@@ -77,7 +77,7 @@
         let AffectedWorkers { removed, not_accepting } = self.update_workers(&change);
         debug!(now = now.0, seq = self.watch_state.seq(), ?change, "change");
         // The engine first: it decides about cancelled requests anew, with the drain known.
-        self.engine.listed(now, change.listing(), &mut self.to_engine);
+        self.engine.workers_listed(now, change.listing(), &mut self.to_engine);
         self.worker_side().cancel_unsent(now, not_accepting);
         for worker in removed {
             self.pool.unlist(&mut self.reactor, worker);
--- a/crates/gateway/src/platform/mod.rs
+++ b/crates/gateway/src/platform/mod.rs
@@ -26,7 +26,7 @@
 use shutdown::{ClientInput, Shutdown};
 use slatevalve::{Micros, WorkerId, WorkerState};
 use slatevalve_engine::{Engine, Output};
-use slatevalve_platform::changes::{Follower, Wanted};
+use slatevalve_platform::changes::{ChangeLogClient, ChangeLogOutput};
 use slatevalve_platform::front::{Front, FrontOutput, LinkId};
 use slatevalve_reactor::{Id, Reactor};
 use std::collections::HashMap;
@@ -48,7 +48,7 @@
     engine: Engine,
     front: Front,
     pool: Pool,
-    watch_state: Follower,
+    watch_state: ChangeLogClient,
     log_connection: Option<Id>,
     listener: Listener,
     clients: ClientConnections<LinkId>,
@@ -63,7 +63,7 @@
     unusable: u64,
     to_engine: Vec<Output>,
     to_front: Vec<FrontOutput>,
-    log_outputs: Vec<Wanted>,
+    log_outputs: Vec<ChangeLogOutput>,
 }
 
 impl Router {
--- a/crates/gateway/src/platform/outputs.rs
+++ b/crates/gateway/src/platform/outputs.rs
@@ -24,7 +24,7 @@
             FrontOutput::Write(link, bytes) => self.clients.write(&mut self.reactor, link, &bytes),
             FrontOutput::Finish(link) => self.clients.close_gracefully(&mut self.reactor, link),
             FrontOutput::Call(call) => self.submit_call(now, *call),
-            FrontOutput::Left(ticket) => {
+            FrontOutput::ClientDisconnected(ticket) => {
                 debug!(now = now.0, ticket = ticket.0, "client disconnected");
                 self.engine.client_disconnected(now, ticket, &mut self.to_engine);
             }
@@ -62,7 +62,7 @@
         debug!(
             now = now.0,
             ticket = ticket.0,
-            outcome = answer.verdict.word(),
+            outcome = answer.verdict.as_str(),
             reason = ?answer.verdict.reason(),
             attempts = answer.attempts,
             "answer"
--- a/crates/gateway/src/platform/startup.rs
+++ b/crates/gateway/src/platform/startup.rs
@@ -9,10 +9,10 @@
 use crate::settings::PoolSettings;
 use slatevalve::{Micros, Settings};
 use slatevalve_engine::{Engine, EngineSettings, FunctionTraits};
-use slatevalve_platform::changes::{Follower, EventBatch};
+use slatevalve_platform::changes::{ChangeLogClient, EventBatch};
 use slatevalve_platform::config::Config;
 use slatevalve_platform::front::{Front, FrontSettings, LinkId};
-use slatevalve_platform::workers::Lines;
+use slatevalve_platform::workers::LineProtocol;
 use slatevalve_reactor::{Reactor, MAX_LINGERING};
 use slatevalve_site_config::{ConnectionSettings, SiteConfig};
 use std::collections::HashMap;
@@ -107,7 +107,7 @@
 
     /// Applies the events that the configuration holds.
     fn apply_known(&mut self, now: Micros, known: EventBatch) {
-        for error in known.unread {
+        for error in known.malformed {
             warn!(%error, "invalid event in the configuration");
         }
         for change in known.changes {
@@ -117,15 +117,19 @@
     }
 }
 
-fn new_watch_state(config: &Config, file: &Path, clock: Clock) -> Result<(Follower, EventBatch), PlatformError> {
+fn new_watch_state(
+    config: &Config,
+    file: &Path,
+    clock: Clock,
+) -> Result<(ChangeLogClient, EventBatch), PlatformError> {
     let at_unix_ms = Box::new(move |millis| clock.at_unix_ms(millis));
-    Follower::new(config.site.names.clone(), at_unix_ms, config.changelog, &config.known, config.seed)
+    ChangeLogClient::new(config.site.names.clone(), at_unix_ms, config.changelog, &config.known, config.seed)
         .map_err(|error| PlatformError::Known(file.into(), error))
 }
 
-fn engine_settings(module: Settings, seed: u64) -> EngineSettings {
+fn engine_settings(balancer: Settings, seed: u64) -> EngineSettings {
     EngineSettings {
-        module,
+        balancer,
         seed,
         classes: Vec::new(),
         key_spaces: Vec::new(),
@@ -133,8 +137,8 @@
         other_functions: FunctionTraits::default(),
         duplicates: None,
         margin: ANSWER_MARGIN,
-        max_open: usize::MAX,
-        max_functions: MAX_FUNCTIONS,
+        max_open_calls: usize::MAX,
+        max_function_names: MAX_FUNCTIONS,
     }
 }
 
@@ -144,7 +148,7 @@
 }
 
 fn new_pool(site: &SiteConfig, connections: usize) -> Pool {
-    let ConnectionSettings { connect_timeout, idle, streams } = site.connections;
+    let ConnectionSettings { connect_timeout, idle, max_streams } = site.connections;
     let settings = PoolSettings {
         connect_timeout,
         idle: Micros(idle.0 * IDLE_PERCENT / 100),
@@ -152,6 +156,6 @@
         total: connections,
         probe_timeout: connect_timeout,
     };
-    let protocol = Lines { streams, tells_crowd: site.names.queue_depth };
+    let protocol = LineProtocol { max_streams, reports_queue_depth: site.names.queue_depth };
     Pool::new(settings, Box::new(protocol), site.settings.loading.order_timeout)
 }
--- a/crates/gateway/src/plugins/background.rs
+++ b/crates/gateway/src/plugins/background.rs
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct Task {
     /// Who wants its end.
-    pub asker: Requester,
+    pub requester: Requester,
     /// What is to be done.
     pub command: Command,
     /// Content that must stay whatever the catalogue says: calls that are open need it.
@@ -55,13 +55,13 @@
 
 /// An event of the background worker.
 #[derive(Debug)]
-pub enum Told {
+pub enum BackgroundEvent {
     /// A task is at work: bytes or blobs done, and of how many.
     Progress(Requester, u64, u64),
     /// A task ended. Where the folder may have changed, the catalogue as it stands now.
     Ended {
         /// Who wanted it.
-        asker: Requester,
+        requester: Requester,
         /// What it was.
         command: Command,
         /// What came of it.
@@ -84,7 +84,7 @@
 /// The event loop's handle of the thread; dropping it stops the thread and waits for its end.
 pub struct BackgroundWorker {
     tasks: Option<SyncSender<Box<Task>>>,
-    told: Receiver<Told>,
+    told: Receiver<BackgroundEvent>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
@@ -123,7 +123,7 @@
     }
 
     /// Events since the last call.
-    pub fn told(&self) -> Vec<Told> {
+    pub fn told(&self) -> Vec<BackgroundEvent> {
         self.told.try_iter().collect()
     }
 }
@@ -165,7 +165,7 @@
     folder: PluginFolder,
     settings: BackgroundWorkerSettings,
     stop: Arc<AtomicBool>,
-    tell: mpsc::Sender<Told>,
+    tell: mpsc::Sender<BackgroundEvent>,
     waker: Waker,
     /// Blobs still to be verified in this round.
     scrub: VecDeque<ScrubItem>,
@@ -184,14 +184,14 @@
         }
     }
 
-    fn notify(&self, event: Told) {
+    fn notify(&self, event: BackgroundEvent) {
         if self.tell.send(event).is_ok() {
             self.waker.wake();
         }
     }
 
     fn execute(&mut self, task: Task) {
-        let Task { asker, command, keep } = task;
+        let Task { requester, command, keep } = task;
         let (tell, waker) = (self.tell.clone(), &self.waker);
         let mut last = 0;
         let mut progress = |(done, of): (u64, u64)| {
@@ -199,7 +199,7 @@
             let hundredth = done.saturating_mul(100).checked_div(of).unwrap_or(0);
             if hundredth > last {
                 last = hundredth;
-                let _ = tell.send(Told::Progress(asker, done, of));
+                let _ = tell.send(BackgroundEvent::Progress(requester, done, of));
                 waker.wake();
             }
         };
@@ -217,7 +217,7 @@
             }
         };
         let catalogue = command.changes().then(|| self.folder.catalogue().map(Box::new));
-        self.notify(Told::Ended { asker, command, outcome, catalogue });
+        self.notify(BackgroundEvent::Ended { requester, command, outcome, catalogue });
     }
 
     /// Verifies one blob; returns the pause before the next, by the stated rate.
@@ -253,6 +253,6 @@
         let command = Command::Quarantine { reference: version, reason: reason.into() };
         let outcome = changed.map(|()| Value::Null).map_err(CommandError::from);
         let catalogue = Some(self.folder.catalogue().map(Box::new));
-        self.notify(Told::Ended { asker: Requester::Scrub, command, outcome, catalogue });
+        self.notify(BackgroundEvent::Ended { requester: Requester::Scrub, command, outcome, catalogue });
     }
 }
--- a/crates/gateway/src/plugins/command.rs
+++ b/crates/gateway/src/plugins/command.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use slatevalve_oci::{Pull, PullError, PullSettings, Pulling};
+use slatevalve_oci::{Pull, PullError, PullJob, PullSettings};
 use slatevalve_plugins::{Catalogue, Digest, Reference, Signature, VersionState, CURRENT};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -235,11 +235,13 @@
     let settings = context.registry.ok_or(CommandError::NoRegistry)?.clone();
     let failed = |error| CommandError::Pull(link::LinkError::Job(error));
     let pull = Pull::new(context.clock.now().0, settings, name, version).map_err(failed)?;
-    let mut job = Pulling { pull, store: &mut folder.store };
+    let mut job = PullJob { pull, store: &mut folder.store };
     let driven = link::drive(&mut job, context.clock, context.stop, &mut *context.progress);
-    let begun = job.pull.begun();
+    let checked_manifest = job.pull.checked_manifest();
     if let Err(error) = driven {
-        if let (link::LinkError::Job(PullError::Corrupt(..)), Some((manifest, digest))) = (&error, begun) {
+        if let (link::LinkError::Job(PullError::Corrupt(..)), Some((manifest, digest))) =
+            (&error, checked_manifest)
+        {
             let reason = error.to_string();
             folder.change(|catalogue, _| {
                 catalogue.publish(manifest, digest)?;
@@ -250,10 +252,10 @@
         return Err(CommandError::Pull(error));
     }
     let pulled = job.pull.result().ok_or(CommandError::Pull(link::LinkError::Stopped))?;
-    let (bytes, had, requests) = (pulled.bytes, pulled.had, pulled.requests);
+    let (bytes, present_bytes, requests) = (pulled.bytes, pulled.present_bytes, pulled.requests);
     let (version, digest) = (pulled.manifest.version.clone(), pulled.digest);
     folder.take_pulled(pulled)?;
     Ok(
-        json!({"name": name, "version": version, "digest": digest, "bytes": bytes, "had": had, "requests": requests}),
+        json!({"name": name, "version": version, "digest": digest, "bytes": bytes, "had": present_bytes, "requests": requests}),
     )
 }
--- a/crates/gateway/src/plugins/link.rs
+++ b/crates/gateway/src/plugins/link.rs
@@ -2,8 +2,8 @@
 //! Called by the `plugin` commands and by a running gateway's background worker, never by the gateway's own event loop.
 
 use crate::clock::Clock;
-use slatevalve_http::{Limits, Part, PartReader, Side};
-use slatevalve_oci::{Broke, Job, Next, Request};
+use slatevalve_http::{Limits, MessageDecoder, MessageEvent, Side};
+use slatevalve_oci::{AttemptFailure, Job, Next, Request};
 use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use std::fmt;
 use std::io;
@@ -52,7 +52,7 @@
     host: String,
     port: u16,
     connected: bool,
-    reader: PartReader,
+    reader: MessageDecoder,
     /// Whether an answer is still to come or to be read.
     busy: bool,
     /// Whether the peer closes it after this answer.
@@ -137,7 +137,7 @@
                 .and_then(|mut found| found.next());
             let Some(id) = address.and_then(|address| self.reactor.connect(address).ok()) else {
                 let now = self.now();
-                return self.job.broke(now, Broke::Connect).map_err(LinkError::Job);
+                return self.job.attempt_failed(now, AttemptFailure::Connect).map_err(LinkError::Job);
             };
             // How much of a body is taken the job decides.
             let limits = Limits { body: usize::MAX, ..Limits::default() };
@@ -146,7 +146,7 @@
                 host: request.host,
                 port: request.port,
                 connected: false,
-                reader: PartReader::new(Side::Response, limits),
+                reader: MessageDecoder::new(Side::Response, limits),
                 busy: false,
                 last: false,
                 unsent: Vec::new(),
@@ -168,8 +168,8 @@
     fn stalled(&mut self, now: i64) -> Result<(), LinkError<J::Error>> {
         let connected = self.connection.as_ref().is_some_and(|open| open.connected);
         self.close();
-        let broke = if connected { Broke::Stalled } else { Broke::Connect };
-        self.job.broke(now, broke).map_err(LinkError::Job)
+        let attempt_failed = if connected { AttemptFailure::Stalled } else { AttemptFailure::Connect };
+        self.job.attempt_failed(now, attempt_failed).map_err(LinkError::Job)
     }
 
     fn handle_event(&mut self, event: ReactorEvent) -> Result<(), J::Error> {
@@ -189,9 +189,9 @@
                 self.connection = None;
                 match (busy, ended) {
                     (false, _) => Ok(()),
-                    (true, Ok(true)) => self.job.part(now, Part::End),
-                    (true, _) if connected => self.job.broke(now, Broke::Cut),
-                    (true, _) => self.job.broke(now, Broke::Connect),
+                    (true, Ok(true)) => self.job.response_event(now, MessageEvent::End),
+                    (true, _) if connected => self.job.attempt_failed(now, AttemptFailure::Cut),
+                    (true, _) => self.job.attempt_failed(now, AttemptFailure::Connect),
                 }
             }
             _ => Ok(()),
@@ -202,15 +202,15 @@
         let Some(connection) = &mut self.connection else { return Ok(()) };
         let mut parts = Vec::new();
         let fed = connection.reader.feed(bytes, &mut parts);
-        for part in parts {
+        for response_event in parts {
             let Some(connection) = self.connection.as_mut().filter(|open| open.busy) else { break };
-            match &part {
-                Part::Head(head) => connection.last = head.last,
-                Part::End => connection.busy = false,
-                Part::Body(_) => {}
+            match &response_event {
+                MessageEvent::Head(head) => connection.last = head.last,
+                MessageEvent::End => connection.busy = false,
+                MessageEvent::Body(_) => {}
             }
-            let whole = part == Part::End;
-            self.job.part(now, part)?;
+            let whole = response_event == MessageEvent::End;
+            self.job.response_event(now, response_event)?;
             // It wants something else now: what this answer still brings is nobody's.
             if !whole && !self.job.is_receiving() {
                 self.close();
@@ -221,7 +221,7 @@
             let busy = self.connection.as_ref().is_some_and(|open| open.busy);
             self.close();
             if busy {
-                return self.job.broke(now, Broke::Garbage);
+                return self.job.attempt_failed(now, AttemptFailure::MalformedResponse);
             }
         }
         Ok(())
--- a/crates/gateway/src/server/admin.rs
+++ b/crates/gateway/src/server/admin.rs
@@ -59,7 +59,7 @@
     pub(super) fn accepted(&mut self, reactor: &mut Reactor, connection: Id) {
         if self.connections.len() >= MAX_CONNECTIONS {
             reactor.write(connection, b"{\"error\":\"too many are connected to the admin socket\"}\n");
-            return reactor.finish(connection);
+            return reactor.close_gracefully(connection);
         }
         self.connections.insert(connection, Connection::default());
     }
@@ -96,7 +96,7 @@
         };
         let body = json!({ "error": problem });
         self.reply(reactor, &AdminReply { connection, body, kind: ReplyKind::Progress });
-        reactor.finish(connection);
+        reactor.close_gracefully(connection);
         None
     }
 
--- a/crates/gateway/src/server/bridge.rs
+++ b/crates/gateway/src/server/bridge.rs
@@ -52,7 +52,7 @@
             }
             BridgeOutput::Finish => {
                 if let Some(id) = self.connection.take() {
-                    reactor.finish(id);
+                    reactor.close_gracefully(id);
                 }
             }
             BridgeOutput::Call(call) => return Some(call),
--- a/crates/gateway/src/server/config_versioning/integration.rs
+++ b/crates/gateway/src/server/config_versioning/integration.rs
@@ -1,9 +1,9 @@
 //! Config versioning in the event loop: the start by documents, suspension of calls without a lease, other settings.
 
-use super::Agreement;
+use super::ConfigVersioning;
 use crate::clock::Clock;
-use crate::server::{GatewayError, GatewayServer, MAX_BUFFERED};
-use crate::settings::{Agreed, AgreedSettings, Site};
+use crate::server::{GatewayError, GatewayServer, MAX_BUFFERED_BYTES};
+use crate::settings::{DocumentRegistrySettings, Site, VersionedSettings};
 use slatevalve::{Micros, Scope};
 use slatevalve_config_versioning::SendPermission;
 use slatevalve_reactor::Reactor;
@@ -14,24 +14,28 @@
     ///
     /// # Errors
     /// As [`GatewayServer::new`], and if the incarnation file cannot be used.
-    pub fn agreed(settings: AgreedSettings, agreed: Agreed, clock: Clock) -> Result<Self, GatewayError> {
+    pub fn versioned(
+        settings: DocumentRegistrySettings,
+        versioned: VersionedSettings,
+        clock: Clock,
+    ) -> Result<Self, GatewayError> {
         let incarnation_file = settings.incarnation_file.clone().unwrap_or_default();
-        let mut agreement =
-            Agreement::new(settings, agreed).map_err(|e| GatewayError::Record(incarnation_file, e))?;
-        let mut reactor = Reactor::new(MAX_BUFFERED).map_err(GatewayError::Loop)?;
-        let site = agreement.first_site(&clock, &mut reactor).map_err(GatewayError::Loop)?;
-        let mut server = GatewayServer::with(site, None, clock, reactor)?;
-        server.agreement = Some(agreement);
+        let mut config_versioning = ConfigVersioning::new(settings, versioned)
+            .map_err(|e| GatewayError::Record(incarnation_file, e))?;
+        let mut reactor = Reactor::new(MAX_BUFFERED_BYTES).map_err(GatewayError::Loop)?;
+        let site = config_versioning.first_site(&clock, &mut reactor).map_err(GatewayError::Loop)?;
+        let mut server = GatewayServer::with_reactor(site, None, clock, reactor)?;
+        server.config_versioning = Some(config_versioning);
         Ok(server)
     }
 
     /// Before an iteration writes: applies the permission to send. Without a lease, requests that may not be sent any more and
     /// of which no byte has left are cancelled.
-    pub(in crate::server) fn look_at_right(&mut self) {
+    pub(in crate::server) fn apply_send_permission(&mut self) {
         let now = self.clock.now();
-        let Some(agreement) = &mut self.agreement else { return };
-        let permission = agreement.current_permission(now);
-        if permission == std::mem::replace(&mut agreement.send_permission, permission) {
+        let Some(config_versioning) = &mut self.config_versioning else { return };
+        let permission = config_versioning.current_permission(now);
+        if permission == std::mem::replace(&mut config_versioning.send_permission, permission) {
             return;
         }
         self.engine.suspend_non_idempotent(permission != SendPermission::All);
@@ -45,16 +49,16 @@
             .pool
             .cancel_unsent_where(now, &mut self.reactor, |attempt| engine.is_suspended(attempt.request));
         for end in cancelled {
-            self.ended(now, end);
+            self.report_completion(now, end);
         }
         self.drain_outputs(now);
     }
 
     /// Advances config versioning in a loop iteration, and acts by other settings if there are any.
-    pub(in crate::server) fn agree(&mut self, now: Micros) {
-        let Some(agreement) = &mut self.agreement else { return };
+    pub(in crate::server) fn advance_config_versioning(&mut self, now: Micros) {
+        let Some(config_versioning) = &mut self.config_versioning else { return };
         let open_classes = || self.engine.open_classes();
-        if let Some(site) = agreement.advance(now, &mut self.reactor, open_classes, &self.clock) {
+        if let Some(site) = config_versioning.advance(now, &mut self.reactor, open_classes, &self.clock) {
             self.act_by(site);
         }
     }
@@ -62,8 +66,8 @@
     /// Replaces the settings. What a gateway takes over at its start only stays, and so does the number of routers, which has
     /// a source of its own.
     fn act_by(&mut self, mut site: Site) {
-        self.front.take_routes(site.front.routes.clone(), site.front.documents.clone());
-        self.pool.sends_by(&site.documents);
+        self.front.set_routes(site.front.routes.clone(), site.front.documents.clone());
+        self.pool.set_document_versions(&site.documents);
         self.engine.update_settings(site.engine.clone());
         site.listen = self.site.listen;
         let workers = self.source.is_none().then(|| site.workers.clone());
@@ -72,7 +76,7 @@
         }
         self.site = site;
         if let Some(workers) = workers {
-            self.take_list(Scope::Full, &workers);
+            self.apply_worker_list(Scope::Full, &workers);
         }
     }
 }
--- a/crates/gateway/src/server/config_versioning/mod.rs
+++ b/crates/gateway/src/server/config_versioning/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Invariants: a state is acknowledged only after the router acts by it, and nothing non-idempotent or keyed is written after
 //! the lease has ended. The decisions are made elsewhere: [`LeaseHolder`] decides what may be sent and what is requested,
-//! [`Agreed`] what a document means here. Called by the event loop once an iteration, and at the start before clients can
+//! [`VersionedSettings`] what a document means here. Called by the event loop once an iteration, and at the start before clients can
 //! connect.
 
 mod incarnation;
@@ -14,7 +14,7 @@
 use crate::clock::Clock;
 use crate::documents::DocumentRollout;
 use crate::remembered_file::RememberedFile;
-use crate::settings::{Agreed, AgreedSettings, Site};
+use crate::settings::{DocumentRegistrySettings, Site, VersionedSettings};
 use incarnation::IncarnationFile;
 use requests::{RegistryRequests, RequestPurpose};
 use slatevalve::{ClassId, Micros};
@@ -38,12 +38,12 @@
 const STARTUP_POLL_US: i64 = 100_000;
 
 /// Config versioning in one gateway; see the module's documentation.
-pub(crate) struct Agreement {
+pub(crate) struct ConfigVersioning {
     requests: RegistryRequests,
     keys: Keys,
     own_key: String,
     lease_holder: LeaseHolder,
-    versioned_settings: Agreed,
+    versioned_settings: VersionedSettings,
     /// Documents of the active settings and of a state that is about to be adopted.
     documents: BTreeMap<u64, Document>,
     /// The active settings, written for the next start.
@@ -65,13 +65,17 @@
     _incarnation_file: Option<IncarnationFile>,
 }
 
-impl Agreement {
+impl ConfigVersioning {
     /// Begins a new incarnation, which acts by what an earlier one remembered until the registry answers.
     ///
     /// # Errors
     /// If no random incarnation can be drawn, or the incarnation file cannot be opened or is held by another process.
-    pub(crate) fn new(settings: AgreedSettings, versioned_settings: Agreed) -> io::Result<Self> {
-        let AgreedSettings { client, addresses, prefix, incarnation_file, remembered_file, name } = settings;
+    pub(crate) fn new(
+        settings: DocumentRegistrySettings,
+        versioned_settings: VersionedSettings,
+    ) -> io::Result<Self> {
+        let DocumentRegistrySettings { client, addresses, prefix, incarnation_file, remembered_file, name } =
+            settings;
         let mut seed = [0; 8];
         getrandom::fill(&mut seed).map_err(|e| io::Error::other(e.to_string()))?;
         let incarnation: String = seed.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -85,7 +89,7 @@
         let remembered = remembered.unwrap_or_default();
         let lease_holder =
             LeaseHolder::new(LeaseOwner { keys: keys.clone(), name, incarnation, previous_incarnations });
-        Ok(Agreement {
+        Ok(ConfigVersioning {
             requests: RegistryRequests::new(client, addresses),
             own_key,
             lease_holder,
@@ -147,7 +151,7 @@
         self.lease_holder.expires_us().filter(|_| self.send_permission == SendPermission::All).map(Micros)
     }
 
-    /// When [`Agreement::advance`] is due.
+    /// When [`ConfigVersioning::advance`] is due.
     pub(crate) fn next_wake(&self, now: Micros) -> Micros {
         let due = [
             Some(self.requests.next_wake_us(now)),
--- a/crates/gateway/src/server/config_versioning/requests.rs
+++ b/crates/gateway/src/server/config_versioning/requests.rs
@@ -83,13 +83,13 @@
 
     fn read_range(&mut self, key: &str, range_end: Bytes, purpose: RequestPurpose) {
         let request = RangeRequest { key: Bytes::of(key), range_end, ..RangeRequest::default() };
-        let ticket = self.link.client_mut().ask(RANGE, &request);
+        let ticket = self.link.client_mut().send_request(RANGE, &request);
         self.pending.insert(ticket, purpose);
     }
 
     /// Requests a transaction.
     pub(super) fn write(&mut self, txn: &Txn, purpose: RequestPurpose) {
-        let ticket = self.link.client_mut().ask(TXN, &documents::request(txn));
+        let ticket = self.link.client_mut().send_request(TXN, &documents::request(txn));
         self.pending.insert(ticket, purpose);
     }
 }
--- a/crates/gateway/src/server/config_versioning/rollout.rs
+++ b/crates/gateway/src/server/config_versioning/rollout.rs
@@ -1,7 +1,7 @@
 //! Adoption of a new state and its documents, and takeover of a change that lost its coordinator.
 
 use super::requests::RequestPurpose;
-use super::{Agreement, RETRY_DELAY_US};
+use super::{ConfigVersioning, RETRY_DELAY_US};
 use crate::clock::Clock;
 use crate::documents;
 use crate::settings::Site;
@@ -20,7 +20,7 @@
 /// At most so many awaited routers are named in a log line.
 const MAX_LOGGED_ROUTERS: usize = 5;
 
-impl Agreement {
+impl ConfigVersioning {
     /// Takes the state in the registry.
     pub(super) fn on_state(&mut self, now: Micros, response: Option<RangeResponse>) {
         let Some(response) = response else {
--- a/crates/gateway/src/server/events.rs
+++ b/crates/gateway/src/server/events.rs
@@ -12,12 +12,12 @@
     /// Handles one event and executes what follows from it, so that the next event finds its effects.
     pub(super) fn handle_event(&mut self, now: Micros, event: ReactorEvent) {
         if self.source.as_mut().is_some_and(|source| source.handle_event(now, &mut self.reactor, &event)) {
-            return self.take_news(now);
+            return self.take_membership_events(now);
         }
         if self
-            .agreement
+            .config_versioning
             .as_mut()
-            .is_some_and(|agreement| agreement.handle_event(now, &mut self.reactor, &event))
+            .is_some_and(|config_versioning| config_versioning.handle_event(now, &mut self.reactor, &event))
         {
             return;
         }
--- a/crates/gateway/src/server/members.rs
+++ b/crates/gateway/src/server/members.rs
@@ -2,7 +2,7 @@
 //! their order, so that the balancer handles a drain before anything else of its batch.
 
 use super::{GatewayError, GatewayServer};
-use crate::members::{MemberSettings, News, Recorder, RegistrySource, ReplaySource, Source};
+use crate::members::{MemberSettings, MembershipEvent, Recorder, RegistrySource, ReplaySource, Source};
 use crate::settings::{MemberSource, Site, WorkerLine};
 use slatevalve::{Listing, Micros, Scope, WorkerEntry, WorkerId, WorkerState};
 use slatevalve_engine::worker_id;
@@ -25,7 +25,7 @@
         Some(MemberSource::Registry(settings)) => {
             let recorder = open_recorder(settings)?;
             let record = RouterRecord { zone: site.zone.clone(), up_since_unix_ms };
-            let routers = site.engine.module.routers;
+            let routers = site.engine.balancer.routers;
             let source = RegistrySource::new((**settings).clone(), &site.name, &record, routers);
             Ok((Some(Box::new(source)), recorder))
         }
@@ -44,25 +44,25 @@
 
 impl GatewayServer {
     /// Takes the events of the source, and records and applies them.
-    pub(super) fn take_news(&mut self, now: Micros) {
-        let events = self.source.as_mut().map(|source| source.take_news()).unwrap_or_default();
+    pub(super) fn take_membership_events(&mut self, now: Micros) {
+        let events = self.source.as_mut().map(|source| source.take_membership_events()).unwrap_or_default();
         for event in events {
             self.record_event(now, &event);
             match event {
-                News::Full(workers) => self.apply_list(Scope::Full, &workers),
-                News::Remembered(workers) => self.apply_list(Scope::Remembered, &workers),
-                News::Changes(changes) => self.apply_changes(now, changes),
-                News::Refused => {
+                MembershipEvent::Full(workers) => self.apply_list(Scope::Full, &workers),
+                MembershipEvent::Remembered(workers) => self.apply_list(Scope::Remembered, &workers),
+                MembershipEvent::Changes(changes) => self.apply_changes(now, changes),
+                MembershipEvent::Refused => {
                     let listing = Listing { scope: Scope::Refused, entries: Vec::new() };
-                    self.engine.listed(now, listing, &mut self.to_engine);
+                    self.engine.workers_listed(now, listing, &mut self.to_engine);
                 }
-                News::Routers(routers) => self.engine.routers(now, routers, &mut self.to_engine),
+                MembershipEvent::Routers(routers) => self.engine.routers(now, routers, &mut self.to_engine),
             }
         }
         self.drain_outputs(now);
     }
 
-    fn record_event(&mut self, now: Micros, event: &News) {
+    fn record_event(&mut self, now: Micros, event: &MembershipEvent) {
         let Some(recorder) = &mut self.recorder else { return };
         if let Err(error) = recorder.note(now, event) {
             warn!(%error, "the list of workers is not recorded any more");
@@ -80,7 +80,7 @@
             return None;
         }
         if let (Some(reported), Some(converted)) = (record.up_since_unix_ms, line.entry.up_since) {
-            let start = self.starts.resolve(self.clock.now(), worker, reported, converted);
+            let start = self.start_times.resolve(self.clock.now(), worker, reported, converted);
             line.entry.up_since = Some(start);
         }
         Some(line)
@@ -89,11 +89,11 @@
     fn apply_list(&mut self, scope: Scope, workers: &BTreeMap<String, WorkerRecord>) {
         self.names.retain(|_, name| workers.contains_key(name));
         let names = &self.names;
-        self.starts.retain(|worker| names.contains_key(worker));
+        self.start_times.retain(|worker| names.contains_key(worker));
         let lines: Vec<WorkerLine> =
             workers.iter().filter_map(|(name, record)| self.worker_line(name, record)).collect();
         info!(workers = lines.len(), ?scope, "the list of workers");
-        self.take_list(scope, &lines);
+        self.apply_worker_list(scope, &lines);
     }
 
     /// Applies changed workers, and cancels the unsent requests to those that drain, moved or were removed.
@@ -116,7 +116,7 @@
             }
         }
         let listing = Listing { scope: Scope::Changes, entries };
-        self.engine.listed(now, listing, &mut self.to_engine);
+        self.engine.workers_listed(now, listing, &mut self.to_engine);
         self.cancel_unsent(now, to_cancel);
     }
 
@@ -125,7 +125,7 @@
         let worker = line.entry.id;
         info!(worker = name, state = ?line.entry.state, "worker");
         let moved = self.pool.list(&mut self.reactor, worker, name, line.address);
-        self.listed.insert(worker);
+        self.workers_listed.insert(worker);
         moved || line.entry.state == WorkerState::Draining
     }
 
@@ -138,7 +138,7 @@
         self.names.remove(&id);
         info!(worker = name, "worker is gone");
         self.pool.unlist(&mut self.reactor, id);
-        self.listed.remove(&id);
+        self.workers_listed.remove(&id);
         Some(WorkerEntry { id, state: WorkerState::Gone, ..WorkerEntry::default() })
     }
 }
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -4,7 +4,7 @@
 //! before timers fire: after a pause of the process, answers that arrived in time are found before their deadlines are.
 //!
 //! One concern a module: `events` dispatches what the reactor reports, `outputs` executes what the protocols ask for,
-//! `reload` and `shutdown` handle the signals; `agreement` and `members` connect the settings' documents and the worker
+//! `reload` and `shutdown` handle the signals; `config_versioning` and `members` connect the settings' documents and the worker
 //! source, `plugins` the versions of functions, `admin` the operators' socket.
 
 mod admin;
@@ -24,25 +24,25 @@
 use crate::clock::Clock;
 use crate::event_loop::{self, ClientConnections, Listener, WorkerSide};
 use crate::loop_timer::{LoopIteration, LoopTimer};
-use crate::members::{Recorder, Source, Starts};
+use crate::members::{Recorder, Source, WorkerStartTimes};
 use crate::settings::Site;
 use admin::Admin;
 use bridge::BridgeLink;
-use config_versioning::Agreement;
+use config_versioning::ConfigVersioning;
 use plugins::PluginHost;
 use pool::{Pool, RequestEnd};
 use slatevalve::{Micros, Scope, WorkerId};
 use slatevalve_engine::{Engine, Output};
 use slatevalve_mqtt::{Bridge, BridgeOutput, Front, FrontOutput, LinkId};
 use slatevalve_reactor::Reactor;
-use slatevalve_worker_protocol::{Http, Limits};
+use slatevalve_worker_protocol::{HttpProtocol, Limits};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
 /// Bytes buffered for one connection at most; a peer that reads more slowly is disconnected.
-const MAX_BUFFERED: usize = 8 * 1024 * 1024;
+const MAX_BUFFERED_BYTES: usize = 8 * 1024 * 1024;
 /// Pause of the listener after a failed accept.
 const ACCEPT_PAUSE: Micros = Micros(100_000);
 
@@ -59,18 +59,18 @@
     plugins: Option<PluginHost>,
     admin: Option<Admin>,
     /// The source of the settings, where they are documents of the registry.
-    agreement: Option<Agreement>,
+    config_versioning: Option<ConfigVersioning>,
     /// The source of the worker list, where that is not the settings file.
     source: Option<Box<dyn Source>>,
     recorder: Option<Recorder>,
     /// Names by id, as two names may have one id.
     names: HashMap<WorkerId, String>,
-    starts: Starts,
+    start_times: WorkerStartTimes,
     pool: Pool,
     listener: Listener,
     clients: ClientConnections<LinkId>,
     /// Workers of the current list.
-    listed: BTreeSet<WorkerId>,
+    workers_listed: BTreeSet<WorkerId>,
     /// Longest time that bytes read in this iteration may have waited to be read.
     read_delay: Micros,
     stopping: bool,
@@ -85,11 +85,11 @@
     /// # Errors
     /// When a socket, the poller, a signal handler or the plug-in folder is not available.
     pub fn new(site: Site, settings_file: Option<PathBuf>, clock: Clock) -> Result<Self, GatewayError> {
-        let reactor = Reactor::new(MAX_BUFFERED).map_err(GatewayError::Loop)?;
-        GatewayServer::with(site, settings_file, clock, reactor)
+        let reactor = Reactor::new(MAX_BUFFERED_BYTES).map_err(GatewayError::Loop)?;
+        GatewayServer::with_reactor(site, settings_file, clock, reactor)
     }
 
-    fn with(
+    fn with_reactor(
         site: Site,
         settings_file: Option<PathBuf>,
         clock: Clock,
@@ -111,15 +111,15 @@
             bridge: bridge.map(|(broker, settings)| BridgeLink::new(Bridge::new(settings), broker)),
             plugins,
             admin,
-            agreement: None,
+            config_versioning: None,
             source,
             recorder,
             names: HashMap::new(),
-            starts: Starts::default(),
+            start_times: WorkerStartTimes::default(),
             pool: new_pool(&site),
             listener,
             clients: ClientConnections::new(LinkId),
-            listed: BTreeSet::new(),
+            workers_listed: BTreeSet::new(),
             read_delay: Micros(0),
             stopping: false,
             to_engine: Vec::new(),
@@ -132,12 +132,12 @@
     }
 
     fn apply_first_list(&mut self) {
-        self.pool.sends_by(&self.site.documents);
+        self.pool.set_document_versions(&self.site.documents);
         if self.source.is_none() {
             let workers = self.site.workers.clone();
-            self.take_list(Scope::Full, &workers);
+            self.apply_worker_list(Scope::Full, &workers);
         }
-        self.take_news(self.clock.now());
+        self.take_membership_events(self.clock.now());
     }
 
     /// Where MQTT clients connect.
@@ -163,22 +163,22 @@
     ///
     /// What may be sent is checked wherever a lease may have ended since the last check.
     fn run_iteration(&mut self, loop_timer: &mut LoopTimer) -> Result<Micros, GatewayError> {
-        self.look_at_right();
+        self.apply_send_permission();
         let timeout = self.poll_timeout(self.clock.now());
-        let write_deadline = self.agreement.as_ref().and_then(Agreement::writes_until);
+        let write_deadline = self.config_versioning.as_ref().and_then(ConfigVersioning::writes_until);
         let LoopIteration { now, read_delay, events } = loop_timer
             .wait(&self.clock, &mut self.reactor, timeout, write_deadline)
             .map_err(GatewayError::Loop)?;
         self.read_delay = read_delay;
         // The wait may have been long.
-        self.look_at_right();
+        self.apply_send_permission();
         for event in events {
             self.handle_event(now, event);
         }
         self.advance_protocols(now);
-        self.agree(now);
+        self.advance_config_versioning(now);
         loop_timer.set_drain_grace(self.drain_grace());
-        self.look_at_right();
+        self.apply_send_permission();
         self.advance_calls(now);
         self.listener.resume_if_due(now, &mut self.reactor);
         Ok(now)
@@ -192,7 +192,7 @@
         }
         if let Some(source) = &mut self.source {
             source.advance(now, &mut self.reactor);
-            self.take_news(now);
+            self.take_membership_events(now);
         }
     }
 
@@ -215,13 +215,13 @@
             self.listener.resume_at(),
             self.bridge.as_ref().and_then(|link| link.bridge.next_wake()),
             self.source.as_ref().map(|source| source.next_wake(now)),
-            self.agreement.as_ref().map(|agreement| agreement.next_wake(now)),
+            self.config_versioning.as_ref().map(|config_versioning| config_versioning.next_wake(now)),
         ];
         event_loop::poll_timeout(now, timers)
     }
 
     fn drain_grace(&self) -> Micros {
-        self.site.engine.module.rules.drain_grace
+        self.site.engine.balancer.rules.drain_grace
     }
 
     fn worker_side(&mut self) -> WorkerSide<'_> {
@@ -235,7 +235,7 @@
     }
 
     /// Reports a completed request to a worker to the engine.
-    fn ended(&mut self, now: Micros, end: RequestEnd) {
+    fn report_completion(&mut self, now: Micros, end: RequestEnd) {
         self.worker_side().report(now, [end]);
     }
 }
@@ -260,6 +260,6 @@
 
 fn new_pool(site: &Site) -> Pool {
     let limits = Limits { body: site.max_response, ..Limits::default() };
-    let protocol = Http { gateway: site.name.clone(), limits };
-    Pool::new(site.pool, Box::new(protocol), site.engine.module.loading.order_timeout)
+    let protocol = HttpProtocol { gateway: site.name.clone(), limits };
+    Pool::new(site.pool, Box::new(protocol), site.engine.balancer.loading.order_timeout)
 }
--- a/crates/gateway/src/server/outputs.rs
+++ b/crates/gateway/src/server/outputs.rs
@@ -34,7 +34,7 @@
             FrontOutput::Write(link, bytes) => self.clients.write(&mut self.reactor, link, &bytes),
             FrontOutput::Finish(link) => self.clients.close_gracefully(&mut self.reactor, link),
             FrontOutput::Call(call) => self.submit_call(now, *call),
-            FrontOutput::Left(ticket) => {
+            FrontOutput::ClientDisconnected(ticket) => {
                 self.plugins.iter_mut().for_each(|plugins| plugins.call_withdrawn(now, ticket));
                 self.engine.client_disconnected(now, ticket, &mut self.to_engine);
             }
@@ -52,7 +52,7 @@
 
     fn execute(&mut self, now: Micros, output: Output) {
         match self.worker_side().execute(now, output) {
-            Some(Output::RanOther { worker, version, ran }) => {
+            Some(Output::VersionMismatch { worker, version, ran }) => {
                 let worker = self.pool.name(worker);
                 error!(worker, digest = %version.digest, ran = ran.as_deref().unwrap_or("nothing named"),
                     "a worker ran other content; its answer was not passed on");
--- a/crates/gateway/src/server/plugins/calls.rs
+++ b/crates/gateway/src/server/plugins/calls.rs
@@ -32,7 +32,7 @@
         let ResolvedFunction { name, version } = function;
         let manifest = &version.manifest;
         call.traits = Some(FunctionTraits {
-            concurrency: manifest.lanes as usize,
+            concurrency: manifest.concurrency as usize,
             work: None,
             load_time: Some(Micros((manifest.load_ms * 1_000.0) as i64)).filter(|time| time.0 > 0),
             memory_mb: manifest.memory_mb,
@@ -93,7 +93,7 @@
     }
 
     fn check_runnable(&self, resolved: &Resolved) -> Result<Resolved, CatalogueError> {
-        self.catalogue.may_run(&resolved.digest).map(|()| resolved.clone())
+        self.catalogue.check_runnable(&resolved.digest).map(|()| resolved.clone())
     }
 
     /// Queues a pull of a version that a call was refused for, where the settings enable that; later calls can run it.
@@ -101,7 +101,7 @@
         let missing = matches!(error, CatalogueError::UnknownVersion(_) | CatalogueError::Partial(_));
         if missing && self.settings.on_call && self.settings.registry.is_some() {
             if let Ok((version, _)) = self.catalogue.version_of(reference) {
-                self.pull_queue.want(now.0, &format!("{}@{version}", reference.name));
+                self.pull_queue.enqueue(now.0, &format!("{}@{version}", reference.name));
             }
         }
     }
--- a/crates/gateway/src/server/plugins/commands.rs
+++ b/crates/gateway/src/server/plugins/commands.rs
@@ -1,7 +1,7 @@
 //! Commands of the admin socket, and the results of the background worker that runs them.
 
 use super::{run_name, PluginHost};
-use crate::plugins::background::{Requester, Told};
+use crate::plugins::background::{BackgroundEvent, Requester};
 use crate::plugins::command::{Command, CommandError};
 use crate::server::admin::{AdminReply, ReplyKind};
 use serde_json::{json, Value};
@@ -49,18 +49,18 @@
         let mut replies = Vec::new();
         for result in self.background.told() {
             match result {
-                Told::Progress(Requester::Admin(connection), done, total) => {
+                BackgroundEvent::Progress(Requester::Admin(connection), done, total) => {
                     let body = json!({"progress": [done, total]});
                     replies.push(AdminReply { connection, body, kind: ReplyKind::Progress });
                 }
-                Told::Progress(..) => {}
-                Told::Ended { asker, command, outcome, catalogue } => {
+                BackgroundEvent::Progress(..) => {}
+                BackgroundEvent::Ended { requester, command, outcome, catalogue } => {
                     match catalogue {
                         Some(Ok(catalogue)) => self.replace_catalogue(now, engine, *catalogue),
                         Some(Err(error)) => error!(%error, "plug-in catalogue rejected; unchanged"),
                         None => {}
                     }
-                    replies.extend(self.complete(now, asker, &command, outcome));
+                    replies.extend(self.complete(now, requester, &command, outcome));
                 }
             }
         }
@@ -119,7 +119,7 @@
             }
             command => {
                 if matches!(command, Command::Pull { .. }) {
-                    self.pull_queue.forgive();
+                    self.pull_queue.clear_failures();
                 }
                 if self.submit(Requester::Admin(connection), command) {
                     return None;
--- a/crates/gateway/src/server/plugins/mod.rs
+++ b/crates/gateway/src/server/plugins/mod.rs
@@ -18,7 +18,7 @@
 use rollouts::{ActiveRollout, RolledBack};
 use slatevalve::Micros;
 use slatevalve_engine::{Engine, Output, Ticket};
-use slatevalve_oci::{Wanted, WantedSettings};
+use slatevalve_oci::{PullQueue, PullQueueSettings};
 use slatevalve_plugins::{Catalogue, CatalogueError, Digest, Reference, Resolved, Selector, Terms};
 use slatevalve_reactor::Waker;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -49,7 +49,7 @@
     /// When rollouts are advanced next.
     rollouts_due: Micros,
     /// Versions to be pulled because a call needed them.
-    pull_queue: Wanted,
+    pull_queue: PullQueue,
     pulls: PullStatistics,
 }
 
@@ -76,7 +76,7 @@
             scrub_per_s: settings.scrub_per_s,
             clock,
         };
-        let classes = site.classes.iter().zip(&site.engine.module.classes);
+        let classes = site.classes.iter().zip(&site.engine.balancer.classes);
         let mut host = PluginHost {
             classes: classes
                 .map(|(name, class)| ClassObjective {
@@ -84,7 +84,7 @@
                     latency_objective: class.latency_objective,
                 })
                 .collect(),
-            load_timeout: site.engine.module.loading.order_timeout,
+            load_timeout: site.engine.balancer.loading.order_timeout,
             background: BackgroundWorker::start(&settings.folder, worker_settings, waker)?,
             settings,
             catalogue,
@@ -93,7 +93,7 @@
             rolled_back: BTreeMap::new(),
             calls: HashMap::new(),
             rollouts_due: now,
-            pull_queue: Wanted::new(WantedSettings::default(), site.engine.seed),
+            pull_queue: PullQueue::new(PullQueueSettings::default(), site.engine.seed),
             pulls: PullStatistics::default(),
         };
         for name in host.names() {
@@ -150,7 +150,7 @@
         for name in self.names() {
             for version in self.catalogue.versions(&name).unwrap_or_default() {
                 if version.quarantine.is_some_and(|quarantine| !quarantine.held) {
-                    self.pull_queue.want(now.0, &format!("{name}@{}", version.version));
+                    self.pull_queue.enqueue(now.0, &format!("{name}@{}", version.version));
                 }
             }
         }
@@ -158,10 +158,10 @@
 
     /// Hands a command to the background worker; `false` where its queue is full.
     #[must_use]
-    fn submit(&self, asker: Requester, command: Command) -> bool {
+    fn submit(&self, requester: Requester, command: Command) -> bool {
         // Content of open calls stays, whatever was deleted since.
         let keep = if command == Command::Gc { self.catalogue.reachable() } else { BTreeSet::new() };
-        self.background.submit(Task { asker, command, keep })
+        self.background.submit(Task { requester, command, keep })
     }
 }
 
--- a/crates/gateway/src/server/plugins/rollouts.rs
+++ b/crates/gateway/src/server/plugins/rollouts.rs
@@ -6,7 +6,9 @@
 use crate::plugins::command::Command;
 use slatevalve::Micros;
 use slatevalve_engine::{Engine, Output};
-use slatevalve_plugins::{Catalogue, Digest, Direction, Ended, Observed, Resolved, Rollout, Want, CURRENT};
+use slatevalve_plugins::{
+    Catalogue, Digest, Direction, Ended, Observed, Resolved, Rollout, RolloutRequest, CURRENT,
+};
 use tracing::{info, warn};
 
 /// Interval at which active rollouts are advanced.
@@ -65,7 +67,7 @@
             self.rollout.observe(now.0, Observed::Stands);
         }
         self.expire_load_requests(now, load_timeout);
-        if let Want::Copies(count) = self.rollout.wants() {
+        if let RolloutRequest::Copies(count) = self.rollout.load_request() {
             for _ in 0..engine.expect(now, &new, &old, count, outputs) {
                 self.load_requests.push(now);
                 self.rollout.observe(now.0, Observed::Ordered);
--- a/crates/gateway/src/server/pool/connections.rs
+++ b/crates/gateway/src/server/pool/connections.rs
@@ -5,7 +5,7 @@
 use super::{Pool, Purpose, RequestEnd};
 use slatevalve::{Micros, Outcome, RequestId, WorkerId};
 use slatevalve_reactor::{Id, Reactor};
-use slatevalve_worker_protocol::{CompletedRequest, Reader, Tag};
+use slatevalve_worker_protocol::{CompletedRequest, ReplyReader, Tag};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Number of calls remembered of those that a connection carried last.
@@ -14,7 +14,7 @@
 /// A connection to a worker, established or being opened.
 pub(super) struct Connection {
     pub(super) worker: WorkerId,
-    pub(super) reader: Box<dyn Reader>,
+    pub(super) reader: Box<dyn ReplyReader>,
     /// Whether the connection is established.
     pub(super) connected: bool,
     /// Whether it closes once its requests have completed, instead of being reused.
@@ -41,7 +41,7 @@
 }
 
 impl Connection {
-    fn new(worker: WorkerId, reader: Box<dyn Reader>, deadline: Micros) -> Self {
+    fn new(worker: WorkerId, reader: Box<dyn ReplyReader>, deadline: Micros) -> Self {
         Connection {
             worker,
             reader,
@@ -85,7 +85,7 @@
         worker: WorkerId,
         purpose: Purpose,
     ) -> Result<Id, Outcome> {
-        self.peers.get(&worker).filter(|p| p.listed).ok_or(Outcome::NotSent)?;
+        self.peers.get(&worker).filter(|p| p.workers_listed).ok_or(Outcome::NotSent)?;
         if let Some(id) = self.take_idle(now, reactor, worker, purpose) {
             return Ok(id);
         }
@@ -144,7 +144,7 @@
 
     /// The connection to a worker with the fewest requests of the same kind, among those with room for another.
     fn find_shareable(&self, worker: WorkerId, purpose: Purpose) -> Option<Id> {
-        let max_requests = self.protocol.streams();
+        let max_requests = self.protocol.max_streams();
         let ids = self.peers.get(&worker)?.connections.iter();
         ids.filter_map(|id| Some((*id, self.connections.get(id)?)))
             .filter(|(_, connection)| connection.can_share(purpose, max_requests))
@@ -166,8 +166,8 @@
         let mut completed = Vec::new();
         let parsed = connection.reader.feed(bytes, &mut completed);
         let mut ends: Vec<RequestEnd> = Vec::new();
-        for CompletedRequest { tag, understood } in completed {
-            ends.extend(self.complete(now, id, tag, understood));
+        for CompletedRequest { tag, reply } in completed {
+            ends.extend(self.complete(now, id, tag, reply));
         }
         if parsed.is_err() {
             // The worker received the requests and replied with something else, so they may have run.
@@ -186,7 +186,7 @@
         connection.connected = connected;
         let last = connection.reader.end().filter(|_| connected);
         let mut ends: Vec<RequestEnd> =
-            last.and_then(|l| self.complete(now, id, l.tag, l.understood)).into_iter().collect();
+            last.and_then(|l| self.complete(now, id, l.tag, l.reply)).into_iter().collect();
         let outcomes = FailureOutcomes { sent: Outcome::Reset, unsent: Outcome::ConnectFailed };
         ends.extend(self.complete_all(now, id, written, outcomes));
         self.remove_connection(id);
@@ -198,8 +198,8 @@
         let Some(connection) = self.connections.get_mut(&id).filter(|c| c.requests.is_empty()) else {
             return;
         };
-        let peer = self.peers.get_mut(&connection.worker).filter(|p| p.listed);
-        match peer.filter(|_| connection.reader.is_clean() && !connection.retired) {
+        let peer = self.peers.get_mut(&connection.worker).filter(|p| p.workers_listed);
+        match peer.filter(|_| connection.reader.is_reusable() && !connection.retired) {
             // Idle already, with its timer running.
             Some(peer) if peer.idle.contains(&id) && connection.deadline.is_some() => {}
             Some(peer) => {
--- a/crates/gateway/src/server/pool/mod.rs
+++ b/crates/gateway/src/server/pool/mod.rs
@@ -7,7 +7,7 @@
 //! beyond the limits, requests of the same kind share connections.
 //!
 //! The event loops pass reactor events in and receive [`RequestEnd`]s. Bounds: `PoolSettings::total` connections,
-//! `WorkerProtocol::streams` requests on each, one peer for each worker that is listed or has a connection.
+//! `WorkerProtocol::max_streams` requests on each, one peer for each worker that is listed or has a connection.
 //!
 //! | module | concern |
 //! | --- | --- |
@@ -101,7 +101,7 @@
     }
 
     /// Sets the versions of the settings documents that attempts are sent under and carry from now on.
-    pub fn sends_by(&mut self, documents: &[u64]) {
+    pub fn set_document_versions(&mut self, documents: &[u64]) {
         self.document_versions = documents.to_vec();
     }
 
--- a/crates/gateway/src/server/pool/outputs.rs
+++ b/crates/gateway/src/server/pool/outputs.rs
@@ -23,8 +23,8 @@
         out: &mut Vec<Output>,
     ) -> Option<Output> {
         let end = match output {
-            Output::Send { attempt, worker, body, time_left } => {
-                let request = self.attempt_request(now, worker, attempt, &body, time_left, classes);
+            Output::Send { attempt, worker, body, time_remaining } => {
+                let request = self.attempt_request(now, worker, attempt, &body, time_remaining, classes);
                 self.submit(now, reactor, request)
             }
             Output::Load { worker, function, name, copies } => {
@@ -47,11 +47,11 @@
                 self.end_attempt(now, reactor, engine, attempt, Outcome::TimedOut, out);
                 None
             }
-            Output::Withhold(attempt) => self.cancel_attempt_if_unsent(now, reactor, attempt),
+            Output::CancelUnsent(attempt) => self.cancel_attempt_if_unsent(now, reactor, attempt),
             other => return Some(other),
         };
         if let Some(end) = end {
-            self.tell(now, end, engine, out);
+            self.report_completion(now, end, engine, out);
         }
         None
     }
@@ -62,7 +62,7 @@
         worker: WorkerId,
         attempt: AttemptRef,
         body: &RunBody,
-        time_left: Micros,
+        time_remaining: Micros,
         classes: &[String],
     ) -> OutgoingRequest {
         debug!(
@@ -70,10 +70,10 @@
             worker = self.name(worker),
             request_id = attempt.request.0,
             attempt = attempt.attempt,
-            time_left_us = time_left.0,
+            time_left_us = time_remaining.0,
             "attempt submitted"
         );
-        let call = worker_call(classes, &self.document_versions, attempt, body, time_left);
+        let call = worker_call(classes, &self.document_versions, attempt, body, time_remaining);
         OutgoingRequest { worker, purpose: Purpose::Attempt(attempt), message: WorkerRequest::Infer(call) }
     }
 
@@ -110,14 +110,20 @@
         out: &mut Vec<Output>,
     ) {
         match self.cancel_attempt(now, reactor, attempt, outcome) {
-            Some(end) => self.tell(now, end, engine, out),
+            Some(end) => self.report_completion(now, end, engine, out),
             // The attempt has completed already, in which case the engine ignores this, or was never submitted.
-            None => engine.attempt_ended(now, attempt, AttemptEnd::without_payload(outcome), out),
+            None => engine.attempt_completed(now, attempt, AttemptEnd::without_payload(outcome), out),
         }
     }
 
     /// Reports a completed request to the engine.
-    pub fn tell(&self, now: Micros, end: RequestEnd, engine: &mut Engine, out: &mut Vec<Output>) {
+    pub fn report_completion(
+        &self,
+        now: Micros,
+        end: RequestEnd,
+        engine: &mut Engine,
+        out: &mut Vec<Output>,
+    ) {
         let RequestEnd { worker, purpose, latency, reply } = end;
         debug!(
             now_us = now.0,
@@ -140,11 +146,11 @@
                     load_failed: reply.load_failed,
                     report: reply.report,
                 };
-                engine.attempt_ended(now, attempt, end, out);
+                engine.attempt_completed(now, attempt, end, out);
             }
-            Purpose::Probe => engine.probed(now, worker, reply.outcome, latency, reply.report, out),
+            Purpose::Probe => engine.probe_completed(now, worker, reply.outcome, latency, reply.report, out),
             Purpose::Load(function) => {
-                engine.loaded(now, worker, function, reply.outcome, reply.copies, latency, out);
+                engine.load_completed(now, worker, function, reply.outcome, reply.copies, latency, out);
             }
             Purpose::Unload => {}
         }
@@ -157,7 +163,7 @@
     document_versions: &[u64],
     attempt: AttemptRef,
     body: &RunBody,
-    time_left: Micros,
+    time_remaining: Micros,
 ) -> Call {
     let client_id = body.request_id.as_deref();
     Call {
@@ -167,7 +173,7 @@
         key: body.key.as_ref().map(|k| k.to_vec()),
         request_id: client_id.map_or_else(|| attempt.request.0.to_string(), String::from),
         attempt: attempt.attempt,
-        time_left_ms: (time_left.0 / MICROS_PER_MILLISECOND).max(0) as u64,
+        time_remaining_ms: (time_remaining.0 / MICROS_PER_MILLISECOND).max(0) as u64,
         class: classes.get(body.class.0).cloned().unwrap_or_default(),
         settings: document_versions.to_vec(),
     }
--- a/crates/gateway/src/server/pool/peers.rs
+++ b/crates/gateway/src/server/pool/peers.rs
@@ -17,7 +17,7 @@
     /// All connections, in the order they were opened.
     pub(super) connections: Vec<Id>,
     /// Whether new requests may be sent to the worker.
-    pub(super) listed: bool,
+    pub(super) workers_listed: bool,
 }
 
 impl Pool {
@@ -32,9 +32,9 @@
             host: address.to_string(),
             idle: Vec::new(),
             connections: Vec::new(),
-            listed: true,
+            workers_listed: true,
         });
-        peer.listed = true;
+        peer.workers_listed = true;
         let moved = peer.address != address;
         if moved {
             peer.address = address;
@@ -48,7 +48,7 @@
     /// Removes a worker: no new request is sent to it, and those in flight run to their end.
     pub fn unlist(&mut self, reactor: &mut Reactor, worker: WorkerId) {
         if let Some(peer) = self.peers.get_mut(&worker) {
-            peer.listed = false;
+            peer.workers_listed = false;
         }
         self.close_idle(reactor, worker);
         self.remove_peer_if_unused(worker);
@@ -81,7 +81,7 @@
     }
 
     pub(super) fn remove_peer_if_unused(&mut self, worker: WorkerId) {
-        if self.peers.get(&worker).is_some_and(|p| !p.listed && p.connections.is_empty()) {
+        if self.peers.get(&worker).is_some_and(|p| !p.workers_listed && p.connections.is_empty()) {
             self.peers.remove(&worker);
         }
     }
--- a/crates/gateway/src/server/pool/requests.rs
+++ b/crates/gateway/src/server/pool/requests.rs
@@ -182,7 +182,7 @@
         let request = connection.requests.get(&key.tag)?;
         // A shared connection stays open for the others, and a request that was partly written is written to its end.
         let is_shared = connection.requests.len() > 1;
-        let cancellation = self.protocol.give_up(&request.message).filter(|_| is_shared);
+        let cancellation = self.protocol.encode_cancel(&request.message).filter(|_| is_shared);
         let has_possibly_run = is_shared || self.has_possibly_run(request, reactor.written(id));
         let outcome = if has_possibly_run { outcome } else { Outcome::NotSent };
         let end = self.complete(now, id, key.tag, without_payload(outcome));
@@ -233,7 +233,7 @@
     /// Only the reactor's count decides: a connection that was established in this loop iteration may have been written
     /// to before the pool handles its event.
     pub(super) fn has_possibly_run(&self, request: &PendingRequest, written: u64) -> bool {
-        if self.protocol.partial_request_may_run() {
+        if self.protocol.can_run_partial_request() {
             written > request.bytes.start
         } else {
             written >= request.bytes.end
--- a/crates/gateway/src/server/pool/tests.rs
+++ b/crates/gateway/src/server/pool/tests.rs
@@ -4,7 +4,7 @@
 use super::requests::OutgoingRequest;
 use super::*;
 use slatevalve::{Outcome, RequestId};
-use slatevalve_platform::workers::Lines;
+use slatevalve_platform::workers::LineProtocol;
 use slatevalve_reactor::{Reactor, ReactorEvent};
 use slatevalve_worker_protocol::{Call, WorkerRequest};
 use std::io::{Read, Write};
@@ -29,7 +29,7 @@
             total: 16,
             probe_timeout: Micros(10_000_000),
         };
-        let wire = Lines { streams: 4, tells_crowd: false };
+        let wire = LineProtocol { max_streams: 4, reports_queue_depth: false };
         let mut fixture = PoolFixture {
             reactor: Reactor::new(1 << 20).expect("a poller"),
             pool: Pool::new(settings, Box::new(wire), Micros(10_000_000)),
@@ -53,7 +53,7 @@
             key: None,
             request_id: format!("{request:016x}"),
             attempt: 0,
-            time_left_ms: 1_000,
+            time_remaining_ms: 1_000,
             class: "card-charge".into(),
             settings: Vec::new(),
         });
--- a/crates/gateway/src/server/reload.rs
+++ b/crates/gateway/src/server/reload.rs
@@ -29,12 +29,12 @@
         self.site.named = site.named;
         self.site.workers = site.workers.clone();
         if self.source.is_none() {
-            self.take_list(Scope::Full, &site.workers);
+            self.apply_worker_list(Scope::Full, &site.workers);
         }
     }
 
     /// Applies a complete worker list. Workers that it no longer names are gone.
-    pub(super) fn take_list(&mut self, scope: Scope, workers: &[WorkerLine]) {
+    pub(super) fn apply_worker_list(&mut self, scope: Scope, workers: &[WorkerLine]) {
         let now = self.clock.now();
         let mut named = BTreeSet::new();
         let mut not_accepting = Vec::new();
@@ -46,15 +46,15 @@
             }
             named.insert(worker);
         }
-        for worker in std::mem::take(&mut self.listed).difference(&named) {
+        for worker in std::mem::take(&mut self.workers_listed).difference(&named) {
             info!(worker = self.pool.name(*worker), "worker is gone");
             self.pool.unlist(&mut self.reactor, *worker);
             not_accepting.push(*worker);
         }
-        self.listed = named;
+        self.workers_listed = named;
         let entries = workers.iter().map(|line| line.entry.clone()).collect();
         let listing = Listing { scope, entries };
-        self.engine.listed(now, listing, &mut self.to_engine);
+        self.engine.workers_listed(now, listing, &mut self.to_engine);
         self.cancel_unsent(now, not_accepting);
         self.drain_outputs(now);
     }
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -34,8 +34,8 @@
     /// # Errors
     /// When the poller fails.
     pub(super) fn shut_down(&mut self, now: Micros) -> Result<(), GatewayError> {
-        if let Some(agreement) = &mut self.agreement {
-            agreement.leave();
+        if let Some(config_versioning) = &mut self.config_versioning {
+            config_versioning.leave();
         }
         self.front.stop(now, &mut self.to_front);
         self.drain_outputs(now);
@@ -47,7 +47,7 @@
             for event in events.drain(..) {
                 self.handle_event(now, event);
             }
-            self.agree(now);
+            self.advance_config_versioning(now);
         }
         self.log_statistics();
         Ok(())
@@ -57,8 +57,8 @@
     fn has_unfinished(&self) -> bool {
         self.reactor.has_pending()
             || self.bridge.as_ref().is_some_and(|link| link.has_unsent())
-            || self.agreement.as_ref().is_some_and(|agreement| !agreement.has_left())
-            || self.source.as_ref().is_some_and(|source| !source.has_left())
+            || self.config_versioning.as_ref().is_some_and(|config_versioning| !config_versioning.has_left())
+            || self.source.as_ref().is_some_and(|source| !source.is_deregistered())
     }
 
     fn log_statistics(&self) {
--- a/crates/gateway/src/settings/balancer.rs
+++ b/crates/gateway/src/settings/balancer.rs
@@ -25,11 +25,11 @@
 }
 
 fn limits(top: &mut Fields<'_>) -> Res<Limits> {
-    let mut limits = Limits { second_copies: true, ..Limits::default() };
+    let mut limits = Limits { hedged_requests: true, ..Limits::default() };
     let Some(mut form) = sub_form(top, "limits")? else { return Ok(limits) };
     limits.cancel = form.or("cancel", limits.cancel, Form::flag)?;
     limits.probes = form.or("probes", limits.probes, Form::flag)?;
-    limits.second_copies = form.or("second-copies", limits.second_copies, Form::flag)?;
+    limits.hedged_requests = form.or("second-copies", limits.hedged_requests, Form::flag)?;
     limits.max_attempts = whole(&mut form, "max-attempts", limits.max_attempts, 100)?;
     form.finish()?;
     Ok(limits)
--- a/crates/gateway/src/settings/document.rs
+++ b/crates/gateway/src/settings/document.rs
@@ -87,10 +87,10 @@
 
     fn class_rules(&self) -> BTreeMap<String, Class> {
         let Site { engine, classes, .. } = &self.site;
-        let attempts = i64::try_from(engine.module.limits.max_attempts).unwrap_or(i64::MAX);
+        let attempts = i64::try_from(engine.balancer.limits.max_attempts).unwrap_or(i64::MAX);
         let rules = classes.iter().enumerate().map(|(id, name)| {
             let remember_us = engine.classes.get(id).map_or(0, |policy| policy.remember.0);
-            let retry = retry_rule(engine.module.classes[id].effect);
+            let retry = retry_rule(engine.balancer.classes[id].effect);
             (name.clone(), Class::new(retry, attempts, remember_us))
         });
         rules.collect()
@@ -99,7 +99,7 @@
     fn route_rule(&self, route: &slatevalve_mqtt::Route) -> Route {
         let text = |template: Option<&Template>| template.map_or("-".to_string(), ToString::to_string);
         let templates = [Some(&route.function), route.tenant.as_ref(), route.key.as_ref()];
-        let is_idempotent = self.site.engine.module.classes[route.class.0].effect == Effect::Safe;
+        let is_idempotent = self.site.engine.balancer.classes[route.class.0].effect == Effect::Safe;
         Route {
             filter: route.filter.to_string(),
             class: self.site.classes[route.class.0].clone(),
@@ -124,7 +124,7 @@
     }
 
     fn bounds(&self) -> BTreeMap<String, Bound> {
-        let (rules, loading) = (&self.site.engine.module.rules, &self.site.engine.module.loading);
+        let (rules, loading) = (&self.site.engine.balancer.rules, &self.site.engine.balancer.loading);
         // Without a window there is no quota; a longer window is the stricter one.
         let has_quota = loading.ration_window.0 > 0;
         let quota = |maximum: f64| if has_quota { (maximum * 1e6) as i64 } else { i64::MAX };
--- a/crates/gateway/src/settings/forms.rs
+++ b/crates/gateway/src/settings/forms.rs
@@ -17,7 +17,7 @@
     let file = path.display().to_string();
     match fs::read_to_string(path) {
         Ok(text) => Ok((file, text)),
-        Err(e) => Err(FormError { file, line: 0, form: String::new(), words: e.to_string() }),
+        Err(e) => Err(FormError { file, line: 0, form: String::new(), problem: e.to_string() }),
     }
 }
 
--- a/crates/gateway/src/settings/members.rs
+++ b/crates/gateway/src/settings/members.rs
@@ -48,15 +48,21 @@
     }
     let (client, addresses) = client(&mut fields, &form, seed, name, routers)?;
     let base = RouterCountSettings::default();
-    let census = RouterCountSettings {
-        least: whole(&mut fields, "least-routers", 1, MAX_ROUTERS)?.max(1),
+    let router_count = RouterCountSettings {
+        min_routers: whole(&mut fields, "least-routers", 1, MAX_ROUTERS)?.max(1),
         hold_us: millis_as_us(&mut fields, "fewer-routers-after-ms", base.hold_us)?,
         ..base
     };
     let remember = optional_path(&mut fields, "remember")?;
     let record = optional_path(&mut fields, "record")?;
     fields.finish()?;
-    Ok(Some(MemberSource::Registry(Box::new(MemberSettings { client, addresses, census, remember, record }))))
+    Ok(Some(MemberSource::Registry(Box::new(MemberSettings {
+        client,
+        addresses,
+        router_count,
+        remember,
+        record,
+    }))))
 }
 
 /// The fields of a connection to a registry: the client's settings, and its members' addresses.
@@ -75,8 +81,9 @@
     let login = credentials(fields, form)?;
     let base = WatchSettings::default();
     let watch_state = WatchSettings {
-        look_us: millis_as_us(fields, "look-ms", base.look_us)?.max(MIN_LIVENESS_CHECK_US),
-        silence_us: millis_as_us(fields, "silence-ms", base.silence_us)?,
+        liveness_interval_us: millis_as_us(fields, "look-ms", base.liveness_interval_us)?
+            .max(MIN_LIVENESS_CHECK_US),
+        stale_after_us: millis_as_us(fields, "silence-ms", base.stale_after_us)?,
         ..base
     };
     let ttl_s = whole(fields, "ttl-s", DEFAULT_TTL_S, MAX_TTL_S)?.max(1);
@@ -88,7 +95,7 @@
     }
     let drain_within_us = millis_as_us(fields, "drain-within-ms", DEFAULT_DRAIN_WITHIN_US)?;
     // It covers a wait, the time of an answer, and that of a liveness check that finds the watch behind.
-    let longest_us = drain_within_us - timeout_us - watch_state.behind_us;
+    let longest_us = drain_within_us - timeout_us - watch_state.lag_tolerance_us;
     if longest_us <= 0 {
         return Err(form.error("drain-within-ms is longer than timeout-ms and half a second together"));
     }
@@ -102,7 +109,7 @@
         watch_state,
         registration: RegistrationSettings { ttl_s },
         pace: Limits { per_second, longest_us, few_us: base.few_us.min(longest_us), ..base },
-        askers: routers,
+        clients: routers,
         drain_within_us,
         timeout_us,
         seed: seed_of(seed, name),
--- a/crates/gateway/src/settings/mod.rs
+++ b/crates/gateway/src/settings/mod.rs
@@ -22,7 +22,7 @@
 pub use plugins::PluginSettings;
 pub use pool::PoolSettings;
 pub use site::Site;
-pub use versioned::{ActivationError, Agreed, AgreedSettings};
+pub use versioned::{ActivationError, DocumentRegistrySettings, VersionedSettings};
 pub use workers::WorkerLine;
 
 pub(crate) use forms::read_text;
--- a/crates/gateway/src/settings/mqtt.rs
+++ b/crates/gateway/src/settings/mqtt.rs
@@ -74,9 +74,9 @@
             .max(MIN_BRIDGE_PACKET_BYTES),
         session_expiry_s: whole(&mut fields, "session-expiry-s", base.session_expiry_s, u64::from(u32::MAX))?,
         keep_alive_s: whole(&mut fields, "keep-alive-s", base.keep_alive_s, MAX_TWO_BYTES)?,
-        back_off: (
-            fields.or("back-off-ms", base.back_off.0, Form::millis)?,
-            fields.or("longest-back-off-ms", base.back_off.1, Form::millis)?,
+        backoff: (
+            fields.or("back-off-ms", base.backoff.0, Form::millis)?,
+            fields.or("longest-back-off-ms", base.backoff.1, Form::millis)?,
         ),
         connect_timeout: fields.or("connect-timeout-ms", base.connect_timeout, Form::millis)?,
         seed: context.seed,
--- a/crates/gateway/src/settings/site.rs
+++ b/crates/gateway/src/settings/site.rs
@@ -86,11 +86,11 @@
         let zone = gateway.or("zone", "default".to_string(), Form::text)?;
         let zone_id = ZoneId(named.zones.number_of(&zone));
         let declared = Declarations::read(&mut top)?;
-        let balancer = balancer(&mut top, &mut named.kinds)?;
+        let shared = balancer(&mut top, &mut named.kinds)?;
         let workers = workers::workers(&mut top, &mut named, clock)?;
-        let module = module(&mut gateway, zone_id, &declared, &workers, balancer)?;
+        let balancer = complete_balancer(&mut gateway, zone_id, &declared, &workers, shared)?;
         let routes = declared.routes(&mut top)?;
-        let engine = engine(&mut top, &mut gateway, module, &declared)?;
+        let engine = engine(&mut top, &mut gateway, balancer, &declared)?;
         let stop_within = gateway.or("stop-within-ms", DEFAULT_STOP_WITHIN, Form::millis)?;
         gateway.finish()?;
         let context = BridgeContext {
@@ -103,7 +103,7 @@
         let rights = declared.rights();
         let PoolForm { settings: pool, max_response } = PoolForm::read(&mut top)?;
         let plugins = plugins::plugins(&mut top, rights.clone(), engine.seed)?;
-        let members = members::members(&mut top, engine.seed, &name, engine.module.routers)?;
+        let members = members::members(&mut top, engine.seed, &name, engine.balancer.routers)?;
         check_one_source(&top, members.as_ref(), &workers)?;
         top.finish()?;
         let (classes, tenants) = declared.into_names();
@@ -130,12 +130,12 @@
 }
 
 /// The load balancer's settings.
-fn module(
+fn complete_balancer(
     gateway: &mut Fields<'_>,
     zone: ZoneId,
     declared: &Declarations,
     workers: &[WorkerLine],
-    balancer: Settings,
+    shared: Settings,
 ) -> Res<Settings> {
     Ok(Settings {
         routers: whole(gateway, "routers", 1, 1_000_000)?,
@@ -145,7 +145,7 @@
         tenants: declared.tenants.iter().map(|tenant| tenant.tenant.clone()).collect(),
         weights: weights(workers),
         reports: LoadReportSource::Answers,
-        ..balancer
+        ..shared
     })
 }
 
@@ -171,12 +171,12 @@
 fn engine(
     top: &mut Fields<'_>,
     gateway: &mut Fields<'_>,
-    module: Settings,
+    balancer: Settings,
     declared: &Declarations,
 ) -> Res<EngineSettings> {
     let functions = Functions::read(top)?;
     Ok(EngineSettings {
-        module,
+        balancer,
         seed: whole(gateway, "seed", 1, u64::from(u32::MAX))?,
         classes: declared.policies(),
         key_spaces: Vec::new(),
@@ -184,7 +184,7 @@
         other_functions: functions.other,
         duplicates: Some(duplicates(top)?),
         margin: gateway.or("answer-margin-ms", DEFAULT_ANSWER_MARGIN, Form::millis)?,
-        max_open: whole(gateway, "max-open", 20_000, 10_000_000)?,
-        max_functions: whole(gateway, "max-functions", 65_536, 10_000_000)?,
+        max_open_calls: whole(gateway, "max-open", 20_000, 10_000_000)?,
+        max_function_names: whole(gateway, "max-functions", 65_536, 10_000_000)?,
     })
 }
--- a/crates/gateway/src/settings/versioned.rs
+++ b/crates/gateway/src/settings/versioned.rs
@@ -22,7 +22,7 @@
 
 /// The form `(agreed ...)` of a router's own file: where documents come from, and what is kept on disk.
 #[derive(Clone, Debug)]
-pub struct AgreedSettings {
+pub struct DocumentRegistrySettings {
     /// The registry's client.
     pub client: ClientSettings,
     /// Addresses of the registry's members.
@@ -73,7 +73,7 @@
 
 /// The settings of a gateway that acts by documents; see the module's documentation.
 #[derive(Debug, Default)]
-pub struct Agreed {
+pub struct VersionedSettings {
     /// The text of the router's own file.
     router_forms: String,
     named: Named,
@@ -86,12 +86,12 @@
     tenants: Vec<String>,
 }
 
-impl Agreed {
+impl VersionedSettings {
     /// Reads a router's own file; `None` if it has no `(agreed ...)` and so holds all settings itself.
     ///
     /// # Errors
     /// The first fault, with its place.
-    pub fn read(path: &Path) -> Res<Option<(AgreedSettings, Agreed)>> {
+    pub fn read(path: &Path) -> Res<Option<(DocumentRegistrySettings, VersionedSettings)>> {
         let (file_name, router_forms) = read_text(path)?;
         let file = File::parse(&file_name, &router_forms)?;
         let mut top = file.forms()?;
@@ -103,8 +103,8 @@
         }
         let mut gateway = top.need("gateway")?.fields()?;
         let name = gateway.or("name", "gateway".to_string(), header_text)?;
-        let settings = AgreedSettings::read(&form, name)?;
-        Ok(Some((settings, Agreed { router_forms, ..Agreed::default() })))
+        let settings = DocumentRegistrySettings::read(&form, name)?;
+        Ok(Some((settings, VersionedSettings { router_forms, ..VersionedSettings::default() })))
     }
 
     /// The settings by one document or, while a change is prepared, by two, the newer one last. Slots of `open_classes` keep
@@ -155,7 +155,7 @@
         let mut classes: BTreeMap<&String, ClassSlot> = BTreeMap::new();
         for (id, name) in site.classes.iter().enumerate() {
             let remember = site.engine.classes.get(id).map_or(Micros(0), |policy| policy.remember);
-            let class = site.engine.module.classes[id].clone();
+            let class = site.engine.balancer.classes[id].clone();
             classes.insert(name, ClassSlot { name: name.clone(), class, remember });
         }
         for class in classes.into_values() {
@@ -208,7 +208,7 @@
         site.tenants.clone_from(&self.tenants);
         site.classes = self.slots.iter().map(|slot| slot.name.clone()).collect();
         let engine = &mut site.engine;
-        engine.module.classes = self.slots.iter().map(|slot| slot.class.clone()).collect();
+        engine.balancer.classes = self.slots.iter().map(|slot| slot.class.clone()).collect();
         engine.classes = self.slots.iter().map(|slot| ClassPolicy { remember: slot.remember }).collect();
         let key_space = |slot: &ClassSlot| ClassId(self.key_spaces.get(&slot.name).copied().unwrap_or(0));
         engine.key_spaces = self.slots.iter().map(key_space).collect();
@@ -219,10 +219,10 @@
     fn assign_tenants(&mut self, site: &mut Site) -> Vec<TenantId> {
         let ids: Vec<TenantId> = site.tenants.iter().map(|name| TenantId(self.tenant_id(name))).collect();
         let mut tenants = vec![Tenant::default(); self.tenants.len()];
-        for (id, tenant) in ids.iter().zip(std::mem::take(&mut site.engine.module.tenants)) {
+        for (id, tenant) in ids.iter().zip(std::mem::take(&mut site.engine.balancer.tenants)) {
             tenants[id.0] = tenant;
         }
-        site.engine.module.tenants = tenants;
+        site.engine.balancer.tenants = tenants;
         ids
     }
 
@@ -243,7 +243,7 @@
     }
 }
 
-impl AgreedSettings {
+impl DocumentRegistrySettings {
     fn read(form: &Form<'_>, name: String) -> Res<Self> {
         let mut fields = form.fields()?;
         let incarnation_file = optional_path(&mut fields, "lives")?;
@@ -253,7 +253,7 @@
         let prefix = client.prefix.clone();
         client.prefix = format!("{prefix}agreement/state");
         client.follow = WatchScope::All;
-        Ok(AgreedSettings { client, addresses, prefix, incarnation_file, remembered_file, name })
+        Ok(DocumentRegistrySettings { client, addresses, prefix, incarnation_file, remembered_file, name })
     }
 }
 
@@ -261,14 +261,14 @@
 fn restrict(site: &mut Site, older: &[Site], terms: &Terms) {
     for (id, name) in site.classes.iter().enumerate() {
         let Some(class) = terms.classes.get(name) else { continue };
-        site.engine.module.classes[id].effect = strictest_effect(&class.retry);
+        site.engine.balancer.classes[id].effect = strictest_effect(&class.retry);
         site.engine.classes[id].remember = Micros(class.remember_us);
     }
-    let module = &mut site.engine.module;
-    for other in older.iter().map(|site| &site.engine.module) {
-        module.limits.max_attempts = module.limits.max_attempts.min(other.limits.max_attempts);
-        module.rules.drain_grace = module.rules.drain_grace.min(other.rules.drain_grace);
-        restrict_load_quota(&mut module.loading, &other.loading);
+    let balancer = &mut site.engine.balancer;
+    for other in older.iter().map(|site| &site.engine.balancer) {
+        balancer.limits.max_attempts = balancer.limits.max_attempts.min(other.limits.max_attempts);
+        balancer.rules.drain_grace = balancer.rules.drain_grace.min(other.rules.drain_grace);
+        restrict_load_quota(&mut balancer.loading, &other.loading);
     }
     for worker in &mut site.workers {
         let is_known = |fact: &str| terms.fact(&format!("worker \"{}\" {fact}", worker.name)).is_some();
--- a/crates/gateway/tests/agreed/drawn_faults.rs
+++ b/crates/gateway/tests/agreed/drawn_faults.rs
@@ -4,7 +4,7 @@
 use super::support::*;
 use super::{path, Router, KEYED};
 use serde_json::json;
-use slatevalve_trace_checker::trace::{self, Line, Seen};
+use slatevalve_trace_checker::trace::{self, Line, TraceEvent};
 use slatevalve_trace_checker::*;
 use std::collections::BTreeSet;
 use std::process::Child;
@@ -12,7 +12,8 @@
 
 /// Terms by which charges are checked, all documents up to `last` contradicting each other.
 fn terms(last: u64) -> Terms {
-    let class = |effect| ClassTerms { effect, aim_us: 1, worth: 1.0, late_worth: 1.0 };
+    let class =
+        |effect| ClassTerms { effect, latency_objective_us: 1, priority_weight: 1.0, late_value: 1.0 };
     let classes = [("quote", EffectTerms::Safe), ("charge", EffectTerms::Unsafe)];
     let contradict = (1..=last).flat_map(|a| (a + 1..=last).map(move |b| (a, b))).collect();
     Terms {
@@ -84,7 +85,8 @@
     let lines = trace::read(&text).unwrap();
     let found = check(&terms(7), &lines);
     assert_eq!(found, [], "seen at the workers");
-    let by_last = |l: &Line| matches!(&l.seen, Seen::Received { settings, .. } if settings.contains(&6));
+    let by_last =
+        |l: &Line| matches!(&l.event, TraceEvent::Received { settings, .. } if settings.contains(&6));
     assert!(lines.iter().any(by_last), "attempts tell their documents");
 }
 
--- a/crates/gateway/tests/agreed/meet.rs
+++ b/crates/gateway/tests/agreed/meet.rs
@@ -5,10 +5,10 @@
 use slatevalve::{ClassId, Effect, Group, Micros, WorkerState};
 use slatevalve_config_versioning::{Document, LeaseExpiryPolicy};
 use slatevalve_gateway::clock::Clock;
-use slatevalve_gateway::settings::{Agreed, Site};
+use slatevalve_gateway::settings::{Site, VersionedSettings};
 
 /// A router's reading of documents, without a router.
-struct SettingsReader(Agreed);
+struct SettingsReader(VersionedSettings);
 
 impl SettingsReader {
     fn new() -> Self {
@@ -19,7 +19,7 @@
             "(gateway (name \"g\")) (mqtt (listen \"127.0.0.1:0\")) (agreed (registry \"127.0.0.1:1\"))",
         )
         .unwrap();
-        SettingsReader(Agreed::read(&file).unwrap().unwrap().1)
+        SettingsReader(VersionedSettings::read(&file).unwrap().unwrap().1)
     }
 
     fn site(&mut self, texts: &[&str], open: &[usize]) -> Site {
@@ -39,7 +39,7 @@
 /// The place of the class of charges, its effect, and the effect of every place of that name.
 fn charge(site: &Site) -> (usize, Effect, Vec<Effect>) {
     let place = site.front.routes.find("charge/visa").unwrap().class.0;
-    let effect = |at: usize| site.engine.module.classes[at].effect;
+    let effect = |at: usize| site.engine.balancer.classes[at].effect;
     let named = site.classes.iter().enumerate().filter(|(_, name)| *name == "charge");
     (place, effect(place), named.map(|(at, _)| effect(at)).collect())
 }
@@ -87,9 +87,9 @@
     let two = format!("{KEYED}(limits (max-attempts 5)) (rules (drain-grace-ms 200)) (worker \"w\" (address \"127.0.0.1:1\") (cell 2))
         (worker \"new\" (address \"127.0.0.1:2\")) (loading (ration (window-ms 2000) (free 9) (share 0.1)))");
     let site = SettingsReader::new().site(&[&one, &two], &[]);
-    let module = &site.engine.module;
-    assert_eq!((module.limits.max_attempts, module.rules.drain_grace.0), (2, 200_000));
-    let loading = &module.loading;
+    let balancer = &site.engine.balancer;
+    assert_eq!((balancer.limits.max_attempts, balancer.rules.drain_grace.0), (2, 200_000));
+    let loading = &balancer.loading;
     assert_eq!((loading.ration_window.0, loading.ration_free, loading.ration_share), (2_000_000, 5.0, 0.1));
     let states: Vec<_> = site.workers.iter().map(|w| w.entry.state).collect();
     assert_eq!(states, [WorkerState::Draining; 2], "where one is and whether the other is there is in doubt");
--- a/crates/gateway/tests/stored_forms.rs
+++ b/crates/gateway/tests/stored_forms.rs
@@ -9,9 +9,9 @@
 
 use slatevalve::{Micros, WorkerState};
 use slatevalve_gateway::clock::Clock;
-use slatevalve_gateway::members::{News, Recorder, ReplaySource, Source};
+use slatevalve_gateway::members::{MembershipEvent, Recorder, ReplaySource, Source};
 use slatevalve_gateway::plugins::command::Command as PluginCommand;
-use slatevalve_gateway::settings::{Agreed, MemberSource, Named, SharedSettings, Site};
+use slatevalve_gateway::settings::{MemberSource, Named, SharedSettings, Site, VersionedSettings};
 use slatevalve_plugins::Signature;
 use slatevalve_reactor::Reactor;
 use slatevalve_registry::{MemberState, WorkerRecord};
@@ -158,8 +158,8 @@
         ("gw-1", "hall-a", Micros(5_046_000))
     );
     let engine = &site.engine;
-    assert_eq!((engine.module.routers, engine.seed, engine.margin), (41, 42, Micros(43_000)));
-    assert_eq!((engine.max_open, engine.max_functions), (20_044, 65_545));
+    assert_eq!((engine.balancer.routers, engine.seed, engine.margin), (41, 42, Micros(43_000)));
+    assert_eq!((engine.max_open_calls, engine.max_function_names), (20_044, 65_545));
     let front = &site.front;
     assert_eq!(site.listen.to_string(), "127.0.0.1:1883");
     assert_eq!((front.max_packet, front.receive_maximum, front.topic_alias_maximum), (1_048_551, 252, 53));
@@ -173,20 +173,20 @@
     assert_eq!((bridge.client_id.as_str(), bridge.group.as_deref()), ("gw-1", Some("gateways")));
     assert_eq!((bridge.receive_maximum, bridge.max_packet), (161, 1_048_562));
     assert_eq!((bridge.session_expiry_s, bridge.keep_alive_s), (3_663, 64));
-    assert_eq!(bridge.back_off, (Micros(165_000), Micros(10_066_000)));
+    assert_eq!(bridge.backoff, (Micros(165_000), Micros(10_066_000)));
     assert_eq!(bridge.connect_timeout, Micros(5_067_000));
 }
 
 #[test]
 fn the_fields_of_the_shared_forms_are_read_to_their_own_places() {
     let site = Files::new().site(&format!("{OWN}{SHARED}"));
-    let (module, quote) = (&site.engine.module, &site.engine.module.classes[0]);
+    let (balancer, quote) = (&site.engine.balancer, &site.engine.balancer.classes[0]);
     assert_eq!((quote.latency_objective, quote.deadline), (Micros(801_000), Micros(3_001_000)));
     assert_eq!((quote.priority_weight, quote.late_value, quote.objective_stretch), (2.5, 0.25, 0.5));
     let effects: Vec<&String> = site.rights.effects.values().collect();
     assert_eq!(effects, ["keyed", "keyed", "unsafe", "keyed", "safe"]);
     assert_eq!(site.engine.classes[4].remember, Micros(600_005_000));
-    assert_eq!((module.tenants[0].quota_per_s, site.rights.tenants["north"].len()), (40.5, 2));
+    assert_eq!((balancer.tenants[0].quota_per_s, site.rights.tenants["north"].len()), (40.5, 2));
     let fare = &site.engine.functions["fare"];
     assert_eq!((fare.concurrency, fare.work, fare.memory_mb), (6, Some(Micros(7_000)), 409.5));
     assert_eq!(fare.load_time, Some(Micros(708_000)));
@@ -195,18 +195,18 @@
     assert_eq!(states, [WorkerState::Ready, WorkerState::Draining, WorkerState::Gone]);
     let node = &site.workers[0].entry;
     assert_eq!((node.cell.0, node.weight, node.up_since.is_some()), (11, 1.5, true));
-    let loading = &module.loading;
+    let loading = &balancer.loading;
     assert_eq!((loading.on_request, loading.orders), (true, false));
     assert_eq!((loading.keep, loading.order_timeout), (Micros(8_013_000), Micros(10_014_000)));
     assert_eq!(loading.ration_window, Micros(15_015_000));
     assert_eq!((loading.ration_free, loading.ration_share), (16.0, 0.17));
     assert_eq!(loading.kind_memory_mb, [1_018.0, 1_019.0]);
-    let limits = &module.limits;
+    let limits = &balancer.limits;
     assert_eq!(
-        (limits.cancel, limits.probes, limits.second_copies, limits.max_attempts),
+        (limits.cancel, limits.probes, limits.hedged_requests, limits.max_attempts),
         (false, false, false, 20)
     );
-    let rules = &module.rules;
+    let rules = &balancer.rules;
     assert_eq!((rules.answer_slack, rules.drain_grace), (Micros(21_000), Micros(222_000)));
     assert_eq!((rules.start_capacity, rules.warm_within), (0.23, Micros(20_024_000)));
     assert_eq!((rules.fall_multiple, rules.fall_window), (2.5, Micros(1_026_000)));
@@ -248,12 +248,15 @@
     assert_eq!(members.addresses.len(), 3);
     assert_eq!(members.remember.as_deref(), Some(Path::new(&files.here("DIR/remember.json"))));
     assert_eq!(members.record.as_deref(), Some(Path::new(&files.here("DIR/record.jsonl"))));
-    assert_eq!((members.census.least, members.census.hold_us), (97, 98_099_000));
+    assert_eq!((members.router_count.min_routers, members.router_count.hold_us), (97, 98_099_000));
     let client = &members.client;
-    assert_eq!((client.prefix.as_str(), client.relays, client.askers), ("/site/", 1, 41));
+    assert_eq!((client.prefix.as_str(), client.relays, client.clients), ("/site/", 1, 41));
     let login = client.login.as_ref().unwrap();
     assert_eq!((login.name.as_str(), login.password.as_str()), ("reader", "secret"));
-    assert_eq!((client.watch_state.look_us, client.watch_state.silence_us), (91_000, 1_592_000));
+    assert_eq!(
+        (client.watch_state.liveness_interval_us, client.watch_state.stale_after_us),
+        (91_000, 1_592_000)
+    );
     assert_eq!((client.registration.ttl_s, client.timeout_us), (93, 594_000));
     assert_eq!((client.pace.per_second, client.drain_within_us), (95.5, 12_096_000));
     let replay = files.site(&format!("{OWN}{shared}(members (replay \"news.jsonl\"))"));
@@ -272,7 +275,7 @@
     let own = r#"(agreed (registry "127.0.0.1:2379") (prefix "/site/") (user "reader") (password-file "DIR/password") (timeout-ms 594)
         (look-ms 91) (silence-ms 1592) (lives "DIR/lives") (remember "DIR/last"))"#;
     let file = files.write("own.scm", &format!("{OWN}{own}"));
-    let (agreed, _) = Agreed::read(Path::new(&file)).unwrap().unwrap();
+    let (agreed, _) = VersionedSettings::read(Path::new(&file)).unwrap().unwrap();
     assert_eq!((agreed.name.as_str(), agreed.prefix.as_str()), ("gw-1", "/site/"));
     assert_eq!(agreed.incarnation_file.as_deref(), Some(Path::new(&files.here("DIR/lives"))));
     assert_eq!(agreed.remembered_file.as_deref(), Some(Path::new(&files.here("DIR/last"))));
@@ -414,7 +417,7 @@
     drop(gateway);
 }
 
-fn news() -> Vec<News> {
+fn news() -> Vec<MembershipEvent> {
     let least = WorkerRecord {
         address: "127.0.0.1:9001".parse().unwrap(),
         zone: "default".into(),
@@ -434,11 +437,11 @@
         ..least.clone()
     };
     vec![
-        News::Full([("n1".to_string(), least.clone()), ("n2".to_string(), most.clone())].into()),
-        News::Remembered([("n1".to_string(), least)].into()),
-        News::Changes(vec![("n2".into(), Some(most)), ("n1".into(), None)]),
-        News::Refused,
-        News::Routers(3),
+        MembershipEvent::Full([("n1".to_string(), least.clone()), ("n2".to_string(), most.clone())].into()),
+        MembershipEvent::Remembered([("n1".to_string(), least)].into()),
+        MembershipEvent::Changes(vec![("n2".into(), Some(most)), ("n1".into(), None)]),
+        MembershipEvent::Refused,
+        MembershipEvent::Routers(3),
     ]
 }
 
@@ -467,7 +470,7 @@
     let mut source = ReplaySource::open(Path::new(&file)).unwrap();
     let mut reactor = Reactor::new(1_024).unwrap();
     source.advance(Micros(90), &mut reactor);
-    assert_eq!(source.take_news(), news()[..1]);
+    assert_eq!(source.take_membership_events(), news()[..1]);
     source.advance(Micros(90 + 4 * 250), &mut reactor);
-    assert_eq!(source.take_news(), news()[1..]);
+    assert_eq!(source.take_membership_events(), news()[1..]);
 }
--- a/crates/http/src/decoder.rs
+++ b/crates/http/src/decoder.rs
@@ -28,7 +28,7 @@
 
 /// A decoded piece of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum MessageEvent {
     /// Start line and headers.
     Head(Head),
     /// A piece of the body, without chunk framing; never empty.
@@ -76,7 +76,7 @@
 
 /// Decodes one message after another from one connection.
 #[derive(Debug)]
-pub struct PartReader {
+pub struct MessageDecoder {
     side: Side,
     limits: Limits,
     /// Bytes received and not decoded yet.
@@ -88,11 +88,11 @@
     expects_no_body: bool,
 }
 
-impl PartReader {
+impl MessageDecoder {
     /// Creates a decoder at the start of a message.
     #[must_use]
     pub fn new(side: Side, limits: Limits) -> Self {
-        PartReader {
+        MessageDecoder {
             side,
             limits,
             buffer: Vec::new(),
@@ -113,12 +113,12 @@
         self.state == State::Head && self.buffer.is_empty()
     }
 
-    /// Decodes bytes and appends the result to `out`. After [`Part::End`] the next message may begin.
+    /// Decodes bytes and appends the result to `out`. After [`MessageEvent::End`] the next message may begin.
     ///
     /// # Errors
     /// When the bytes are not a message that this crate accepts; the connection is then to be closed. What was appended
     /// before the error remains valid.
-    pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Part>) -> Result<(), MessageError> {
+    pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<MessageEvent>) -> Result<(), MessageError> {
         self.buffer.extend_from_slice(bytes);
         loop {
             let (state, length) = (self.state, self.buffer.len());
@@ -148,7 +148,7 @@
         }
     }
 
-    fn step(&mut self, out: &mut Vec<Part>) -> Result<Progress, MessageError> {
+    fn step(&mut self, out: &mut Vec<MessageEvent>) -> Result<Progress, MessageError> {
         match self.state {
             State::Head => self.decode_head(out),
             State::Length { remaining } => self.decode_body(remaining, out),
@@ -163,13 +163,13 @@
         }
     }
 
-    fn complete(&mut self, out: &mut Vec<Part>) -> Progress {
+    fn complete(&mut self, out: &mut Vec<MessageEvent>) -> Progress {
         self.state = State::Head;
-        out.push(Part::End);
+        out.push(MessageEvent::End);
         Progress::Complete
     }
 
-    fn decode_head(&mut self, out: &mut Vec<Part>) -> Result<Progress, MessageError> {
+    fn decode_head(&mut self, out: &mut Vec<MessageEvent>) -> Result<Progress, MessageError> {
         let Some(ParsedHead { mut head, length }) = parse_head(self.side, &self.buffer)? else {
             if self.buffer.len() > self.limits.head {
                 return Err(MessageError::HeadTooLong);
@@ -195,27 +195,35 @@
         }
         head.last |= framing == Framing::UntilClose;
         self.body_length = 0;
-        out.push(Part::Head(head));
+        out.push(MessageEvent::Head(head));
         Ok(if framing == Framing::Length(0) { self.complete(out) } else { Progress::Incomplete })
     }
 
-    fn decode_body(&mut self, remaining: usize, out: &mut Vec<Part>) -> Result<Progress, MessageError> {
+    fn decode_body(
+        &mut self,
+        remaining: usize,
+        out: &mut Vec<MessageEvent>,
+    ) -> Result<Progress, MessageError> {
         let remaining = remaining - self.take_body_piece(remaining, out)?;
         self.state = State::Length { remaining };
         Ok(if remaining == 0 { self.complete(out) } else { Progress::Incomplete })
     }
 
     /// Appends the buffered bytes of the body to `out`, at most `max_length`; returns their number.
-    fn take_body_piece(&mut self, max_length: usize, out: &mut Vec<Part>) -> Result<usize, MessageError> {
+    fn take_body_piece(
+        &mut self,
+        max_length: usize,
+        out: &mut Vec<MessageEvent>,
+    ) -> Result<usize, MessageError> {
         let length = self.buffer.len().min(max_length);
         if length > self.remaining_body_limit() {
             return Err(MessageError::BodyTooLong);
         }
         self.body_length += length;
         if length > 0 && length == self.buffer.len() {
-            out.push(Part::Body(std::mem::take(&mut self.buffer)));
+            out.push(MessageEvent::Body(std::mem::take(&mut self.buffer)));
         } else if length > 0 {
-            out.push(Part::Body(self.buffer.drain(..length).collect()));
+            out.push(MessageEvent::Body(self.buffer.drain(..length).collect()));
         }
         Ok(length)
     }
@@ -242,7 +250,11 @@
         Ok(Progress::Incomplete)
     }
 
-    fn decode_chunk(&mut self, remaining: usize, out: &mut Vec<Part>) -> Result<Progress, MessageError> {
+    fn decode_chunk(
+        &mut self,
+        remaining: usize,
+        out: &mut Vec<MessageEvent>,
+    ) -> Result<Progress, MessageError> {
         let remaining = remaining - self.take_body_piece(remaining, out)?;
         self.state = if remaining == 0 { State::ChunkEnd } else { State::Chunk { remaining } };
         Ok(Progress::Incomplete)
@@ -260,7 +272,7 @@
     }
 
     /// Discards the trailer fields, as RFC 9112 section 7.1.2 allows.
-    fn skip_trailers(&mut self, out: &mut Vec<Part>) -> Result<Progress, MessageError> {
+    fn skip_trailers(&mut self, out: &mut Vec<MessageEvent>) -> Result<Progress, MessageError> {
         let end = if self.buffer.starts_with(CRLF) {
             Some(CRLF.len())
         } else {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 message parsing without I/O (RFC 9112): bytes in, heads and bodies out, within limits.
 //!
-//! [`PartReader`] decodes a message incrementally and passes its body on as it arrives (layers of plug-ins, a registry's
+//! [`MessageDecoder`] decodes a message incrementally and passes its body on as it arrives (layers of plug-ins, a registry's
 //! watch); [`MessageReader`] collects whole messages (the worker protocol). Both bound the size of head and body, and reject
 //! framing that two parsers could interpret differently (request smuggling).
 //!
@@ -18,7 +18,7 @@
 mod head;
 mod reader;
 
-pub use decoder::{Limits, Part, PartReader};
+pub use decoder::{Limits, MessageDecoder, MessageEvent};
 pub use error::MessageError;
 pub use head::{Head, Side};
 pub use reader::{Message, MessageReader};
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -1,6 +1,6 @@
 //! Whole messages, for callers that need all of one before acting on it.
 
-use crate::decoder::{Limits, Part, PartReader};
+use crate::decoder::{Limits, MessageDecoder, MessageEvent};
 use crate::error::MessageError;
 use crate::head::{Head, Side};
 
@@ -16,10 +16,10 @@
 /// Reads one whole message after another from one connection.
 #[derive(Debug)]
 pub struct MessageReader {
-    decoder: PartReader,
+    decoder: MessageDecoder,
     /// The message as far as it has been read.
     message: Message,
-    decoded: Vec<Part>,
+    decoded: Vec<MessageEvent>,
 }
 
 impl MessageReader {
@@ -27,7 +27,7 @@
     #[must_use]
     pub fn new(side: Side, limits: Limits) -> Self {
         MessageReader {
-            decoder: PartReader::new(side, limits),
+            decoder: MessageDecoder::new(side, limits),
             message: Message::default(),
             decoded: Vec::new(),
         }
@@ -48,11 +48,11 @@
         let mut complete = None;
         for decoded in self.decoded.drain(..) {
             match decoded {
-                Part::Head(head) => self.message.head = head,
+                MessageEvent::Head(head) => self.message.head = head,
                 // Moved rather than copied: most bodies arrive in one piece.
-                Part::Body(piece) if self.message.body.is_empty() => self.message.body = piece,
-                Part::Body(piece) => self.message.body.extend_from_slice(&piece),
-                Part::End => complete = Some(std::mem::take(&mut self.message)),
+                MessageEvent::Body(piece) if self.message.body.is_empty() => self.message.body = piece,
+                MessageEvent::Body(piece) => self.message.body.extend_from_slice(&piece),
+                MessageEvent::End => complete = Some(std::mem::take(&mut self.message)),
             }
         }
         Ok(complete)
--- a/crates/mqtt/src/bridge.rs
+++ b/crates/mqtt/src/bridge.rs
@@ -56,7 +56,7 @@
     /// Keep-alive, in seconds.
     pub keep_alive_s: u16,
     /// The shortest and the longest backoff before a lost connection is retried.
-    pub back_off: (Micros, Micros),
+    pub backoff: (Micros, Micros),
     /// The time in which a connection must be established and accepted by the broker.
     pub connect_timeout: Micros,
     /// The seed of the backoff.
@@ -74,7 +74,7 @@
             max_packet: 1024 * 1024,
             session_expiry_s: 3_600,
             keep_alive_s: 30,
-            back_off: (Micros(100_000), Micros(10_000_000)),
+            backoff: (Micros(100_000), Micros(10_000_000)),
             connect_timeout: Micros(5_000_000),
             seed: 1,
         }
--- a/crates/mqtt/src/bridge/connection.rs
+++ b/crates/mqtt/src/bridge/connection.rs
@@ -108,7 +108,7 @@
         self.timers.clear();
         self.opening = None;
         self.deliveries.connection_lost();
-        let (shortest, longest) = self.settings.back_off;
+        let (shortest, longest) = self.settings.backoff;
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let backoff = shortest.0.saturating_mul(1 << doublings).min(longest.0).max(1);
         self.failures += 1;
--- a/crates/mqtt/src/front.rs
+++ b/crates/mqtt/src/front.rs
@@ -37,7 +37,7 @@
     /// Pass a call to the engine.
     Call(Box<Call>),
     /// The session of a ticket ended before its answer.
-    Left(Ticket),
+    ClientDisconnected(Ticket),
 }
 
 /// The settings of the front.
@@ -121,7 +121,7 @@
     }
 
     /// Replaces the routes, for publishes that come from now on, and the numbers of the settings documents.
-    pub fn take_routes(&mut self, routes: Routes, documents: Option<String>) {
+    pub fn set_routes(&mut self, routes: Routes, documents: Option<String>) {
         self.settings.routes = routes;
         self.settings.documents = documents;
     }
@@ -163,7 +163,7 @@
         let Some(client) = self.tickets.remove(&ticket) else { return };
         let Some(session) = self.sessions.get_mut(&client) else { return };
         let Some(reply) = session.pending.remove(&ticket) else { return };
-        let topic = session.reply_topic(&reply, answer.verdict.word());
+        let topic = session.reply_topic(&reply, answer.verdict.as_str());
         let documents = self.settings.documents.as_deref();
         let correlation = reply.address.correlation;
         let publish = OutboundPublish::answer(topic, reply.qos, correlation, answer, documents);
@@ -270,7 +270,7 @@
         self.clients_by_id.remove(&session.client_id);
         for ticket in session.pending.into_keys() {
             self.tickets.remove(&ticket);
-            out.push(FrontOutput::Left(ticket));
+            out.push(FrontOutput::ClientDisconnected(ticket));
         }
     }
 
--- a/crates/mqtt/src/front/calls.rs
+++ b/crates/mqtt/src/front/calls.rs
@@ -86,7 +86,7 @@
         let reply = PendingReply { address, qos: publish.qos, call_name: call_name(publish) };
         let answer =
             Answer { verdict: Verdict::Refused(reason), attempts: 0, recorded: false, version: None };
-        let topic = session.reply_topic(&reply, answer.verdict.word());
+        let topic = session.reply_topic(&reply, answer.verdict.as_str());
         let documents = self.settings.documents.as_deref();
         let correlation = reply.address.correlation;
         let publish = OutboundPublish::answer(topic, reply.qos, correlation, &answer, documents);
--- a/crates/mqtt/src/publish.rs
+++ b/crates/mqtt/src/publish.rs
@@ -107,8 +107,8 @@
         answer: &Answer,
         documents: Option<&str>,
     ) -> Self {
-        let mut properties = vec![("outcome", answer.verdict.word().to_string())];
-        properties.extend(answer.verdict.reason().map(|reason| ("reason", reason.words().to_string())));
+        let mut properties = vec![("outcome", answer.verdict.as_str().to_string())];
+        properties.extend(answer.verdict.reason().map(|reason| ("reason", reason.description().to_string())));
         properties.push(("attempts", answer.attempts.to_string()));
         if let Some(version) = &answer.version {
             properties.push(("version", version.name.to_string()));
@@ -124,7 +124,7 @@
                 payload.clone()
             }
             // Version 3.1.1 has no properties, so the payload states the reason.
-            Verdict::Refused(reason) | Verdict::Failed(reason) => reason.words().as_bytes().into(),
+            Verdict::Refused(reason) | Verdict::Failed(reason) => reason.description().as_bytes().into(),
         };
         OutboundPublish { topic, qos, payload, correlation, user_properties: properties }
     }
--- a/crates/mqtt/src/request.rs
+++ b/crates/mqtt/src/request.rs
@@ -107,7 +107,7 @@
     ) -> Result<Self, Declined> {
         let Some(route) = routes.find(&publish.topic) else {
             return Err(match routes.is_known(&publish.topic) {
-                true => Reason::InChange.into(),
+                true => Reason::SettingsChanging.into(),
                 false => Rejection::NoRoute.into(),
             });
         };
--- a/crates/mqtt/tests/bridge.rs
+++ b/crates/mqtt/tests/bridge.rs
@@ -213,7 +213,7 @@
         b.now = next;
     }
     assert_eq!(b.connects, 10);
-    let (least, most) = BridgeSettings::default().back_off;
+    let (least, most) = BridgeSettings::default().backoff;
     assert!(waits.iter().all(|w| (least.0 / 2..=most.0).contains(w)), "{waits:?}");
     assert!(waits[9] > waits[0] * 10, "{waits:?}");
 }
--- a/crates/mqtt/tests/front/bench.rs
+++ b/crates/mqtt/tests/front/bench.rs
@@ -143,7 +143,7 @@
                 }
                 FrontOutput::Finish(id) => self.closed.push(id),
                 FrontOutput::Call(call) => self.calls.push(*call),
-                FrontOutput::Left(ticket) => self.left.push(ticket),
+                FrontOutput::ClientDisconnected(ticket) => self.left.push(ticket),
             }
         }
     }
--- a/crates/oci/src/exchange.rs
+++ b/crates/oci/src/exchange.rs
@@ -10,7 +10,7 @@
 mod policy;
 mod request;
 
-pub use error::{Broke, ExchangeError};
+pub use error::{AttemptFailure, ExchangeError};
 pub use policy::Policy;
 pub use request::Request;
 
@@ -95,7 +95,7 @@
     /// Consecutive failed attempts without progress.
     failed_attempts: u32,
     deadline_us: i64,
-    last_failure: Option<Broke>,
+    last_failure: Option<AttemptFailure>,
     random: Pcg64Mcg,
     token: Option<String>,
     /// Whether the registry requested basic authentication.
@@ -291,7 +291,7 @@
     fn handle_retryable(&mut self, now_us: i64, head: &Head) -> Result<HeadOutcome, ExchangeError> {
         let seconds = head.header("Retry-After").and_then(|value| value.parse::<i64>().ok());
         let retry_after_us = seconds.map_or(0, |seconds| seconds.saturating_mul(MICROS_PER_SECOND));
-        self.schedule_retry(now_us, Broke::Busy(head.status), retry_after_us)?;
+        self.schedule_retry(now_us, AttemptFailure::Busy(head.status), retry_after_us)?;
         Ok(HeadOutcome::Consumed)
     }
 
@@ -332,7 +332,11 @@
     ///
     /// # Errors
     /// [`ExchangeError::GaveUp`] when it was the last attempt.
-    pub(crate) fn broke(&mut self, now_us: i64, failure: Broke) -> Result<(), ExchangeError> {
+    pub(crate) fn attempt_failed(
+        &mut self,
+        now_us: i64,
+        failure: AttemptFailure,
+    ) -> Result<(), ExchangeError> {
         // The attempt failed by its head already, and its retry is scheduled.
         if matches!(self.state, State::Backoff(_)) {
             return Ok(());
@@ -340,7 +344,12 @@
         self.schedule_retry(now_us, failure, 0)
     }
 
-    fn schedule_retry(&mut self, now_us: i64, failure: Broke, min_us: i64) -> Result<(), ExchangeError> {
+    fn schedule_retry(
+        &mut self,
+        now_us: i64,
+        failure: AttemptFailure,
+        min_us: i64,
+    ) -> Result<(), ExchangeError> {
         self.last_failure = Some(failure);
         self.failed_attempts += 1;
         if self.failed_attempts >= self.policy.tries {
--- a/crates/oci/src/exchange/error.rs
+++ b/crates/oci/src/exchange/error.rs
@@ -5,7 +5,7 @@
 
 /// How one attempt of a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broke {
+pub enum AttemptFailure {
     /// No connection was established.
     Connect,
     /// The connection was closed within a response.
@@ -13,35 +13,35 @@
     /// No bytes arrived within [`crate::Policy::stall_us`].
     Stalled,
     /// The response is not HTTP, or its content does not match its digest.
-    Garbage,
+    MalformedResponse,
     /// The response's range is not the requested one.
     Range,
     /// A status after which the request may be retried: 429, 500, 502, 503 or 504.
     Busy(u16),
 }
 
-impl fmt::Display for Broke {
+impl fmt::Display for AttemptFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Broke::Connect => f.write_str("it cannot be reached"),
-            Broke::Cut => f.write_str("the connection ended within an answer"),
-            Broke::Stalled => f.write_str("nothing came for too long"),
-            Broke::Garbage => f.write_str("it did not answer in HTTP"),
-            Broke::Range => f.write_str("it sent another range than was asked for"),
-            Broke::Busy(status) => write!(f, "it answered {status}"),
+            AttemptFailure::Connect => f.write_str("it cannot be reached"),
+            AttemptFailure::Cut => f.write_str("the connection ended within an answer"),
+            AttemptFailure::Stalled => f.write_str("nothing came for too long"),
+            AttemptFailure::MalformedResponse => f.write_str("it did not answer in HTTP"),
+            AttemptFailure::Range => f.write_str("it sent another range than was asked for"),
+            AttemptFailure::Busy(status) => write!(f, "it answered {status}"),
         }
     }
 }
 
-impl Error for Broke {}
+impl Error for AttemptFailure {}
 
 /// Why a request ended without a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
     /// The attempts are used up; holds the failure of the last one.
-    GaveUp(Broke),
+    GaveUp(AttemptFailure),
     /// The deadline of the job has passed; holds the failure of the last attempt, if one failed.
-    TimeUp(Option<Broke>),
+    TimeUp(Option<AttemptFailure>),
     /// The registry or its token service rejects the credentials, or requires some and there are none.
     Unauthorized,
     /// A redirect or a token service at an address that the policy does not allow; holds scheme, host and port.
--- a/crates/oci/src/exchange/tests.rs
+++ b/crates/oci/src/exchange/tests.rs
@@ -29,7 +29,7 @@
     assert_eq!(e.head(0, &head(503, &[("Retry-After", "1")])), Ok(HeadOutcome::Consumed));
     assert_eq!(e.next(10), Ok(Next::Wait(1_000_000)));
     sent(&mut e, 1_000_000);
-    e.broke(1_000_000, Broke::Cut).unwrap();
+    e.attempt_failed(1_000_000, AttemptFailure::Cut).unwrap();
     let Ok(Next::Wait(at)) = e.next(1_000_000) else { panic!() };
     assert!((1_000_100..=1_000_200).contains(&at), "{at}");
     sent(&mut e, at);
@@ -37,7 +37,10 @@
     e.head(at, &head(429, &[("Retry-After", "99999999999999")])).unwrap();
     assert_eq!(e.next(at), Ok(Next::Wait(at + 1_000_000)));
     sent(&mut e, at + 1_000_000);
-    assert_eq!(e.broke(at + 1_000_000, Broke::Stalled), Err(ExchangeError::GaveUp(Broke::Stalled)));
+    assert_eq!(
+        e.attempt_failed(at + 1_000_000, AttemptFailure::Stalled),
+        Err(ExchangeError::GaveUp(AttemptFailure::Stalled))
+    );
 }
 
 #[test]
@@ -88,7 +91,7 @@
 fn a_clock_that_jumps_ends_it_or_lets_it_go_on_and_nothing_else() {
     let mut e = exchange(Policy { within_us: 1_000, ..Policy::default() });
     sent(&mut e, 0);
-    e.broke(-5_000_000, Broke::Cut).unwrap();
+    e.attempt_failed(-5_000_000, AttemptFailure::Cut).unwrap();
     assert!(matches!(e.next(-5_000_000), Ok(Next::Wait(_))));
-    assert_eq!(e.next(i64::MAX), Err(ExchangeError::TimeUp(Some(Broke::Cut))));
+    assert_eq!(e.next(i64::MAX), Err(ExchangeError::TimeUp(Some(AttemptFailure::Cut))));
 }
--- a/crates/oci/src/job.rs
+++ b/crates/oci/src/job.rs
@@ -1,7 +1,7 @@
 //! The interface between a job at a registry (a pull or a push) and the event loop that drives it.
 
-use crate::exchange::{Broke, Next};
-use slatevalve_http::Part;
+use crate::exchange::{AttemptFailure, Next};
+use slatevalve_http::MessageEvent;
 use std::error::Error;
 
 /// A job at a registry. Its driver has one connection: it calls [`Job::next`], and after each part of a response
@@ -21,13 +21,13 @@
     ///
     /// # Errors
     /// When the response makes the job fail.
-    fn part(&mut self, now_us: i64, response_part: Part) -> Result<(), Self::Error>;
+    fn response_event(&mut self, now_us: i64, response_part: MessageEvent) -> Result<(), Self::Error>;
 
     /// Handles a failed attempt: no connection was established, or it failed before the end of the response.
     ///
     /// # Errors
     /// When no attempt is left.
-    fn broke(&mut self, now_us: i64, failure: Broke) -> Result<(), Self::Error>;
+    fn attempt_failed(&mut self, now_us: i64, failure: AttemptFailure) -> Result<(), Self::Error>;
 
     /// Whether a response is outstanding or being read.
     fn is_receiving(&self) -> bool;
--- a/crates/oci/src/lib.rs
+++ b/crates/oci/src/lib.rs
@@ -25,10 +25,10 @@
     pack, read_signatures, sign_document, unpack, DocumentError, Packed, Unpacked, CONFIG_TYPE,
     SIGNATURE_TYPE,
 };
-pub use exchange::{Broke, ExchangeError, Next, Policy, Request};
+pub use exchange::{AttemptFailure, ExchangeError, Next, Policy, Request};
 pub use job::Job;
 pub use location::{Location, LocationError};
-pub use pull::{Pull, PullError, PullSettings, Pulled, Pulling};
-pub use pull_queue::{Wanted, WantedSettings};
+pub use pull::{Pull, PullError, PullJob, PullSettings, Pulled};
+pub use pull_queue::{PullQueue, PullQueueSettings};
 pub use push::{Package, Push, PushError, Pushed};
 pub use server::{Access, Registry, RegistryError};
--- a/crates/oci/src/pull.rs
+++ b/crates/oci/src/pull.rs
@@ -11,12 +11,12 @@
 mod job;
 
 pub use error::PullError;
-pub use job::Pulling;
+pub use job::PullJob;
 
 use crate::challenge::Credentials;
 use crate::document::{read_signatures, unpack, Unpacked};
 use crate::exchange::{
-    Broke, EndOutcome, Exchange, HeadOutcome, Next, Policy, RegistryRequest, IMAGE_MANIFEST_TYPE,
+    AttemptFailure, EndOutcome, Exchange, HeadOutcome, Next, Policy, RegistryRequest, IMAGE_MANIFEST_TYPE,
 };
 use crate::location::{is_tag, Location, LocationError};
 use download::{ContentHead, Download};
@@ -62,7 +62,7 @@
     /// Bytes of content that were transferred.
     pub bytes: u64,
     /// Bytes of content that were in the store already.
-    pub had: u64,
+    pub present_bytes: u64,
     /// Requests that were sent.
     pub requests: u64,
 }
@@ -90,7 +90,7 @@
     Download(Box<Download>),
 }
 
-/// A pull of one version; see the module's documentation. [`Pulling`] drives it.
+/// A pull of one version; see the module's documentation. [`PullJob`] drives it.
 pub struct Pull {
     settings: PullSettings,
     name: String,
@@ -140,7 +140,7 @@
     }
 
     /// The plug-in's manifest and its digest once they are received and checked, whatever becomes of the layers.
-    pub fn begun(&self) -> Option<(Manifest, Digest)> {
+    pub fn checked_manifest(&self) -> Option<(Manifest, Digest)> {
         Some((self.manifest.clone()?, self.image.as_ref()?.content.config.digest))
     }
 
@@ -154,7 +154,7 @@
             digest: self.image?.content.config.digest,
             signatures: self.signatures,
             bytes: self.transferred_bytes,
-            had: self.present_bytes,
+            present_bytes: self.present_bytes,
             requests: self.requests,
         })
     }
@@ -215,7 +215,7 @@
                 download.restart(store)?;
                 self.present_bytes = self.present_bytes.saturating_sub(stored);
             }
-            ContentHead::WrongRange => self.exchange.broke(now_us, Broke::Range)?,
+            ContentHead::WrongRange => self.exchange.attempt_failed(now_us, AttemptFailure::Range)?,
             ContentHead::RangeUnsatisfiable => {
                 return self.restart_corrupt(now_us, store, VerifyError::TooLong);
             }
@@ -273,12 +273,12 @@
         }
     }
 
-    fn handle_failure(&mut self, now_us: i64, failure: Broke) -> Result<(), PullError> {
+    fn handle_failure(&mut self, now_us: i64, failure: AttemptFailure) -> Result<(), PullError> {
         let range = self.settings.range;
         if matches!(&self.phase, Phase::Content(download) if download.has_progressed(range)) {
             self.exchange.progress();
         }
-        self.exchange.broke(now_us, failure)?;
+        self.exchange.attempt_failed(now_us, failure)?;
         // The next attempt requests what is still missing.
         if let Phase::Content(download) = &mut self.phase {
             download.end_attempt();
@@ -315,7 +315,7 @@
             return Err(PullError::Corrupt(expected, VerifyError::Other));
         }
         self.phase = Phase::ImageManifest(Vec::new());
-        Ok(self.exchange.broke(now_us, Broke::Garbage)?)
+        Ok(self.exchange.attempt_failed(now_us, AttemptFailure::MalformedResponse)?)
     }
 
     /// Starts the download of the first blob from an index on that is not in the store, or requests the referrers after the
@@ -385,7 +385,7 @@
             self.exchange.start(request);
         } else {
             // An empty response is a failed attempt, so that a registry cannot go on with them without end.
-            self.exchange.broke(now_us, Broke::Cut)?;
+            self.exchange.attempt_failed(now_us, AttemptFailure::Cut)?;
             self.exchange.replace(request);
         }
         Ok(())
@@ -425,7 +425,7 @@
             return Err(PullError::Corrupt(download.blob.digest, reason));
         }
         let request = download.request(&self.settings, &self.repository);
-        self.exchange.broke(now_us, Broke::Garbage)?;
+        self.exchange.attempt_failed(now_us, AttemptFailure::MalformedResponse)?;
         self.exchange.replace(request);
         Ok(())
     }
--- a/crates/oci/src/pull/job.rs
+++ b/crates/oci/src/pull/job.rs
@@ -1,35 +1,35 @@
 //! A pull as a [`Job`].
 
 use super::{Pull, PullError};
-use crate::exchange::{Broke, Next};
+use crate::exchange::{AttemptFailure, Next};
 use crate::job::Job;
 use slatevalve_blobs::{BlobStore, Files};
-use slatevalve_http::Part;
+use slatevalve_http::MessageEvent;
 
 /// A pull together with the store that it writes to.
-pub struct Pulling<'a, F> {
+pub struct PullJob<'a, F> {
     /// The pull.
     pub pull: Pull,
     /// The store.
     pub store: &'a mut BlobStore<F>,
 }
 
-impl<F: Files> Job for Pulling<'_, F> {
+impl<F: Files> Job for PullJob<'_, F> {
     type Error = PullError;
 
     fn next(&mut self, now_us: i64) -> Result<Next, PullError> {
         self.pull.next(now_us)
     }
 
-    fn part(&mut self, now_us: i64, response_part: Part) -> Result<(), PullError> {
+    fn response_event(&mut self, now_us: i64, response_part: MessageEvent) -> Result<(), PullError> {
         match response_part {
-            Part::Head(head) => self.pull.handle_head(now_us, self.store, &head),
-            Part::Body(chunk) => self.pull.handle_body(now_us, self.store, &chunk),
-            Part::End => self.pull.handle_end(now_us, self.store),
+            MessageEvent::Head(head) => self.pull.handle_head(now_us, self.store, &head),
+            MessageEvent::Body(chunk) => self.pull.handle_body(now_us, self.store, &chunk),
+            MessageEvent::End => self.pull.handle_end(now_us, self.store),
         }
     }
 
-    fn broke(&mut self, now_us: i64, failure: Broke) -> Result<(), PullError> {
+    fn attempt_failed(&mut self, now_us: i64, failure: AttemptFailure) -> Result<(), PullError> {
         self.pull.handle_failure(now_us, failure)
     }
 
--- a/crates/oci/src/pull_queue.rs
+++ b/crates/oci/src/pull_queue.rs
@@ -13,9 +13,9 @@
 /// The backoff doubles at most this often, so that the shift does not overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 30;
 
-/// Limits of a [`Wanted`] queue. Times in microseconds.
+/// Limits of a [`PullQueue`] queue. Times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WantedSettings {
+pub struct PullQueueSettings {
     /// Limit of the queued names, and of the failed names that are remembered.
     pub capacity: usize,
     /// Backoff after a name's first failure, before jitter.
@@ -24,9 +24,9 @@
     pub longest_wait_us: i64,
 }
 
-impl Default for WantedSettings {
+impl Default for PullQueueSettings {
     fn default() -> Self {
-        WantedSettings { capacity: 1_024, first_wait_us: 1_000_000, longest_wait_us: 300_000_000 }
+        PullQueueSettings { capacity: 1_024, first_wait_us: 1_000_000, longest_wait_us: 300_000_000 }
     }
 }
 
@@ -40,8 +40,8 @@
 }
 
 /// A queue of pulls with backoff. A name is a plug-in's with its version or digest, compared as text.
-pub struct Wanted {
-    settings: WantedSettings,
+pub struct PullQueue {
+    settings: PullQueueSettings,
     queued: VecDeque<String>,
     failed: BTreeMap<String, FailureRecord>,
     in_progress: Option<String>,
@@ -49,10 +49,10 @@
     failure_count: u64,
 }
 
-impl Wanted {
+impl PullQueue {
     /// An empty queue; `seed` is that of the backoff's jitter.
-    pub fn new(settings: WantedSettings, seed: u64) -> Self {
-        Wanted {
+    pub fn new(settings: PullQueueSettings, seed: u64) -> Self {
+        PullQueue {
             settings,
             queued: VecDeque::new(),
             failed: BTreeMap::new(),
@@ -64,7 +64,7 @@
 
     /// Queues the pull of a name; returns whether it is queued or in progress, which it is not during its backoff or when
     /// the queue is full.
-    pub fn want(&mut self, now_us: i64, name: &str) -> bool {
+    pub fn enqueue(&mut self, now_us: i64, name: &str) -> bool {
         if self.in_progress.as_deref() == Some(name) || self.queued.iter().any(|queued| queued == name) {
             return true;
         }
@@ -121,7 +121,7 @@
     }
 
     /// Ends all backoffs, for instance when an operator requested a pull or the registry was replaced.
-    pub fn forgive(&mut self) {
+    pub fn clear_failures(&mut self) {
         self.failed.clear();
     }
 }
--- a/crates/oci/src/pull_queue/tests.rs
+++ b/crates/oci/src/pull_queue/tests.rs
@@ -1,30 +1,30 @@
 use super::*;
 use proptest::prelude::*;
 
-fn wanted(capacity: usize) -> Wanted {
-    Wanted::new(WantedSettings { capacity, first_wait_us: 1_000, longest_wait_us: 60_000 }, 1)
+fn pull_queue(capacity: usize) -> PullQueue {
+    PullQueue::new(PullQueueSettings { capacity, first_wait_us: 1_000, longest_wait_us: 60_000 }, 1)
 }
 
 #[test]
 fn a_name_is_pulled_once_however_many_calls_ask() {
-    let mut w = wanted(10);
-    assert!((0..100).all(|_| w.want(0, "fare@2")));
+    let mut w = pull_queue(10);
+    assert!((0..100).all(|_| w.enqueue(0, "fare@2")));
     assert_eq!(w.begin().as_deref(), Some("fare@2"));
-    assert!(w.want(0, "fare@2") && w.begin().is_none());
+    assert!(w.enqueue(0, "fare@2") && w.begin().is_none());
     w.ended(0, true);
     assert_eq!(w.begin(), None);
 }
 
 #[test]
 fn what_failed_waits_longer_each_time_and_not_for_ever() {
-    let mut w = wanted(10);
+    let mut w = pull_queue(10);
     let (mut now, mut last) = (0, 0);
     for n in 0..12 {
-        assert!(w.want(now, "x"));
+        assert!(w.enqueue(now, "x"));
         w.begin();
         w.ended(now, false);
         let mut wait = 0;
-        while !w.want(now + wait, "x") {
+        while !w.enqueue(now + wait, "x") {
             wait += 100;
         }
         w.queued.clear();
@@ -39,10 +39,10 @@
     fn names_that_clients_make_up_take_no_room_without_bound(
         steps in prop::collection::vec((0u32..400, 0i64..5_000, any::<bool>()), 1..400),
     ) {
-        let (mut w, mut now) = (wanted(16), 0);
+        let (mut w, mut now) = (pull_queue(16), 0);
         for (name, later, good) in steps {
             now += later;
-            w.want(now, &format!("n{name}"));
+            w.enqueue(now, &format!("n{name}"));
             if name % 3 == 0 {
                 w.begin();
                 w.ended(now, good);
--- a/crates/oci/src/push.rs
+++ b/crates/oci/src/push.rs
@@ -9,11 +9,11 @@
 use crate::challenge::Credentials;
 use crate::document::{pack, sign_document, Packed, EMPTY_CONFIG};
 use crate::exchange::{
-    Broke, EndOutcome, Exchange, HeadOutcome, Next, Policy, RegistryRequest, IMAGE_MANIFEST_TYPE,
+    AttemptFailure, EndOutcome, Exchange, HeadOutcome, Next, Policy, RegistryRequest, IMAGE_MANIFEST_TYPE,
 };
 use crate::job::Job;
 use crate::location::{is_tag, Location, LocationError};
-use slatevalve_http::{Head, Part};
+use slatevalve_http::{Head, MessageEvent};
 use slatevalve_plugins::{Digest, Manifest, Signature};
 use std::sync::Arc;
 use url::Url;
@@ -39,7 +39,7 @@
     /// Bytes of content that were transferred.
     pub bytes: u64,
     /// Bytes of content that the registry had already.
-    pub had: u64,
+    pub present_bytes: u64,
 }
 
 /// The next request of a blob's upload.
@@ -150,8 +150,8 @@
     /// The result, once [`Job::next`] has returned [`Next::Done`].
     pub fn result(&self) -> Option<Pushed> {
         let image = self.manifests.first()?.packed.digest;
-        let (bytes, had) = (self.transferred_bytes, self.present_bytes);
-        self.is_done().then_some(Pushed { image, bytes, had })
+        let (bytes, present_bytes) = (self.transferred_bytes, self.present_bytes);
+        self.is_done().then_some(Pushed { image, bytes, present_bytes })
     }
 
     fn is_done(&self) -> bool {
@@ -234,7 +234,7 @@
             (UploadStep::SendChunk(_), 416) => UploadStep::QueryOffset,
             // The upload session is gone.
             (UploadStep::QueryOffset | UploadStep::SendChunk(_) | UploadStep::Close, 404) => {
-                self.exchange.broke(now_us, Broke::Cut)?;
+                self.exchange.attempt_failed(now_us, AttemptFailure::Cut)?;
                 UploadStep::Open
             }
             (UploadStep::Close, 201) => return Ok(None),
@@ -318,21 +318,21 @@
         Ok(self.exchange.next(now_us)?)
     }
 
-    fn part(&mut self, now_us: i64, response_part: Part) -> Result<(), PushError> {
+    fn response_event(&mut self, now_us: i64, response_part: MessageEvent) -> Result<(), PushError> {
         match response_part {
-            Part::Head(head) => {
+            MessageEvent::Head(head) => {
                 let outcome = self.exchange.head(now_us, &head)?;
                 self.response_head = (outcome == HeadOutcome::ForCaller).then_some(head);
                 Ok(())
             }
             // A push needs no response's body.
-            Part::Body(chunk) => Ok(self.exchange.body(now_us, &chunk).map(drop)?),
-            Part::End => self.handle_end(now_us),
+            MessageEvent::Body(chunk) => Ok(self.exchange.body(now_us, &chunk).map(drop)?),
+            MessageEvent::End => self.handle_end(now_us),
         }
     }
 
-    fn broke(&mut self, now_us: i64, failure: Broke) -> Result<(), PushError> {
-        self.exchange.broke(now_us, failure)?;
+    fn attempt_failed(&mut self, now_us: i64, failure: AttemptFailure) -> Result<(), PushError> {
+        self.exchange.attempt_failed(now_us, failure)?;
         // How much of a chunk arrived is known to the registry alone.
         if matches!(self.step, UploadStep::SendChunk(_)) {
             self.step = UploadStep::QueryOffset;
