--- a/crates/oci/tests/pulls.rs
+++ b/crates/oci/tests/pulls.rs
@@ -3,7 +3,7 @@
 
 use serde_json::json;
 use slatevalve_blobs::{BlobError, BlobStore, MemoryFiles};
-use slatevalve_http::{Limits, MessageReader, Part, PartReader, Side};
+use slatevalve_http::{Limits, MessageDecoder, MessageEvent, MessageReader, Side};
 use slatevalve_oci::*;
 use slatevalve_plugins::{check_manifest, ClassRights, Digest, SigningSecret};
 use std::sync::Arc;
@@ -98,7 +98,7 @@
         let fault = (self.faults)(self.asked.len(), &line);
         self.asked.push(line);
         if let Some(Fault::NoConnection) = fault {
-            return job.broke(self.now_us, Broke::Connect);
+            return job.attempt_failed(self.now_us, AttemptFailure::Connect);
         }
         let mut bytes = match &fault {
             Some(Fault::Instead(answer)) => answer.clone().into_bytes(),
@@ -108,39 +108,40 @@
         match fault {
             Some(Fault::Cut(at)) => {
                 bytes.truncate(at);
-                cut = Some(Broke::Cut);
+                cut = Some(AttemptFailure::Cut);
             }
             Some(Fault::Stall) => {
                 bytes.clear();
                 let Next::Receive(at) = job.next(self.now_us)? else { panic!("it does not wait") };
                 self.now_us = at;
-                cut = Some(Broke::Stalled);
+                cut = Some(AttemptFailure::Stalled);
             }
             Some(Fault::Flip) => bytes.last_mut().into_iter().for_each(|b| *b ^= 1),
             Some(Fault::Endless) => {
                 bytes = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
                 bytes.extend(vec![b'x'; 100_000]);
-                cut = Some(Broke::Cut);
+                cut = Some(AttemptFailure::Cut);
             }
             _ => {}
         }
-        let mut reader = PartReader::new(Side::Response, Limits { body: usize::MAX, ..Limits::default() });
+        let mut reader =
+            MessageDecoder::new(Side::Response, Limits { body: usize::MAX, ..Limits::default() });
         if request.bodiless {
             reader.expect_no_body();
         }
         for piece in bytes.chunks(700) {
             let mut parts = Vec::new();
             reader.feed(piece, &mut parts).unwrap();
-            for part in parts {
-                let whole = part == Part::End;
-                job.part(self.now_us, part)?;
+            for response_event in parts {
+                let whole = response_event == MessageEvent::End;
+                job.response_event(self.now_us, response_event)?;
                 // A job that wants something else leaves the connection, whatever else it would bring.
                 if whole || !job.is_receiving() {
                     return Ok(());
                 }
             }
         }
-        job.broke(self.now_us, cut.unwrap_or(Broke::Cut))
+        job.attempt_failed(self.now_us, cut.unwrap_or(AttemptFailure::Cut))
     }
 }
 
@@ -169,7 +170,7 @@
     settings: PullSettings,
     faults: Faults<'_>,
 ) -> (Result<Pulled, PullError>, Vec<String>) {
-    let mut job = Pulling { pull: Pull::new(0, settings, "fare", "1").unwrap(), store };
+    let mut job = PullJob { pull: Pull::new(0, settings, "fare", "1").unwrap(), store };
     let mut wire = WorkerProtocol::new(registry, faults);
     let done = wire.drive(&mut job);
     (done.map(|()| job.pull.result().unwrap()), wire.asked)
@@ -190,12 +191,15 @@
     let mut registry = registry();
     let first = push(&mut registry, &package(), &|_, _| None).unwrap();
     let again = push(&mut registry, &package(), &|_, _| None).unwrap();
-    assert_eq!((first.had, again.bytes, again.had), (0, 0, first.bytes));
+    assert_eq!((first.present_bytes, again.bytes, again.present_bytes), (0, 0, first.bytes));
     let mut store = BlobStore::new(MemoryFiles::default());
     let (done, asked) = pull_into(&mut registry, &mut store, settings(), &|_, _| None);
     let done = done.unwrap();
     assert!(is_whole(&mut store));
-    assert_eq!((done.digest, done.bytes, done.had), (Digest::of(&package().config), first.bytes, 0));
+    assert_eq!(
+        (done.digest, done.bytes, done.present_bytes),
+        (Digest::of(&package().config), first.bytes, 0)
+    );
     // 2,500 bytes are three ranges of 1,000; an empty layer is asked for not at all.
     let large = Digest::of(&[b'a'; 2_500]).to_string();
     assert_eq!(asked.iter().filter(|a| a.contains(&large)).count(), 3, "{asked:?}");
@@ -320,7 +324,7 @@
     );
     let mut store = BlobStore::new(MemoryFiles::default());
     let pull = Pull::new(0, settings(), "fare", "2").unwrap();
-    let mut job = Pulling { pull, store: &mut store };
+    let mut job = PullJob { pull, store: &mut store };
     let befall = |n: usize, _: &str| (n == 0).then(|| Fault::Instead(mislabelled.clone()));
     let error = WorkerProtocol::new(&mut pushed(), &befall).drive(&mut job).unwrap_err();
     assert!(matches!(error, PullError::OtherVersion { .. }), "{error}");
@@ -361,7 +365,7 @@
     );
     store.files().full = false;
     let done = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
-    assert!(done.had > 0 && is_whole(&mut store));
+    assert!(done.present_bytes > 0 && is_whole(&mut store));
 }
 
 #[test]
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -36,13 +36,13 @@
     /// Requests that one client sends when it starts.
     pub requests: f64,
     /// The least window of the first delay after a failure.
-    pub first_us: i64,
+    pub initial_window_us: i64,
     /// The longest delay among few clients, once they were counted.
     pub few_us: i64,
     /// The longest delay among any number of clients.
     pub longest_us: i64,
     /// Consecutive failures that are retried without back-off, as there are other members to try.
-    pub free: u32,
+    pub immediate_retries: u32,
 }
 
 impl Default for Limits {
@@ -50,10 +50,10 @@
         Limits {
             per_second: 500.0,
             requests: 2.0,
-            first_us: 100_000,
+            initial_window_us: 100_000,
             few_us: 2_000_000,
             longest_us: 9_500_000,
-            free: 0,
+            immediate_retries: 0,
         }
     }
 }
@@ -148,11 +148,11 @@
         self.failures = self.failures.saturating_add(1);
         let demanded_us = retry_after_us.unwrap_or(0).clamp(0, self.limits.longest_us / 2);
         let (window_us, drawn_max_us) = (self.window_us(), self.limits.longest_us - demanded_us);
-        let drawn_us = match self.failures.checked_sub(self.limits.free + 1) {
+        let drawn_us = match self.failures.checked_sub(self.limits.immediate_retries + 1) {
             // All clients that lost the same member retry at the same next one.
             None => self.draw(window_us.min(drawn_max_us)),
             Some(retries) => {
-                let initial_us = self.limits.first_us.max(window_us);
+                let initial_us = self.limits.initial_window_us.max(window_us);
                 let doubled_us = initial_us.saturating_mul(1 << retries.min(DOUBLINGS_MAX));
                 self.draw(doubled_us.min(self.longest_us()).min(drawn_max_us))
             }
@@ -161,7 +161,7 @@
     }
 
     /// Notes a success: the count of consecutive failures ends.
-    pub fn good(&mut self) {
+    pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 
--- a/crates/pacing/src/tests.rs
+++ b/crates/pacing/src/tests.rs
@@ -65,17 +65,19 @@
     for _ in 0..20 {
         schedule.failed(None);
     }
-    schedule.good();
+    schedule.succeeded();
     assert!(schedule.failed(None) <= 100_000);
     assert!(schedule.failed(Some(i64::MAX)) >= Limits::default().longest_us / 2);
 }
 
 #[test]
 fn another_member_is_asked_at_once() {
-    let limits = Limits { free: 2, ..Limits::default() };
+    let limits = Limits { immediate_retries: 2, ..Limits::default() };
     let mut schedule = PollSchedule::new(limits, 1, 3);
     assert_eq!((schedule.failed(None), schedule.failed(None)), (0, 0));
-    assert!((0..50).any(|n| PollSchedule::new(Limits { free: 0, ..limits }, 1, n).failed(None) > 0));
+    assert!(
+        (0..50).any(|n| PollSchedule::new(Limits { immediate_retries: 0, ..limits }, 1, n).failed(None) > 0)
+    );
 }
 
 proptest! {
--- a/crates/platform/src/changes.rs
+++ b/crates/platform/src/changes.rs
@@ -5,7 +5,7 @@
 //! random backoff ([`slatevalve_pacing`]). A truncated answer has no effect. An answer that omits numbers is applied, but
 //! requested again from the last event before the gap; so is one with a malformed member, whose other members are applied.
 //!
-//! The client does no I/O: the gateway's event loop owns the connection and executes the outputs ([`Wanted`]).
+//! The client does no I/O: the gateway's event loop owns the connection and executes the outputs ([`ChangeLogOutput`]).
 
 mod event;
 
@@ -34,10 +34,10 @@
 const RETRY_LIMITS: PaceLimits = PaceLimits {
     per_second: 500.0,
     requests: 1.0,
-    first_us: 100_000,
+    initial_window_us: 100_000,
     few_us: 400_000,
     longest_us: 400_000,
-    free: 1,
+    immediate_retries: 1,
 };
 /// Consecutive answers with the same gap or malformed member before the client stops requesting it again: by then the
 /// numbers are taken to be unused, or the member to be malformed at the source.
@@ -53,13 +53,13 @@
     /// Membership changes, in order.
     pub changes: Vec<Change>,
     /// Errors of members that could not be read and are left out of `changes`.
-    pub unread: Vec<FieldError>,
+    pub malformed: Vec<FieldError>,
 }
 
 /// An output of the client, to be executed by the event loop.
 #[derive(Debug)]
-pub enum Wanted {
-    /// Connect to the log, then call [`Follower::connected`] or [`Follower::closed`].
+pub enum ChangeLogOutput {
+    /// Connect to the log, then call [`ChangeLogClient::connected`] or [`ChangeLogClient::closed`].
     Connect(SocketAddr),
     /// Write a request.
     Write(Vec<u8>),
@@ -68,7 +68,7 @@
     /// A complete event with a membership change.
     Change(Change),
     /// An answer or one of its members is malformed; the log is polled again.
-    Unread(FieldError),
+    Malformed(FieldError),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,7 +91,7 @@
 }
 
 /// The client of one change log.
-pub struct Follower {
+pub struct ChangeLogClient {
     events: EventReader,
     address: SocketAddr,
     /// The number of the last event before any gap.
@@ -107,7 +107,7 @@
     MessageReader::new(Side::Response, Limits { head: MAX_HEAD, body: MAX_BODY })
 }
 
-impl Follower {
+impl ChangeLogClient {
     /// A client that continues after the events in `known`, and those events. `at_unix_ms` converts a Unix time in
     /// milliseconds to the router's clock; `seed` is for the backoff and differs from router to router.
     ///
@@ -120,7 +120,7 @@
         known: &JsonObject,
         seed: u64,
     ) -> Result<(Self, EventBatch), FieldError> {
-        let mut follower = Follower {
+        let mut follower = ChangeLogClient {
             events: EventReader::new(names, at_unix_ms),
             address,
             seq: 0,
@@ -142,7 +142,7 @@
     }
 
     /// Sets the log's address; the sequence numbers continue.
-    pub fn moved(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<Wanted>) {
+    pub fn moved(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<ChangeLogOutput>) {
         if self.address != address {
             self.address = address;
             self.disconnect(now, out);
@@ -150,19 +150,19 @@
     }
 
     /// Handles timers that are due.
-    pub fn advance(&mut self, now: Micros, out: &mut Vec<Wanted>) {
+    pub fn advance(&mut self, now: Micros, out: &mut Vec<ChangeLogOutput>) {
         match self.state {
             State::Disconnected { connect_at } if connect_at <= now => {
                 self.state = State::Pending { deadline: after(now, CONNECT_TIMEOUT) };
                 self.response = response_reader();
-                out.push(Wanted::Connect(self.address));
+                out.push(ChangeLogOutput::Connect(self.address));
             }
             State::Pending { deadline } if deadline <= now => self.schedule_retry(now, out),
             _ => {}
         }
     }
 
-    /// When [`Follower::advance`] is due next.
+    /// When [`ChangeLogClient::advance`] is due next.
     #[must_use]
     pub fn next_wake(&self) -> Micros {
         match self.state {
@@ -171,12 +171,12 @@
     }
 
     /// The connection is established.
-    pub fn connected(&mut self, now: Micros, out: &mut Vec<Wanted>) {
+    pub fn connected(&mut self, now: Micros, out: &mut Vec<ChangeLogOutput>) {
         self.poll(now, out);
     }
 
     /// The connection ended or could not be established.
-    pub fn closed(&mut self, now: Micros, out: &mut Vec<Wanted>) {
+    pub fn closed(&mut self, now: Micros, out: &mut Vec<ChangeLogOutput>) {
         // An answer without a length ends with its connection.
         if let Ok(Some(message)) = self.response.end() {
             self.handle_answer(&message, out);
@@ -185,7 +185,7 @@
     }
 
     /// Handles bytes that were read from the connection.
-    pub fn received(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Wanted>) {
+    pub fn received(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<ChangeLogOutput>) {
         let message = match self.response.feed(bytes) {
             Ok(None) => return,
             Ok(Some(message)) => message,
@@ -198,31 +198,31 @@
         }
     }
 
-    fn poll(&mut self, now: Micros, out: &mut Vec<Wanted>) {
+    fn poll(&mut self, now: Micros, out: &mut Vec<ChangeLogOutput>) {
         let target = format!("/changes?since={}&timeout={}", self.seq, LONG_POLL_TIMEOUT_MS);
         let request = format!("GET {target} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
         self.state = State::Pending { deadline: after(after(now, LONG_POLL_TIMEOUT), RESPONSE_GRACE) };
-        out.push(Wanted::Write(request.into_bytes()));
+        out.push(ChangeLogOutput::Write(request.into_bytes()));
     }
 
-    fn handle_answer(&mut self, message: &Message, out: &mut Vec<Wanted>) -> AnswerStatus {
+    fn handle_answer(&mut self, message: &Message, out: &mut Vec<ChangeLogOutput>) -> AnswerStatus {
         if message.head.status != 200 {
             return AnswerStatus::Failed;
         }
         match self.read_answer(&message.body) {
             Ok(batch) => {
-                out.extend(batch.changes.into_iter().map(Wanted::Change));
-                out.extend(batch.unread.into_iter().map(Wanted::Unread));
+                out.extend(batch.changes.into_iter().map(ChangeLogOutput::Change));
+                out.extend(batch.malformed.into_iter().map(ChangeLogOutput::Malformed));
             }
             Err(e) => {
-                out.push(Wanted::Unread(e));
+                out.push(ChangeLogOutput::Malformed(e));
                 return AnswerStatus::Failed;
             }
         }
         if self.incomplete_answers > 0 {
             return AnswerStatus::Failed;
         }
-        self.schedule.good();
+        self.schedule.succeeded();
         AnswerStatus::Complete
     }
 
@@ -233,15 +233,15 @@
     }
 
     /// Disconnects and connects again after the backoff delay, which is zero for the first failure.
-    fn schedule_retry(&mut self, now: Micros, out: &mut Vec<Wanted>) {
+    fn schedule_retry(&mut self, now: Micros, out: &mut Vec<ChangeLogOutput>) {
         let delay = Micros(self.schedule.failed(None));
         self.disconnect(after(now, delay), out);
     }
 
-    fn disconnect(&mut self, connect_at: Micros, out: &mut Vec<Wanted>) {
+    fn disconnect(&mut self, connect_at: Micros, out: &mut Vec<ChangeLogOutput>) {
         self.state = State::Disconnected { connect_at };
         self.response = response_reader();
-        out.push(Wanted::Close);
+        out.push(ChangeLogOutput::Close);
     }
 
     /// Reads `{"seq":N,"results":[...]}`: the events after `self.seq`, all of them or, on an error, none.
@@ -262,7 +262,7 @@
                 contiguous_seq = seq;
             }
             highest_seq = seq;
-            batch.unread.extend(malformed);
+            batch.malformed.extend(malformed);
             batch.changes.extend(change);
         }
         highest_seq = highest_seq.max(last_seq);
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -52,7 +52,7 @@
     /// Pass a call to the engine.
     Call(Box<Call>),
     /// The client of a call disconnected or interrupted it.
-    Left(Ticket),
+    ClientDisconnected(Ticket),
     /// A message was rejected or a connection closed; for the log.
     Unusable(LinkId, Unusable),
 }
@@ -161,7 +161,7 @@
     fn abandon_open(&mut self, connection: Connection, out: &mut Vec<FrontOutput>) {
         for ticket in connection.open.into_values() {
             self.remove_request(ticket);
-            out.push(FrontOutput::Left(ticket));
+            out.push(FrontOutput::ClientDisconnected(ticket));
         }
     }
 
@@ -291,7 +291,7 @@
         let never_served = connection.open.is_empty() && !connection.has_response;
         for ticket in &interrupted {
             self.remove_request(*ticket);
-            out.push(FrontOutput::Left(*ticket));
+            out.push(FrontOutput::ClientDisconnected(*ticket));
         }
         // A client that interrupts all it ever requested only costs resources.
         if never_served && !interrupted.is_empty() {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`front::Front`] serves clients; [`frame`] and [`message`] read what they send.
 //! - [`workers`] is the protocol of the workers.
-//! - [`changes::Follower`] is the client of the change log.
+//! - [`changes::ChangeLogClient`] is the client of the change log.
 //! - [`config`] reads the configuration file of a router.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/platform/src/workers.rs
+++ b/crates/platform/src/workers.rs
@@ -9,16 +9,16 @@
 
 use reply::{RawReply, RequestKind};
 use slatevalve_worker_protocol::{
-    CompletedRequest, MalformedReply, Reader, Tag, WorkerProtocol, WorkerRequest,
+    CompletedRequest, MalformedReply, ReplyReader, Tag, WorkerProtocol, WorkerRequest,
 };
 
 /// The protocol, as the operators' settings configure it.
 #[derive(Clone, Copy, Debug)]
-pub struct Lines {
+pub struct LineProtocol {
     /// Requests that one connection may carry at a time.
-    pub streams: usize,
+    pub max_streams: usize,
     /// Whether replies state the queue depth of their function; one that does not then has depth 0.
-    pub tells_crowd: bool,
+    pub reports_queue_depth: bool,
 }
 
 /// The id of a request on the wire: the client's own for a call, else a name made from the tag.
@@ -29,18 +29,18 @@
     }
 }
 
-impl WorkerProtocol for Lines {
-    fn streams(&self) -> usize {
-        self.streams
+impl WorkerProtocol for LineProtocol {
+    fn max_streams(&self) -> usize {
+        self.max_streams
     }
 
-    fn partial_request_may_run(&self) -> bool {
+    fn can_run_partial_request(&self) -> bool {
         false
     }
 
-    fn reader(&self) -> Box<dyn Reader> {
+    fn reader(&self) -> Box<dyn ReplyReader> {
         Box::new(LineReader {
-            reports_queue_depth: self.tells_crowd,
+            reports_queue_depth: self.reports_queue_depth,
             pending: Vec::new(),
             buffer: Vec::new(),
             unsolicited: false,
@@ -52,7 +52,7 @@
         match request {
             WorkerRequest::Infer(call) => {
                 let mut line = format!("exec {id} profile={},thing={}", call.class, call.function);
-                line.push_str(&format!(",max={}", call.time_left_ms.max(1)));
+                line.push_str(&format!(",max={}", call.time_remaining_ms.max(1)));
                 if let Some(key) = &call.key {
                     line.push_str(",replay=");
                     line.push_str(&String::from_utf8_lossy(key));
@@ -74,7 +74,7 @@
         }
     }
 
-    fn give_up(&self, request: &WorkerRequest) -> Option<Vec<u8>> {
+    fn encode_cancel(&self, request: &WorkerRequest) -> Option<Vec<u8>> {
         match request {
             WorkerRequest::Infer(call) => Some(format!("drop {}\r\n", call.request_id).into_bytes()),
             _ => None,
@@ -92,7 +92,7 @@
 /// Parses the replies of one connection.
 struct LineReader {
     reports_queue_depth: bool,
-    /// Requests on the connection; bounded by [`Lines::streams`].
+    /// Requests on the connection; bounded by [`LineProtocol::max_streams`].
     pending: Vec<PendingRequest>,
     buffer: Vec<u8>,
     /// Whether bytes came that belong to no pending request.
@@ -112,7 +112,7 @@
         let Some(index) = pending.iter().position(|request| request.id == reply.id) else { return Ok(None) };
         let request = pending.remove(index);
         match reply.interpret(request.kind, reports_queue_depth) {
-            Some(understood) => Ok(Some(CompletedRequest { tag: request.tag, understood })),
+            Some(reply) => Ok(Some(CompletedRequest { tag: request.tag, reply })),
             None => {
                 pending.push(request);
                 Err(MalformedReply)
@@ -137,7 +137,7 @@
     }
 }
 
-impl Reader for LineReader {
+impl ReplyReader for LineReader {
     fn expect(&mut self, tag: Tag, request: &WorkerRequest) {
         let kind = match request {
             // The protocol has no reply to an unload.
@@ -167,7 +167,7 @@
         None
     }
 
-    fn is_clean(&self) -> bool {
+    fn is_reusable(&self) -> bool {
         !self.unsolicited && self.buffer.is_empty()
     }
 }
--- a/crates/platform/src/workers/tests.rs
+++ b/crates/platform/src/workers/tests.rs
@@ -5,14 +5,14 @@
 use slatevalve::Outcome;
 use slatevalve_worker_protocol::Call;
 
-const WIRE: Lines = Lines { streams: 4, tells_crowd: true };
+const WIRE: LineProtocol = LineProtocol { max_streams: 4, reports_queue_depth: true };
 
 fn exec(id: &str) -> WorkerRequest {
     WorkerRequest::Infer(Call {
         function: "7f3a9c21e0b4d655".into(),
         payload: b"a\r\nb".to_vec(),
         request_id: id.into(),
-        time_left_ms: 1500,
+        time_remaining_ms: 1500,
         class: "fare-quote".into(),
         ..Call::default()
     })
@@ -26,7 +26,7 @@
     orders.iter().enumerate().for_each(|(n, o)| reader.expect(Tag(n as u64), o));
     let mut out = Vec::new();
     let fed = reader.feed(bytes, &mut out);
-    (out, fed, reader.is_clean())
+    (out, fed, reader.is_reusable())
 }
 
 #[test]
@@ -42,7 +42,7 @@
     let load = WorkerRequest::Load { function: "7f".into(), copies: 2 };
     assert_eq!(WIRE.encode("", Tag(4), &load), b"ensure t4 thing=7f,copies=2\r\n");
     assert_eq!(WIRE.encode("", Tag(5), &WorkerRequest::Ready), b"load t5\r\n");
-    assert_eq!(WIRE.give_up(&order).unwrap(), b"drop 9b1f03aa5c7e2d41\r\n");
+    assert_eq!(WIRE.encode_cancel(&order).unwrap(), b"drop 9b1f03aa5c7e2d41\r\n");
 }
 
 #[test]
@@ -58,13 +58,13 @@
         let bytes = format!("aa {word} queue_fn=3 2\r\nhi\r\n");
         let (out, fed, clean) = heard(&[exec("aa")], bytes.as_bytes());
         assert_eq!((fed, clean, out.len()), (Ok(()), true, 1), "{word}");
-        assert_eq!(out[0].understood.outcome, outcome);
+        assert_eq!(out[0].reply.outcome, outcome);
         let told = matches!(word, "ACK" | "AGAIN").then_some(3);
-        assert_eq!(out[0].understood.queue_depth, told);
-        assert_eq!(out[0].understood.payload, if word == "ACK" { b"hi".to_vec() } else { vec![] });
+        assert_eq!(out[0].reply.queue_depth, told);
+        assert_eq!(out[0].reply.payload, if word == "ACK" { b"hi".to_vec() } else { vec![] });
     }
     let (out, _, _) = heard(&[exec("aa")], b"aa ACK - 0\r\n\r\n");
-    assert_eq!(out[0].understood.queue_depth, Some(0), "absent is none");
+    assert_eq!(out[0].reply.queue_depth, Some(0), "absent is none");
 }
 
 #[test]
@@ -80,9 +80,9 @@
         }
         let order: Vec<u64> = out.iter().map(|h| h.tag.0).collect();
         assert_eq!(order, [1, 2, 0]);
-        assert_eq!(out[0].understood.payload, b"\r\n\r\n");
-        assert_eq!(out[1].understood.report.unwrap().queue, Some(2.5));
-        assert!(reader.is_clean());
+        assert_eq!(out[0].reply.payload, b"\r\n\r\n");
+        assert_eq!(out[1].reply.report.unwrap().queue, Some(2.5));
+        assert!(reader.is_reusable());
     }
 }
 
@@ -94,7 +94,7 @@
     for bytes in [&unknown[..], copy, begun] {
         let (out, fed, clean) = heard(&[exec("aa")], bytes);
         assert_eq!((fed, clean, out.len()), (Ok(()), false, 1));
-        assert_eq!(out[0].understood.payload, b"hi");
+        assert_eq!(out[0].reply.payload, b"hi");
     }
 }
 
--- a/crates/platform/tests/changes.rs
+++ b/crates/platform/tests/changes.rs
@@ -3,12 +3,12 @@
 use serde_json::{json, Value};
 use slatevalve::{Micros, Scope, WorkerState};
 use slatevalve_engine::worker_id;
-use slatevalve_platform::changes::{Change, Follower, Wanted};
+use slatevalve_platform::changes::{Change, ChangeLogClient, ChangeLogOutput};
 use slatevalve_site_config::Names;
 use std::net::SocketAddr;
 
 struct Log {
-    follower: Follower,
+    follower: ChangeLogClient,
     now: Micros,
     address: SocketAddr,
 }
@@ -20,7 +20,7 @@
     asked: Vec<String>,
     closes: usize,
     changes: Vec<Change>,
-    unread: usize,
+    malformed: usize,
 }
 
 fn fleet(seq: u64, complete: bool, members: &[(&str, &str)]) -> Value {
@@ -50,8 +50,8 @@
         };
         let address = "127.0.0.1:4222".parse().unwrap();
         let at = Box::new(|ms: f64| Micros((ms * 1000.0) as i64));
-        let (follower, told) =
-            Follower::new(names, at, address, known.as_object().unwrap(), seed).expect("the known events");
+        let (follower, told) = ChangeLogClient::new(names, at, address, known.as_object().unwrap(), seed)
+            .expect("the known events");
         (Log { follower, now: Micros(10_000_000), address }, told.changes)
     }
 
@@ -65,17 +65,17 @@
         log
     }
 
-    fn with(&mut self, act: impl FnOnce(&mut Follower, Micros, &mut Vec<Wanted>)) -> Seen {
+    fn with(&mut self, act: impl FnOnce(&mut ChangeLogClient, Micros, &mut Vec<ChangeLogOutput>)) -> Seen {
         let mut out = Vec::new();
         act(&mut self.follower, self.now, &mut out);
         let mut seen = Seen::default();
         for wanted in out {
             match wanted {
-                Wanted::Connect(address) => seen.connects.push(address),
-                Wanted::Write(bytes) => seen.asked.push(String::from_utf8(bytes).unwrap()),
-                Wanted::Close => seen.closes += 1,
-                Wanted::Change(change) => seen.changes.push(change),
-                Wanted::Unread(_) => seen.unread += 1,
+                ChangeLogOutput::Connect(address) => seen.connects.push(address),
+                ChangeLogOutput::Write(bytes) => seen.asked.push(String::from_utf8(bytes).unwrap()),
+                ChangeLogOutput::Close => seen.closes += 1,
+                ChangeLogOutput::Change(change) => seen.changes.push(change),
+                ChangeLogOutput::Malformed(_) => seen.malformed += 1,
             }
         }
         seen
@@ -202,7 +202,7 @@
             let lines = seen.changes.iter().flat_map(|c| &c.lines);
             let drained: Vec<&str> =
                 lines.filter(|l| l.entry.state == WorkerState::Draining).map(|l| l.name.as_str()).collect();
-            assert_eq!((drained, seen.unread), (vec!["a"], 1), "at once, and it is said");
+            assert_eq!((drained, seen.malformed), (vec!["a"], 1), "at once, and it is said");
             if again == 3 {
                 // It may have been spoilt on its way, so it was asked for again; it is not asked for without end.
                 assert_eq!((seen.closes, log.follower.seq()), (0, last));
@@ -228,7 +228,7 @@
     }
     let mut log = Log::asked();
     let seen = log.bytes(&answer(4, &[event]));
-    assert_eq!((seen.unread, log.follower.seq()), (0, 4));
+    assert_eq!((seen.malformed, log.follower.seq()), (0, 4));
     let zones: Vec<usize> = seen.changes[0].lines.iter().map(|l| l.entry.zone.0).collect();
     assert!(zones[0] == zones[2] && zones[0] != zones[1], "{zones:?}");
     assert!(zones[0] > 1 && zones[1] > 1 && zones[3] == 1, "none of those that are listed: {zones:?}");
--- a/crates/platform/tests/front.rs
+++ b/crates/platform/tests/front.rs
@@ -65,7 +65,7 @@
                 FrontOutput::Write(link, bytes) => seen.written.push((link.0, bytes)),
                 FrontOutput::Finish(link) => seen.ended.push(link.0),
                 FrontOutput::Call(call) => seen.calls.push(*call),
-                FrontOutput::Left(ticket) => seen.left.push(ticket),
+                FrontOutput::ClientDisconnected(ticket) => seen.left.push(ticket),
                 FrontOutput::Unusable(_, why) => seen.why.push(why),
             }
         }
--- a/crates/platform/tests/stored_forms.rs
+++ b/crates/platform/tests/stored_forms.rs
@@ -9,11 +9,11 @@
 use slatevalve_engine::{Answer, FunctionTraits, Reason, Ticket, Verdict};
 use slatevalve_platform::front::{Front, FrontOutput, FrontSettings, LinkId};
 use slatevalve_platform::message::{self, ClientRequest, Message};
-use slatevalve_platform::workers::Lines;
+use slatevalve_platform::workers::LineProtocol;
 use slatevalve_worker_protocol::reply::ParsedReply;
 use slatevalve_worker_protocol::{Call, CompletedRequest, Tag, WorkerProtocol, WorkerRequest};
 
-const LINES: Lines = Lines { streams: 4, tells_crowd: true };
+const LINES: LineProtocol = LineProtocol { max_streams: 4, reports_queue_depth: true };
 
 fn call(key: Option<&[u8]>) -> WorkerRequest {
     WorkerRequest::Infer(Call {
@@ -22,7 +22,7 @@
         key: key.map(Into::into),
         request_id: "9b1f03aa5c7e2d41".into(),
         attempt: 1,
-        time_left_ms: 1500,
+        time_remaining_ms: 1500,
         class: "fare-quote".into(),
         settings: vec![3],
         ..Call::default()
@@ -42,13 +42,13 @@
     let (mut reader, mut out) = (LINES.reader(), Vec::new());
     reader.expect(Tag(12), order);
     reader.feed(literal, &mut out).unwrap();
-    assert!(reader.is_clean());
-    let CompletedRequest { tag, understood } = out.remove(0);
+    assert!(reader.is_reusable());
+    let CompletedRequest { tag, reply } = out.remove(0);
     assert_eq!((tag, out.len()), (Tag(12), 0));
-    understood
+    reply
 }
 
-fn understood(outcome: Outcome) -> ParsedReply {
+fn reply(outcome: Outcome) -> ParsedReply {
     ParsedReply {
         outcome,
         payload: Vec::new(),
@@ -74,8 +74,8 @@
 
 #[test]
 fn the_line_that_drops_a_call_keeps_its_bytes() {
-    assert_eq!(LINES.give_up(&call(None)).unwrap(), b"drop 9b1f03aa5c7e2d41\r\n");
-    assert_eq!(LINES.give_up(&load()), None);
+    assert_eq!(LINES.encode_cancel(&call(None)).unwrap(), b"drop 9b1f03aa5c7e2d41\r\n");
+    assert_eq!(LINES.encode_cancel(&load()), None);
 }
 
 #[test]
@@ -120,20 +120,19 @@
 fn the_fields_of_a_workers_answer_to_a_call_are_read() {
     let ran = b"9b1f03aa5c7e2d41 ACK queue_fn=3,report=queue:2.5;inflight:7;util:0.61 2\r\nhi\r\n";
     let report = Some(Report { queue: Some(2.5), inflight: Some(7.0), util: Some(0.61) });
-    let wanted =
-        ParsedReply { payload: b"hi".to_vec(), queue_depth: Some(3), report, ..understood(Outcome::Ok) };
+    let wanted = ParsedReply { payload: b"hi".to_vec(), queue_depth: Some(3), report, ..reply(Outcome::Ok) };
     assert_eq!(heard(&call(None), ran), wanted);
     let failed = b"9b1f03aa5c7e2d41 EIO remark=f 0\r\n\r\n";
-    assert_eq!(heard(&call(None), failed), ParsedReply { load_failed: true, ..understood(Outcome::Error) });
+    assert_eq!(heard(&call(None), failed), ParsedReply { load_failed: true, ..reply(Outcome::Error) });
 }
 
 #[test]
 fn the_answers_to_a_load_order_and_a_probe_are_read() {
-    let wanted = ParsedReply { copies: 2, ..understood(Outcome::Ok) };
+    let wanted = ParsedReply { copies: 2, ..reply(Outcome::Ok) };
     assert_eq!(heard(&load(), b"t12 READY copies=2 0\r\n\r\n"), wanted);
     let probe = b"t12 READY report=backlog:2.5;outstanding:7;utilization:0.5 0\r\n\r\n";
     let report = Some(Report { queue: Some(2.5), inflight: Some(7.0), util: Some(0.5) });
-    assert_eq!(heard(&WorkerRequest::Ready, probe), ParsedReply { report, ..understood(Outcome::Ok) });
+    assert_eq!(heard(&WorkerRequest::Ready, probe), ParsedReply { report, ..reply(Outcome::Ok) });
 }
 
 /// `[0, 7, "booking", [{...}, body]]` with every field that is known.
--- a/crates/plugins/benches/plugins.rs
+++ b/crates/plugins/benches/plugins.rs
@@ -15,7 +15,7 @@
             tenant: None,
             class: "quote".into(),
             effect: None,
-            lanes: 1,
+            concurrency: 1,
             memory_mb: 0.0,
             load_ms: 0.0,
             engine: None,
--- a/crates/plugins/src/catalogue.rs
+++ b/crates/plugins/src/catalogue.rs
@@ -253,7 +253,7 @@
     ///
     /// # Errors
     /// With the reason, where it may not.
-    pub fn may_run(&self, digest: &Digest) -> Result<()> {
+    pub fn check_runnable(&self, digest: &Digest) -> Result<()> {
         match (self.quarantined.get(digest), self.barred.get(digest)) {
             (Some(found), _) => Err(CatalogueError::Quarantined(found.reason.clone())),
             (None, Some(why)) => Err(why.clone()),
@@ -322,7 +322,7 @@
             return Err(CatalogueError::Partial(to.into()));
         }
         let digest = version.digest;
-        self.may_run(&digest)?;
+        self.check_runnable(&digest)?;
         let function =
             self.functions.get_mut(name).ok_or_else(|| CatalogueError::UnknownFunction(name.into()))?;
         let before = function.aliases.get(alias).map(|alias| alias.version.clone());
@@ -361,7 +361,7 @@
         let version = self.function(&reference.name)?.versions.get(name);
         let version = version.filter(|entry| entry.state != VersionState::Deleted);
         let version = version.ok_or_else(|| CatalogueError::UnknownVersion(reference.to_string()))?;
-        self.may_run(&version.digest)?;
+        self.check_runnable(&version.digest)?;
         if version.state == VersionState::Partial {
             return Err(CatalogueError::Partial(name.into()));
         }
--- a/crates/plugins/src/lib.rs
+++ b/crates/plugins/src/lib.rs
@@ -21,5 +21,5 @@
 pub use digest::{Digest, DigestError, Verifier, VerifyError};
 pub use manifest::{check_manifest, ClassRights, LayerRef, Manifest, ManifestProblem, SCHEMA};
 pub use reference::{Reference, ReferenceError, Selector};
-pub use rollout::{Direction, Ended, Observed, Rollout, RolloutSettings, RolloutState, Want};
+pub use rollout::{Direction, Ended, Observed, Rollout, RolloutRequest, RolloutSettings, RolloutState};
 pub use signature::{KeyError, KeyList, Signature, SigningSecret};
--- a/crates/plugins/src/manifest.rs
+++ b/crates/plugins/src/manifest.rs
@@ -39,8 +39,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub effect: Option<String>,
     /// Calls that one copy runs at a time.
-    #[serde(default = "one")]
-    pub lanes: u32,
+    #[serde(default = "one", rename = "lanes")]
+    pub concurrency: u32,
     /// Memory of a copy, in MB.
     #[serde(default)]
     pub memory_mb: f64,
--- a/crates/plugins/src/manifest/tests.rs
+++ b/crates/plugins/src/manifest/tests.rs
@@ -24,7 +24,7 @@
 fn a_good_manifest_is_taken_with_the_digest_of_its_bytes() {
     let bytes = good().to_string().into_bytes();
     let (manifest, digest) = check_manifest("fare.json", &bytes, Some(&rights())).unwrap();
-    assert_eq!((manifest.lanes, digest), (2, Digest::of(&bytes)));
+    assert_eq!((manifest.concurrency, digest), (2, Digest::of(&bytes)));
 }
 
 #[test]
--- a/crates/plugins/src/rollout.rs
+++ b/crates/plugins/src/rollout.rs
@@ -2,7 +2,7 @@
 //! moved; it is rolled back automatically, once, where the new version does worse.
 //!
 //! It decides by what it observes: which replicas are loaded ([`Observed::Stands`]), how calls of either version ended. It does no
-//! I/O: [`Rollout::wants`] returns how many replicas to load ahead, [`Rollout::side`] which version a call
+//! I/O: [`Rollout::load_request`] returns how many replicas to load ahead, [`Rollout::side`] which version a call
 //! goes to. One instance for each function whose `current` moved; bounded state, no clock, no randomness.
 //!
 //! Invariants, each with a test: no call goes to the new version before a copy of it stands; a key that has gone to the
@@ -80,7 +80,7 @@
 
 /// What a roll-out asks of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum RolloutRequest {
     /// Up to so many further copies of the new version ordered ahead.
     Copies(usize),
     /// Nothing for now.
@@ -192,14 +192,14 @@
     }
 
     /// What is to be ordered ahead now.
-    pub fn wants(&self) -> Want {
+    pub fn load_request(&self) -> RolloutRequest {
         let over = matches!(self.state, RolloutState::Over(_));
         let missing = self.needed.saturating_sub(self.standing + self.orders_open);
         let room = self.settings.orders_at_once.saturating_sub(self.orders_open);
         match missing.min(room) {
-            0 => Want::Nothing,
-            _ if over => Want::Nothing,
-            copies => Want::Copies(copies),
+            0 => RolloutRequest::Nothing,
+            _ if over => RolloutRequest::Nothing,
+            copies => RolloutRequest::Copies(copies),
         }
     }
 
--- a/crates/plugins/tests/catalogue.rs
+++ b/crates/plugins/tests/catalogue.rs
@@ -12,7 +12,7 @@
         tenant: None,
         class: "quote".into(),
         effect: None,
-        lanes: 1,
+        concurrency: 1,
         memory_mb: 0.0,
         load_ms: 0.0,
         engine: None,
@@ -101,7 +101,7 @@
 fn a_version_never_changes_and_shares_no_name_with_an_alias() {
     let mut c = with(&["1"]);
     let (mut other, _) = manifest("1");
-    other.lanes = 9;
+    other.concurrency = 9;
     assert!(matches!(c.publish(other, Digest::of(b"other")), Err(CatalogueError::VersionTaken(_))));
     c.move_alias("fare", "night", "1", None, "anna", 0).unwrap();
     let (night, digest) = manifest("night");
@@ -131,10 +131,10 @@
 #[test]
 fn calls_move_in_growing_parts_as_copies_stand_and_never_before() {
     let mut r = Rollout::new(RolloutSettings::default(), 0, 4);
-    assert_eq!((r.wants(), r.side(0.0)), (Want::Copies(2), Direction::Old));
+    assert_eq!((r.load_request(), r.side(0.0)), (RolloutRequest::Copies(2), Direction::Old));
     r.observe(0, Observed::Ordered);
     r.observe(0, Observed::Ordered);
-    assert_eq!(r.wants(), Want::Nothing, "two orders at a time");
+    assert_eq!(r.load_request(), RolloutRequest::Nothing, "two orders at a time");
     r.observe(200_000, Observed::Stands);
     assert_eq!(
         (r.state(), r.side(0.05), r.side(0.2)),
@@ -165,7 +165,7 @@
         (0..200).for_each(|_| r.observe(1, ended(Direction::Old, true, false)));
         (0..40).for_each(|_| r.observe(1, ended(Direction::New, served, late)));
         assert!(matches!(r.state(), RolloutState::Over(Ended::Back(_))));
-        assert_eq!((r.side(0.0), r.wants()), (Direction::Old, Want::Nothing));
+        assert_eq!((r.side(0.0), r.load_request()), (Direction::Old, RolloutRequest::Nothing));
         assert!(matches!((r.advance(9_000_000), r.advance(9_000_001)), (Some(Ended::Back(_)), None)));
     }
 }
@@ -209,7 +209,7 @@
     let mut r = Rollout::new(RolloutSettings::default(), 0, 2);
     r.observe(0, Observed::Ordered);
     r.observe(1, Observed::OrderFailed);
-    assert_eq!(r.wants(), Want::Copies(2));
+    assert_eq!(r.load_request(), RolloutRequest::Copies(2));
     assert!(matches!(r.advance(30_000_000), Some(Ended::Back(_))));
     let mut r = Rollout::new(RolloutSettings::default(), 0, 2);
     r.observe(0, Observed::Stands);
@@ -231,11 +231,11 @@
         let (mut now, mut out, mut part, mut over) = (0, 0usize, 0.0, None);
         for (what, passes) in steps {
             now += passes;
-            if let Want::Copies(copies) = r.wants() {
+            if let RolloutRequest::Copies(copies) = r.load_request() {
                 prop_assert!(out + copies <= settings.orders_at_once);
             }
             match what {
-                0 if r.wants() != Want::Nothing => { r.observe(now, Observed::Ordered); out += 1; }
+                0 if r.load_request() != RolloutRequest::Nothing => { r.observe(now, Observed::Ordered); out += 1; }
                 1 if out > 0 => { r.observe(now, Observed::Stands); out -= 1; }
                 2 if out > 0 => { r.observe(now, Observed::OrderFailed); out -= 1; }
                 3 | 4 => r.observe(now, ended(Direction::New, true, false)),
--- a/crates/plugins/tests/stored_forms.rs
+++ b/crates/plugins/tests/stored_forms.rs
@@ -20,7 +20,7 @@
         tenant: Some("north".into()),
         class: "quote".into(),
         effect: Some("safe".into()),
-        lanes: 2,
+        concurrency: 2,
         memory_mb: 128.0,
         load_ms: 300.5,
         engine: Some("0.1".into()),
@@ -30,8 +30,17 @@
 
 fn least(version: &str) -> Manifest {
     let (tenant, effect, engine) = (None, None, None);
-    let (lanes, memory_mb, load_ms) = (1, 0.0, 0.0);
-    Manifest { version: version.into(), tenant, effect, engine, lanes, memory_mb, load_ms, ..manifest() }
+    let (concurrency, memory_mb, load_ms) = (1, 0.0, 0.0);
+    Manifest {
+        version: version.into(),
+        tenant,
+        effect,
+        engine,
+        concurrency,
+        memory_mb,
+        load_ms,
+        ..manifest()
+    }
 }
 
 fn catalogue() -> Catalogue {
--- a/crates/reactor/src/event.rs
+++ b/crates/reactor/src/event.rs
@@ -39,7 +39,7 @@
     /// A signal registered with [`Reactor::signal`](crate::Reactor::signal) was delivered.
     Signal(i32),
     /// Accepting failed, most likely because no file descriptor was available. The listener is suspended until
-    /// [`crate::Reactor::resume`].
+    /// [`crate::Reactor::resume_accepting`].
     AcceptFailed {
         /// The listener.
         listener: Id,
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -9,7 +9,7 @@
 //! - Bytes are written at the beginning of a poll, never while its events are gathered, so that bytes not yet written can
 //!   still be discarded because of what a poll brings ([`Reactor::discard_unsent`]).
 //! - Bytes received from a peer are reported before the end of its connection, also where a failing write reveals the end.
-//! - A gracefully closed connection is half-closed and read to its end first ([`Reactor::finish`]): closing a socket with
+//! - A gracefully closed connection is half-closed and read to its end first ([`Reactor::close_gracefully`]): closing a socket with
 //!   unread bytes sends a reset, which destroys what the peer has not read yet.
 //!
 //! # Modules
--- a/crates/reactor/src/reactor/graceful_close.rs
+++ b/crates/reactor/src/reactor/graceful_close.rs
@@ -57,7 +57,7 @@
     ///
     /// Its buffered bytes are written first, for at most 5 s. Then it is half-closed, the next poll reports
     /// [`ReactorEvent::Closed`], and what the peer still sends is read and discarded, for at most 0.5 s and 1 MiB.
-    pub fn finish(&mut self, id: Id) {
+    pub fn close_gracefully(&mut self, id: Id) {
         let Some(connection) = self.registry.connection_mut(id) else { return };
         if connection.close_phase != ClosePhase::Open {
             return;
--- a/crates/reactor/src/reactor/listeners.rs
+++ b/crates/reactor/src/reactor/listeners.rs
@@ -56,7 +56,7 @@
     }
 
     /// Lets a listener accept again after [`ReactorEvent::AcceptFailed`].
-    pub fn resume(&mut self, listener: Id) {
+    pub fn resume_accepting(&mut self, listener: Id) {
         if self.registry.listener(listener).is_some() {
             self.registry.set_interest(listener, Event::readable(listener.0));
         }
--- a/crates/reactor/src/reactor/mod.rs
+++ b/crates/reactor/src/reactor/mod.rs
@@ -69,10 +69,10 @@
     ) -> io::Result<()> {
         let before = out.len();
         if self.flush(until, out) == Flush::TimedOut {
-            return self.look(Some(Duration::ZERO), out);
+            return self.poll_without_writing(Some(Duration::ZERO), out);
         }
         let timeout = if out.len() == before { timeout } else { Some(Duration::ZERO) };
-        self.look(timeout, out)
+        self.poll_without_writing(timeout, out)
     }
 
     /// Like [`Reactor::poll`], but writes nothing: buffered bytes can still be discarded because of the events. For a loop
@@ -80,7 +80,11 @@
     ///
     /// # Errors
     /// When the poller fails.
-    pub fn look(&mut self, timeout: Option<Duration>, out: &mut Vec<ReactorEvent>) -> io::Result<()> {
+    pub fn poll_without_writing(
+        &mut self,
+        timeout: Option<Duration>,
+        out: &mut Vec<ReactorEvent>,
+    ) -> io::Result<()> {
         self.expire_closing();
         let timeout = if self.deferred_events.is_empty() { timeout } else { Some(Duration::ZERO) };
         let timeout = self.closing.next_timeout().into_iter().chain(timeout).min();
--- a/crates/reactor/tests/crossings.rs
+++ b/crates/reactor/tests/crossings.rs
@@ -114,7 +114,7 @@
     let (id, mut peer) = fixture.connected();
     fixture.reactor.write(id, b"decided");
     peer.write_all(b"news").unwrap();
-    fixture.reactor.look(Some(Duration::from_secs(5)), &mut fixture.events).unwrap();
+    fixture.reactor.poll_without_writing(Some(Duration::from_secs(5)), &mut fixture.events).unwrap();
     assert_eq!((fixture.received(id), fixture.reactor.written(id)), (b"news".to_vec(), 0));
     assert!(fixture.reactor.discard_unsent(id, 0, 7));
 }
@@ -145,7 +145,7 @@
     // More than the kernel accepts at once, to a peer that has not read yet.
     let answer = vec![b'a'; 3 << 20];
     fixture.reactor.write(id, &answer);
-    fixture.reactor.finish(id);
+    fixture.reactor.close_gracefully(id);
     fixture.poll();
     peer.write_all(b"what nobody reads").unwrap();
     let reads = std::thread::spawn(move || {
@@ -164,7 +164,7 @@
     let mut fixture = Fixture::new();
     let peers: Vec<(Id, TcpStream)> = (0..MAX_LINGERING + 9).map(|_| fixture.accepted()).collect();
     for (id, _) in &peers {
-        fixture.reactor.finish(*id);
+        fixture.reactor.close_gracefully(*id);
         assert!(fixture.reactor.lingering() <= MAX_LINGERING);
     }
     let start = Instant::now();
@@ -187,8 +187,8 @@
             fixture.poll();
             (fixture.reactor.pending(*id) > 1 << 20).then_some(())
         });
-        fixture.reactor.finish(*id);
-        fixture.reactor.finish(*id);
+        fixture.reactor.close_gracefully(*id);
+        fixture.reactor.close_gracefully(*id);
     }
     let (reads, mut reader) = peers.pop().unwrap();
     let reader = std::thread::spawn(move || reader.read_to_end(&mut Vec::new()).unwrap());
--- a/crates/registry/src/client/connection.rs
+++ b/crates/registry/src/client/connection.rs
@@ -1,7 +1,7 @@
 //! One of the client's two connections: its state, the request in flight and the response received so far.
 
 use super::request::Request;
-use slatevalve_http::{Limits, PartReader, Side};
+use slatevalve_http::{Limits, MessageDecoder, Side};
 
 /// Whether a connection is open, and the request that it carries.
 #[derive(Debug)]
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) state: ConnectionState,
-    pub(super) reader: PartReader,
+    pub(super) reader: MessageDecoder,
     /// The status and the body of the response in progress.
     pub(super) status: u16,
     pub(super) body: Vec<u8>,
@@ -34,7 +34,7 @@
         let limits = Limits { body: usize::MAX, ..Limits::default() };
         Connection {
             state: ConnectionState::Closed,
-            reader: PartReader::new(Side::Response, limits),
+            reader: MessageDecoder::new(Side::Response, limits),
             status: 0,
             body: Vec::new(),
             started_us: 0,
--- a/crates/registry/src/client/error.rs
+++ b/crates/registry/src/client/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// Why a request of [`Client::ask`](super::Client::ask) has no response.
+/// Why a request of [`Client::send_request`](super::Client::send_request) has no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestError {
     /// The registry rejected the request.
--- a/crates/registry/src/client/mod.rs
+++ b/crates/registry/src/client/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// Sets the number of the registry's clients, this one included.
-    pub fn askers(&mut self, clients: usize) {
+    pub fn set_clients(&mut self, clients: usize) {
         self.poll_schedule.set_clients(clients);
     }
 
@@ -124,7 +124,7 @@
 
     /// Sends a request of the caller's once and returns its ticket. It is not repeated where its outcome is unknown. The
     /// response is a [`ClientEvent::Answered`].
-    pub fn ask(&mut self, path: &'static str, body: &impl Serialize) -> u64 {
+    pub fn send_request(&mut self, path: &'static str, body: &impl Serialize) -> u64 {
         self.last_ticket += 1;
         let body = serde_json::to_vec(body).unwrap_or_default();
         self.caller_requests.push_back(CallerRequest { ticket: self.last_ticket, path, body });
@@ -147,7 +147,7 @@
     pub fn leave(&mut self) -> Option<u64> {
         let lease = self.registration.take()?.lease()?;
         self.is_leaving = true;
-        Some(self.ask(REVOKE, &LeaseRequest { id: lease, ttl: 0 }))
+        Some(self.send_request(REVOKE, &LeaseRequest { id: lease, ttl: 0 }))
     }
 
     fn connection(&self, channel: Channel) -> &Connection {
@@ -247,16 +247,18 @@
 
     /// Draws the intervals of liveness checks and full resyncs for the present number of clients.
     fn update_intervals(&mut self) {
-        let WatchSettings { look_us, behind_us, full_resync_interval_us, .. } = self.settings.watch_state;
-        let liveness_max_us = self.settings.drain_within_us - self.settings.timeout_us - behind_us;
-        let liveness_us = self.poll_schedule.interval_us(look_us, liveness_max_us, LIVENESS_CHECK_RATE_SHARE);
+        let WatchSettings { liveness_interval_us, lag_tolerance_us, full_resync_interval_us, .. } =
+            self.settings.watch_state;
+        let liveness_max_us = self.settings.drain_within_us - self.settings.timeout_us - lag_tolerance_us;
+        let liveness_us =
+            self.poll_schedule.interval_us(liveness_interval_us, liveness_max_us, LIVENESS_CHECK_RATE_SHARE);
         let full_resync_us = self.poll_schedule.interval_us(
             full_resync_interval_us,
             FULL_RESYNC_INTERVAL_MAX_US,
             FULL_RESYNC_RATE_SHARE,
         );
         // Few clients check at the configured interval, and detect silence as soon.
-        let response_time_us = if liveness_us > look_us { self.settings.timeout_us } else { 0 };
+        let response_time_us = if liveness_us > liveness_interval_us { self.settings.timeout_us } else { 0 };
         self.watch_state.set_intervals(liveness_us, full_resync_us, response_time_us);
     }
 
--- a/crates/registry/src/client/request.rs
+++ b/crates/registry/src/client/request.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// A request of the client's owner, see [`Client::ask`].
+/// A request of the client's owner, see [`Client::send_request`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct CallerRequest {
     pub(super) ticket: u64,
--- a/crates/registry/src/client/response.rs
+++ b/crates/registry/src/client/response.rs
@@ -33,7 +33,7 @@
         if self.is_outdated_list(&request, body) {
             return self.endpoint_failed("it holds less than was told already", out);
         }
-        self.poll_schedule.good();
+        self.poll_schedule.succeeded();
         if self.handle_success(&request, body, out).is_err() {
             self.endpoint_failed("its answer makes no sense", out);
         }
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn handle_watch_response(&mut self, response: WatchResponse, out: &mut Outputs<'_>) {
-        self.poll_schedule.good();
+        self.poll_schedule.succeeded();
         self.is_watching |= response.created;
         let changes = self.watch_state.handle_watch(out.now_us, response);
         self.report_changes(changes, out.events);
--- a/crates/registry/src/client/settings.rs
+++ b/crates/registry/src/client/settings.rs
@@ -47,7 +47,7 @@
     /// The registry's request rate, and the longest delay.
     pub pace: PollLimits,
     /// The expected number of clients of the registry, this one included.
-    pub askers: usize,
+    pub clients: usize,
     /// Bound on the time until a change is received from a registry that answers, also where the watch stalled with its
     /// connection open.
     pub drain_within_us: i64,
@@ -60,8 +60,8 @@
 impl ClientSettings {
     /// Creates the poll schedule. Failures are followed by an immediate retry while there is another endpoint to try.
     pub(super) fn poll_schedule(&self, endpoints: usize) -> PollSchedule {
-        let free = u32::try_from(endpoints - 1).unwrap_or(u32::MAX);
-        PollSchedule::new(PollLimits { free, ..self.pace }, self.askers, self.seed)
+        let immediate_retries = u32::try_from(endpoints - 1).unwrap_or(u32::MAX);
+        PollSchedule::new(PollLimits { immediate_retries, ..self.pace }, self.clients, self.seed)
     }
 }
 
@@ -100,13 +100,13 @@
     LeaseLost,
     /// The number of registered routers changed to this.
     Routers(usize),
-    /// Response to [`Client::ask`](super::Client::ask): its ticket, and the body or an error message.
-    Answered(u64, Result<Vec<u8>, String>),
+    /// Response to [`Client::send_request`](super::Client::send_request): its ticket, and the body or why there is none.
+    Answered(u64, Result<Vec<u8>, RequestError>),
 }
 
 impl ClientEvent {
     pub(super) fn request_failed(ticket: u64, error: RequestError) -> Self {
-        ClientEvent::Answered(ticket, Err(error.to_string()))
+        ClientEvent::Answered(ticket, Err(error))
     }
 }
 
--- a/crates/registry/src/client/stream.rs
+++ b/crates/registry/src/client/stream.rs
@@ -6,7 +6,7 @@
 use super::settings::{Channel, ClientEvent, Outputs, SocketAction};
 use super::Client;
 use crate::wire::{Streamed, WatchResponse};
-use slatevalve_http::{Head, Part};
+use slatevalve_http::{Head, MessageEvent};
 
 /// The largest response, or line of a watch, in bytes.
 const RESPONSE_BYTES_MAX: usize = 16 * 1024 * 1024;
@@ -77,11 +77,11 @@
         }
     }
 
-    fn handle_part(&mut self, channel: Channel, part: Part, out: &mut Outputs<'_>) {
+    fn handle_part(&mut self, channel: Channel, part: MessageEvent, out: &mut Outputs<'_>) {
         match part {
-            Part::Head(head) => self.handle_head(channel, &head),
-            Part::Body(piece) => self.handle_body(channel, &piece, out),
-            Part::End => self.handle_end(channel, out),
+            MessageEvent::Head(head) => self.handle_head(channel, &head),
+            MessageEvent::Body(piece) => self.handle_body(channel, &piece, out),
+            MessageEvent::End => self.handle_end(channel, out),
         }
     }
 
--- a/crates/registry/src/router_count.rs
+++ b/crates/registry/src/router_count.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterCountSettings {
     /// The least number of routers, whatever the registry lists.
-    pub least: usize,
+    pub min_routers: usize,
     /// A fall must last this long without a break, before each step down.
     pub hold_us: i64,
     /// Divisor of a step down: the number falls by at most this fraction, and by at least one router.
@@ -19,7 +19,7 @@
 
 impl Default for RouterCountSettings {
     fn default() -> Self {
-        RouterCountSettings { least: 1, hold_us: 30_000_000, step: 4 }
+        RouterCountSettings { min_routers: 1, hold_us: 30_000_000, step: 4 }
     }
 }
 
@@ -35,7 +35,7 @@
 impl RouterCount {
     /// Creates a count that assumes this many routers until the registry is read.
     pub fn new(settings: RouterCountSettings, routers: usize) -> Self {
-        let routers = routers.max(settings.least).max(1);
+        let routers = routers.max(settings.min_routers).max(1);
         RouterCount { settings, routers, fewer_since_us: None }
     }
 
@@ -48,7 +48,7 @@
     /// Handles the number of routers listed, from a view of this freshness. Returns the assumed number where it changed. To be
     /// called at each change and from time to time.
     pub fn listed(&mut self, now_us: i64, count: usize, freshness: Freshness) -> Option<usize> {
-        let count = count.max(self.settings.least).max(1);
+        let count = count.max(self.settings.min_routers).max(1);
         if count >= self.routers {
             self.fewer_since_us = None;
             let rose = count > self.routers;
--- a/crates/registry/src/router_count/tests.rs
+++ b/crates/registry/src/router_count/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 fn router_count() -> RouterCount {
-    RouterCount::new(RouterCountSettings { least: 1, hold_us: 100, step: 4 }, 1)
+    RouterCount::new(RouterCountSettings { min_routers: 1, hold_us: 100, step: 4 }, 1)
 }
 
 #[test]
--- a/crates/registry/src/serve.rs
+++ b/crates/registry/src/serve.rs
@@ -5,7 +5,7 @@
 /// Returns whether a key lies in a range: an empty end stands for only the key `from`, a single zero byte for all keys from
 /// there on.
 #[must_use]
-pub fn within(key: &[u8], from: &[u8], end: &[u8]) -> bool {
+pub fn is_in_range(key: &[u8], from: &[u8], end: &[u8]) -> bool {
     match end {
         [] => key == from,
         [0] => key >= from,
--- a/crates/registry/src/watch_state/liveness.rs
+++ b/crates/registry/src/watch_state/liveness.rs
@@ -26,8 +26,9 @@
     /// Sets the intervals of liveness checks and full resyncs. No response need arrive between two checks, so the view is
     /// stale only after the next check and its response time.
     pub fn set_intervals(&mut self, liveness_us: i64, full_resync_us: i64, response_time_us: i64) {
-        (self.settings.look_us, self.settings.full_resync_interval_us) = (liveness_us, full_resync_us);
-        self.stale_after_us = self.settings.silence_us.max(liveness_us + 2 * response_time_us);
+        (self.settings.liveness_interval_us, self.settings.full_resync_interval_us) =
+            (liveness_us, full_resync_us);
+        self.stale_after_us = self.settings.stale_after_us.max(liveness_us + 2 * response_time_us);
     }
 
     /// Returns whether only a liveness check suffices, not a response that could serve as one.
@@ -38,7 +39,7 @@
 
     /// Notes that a liveness check was sent; the next is due one interval later, whatever its outcome.
     pub fn liveness_check_sent(&mut self, now_us: i64) {
-        self.liveness_check_due_us = now_us.saturating_add(self.settings.look_us);
+        self.liveness_check_due_us = now_us.saturating_add(self.settings.liveness_interval_us);
     }
 
     /// Handles the response to a liveness check: the number of keys, and the key that changed last.
@@ -82,11 +83,11 @@
             _ => now_us,
         };
         self.lag = Some(Lag { since_us, revision: self.revision });
-        if now_us.saturating_sub(since_us) >= self.settings.behind_us {
+        if now_us.saturating_sub(since_us) >= self.settings.lag_tolerance_us {
             self.faults.push(WatchFault::Behind);
             self.start_resync();
         } else {
-            self.liveness_check_due_us = since_us.saturating_add(self.settings.behind_us);
+            self.liveness_check_due_us = since_us.saturating_add(self.settings.lag_tolerance_us);
         }
     }
 
--- a/crates/registry/src/watch_state/mod.rs
+++ b/crates/registry/src/watch_state/mod.rs
@@ -61,7 +61,7 @@
     fragments: Vec<WatchEvent>,
     listed_once: bool,
     last_response_us: Option<i64>,
-    /// The effective [`WatchSettings::silence_us`].
+    /// The effective [`WatchSettings::stale_after_us`].
     stale_after_us: i64,
     liveness_check_due_us: i64,
     /// When the last full list was completed.
@@ -85,7 +85,7 @@
             fragments: Vec::new(),
             listed_once: false,
             last_response_us: None,
-            stale_after_us: settings.silence_us,
+            stale_after_us: settings.stale_after_us,
             liveness_check_due_us: 0,
             listed_us: 0,
             lag: None,
--- a/crates/registry/src/watch_state/types.rs
+++ b/crates/registry/src/watch_state/types.rs
@@ -7,24 +7,24 @@
     pub page_size: i64,
     /// Interval of liveness checks, which show whether the registry answers and whether the watch is complete. It is longer
     /// among many clients, see [`WatchState::set_intervals`](super::WatchState::set_intervals).
-    pub look_us: i64,
+    pub liveness_interval_us: i64,
     /// Time that a watch has to catch up after a liveness check found it behind.
-    pub behind_us: i64,
+    pub lag_tolerance_us: i64,
     /// Interval of full resyncs. A liveness check cannot detect an event that was lost before a later one arrived. The
     /// protocol excludes such a loss, a proxy in between may not.
     pub full_resync_interval_us: i64,
     /// Time without any response after which the view is stale; longer where liveness checks are further apart.
-    pub silence_us: i64,
+    pub stale_after_us: i64,
 }
 
 impl Default for WatchSettings {
     fn default() -> Self {
         WatchSettings {
             page_size: 500,
-            look_us: 1_000_000,
-            behind_us: 500_000,
+            liveness_interval_us: 1_000_000,
+            lag_tolerance_us: 500_000,
             full_resync_interval_us: 60_000_000,
-            silence_us: 5_000_000,
+            stale_after_us: 5_000_000,
         }
     }
 }
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -68,7 +68,7 @@
                 watch_state: WatchSettings::default(),
                 registration: RegistrationSettings { ttl_s: 30 },
                 pace: PollSchedule { per_second, ..PollSchedule::default() },
-                askers: assumed,
+                clients: assumed,
                 drain_within_us: 12_000_000,
                 timeout_us: 2_000_000,
                 // All were given the same seed.
@@ -182,7 +182,7 @@
         for what in &client_events {
             // As the gateway does, the counted number replaces the assumed one.
             if let ClientEvent::Routers(count) = what {
-                self.clients[of].askers(*count);
+                self.clients[of].set_clients(*count);
             }
             let ClientEvent::Changes(changes) = what else { continue };
             self.listed_us.entry(of).or_insert(now);
@@ -262,7 +262,7 @@
             GRANT => json(&self.store.grant(now, read::<LeaseRequest>(body).ttl)),
             PUT => json(&self.store.put(now, &read(body)).unwrap()),
             KEEP_ALIVE => {
-                let result = Some(self.store.keep_alive(now, read::<LeaseRequest>(body).id));
+                let result = Some(self.store.renew_lease(now, read::<LeaseRequest>(body).id));
                 json(&Streamed { result, error: None })
             }
             other => panic!("{other}"),
--- a/crates/registry/tests/follow.rs
+++ b/crates/registry/tests/follow.rs
@@ -56,7 +56,7 @@
         },
         registration: RegistrationSettings { ttl_s: 10 },
         pace: slatevalve_pacing::Limits::default(),
-        askers: 1,
+        clients: 1,
         drain_within_us: 12_000_000,
         timeout_us: 1_000_000,
         seed: 1,
@@ -164,8 +164,9 @@
                     json(Ok(store.grant(now, serde_json::from_slice::<LeaseRequest>(body).unwrap().ttl)))
                 }
                 KEEP_ALIVE => {
-                    let result =
-                        Some(store.keep_alive(now, serde_json::from_slice::<LeaseRequest>(body).unwrap().id));
+                    let result = Some(
+                        store.renew_lease(now, serde_json::from_slice::<LeaseRequest>(body).unwrap().id),
+                    );
                     json(Ok(Streamed { result, error: None }))
                 }
                 PUT => json(store.put(now, &serde_json::from_slice(body).unwrap())),
@@ -553,7 +554,7 @@
 
 #[test]
 fn many_askers_look_seldom_and_a_keep_alive_serves_where_nothing_changed() {
-    let settings = ClientSettings { askers: 300, follow: WatchScope::Workers, ..settings(false) };
+    let settings = ClientSettings { clients: 300, follow: WatchScope::Workers, ..settings(false) };
     let mut world = World::with(settings, false);
     (0..5).for_each(|n| world.put(n, READY));
     (0..200).for_each(|_| {
--- a/crates/relay/src/relay/watches.rs
+++ b/crates/relay/src/relay/watches.rs
@@ -2,7 +2,7 @@
 
 use super::requests::{parse, Rejection};
 use super::{Peer, Relay, RelayAction};
-use slatevalve_registry::serve::{chunk, watch_line, within, WATCH_END, WATCH_HEAD};
+use slatevalve_registry::serve::{chunk, is_in_range, watch_line, WATCH_END, WATCH_HEAD};
 use slatevalve_registry::wire::{prefix_end, Header, WatchCreate, WatchEvent, WatchRequest, WatchResponse};
 use slatevalve_registry::WORKERS;
 use std::collections::BTreeMap;
@@ -54,7 +54,7 @@
             return actions.push(RelayAction::Finish(peer));
         };
         let followed = format!("{}{WORKERS}", self.prefix).into_bytes();
-        if !within(&key.0, &followed, &prefix_end(&followed)) {
+        if !is_in_range(&key.0, &followed, &prefix_end(&followed)) {
             let rejection = Rejection::unimplemented("a relay watches workers only");
             return actions.push(rejection.to_action(peer));
         }
@@ -123,7 +123,8 @@
         for (peer, connection) in &self.connections {
             let Some(watch) = connection.watch.as_ref().filter(|watch| watch.is_active()) else { continue };
             let bytes = encoded.entry((&watch.key, &watch.end)).or_insert_with(|| {
-                let in_range = events.iter().filter(|event| within(&event.kv.key.0, &watch.key, &watch.end));
+                let in_range =
+                    events.iter().filter(|event| is_in_range(&event.kv.key.0, &watch.key, &watch.end));
                 encode_events(&header, &in_range.cloned().collect::<Vec<_>>())
             });
             if !bytes.is_empty() {
--- a/crates/relay/src/run/server.rs
+++ b/crates/relay/src/run/server.rs
@@ -107,7 +107,7 @@
         let relay = Relay::new(plan.limits, &plan.name, &client.prefix);
         let mut link = Link::new(client, plan.addresses);
         // Relays are few, so their delays are short.
-        link.client_mut().askers(1);
+        link.client_mut().set_clients(1);
         let server = RelayServer {
             reactor,
             link,
@@ -185,7 +185,7 @@
                     self.relay.closed(peer);
                 }
             }
-            ReactorEvent::AcceptFailed { listener, .. } => self.reactor.resume(listener),
+            ReactorEvent::AcceptFailed { listener, .. } => self.reactor.resume_accepting(listener),
             ReactorEvent::Connected(_) | ReactorEvent::Drained(_) | ReactorEvent::Woken => {}
         }
         Flow::Continue
@@ -243,7 +243,7 @@
                 }
                 RelayAction::Finish(peer) => {
                     if let Some(socket) = self.peers.sockets.get(&peer) {
-                        self.reactor.finish(*socket);
+                        self.reactor.close_gracefully(*socket);
                     }
                 }
                 RelayAction::Announce(routers) => self.announcement.routers = Some(routers),
--- a/crates/relay/src/watch_cache.rs
+++ b/crates/relay/src/watch_cache.rs
@@ -4,7 +4,7 @@
 //! Invariant: the events since any revision not older than [`WatchCache::oldest`] lead from the keys at that revision to the
 //! present ones. A change that breaks it is returned as [`CacheUpdate::Reset`], after which all routers have to list.
 
-use slatevalve_registry::serve::within;
+use slatevalve_registry::serve::is_in_range;
 use slatevalve_registry::wire::{
     code, Bytes, EventType, Header, KeyValue, RangeRequest, RangeResponse, WatchEvent,
 };
@@ -182,7 +182,7 @@
     #[must_use]
     pub fn events_after(&self, revision: i64, key: &[u8], end: &[u8]) -> Option<Vec<WatchEvent>> {
         let later = self.events.iter().filter(|event| event.kv.mod_revision > revision);
-        let in_range = later.filter(|event| within(&event.kv.key.0, key, end));
+        let in_range = later.filter(|event| is_in_range(&event.kv.key.0, key, end));
         (revision >= self.oldest).then(|| in_range.cloned().collect())
     }
 
@@ -192,7 +192,7 @@
     /// When the requested revision is not kept any more, or not reached yet.
     pub fn range(&self, request: &RangeRequest) -> Result<RangeResponse, RangeError> {
         let keys = self.keys_at(request.revision)?;
-        let in_range = |kv: &&KeyValue| within(&kv.key.0, &request.key.0, &request.range_end.0);
+        let in_range = |kv: &&KeyValue| is_in_range(&kv.key.0, &request.key.0, &request.range_end.0);
         let mut kvs: Vec<&KeyValue> = keys.values().filter(in_range).collect();
         let count = kvs.len() as i64;
         if request.sort_target == "MOD" {
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -122,7 +122,7 @@
 fn a_relay_that_lost_its_registry_ends_its_watches_and_serves_nobody() {
     let mut world = World::new();
     world.watch(1, 6);
-    world.now_us += WatchSettings::default().silence_us;
+    world.now_us += WatchSettings::default().stale_after_us;
     assert_eq!(world.follow(), [RelayAction::Finish(1)]);
     assert!(!world.relay.is_serving());
     assert!(text(&world.list(2), 2).contains("503") && text(&world.watch(3, 6), 3).contains("503"));
--- a/crates/sexpr/src/lib.rs
+++ b/crates/sexpr/src/lib.rs
@@ -21,7 +21,7 @@
     /// The name of the form; empty at the top level.
     pub form: String,
     /// What is wrong.
-    pub words: String,
+    pub problem: String,
 }
 
 impl fmt::Display for FormError {
@@ -33,7 +33,7 @@
         if !self.form.is_empty() {
             write!(f, ": ({} ...)", self.form)?;
         }
-        write!(f, ": {}", self.words)
+        write!(f, ": {}", self.problem)
     }
 }
 
@@ -62,7 +62,7 @@
             file: name.into(),
             line: e.location().map_or(0, |location| location.line()),
             form: String::new(),
-            words: e.to_string(),
+            problem: e.to_string(),
         })?;
         Ok(File { name: name.into(), data })
     }
@@ -80,8 +80,8 @@
 
     /// An error about the file as a whole.
     #[must_use]
-    pub fn error(&self, words: impl Into<String>) -> FormError {
-        FormError { file: self.name.clone(), line: 0, form: String::new(), words: words.into() }
+    pub fn error(&self, problem: impl Into<String>) -> FormError {
+        FormError { file: self.name.clone(), line: 0, form: String::new(), problem: problem.into() }
     }
 }
 
@@ -96,7 +96,7 @@
 impl<'a> Form<'a> {
     fn read(file: &'a str, datum: Ref<'a>) -> Result<Self> {
         let line = datum.span().start().line();
-        let error = |words: String| FormError { file: file.into(), line, form: String::new(), words };
+        let error = |problem: String| FormError { file: file.into(), line, form: String::new(), problem };
         let items: Option<Vec<Ref<'a>>> = datum.list_iter().map(Iterator::collect);
         let items = items.filter(|items| !items.is_empty());
         let mut items = items.ok_or_else(|| error(format!("expected a form, found {}", datum.value())))?;
@@ -121,8 +121,13 @@
 
     /// An error about the form.
     #[must_use]
-    pub fn error(&self, words: impl Into<String>) -> FormError {
-        FormError { file: self.file.into(), line: self.line, form: self.name.clone(), words: words.into() }
+    pub fn error(&self, problem: impl Into<String>) -> FormError {
+        FormError {
+            file: self.file.into(),
+            line: self.line,
+            form: self.name.clone(),
+            problem: problem.into(),
+        }
     }
 
     fn text_of(value: &Value) -> Option<String> {
@@ -250,9 +255,9 @@
 impl<'a> Fields<'a> {
     /// An error about the form that holds these.
     #[must_use]
-    pub fn error(&self, words: impl Into<String>) -> FormError {
+    pub fn error(&self, problem: impl Into<String>) -> FormError {
         let (file, line, form) = (self.file.into(), self.line, self.form.clone());
-        FormError { file, line, form, words: words.into() }
+        FormError { file, line, form, problem: problem.into() }
     }
 
     /// Takes the form with this name; `None` where there is none.
--- a/crates/site-config/src/settings.rs
+++ b/crates/site-config/src/settings.rs
@@ -41,7 +41,7 @@
     /// Time after which the worker closes an idle connection.
     pub idle: Micros,
     /// Requests that one connection may carry at a time.
-    pub streams: usize,
+    pub max_streams: usize,
 }
 
 /// The operators' settings.
@@ -93,8 +93,8 @@
         step: time_or(site, "step", defaults.step)?,
         classes: array(site, "categories")?.iter().map(read_class).collect::<Result<_, _>>()?,
         over_quota_weight: number_or(site, "over_share_worth", 1.0)?,
-        worth_by_work: keyword(site, "counted_by") == Some("work"),
-        must_ask: keyword(site, "membership_mode") == Some("subscribe"),
+        priority_per_work: keyword(site, "counted_by") == Some("work"),
+        requires_subscription: keyword(site, "membership_mode") == Some("subscribe"),
         weights: read_weights(site),
         reports: read_report_source(telemetry),
         loading: read_loading(family)?,
@@ -185,7 +185,7 @@
     Ok(Limits {
         cancel: bool_or(limits, "cancel", false)?,
         probes: bool_or(limits, "probes", false)?,
-        second_copies: bool_or(limits, "second_copies", false)?,
+        hedged_requests: bool_or(limits, "second_copies", false)?,
         retry_after: bool_or(limits, "retry_after", false)?,
         max_retry_after: time_or(limits, "max_retry_after", Micros(0))?,
         max_attempts: number_or(limits, "max_attempts", 1.0)? as usize,
@@ -197,7 +197,7 @@
     Ok(Rules {
         answer_slack: time_or(rules, "answer_slack", defaults.answer_slack)?,
         drain_grace: time_or(rules, "drain_grace", Micros(0))?,
-        ask_within: time_or(rules, "must_ask_in", defaults.ask_within)?,
+        subscription_interval: time_or(rules, "must_ask_in", defaults.subscription_interval)?,
         start_capacity: number_or(rules, "start_capacity", defaults.start_capacity)?,
         warm_within: time_or(rules, "warm_within", defaults.warm_within)?,
         fall_multiple: number_or(rules, "fall_multiple", defaults.fall_multiple)?,
@@ -209,6 +209,6 @@
     Ok(ConnectionSettings {
         connect_timeout: time_or(limits, "connect_timeout", DEFAULT_CONNECT_TIMEOUT)?,
         idle: time_or(limits, "conn_idle", DEFAULT_CONNECTION_IDLE)?,
-        streams: number_or(limits, "streams_per_conn", 1.0)?.clamp(1.0, MAX_STREAMS) as usize,
+        max_streams: number_or(limits, "streams_per_conn", 1.0)?.clamp(1.0, MAX_STREAMS) as usize,
     })
 }
--- a/crates/test-servers/src/broker/mod.rs
+++ b/crates/test-servers/src/broker/mod.rs
@@ -153,7 +153,7 @@
 
     /// Closes a connection after the buffered bytes are written.
     fn close(&mut self, id: Id) {
-        self.reactor.finish(id);
+        self.reactor.close_gracefully(id);
         self.disconnect(id);
     }
 
--- a/crates/test-servers/src/client/mod.rs
+++ b/crates/test-servers/src/client/mod.rs
@@ -17,7 +17,7 @@
 use mqtt_protocol_core::mqtt::{role, Version};
 use packets::Answer;
 use slatevalve_reactor::{Id, Reactor, ReactorEvent};
-use slatevalve_trace_checker::trace::Seen;
+use slatevalve_trace_checker::trace::TraceEvent;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -207,7 +207,14 @@
         let Some(report) = self.reports.get(&call) else { return };
         let gateway = self.gateway_name(index);
         let (class, budget_us) = (report.class.clone(), report.budget_us);
-        self.trace.record(Seen::Published { call, class, key: None, budget_us, gateway, republished: true });
+        self.trace.record(TraceEvent::Published {
+            call,
+            class,
+            key: None,
+            budget_us,
+            gateway,
+            republished: true,
+        });
     }
 
     fn gateway_name(&self, index: usize) -> String {
@@ -244,7 +251,8 @@
             return;
         }
         let now = unix_micros();
-        self.trace.record_at(now, Seen::Answered { call: call.clone(), outcome: outcome.clone(), reason });
+        self.trace
+            .record_at(now, TraceEvent::Answered { call: call.clone(), outcome: outcome.clone(), reason });
         self.clients[index].open_calls.remove(&call);
         if let Some(report) = self.reports.get_mut(&call) {
             report.answer.get_or_insert((now, outcome));
@@ -254,7 +262,7 @@
     /// Marks the open calls of a client whose session is lost: no answer to them is owed.
     fn abandon_open_calls(&mut self, index: usize) {
         for call in std::mem::take(&mut self.clients[index].open_calls) {
-            self.trace.record(Seen::Disconnected { call: call.clone() });
+            self.trace.record(TraceEvent::Disconnected { call: call.clone() });
             self.reports.entry(call).or_default().is_disconnected = true;
         }
     }
@@ -304,13 +312,13 @@
 
     fn record_publication(&mut self, index: usize, arrival: &Arrival) {
         let now = unix_micros();
-        let published = Seen::Published {
+        let published = TraceEvent::Published {
             call: arrival.call.clone(),
             class: arrival.class.clone(),
             key: arrival.key.clone(),
             budget_us: arrival.budget_us,
             gateway: self.gateway_name(index),
-            republished: arrival.again,
+            republished: arrival.republished,
         };
         self.trace.record_at(now, published);
         let report = self.reports.entry(arrival.call.clone()).or_default();
--- a/crates/test-servers/src/client/plan.rs
+++ b/crates/test-servers/src/client/plan.rs
@@ -25,7 +25,7 @@
     /// QoS 0, 1 or 2.
     pub qos: u8,
     /// Whether it was published before.
-    pub again: bool,
+    pub republished: bool,
 }
 
 /// The plan of the clients.
--- a/crates/test-servers/src/kv/requests.rs
+++ b/crates/test-servers/src/kv/requests.rs
@@ -45,7 +45,7 @@
         COMPACT => encode(store.compact(parse::<CompactRequest>(body)?.revision)),
         GRANT => encode(Ok(store.grant(now, parse::<LeaseRequest>(body)?.ttl))),
         KEEP_ALIVE => {
-            let result = Some(store.keep_alive(now, parse::<LeaseRequest>(body)?.id));
+            let result = Some(store.renew_lease(now, parse::<LeaseRequest>(body)?.id));
             encode(Ok(Streamed { result, error: None }))
         }
         REVOKE => match store.revoke(now, parse::<LeaseRequest>(body)?.id) {
--- a/crates/test-servers/src/kv/server.rs
+++ b/crates/test-servers/src/kv/server.rs
@@ -151,7 +151,7 @@
             ReactorEvent::Accepted { connection, .. } => self.accept(connection),
             ReactorEvent::Received(id, bytes) => self.receive(id, &bytes),
             ReactorEvent::Closed { id, .. } => drop(self.peers.remove(&id)),
-            ReactorEvent::AcceptFailed { listener, .. } => self.reactor.resume(listener),
+            ReactorEvent::AcceptFailed { listener, .. } => self.reactor.resume_accepting(listener),
             _ => {}
         }
     }
@@ -174,7 +174,7 @@
             Some(Ok(Some(request))) if !self.is_active(&KvFaultKind::Stall) => {
                 self.admit(QueuedRequest { connection, request });
             }
-            Some(Err(_)) => self.reactor.finish(connection),
+            Some(Err(_)) => self.reactor.close_gracefully(connection),
             _ => {}
         }
     }
--- a/crates/test-servers/src/kv/store.rs
+++ b/crates/test-servers/src/kv/store.rs
@@ -1,7 +1,7 @@
 //! The store of the test registry: keys with revisions, a history that can be compacted, leases, transactions and tokens. It
 //! does no I/O, and nothing survives a restart. Times are microseconds of the Unix clock.
 
-use slatevalve_registry::serve::within;
+use slatevalve_registry::serve::is_in_range;
 use slatevalve_registry::wire::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -132,7 +132,7 @@
         let from_key = past_keys.as_ref().unwrap_or(&self.keys).range(request.key.0.clone()..);
         let selected = from_key
             .map(|(_, entry)| entry)
-            .take_while(|entry| within(&entry.key.0, &request.key.0, &request.range_end.0));
+            .take_while(|entry| is_in_range(&entry.key.0, &request.key.0, &request.range_end.0));
         if request.count_only {
             let count = selected.count() as i64;
             return Ok(RangeResponse { header: self.header(), count, ..RangeResponse::default() });
@@ -196,7 +196,7 @@
 
     /// Removes a range of keys at the current revision; returns their number.
     fn remove_range(&mut self, key: &[u8], range_end: &[u8], events: &mut Vec<WatchEvent>) -> i64 {
-        let selected = self.keys.keys().filter(|other| within(other, key, range_end));
+        let selected = self.keys.keys().filter(|other| is_in_range(other, key, range_end));
         let removed: Vec<Vec<u8>> = selected.cloned().collect();
         for key in &removed {
             let entry = self.keys.remove(key);
@@ -298,7 +298,7 @@
         if from_revision < self.compacted {
             return Err(self.compacted);
         }
-        let is_selected = |event: &&WatchEvent| within(&event.kv.key.0, key, range_end);
+        let is_selected = |event: &&WatchEvent| is_in_range(&event.kv.key.0, key, range_end);
         let changes = self.history.iter().filter(|change| change.revision >= from_revision);
         let selected = changes.map(|change| {
             let events: Vec<WatchEvent> = change.events.iter().filter(is_selected).cloned().collect();
@@ -319,7 +319,7 @@
     }
 
     /// Renews a lease; the response has a time to live of 0 where the lease does not exist.
-    pub fn keep_alive(&mut self, now_us: i64, id: i64) -> LeaseResponse {
+    pub fn renew_lease(&mut self, now_us: i64, id: i64) -> LeaseResponse {
         let ttl = match self.leases.get_mut(&id) {
             Some(lease) => {
                 lease.expires_us = now_us.saturating_add(lease.ttl_us);
--- a/crates/test-servers/src/kv/watches.rs
+++ b/crates/test-servers/src/kv/watches.rs
@@ -20,7 +20,7 @@
     pub(super) fn start_watch(&mut self, id: Id, body: &[u8]) {
         let request = serde_json::from_slice::<WatchRequest>(body).ok();
         let Some(create) = request.and_then(|request| request.create_request) else {
-            return self.reactor.finish(id);
+            return self.reactor.close_gracefully(id);
         };
         self.reactor.write(id, serve::WATCH_HEAD);
         let next_revision =
--- a/crates/test-servers/src/registry/mod.rs
+++ b/crates/test-servers/src/registry/mod.rs
@@ -142,7 +142,7 @@
             }
             ReactorEvent::Received(id, bytes) => self.receive(id, &bytes)?,
             ReactorEvent::Closed { id, .. } => drop(self.peers.remove(&id)),
-            ReactorEvent::AcceptFailed { listener, .. } => self.reactor.resume(listener),
+            ReactorEvent::AcceptFailed { listener, .. } => self.reactor.resume_accepting(listener),
             _ => {}
         }
         Ok(())
@@ -153,7 +153,7 @@
             Some(Ok(Some(request))) => self.handle_request(id, &request)?,
             Some(Err(_)) => {
                 self.reactor.write(id, BAD_REQUEST);
-                self.reactor.finish(id);
+                self.reactor.close_gracefully(id);
             }
             Some(Ok(None)) | None => {}
         }
@@ -203,7 +203,7 @@
             RegistryFaultKind::Cut(length) => {
                 response.truncate(length);
                 self.reactor.write(id, &response);
-                self.reactor.finish(id);
+                self.reactor.close_gracefully(id);
             }
             RegistryFaultKind::Endless => {
                 if let Some(peer) = self.peers.get_mut(&id) {
--- a/crates/test-servers/src/trace_writer.rs
+++ b/crates/test-servers/src/trace_writer.rs
@@ -2,7 +2,7 @@
 //! last event.
 
 use crate::clock::unix_micros;
-use slatevalve_trace_checker::trace::{write, Line, Seen};
+use slatevalve_trace_checker::trace::{write, Line, TraceEvent};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::Path;
@@ -26,14 +26,14 @@
     }
 
     /// Records an event with the current time.
-    pub fn record(&mut self, seen: Seen) {
-        self.record_at(unix_micros(), seen);
+    pub fn record(&mut self, event: TraceEvent) {
+        self.record_at(unix_micros(), event);
     }
 
     /// Records an event with a time, in microseconds of the Unix clock.
-    pub fn record_at(&mut self, at_us: i64, seen: Seen) {
+    pub fn record_at(&mut self, at_us: i64, event: TraceEvent) {
         if let Some(file) = &mut self.file {
-            let line = Line { at_us, who: self.who.clone(), seen };
+            let line = Line { at_us, who: self.who.clone(), event };
             // A full disk must not end a test server; the check of the trace finds what is absent.
             let _ = file.write_all((write(&line) + "\n").as_bytes());
         }
--- a/crates/test-servers/src/worker/calls.rs
+++ b/crates/test-servers/src/worker/calls.rs
@@ -7,7 +7,7 @@
 use crate::clock::unix_micros;
 use rand::RngExt;
 use slatevalve_reactor::Id;
-use slatevalve_trace_checker::trace::Seen;
+use slatevalve_trace_checker::trace::TraceEvent;
 use slatevalve_worker_protocol::{Call, Reply};
 use std::process::exit;
 
@@ -51,7 +51,7 @@
     }
 
     fn record_received(&mut self, now: i64, gateway: &str, call: &Call, name: &str, work_us: i64) {
-        let received = Seen::Received {
+        let received = TraceEvent::Received {
             call: name.into(),
             class: call.class.clone(),
             key: call.key.as_deref().map(client_key),
@@ -84,7 +84,7 @@
     /// Replies that a call did not run and will not run.
     fn refuse(&mut self, refused: AcceptedCall, reply: &Reply) {
         let AcceptedCall { connection, gateway, call, name, .. } = refused;
-        self.trace.record(Seen::NeverRan { call: name, gateway, attempt: call.attempt });
+        self.trace.record(TraceEvent::NeverRan { call: name, gateway, attempt: call.attempt });
         let queue_depth = self.service.queue_depth(&call.function);
         self.reply(connection, reply, Some(queue_depth));
     }
@@ -96,7 +96,7 @@
         let Some(completed) = self.calls.remove(&number) else { return };
         let AcceptedCall { connection, gateway, call, name, queue_depth } = completed;
         let key = call.key.as_deref().map(client_key);
-        self.trace.record_at(now, Seen::Ran { call: name.clone(), class: call.class.clone(), key });
+        self.trace.record_at(now, TraceEvent::Ran { call: name.clone(), class: call.class.clone(), key });
         let payload = format!("ran {name} for {gateway}").into_bytes();
         let served = Reply::Served { payload, ran: Some(self.executed_version(now, &call.function)) };
         let report = self.load_report();
--- a/crates/test-servers/src/worker/mod.rs
+++ b/crates/test-servers/src/worker/mod.rs
@@ -21,7 +21,7 @@
 use registration::{AfterDrain, Registration};
 use service::Service;
 use slatevalve_reactor::{Id, Reactor, ReactorEvent};
-use slatevalve_trace_checker::trace::Seen;
+use slatevalve_trace_checker::trace::TraceEvent;
 use slatevalve_worker_protocol::{
     Limits, LoadReport, MessageReader, ParsedRequest, Reply, Side, WorkerRequest,
 };
@@ -100,7 +100,7 @@
         reactor,
         trace,
         service,
-        superseded: SupersededDocuments::new(plan.refuse_overtaken_us),
+        superseded: SupersededDocuments::new(plan.refuse_superseded_us),
         faults: Faults::new(plan.faults),
         random: Pcg64Mcg::seed_from_u64(plan.seed),
         connections: HashMap::new(),
@@ -116,8 +116,8 @@
     worker.run()
 }
 
-fn start_event(plan: &ServicePlan, first: bool) -> Seen {
-    Seen::Started {
+fn start_event(plan: &ServicePlan, first: bool) -> TraceEvent {
+    TraceEvent::Started {
         start_capacity: plan.start_capacity,
         slow_start_us: plan.slow_start_us,
         concurrency: plan.lanes as f64,
@@ -146,7 +146,7 @@
             }
             self.run_timers();
             for function in self.service.take_fetched() {
-                self.trace.record(Seen::Fetched { function });
+                self.trace.record(TraceEvent::Fetched { function });
             }
         }
     }
@@ -238,7 +238,11 @@
             _ if self.faults.is_active(now, &FaultKind::Hang) => {}
             WorkerRequest::Ready => self.reply(id, &Reply::Ready, None),
             WorkerRequest::Count { function } => {
-                self.trace.record(Seen::LoadRequested { function: function.clone(), copies: 0, gateway });
+                self.trace.record(TraceEvent::LoadRequested {
+                    function: function.clone(),
+                    copies: 0,
+                    gateway,
+                });
                 self.reply(id, &Reply::Copies(self.service.loaded_copies(&function, now)), None);
             }
             WorkerRequest::Load { function, copies } => self.load(id, gateway, &function, copies, now),
@@ -251,7 +255,7 @@
 
     /// Loads copies; the response is written when they are loaded.
     fn load(&mut self, id: Id, gateway: String, function: &str, copies: u32, now: i64) {
-        self.trace.record(Seen::LoadRequested { function: function.into(), copies, gateway });
+        self.trace.record(TraceEvent::LoadRequested { function: function.into(), copies, gateway });
         let load_factor = self.faults.load_factor(now);
         match self.service.load(function, copies, now, load_factor) {
             None => self.reply(id, &Reply::NoRoom, None),
--- a/crates/test-servers/src/worker/plan.rs
+++ b/crates/test-servers/src/worker/plan.rs
@@ -30,7 +30,7 @@
     pub register: Option<RegisterPlan>,
     /// Calls sent by settings documents that were superseded for longer than this, in microseconds, are refused.
     #[serde(rename = "refuse_overtaken_us")]
-    pub refuse_overtaken_us: Option<i64>,
+    pub refuse_superseded_us: Option<i64>,
 }
 
 impl Default for WorkerPlan {
@@ -40,7 +40,7 @@
             listen: ANY_PORT,
             service: ServicePlan::default(),
             faults: Vec::new(),
-            refuse_overtaken_us: None,
+            refuse_superseded_us: None,
             trace: None,
             is_restart: false,
             seed: 1,
--- a/crates/test-servers/src/worker/registration.rs
+++ b/crates/test-servers/src/worker/registration.rs
@@ -70,14 +70,14 @@
             watch_state: WatchSettings::default(),
             registration: RegistrationSettings { ttl_s: plan.ttl_s },
             pace: Limits::default(),
-            askers: 1,
+            clients: 1,
             drain_within_us: DRAIN_WITHIN_US,
             timeout_us: REQUEST_TIMEOUT_US,
             seed: seed_of(seed, name),
         };
         let mut link = Link::new(settings, plan.endpoints);
         // The lease of a worker is short: with the poll schedule of one client among hundreds of routers it would expire.
-        link.client_mut().askers(1);
+        link.client_mut().set_clients(1);
         Registration {
             link,
             record,
--- a/crates/trace-checker/src/draining.rs
+++ b/crates/trace-checker/src/draining.rs
@@ -1,6 +1,6 @@
 //! Rule 3: later than the grace after a gateway was notified that a worker drains or is gone, it sends that worker nothing new.
 
-use crate::trace::{Line, Seen};
+use crate::trace::{Line, TraceEvent};
 use crate::{Rule, Terms, Violation};
 use std::collections::BTreeMap;
 
@@ -11,8 +11,8 @@
     // The time of the notification since which the worker is unavailable to the gateway.
     let mut unavailable_since: BTreeMap<WorkerAndGateway, i64> = BTreeMap::new();
     for line in lines {
-        let (gateway, request) = match &line.seen {
-            Seen::StateNotified { worker, state, gateway } => {
+        let (gateway, request) = match &line.event {
+            TraceEvent::StateNotified { worker, state, gateway } => {
                 if state == "ready" {
                     unavailable_since.remove(&(worker, gateway));
                 } else {
@@ -20,8 +20,8 @@
                 }
                 continue;
             }
-            Seen::Received { call, gateway, .. } => (gateway, format!("call {call}")),
-            Seen::LoadRequested { function, copies, gateway } if *copies > 0 => {
+            TraceEvent::Received { call, gateway, .. } => (gateway, format!("call {call}")),
+            TraceEvent::LoadRequested { function, copies, gateway } if *copies > 0 => {
                 (gateway, format!("an order for {function}"))
             }
             _ => continue,
--- a/crates/trace-checker/src/effects.rs
+++ b/crates/trace-checker/src/effects.rs
@@ -1,7 +1,7 @@
 //! Rule 2: an effect of a non-idempotent class happens at most once; one with a key is retried only inside its group and
 //! window; and a call is refused only where no attempt may have run.
 
-use crate::trace::{Line, Seen};
+use crate::trace::{Line, TraceEvent};
 use crate::{EffectTerms, GroupTerms, Rule, Terms, Violation};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -57,23 +57,23 @@
 fn collect<'a>(lines: &[&'a Line]) -> BTreeMap<&'a str, Effect<'a>> {
     let mut effects: BTreeMap<&str, Effect> = BTreeMap::new();
     for line in lines {
-        match &line.seen {
-            Seen::Received { call, class, gateway, attempt, .. } => {
+        match &line.event {
+            TraceEvent::Received { call, class, gateway, attempt, .. } => {
                 let id = AttemptId { gateway, number: *attempt };
                 let effect = effects.entry(call).or_default();
                 effect.class = class;
                 effect.received.push(ReceivedAttempt { at_us: line.at_us, worker: &line.who, id });
             }
-            Seen::NeverRan { call, gateway, attempt } => {
+            TraceEvent::NeverRan { call, gateway, attempt } => {
                 let id = AttemptId { gateway, number: *attempt };
                 effects.entry(call).or_default().unexecuted.insert(id);
             }
-            Seen::Ran { call, class, .. } => {
+            TraceEvent::Ran { call, class, .. } => {
                 let effect = effects.entry(call).or_default();
                 effect.class = class;
                 effect.runs_us.push(line.at_us);
             }
-            Seen::Answered { call, outcome, reason }
+            TraceEvent::Answered { call, outcome, reason }
                 if outcome == "refused" && !is_duplicate_refusal(reason.as_deref()) =>
             {
                 effects.entry(call).or_default().refused_us.get_or_insert(line.at_us);
--- a/crates/trace-checker/src/final_answers.rs
+++ b/crates/trace-checker/src/final_answers.rs
@@ -1,6 +1,6 @@
 //! Rule 1: each call gets one final answer before its client's deadline, and no second one that contradicts it.
 
-use crate::trace::{Line, Seen};
+use crate::trace::{Line, TraceEvent};
 use crate::{Rule, Terms, Violation};
 use std::collections::BTreeMap;
 
@@ -30,14 +30,14 @@
 fn collect<'a>(lines: &[&'a Line], violations: &mut Vec<Violation>) -> BTreeMap<&'a str, Call<'a>> {
     let mut calls: BTreeMap<&str, Call> = BTreeMap::new();
     for line in lines {
-        match &line.seen {
-            Seen::Published { call, budget_us, .. } => {
+        match &line.event {
+            TraceEvent::Published { call, budget_us, .. } => {
                 let entry = calls.entry(call).or_default();
                 entry.publications += 1;
                 entry.last_published_us = line.at_us;
                 entry.deadline_us = entry.deadline_us.max(line.at_us + budget_us);
             }
-            Seen::Answered { call, outcome, .. } => match calls.get_mut(call.as_str()) {
+            TraceEvent::Answered { call, outcome, .. } => match calls.get_mut(call.as_str()) {
                 Some(entry) => entry.answers.push(Answer { at_us: line.at_us, outcome }),
                 None => violations.push(Violation {
                     rule: Rule::Once,
@@ -45,7 +45,7 @@
                     what: format!("{}: an answer to {call}, which was never asked", line.who),
                 }),
             },
-            Seen::Disconnected { call } => {
+            TraceEvent::Disconnected { call } => {
                 calls.entry(call).and_modify(|entry| entry.client_disconnected = true);
             }
             _ => {}
--- a/crates/trace-checker/src/load_quota.rs
+++ b/crates/trace-checker/src/load_quota.rs
@@ -1,6 +1,6 @@
 //! Rule 5: a gateway's load requests within any window stay within a free number and a share of the calls published in it.
 
-use crate::trace::{Line, Seen};
+use crate::trace::{Line, TraceEvent};
 use crate::{Rule, Terms, Violation};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -27,13 +27,13 @@
     }
     let mut gateways: BTreeMap<&str, Gateway> = BTreeMap::new();
     for line in lines {
-        match &line.seen {
-            Seen::Published { gateway, .. } => {
+        match &line.event {
+            TraceEvent::Published { gateway, .. } => {
                 let counted = gateways.entry(gateway).or_default();
                 counted.calls.push_back(line.at_us);
                 counted.discard_before(line.at_us - terms.ration_window_us);
             }
-            Seen::LoadRequested { copies, gateway, .. } if *copies > 0 => {
+            TraceEvent::LoadRequested { copies, gateway, .. } if *copies > 0 => {
                 let counted = gateways.entry(gateway).or_default();
                 counted.load_requests.push_back(line.at_us);
                 counted.discard_before(line.at_us - terms.ration_window_us);
--- a/crates/trace-checker/src/settings_conflicts.rs
+++ b/crates/trace-checker/src/settings_conflicts.rs
@@ -2,7 +2,7 @@
 //! contradicting document later than the bound. Attempts of idempotent classes are exempt, because a gateway whose lease
 //! is uncertain may still send those.
 
-use crate::trace::{Line, Seen};
+use crate::trace::{Line, TraceEvent};
 use crate::{EffectTerms, Rule, SettingsTerms, Terms, Violation};
 use std::collections::BTreeMap;
 
@@ -16,7 +16,9 @@
     let Some(settings) = &terms.settings else { return };
     let mut first_attempts: BTreeMap<&[u64], FirstAttempt> = BTreeMap::new();
     for line in lines {
-        let Seen::Received { call, class, gateway, settings: documents, .. } = &line.seen else { continue };
+        let TraceEvent::Received { call, class, gateway, settings: documents, .. } = &line.event else {
+            continue;
+        };
         let idempotent = terms.classes.get(class).is_some_and(|c| c.effect == EffectTerms::Safe);
         let Some(newest) = documents.iter().max().filter(|_| !idempotent) else { continue };
         let conflict = first_attempts.iter().find(|(other, first)| {
--- a/crates/trace-checker/src/slow_start.rs
+++ b/crates/trace-checker/src/slow_start.rs
@@ -1,6 +1,6 @@
 //! Rule 4: the work sent to a worker in slow start within any window stays below a multiple of its capacity in that window.
 
-use crate::trace::{Line, Seen};
+use crate::trace::{Line, TraceEvent};
 use crate::{Rule, Terms, Violation};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -54,10 +54,10 @@
 pub(crate) fn check(terms: &Terms, lines: &[&Line], violations: &mut Vec<Violation>) {
     let mut workers: BTreeMap<&str, Worker> = BTreeMap::new();
     for line in lines {
-        match &line.seen {
+        match &line.event {
             // The first start comes before the first call; no gateway was notified of it.
-            Seen::Started { first: true, .. } => {}
-            Seen::Started { start_capacity, slow_start_us, concurrency, .. } => {
+            TraceEvent::Started { first: true, .. } => {}
+            TraceEvent::Started { start_capacity, slow_start_us, concurrency, .. } => {
                 let worker = Worker {
                     started_us: line.at_us,
                     start_capacity: *start_capacity,
@@ -68,7 +68,7 @@
                 };
                 workers.insert(&line.who, worker);
             }
-            Seen::Received { work_us, .. } => {
+            TraceEvent::Received { work_us, .. } => {
                 let Some(worker) = workers.get_mut(line.who.as_str()) else { continue };
                 if line.at_us - worker.started_us > worker.slow_start_us {
                     workers.remove(line.who.as_str());
--- a/crates/trace-checker/src/terms.rs
+++ b/crates/trace-checker/src/terms.rs
@@ -39,13 +39,13 @@
     pub effect: EffectTerms,
     /// Latency objective in microseconds: an answer within it earns the full weight.
     #[serde(rename = "aim_us")]
-    pub aim_us: i64,
+    pub latency_objective_us: i64,
     /// Priority weight of an answer.
     #[serde(rename = "worth")]
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the weight that a late answer earns.
     #[serde(rename = "late_worth")]
-    pub late_worth: f64,
+    pub late_value: f64,
 }
 
 /// The place of a worker.
--- a/crates/trace-checker/src/trace.rs
+++ b/crates/trace-checker/src/trace.rs
@@ -12,13 +12,13 @@
     pub who: String,
     /// The recorded event.
     #[serde(flatten)]
-    pub seen: Seen,
+    pub event: TraceEvent,
 }
 
 /// An event. In the trace, the field "seen" states its kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "seen", rename_all = "kebab-case")]
-pub enum Seen {
+pub enum TraceEvent {
     /// Client: a call was published. A call that is published repeatedly keeps its name.
     #[serde(rename = "asked")]
     Published {
--- a/crates/trace-checker/tests/stored_forms.rs
+++ b/crates/trace-checker/tests/stored_forms.rs
@@ -2,17 +2,17 @@
 //! tap sees. Traces are kept and read by other versions, so a change of names in the code must not change them. The literals
 //! are what the program wrote; they are not to be made from code.
 
-use slatevalve_trace_checker::trace::{read, write, Line, Seen};
+use slatevalve_trace_checker::trace::{read, write, Line, TraceEvent};
 
 /// The line is read to this, and written as it stands.
-fn stands(literal: &str, at_us: i64, who: &str, seen: Seen) {
-    let line = Line { at_us, who: who.into(), seen };
+fn stands(literal: &str, at_us: i64, who: &str, event: TraceEvent) {
+    let line = Line { at_us, who: who.into(), event };
     assert_eq!(write(&line), literal);
     assert_eq!(read(&[literal, "\n"].concat()).unwrap(), [line]);
 }
 
-fn asked(key: Option<&str>, republished: bool) -> Seen {
-    Seen::Published {
+fn asked(key: Option<&str>, republished: bool) -> TraceEvent {
+    TraceEvent::Published {
         call: "call-1".into(),
         class: "booking".into(),
         key: key.map(String::from),
@@ -38,33 +38,37 @@
 fn a_line_of_an_answer_stands() {
     let literal =
         r#"{"at_us":2,"who":"client-1","seen":"answered","call":"call-1","outcome":"served","reason":null}"#;
-    let seen = Seen::Answered { call: "call-1".into(), outcome: "served".into(), reason: None };
-    stands(literal, 2, "client-1", seen);
+    let event = TraceEvent::Answered { call: "call-1".into(), outcome: "served".into(), reason: None };
+    stands(literal, 2, "client-1", event);
 }
 
 #[test]
 fn a_line_of_an_answer_with_a_reason_stands() {
     let literal = r#"{"at_us":3,"who":"client-1","seen":"answered","call":"call-1","outcome":"refused","reason":"not-sent"}"#;
     let (outcome, reason) = ("refused".into(), Some("not-sent".into()));
-    stands(literal, 3, "client-1", Seen::Answered { call: "call-1".into(), outcome, reason });
+    stands(literal, 3, "client-1", TraceEvent::Answered { call: "call-1".into(), outcome, reason });
 }
 
 #[test]
 fn a_line_of_a_call_that_was_left_stands() {
     let literal = r#"{"at_us":4,"who":"client-1","seen":"left","call":"call-1"}"#;
-    stands(literal, 4, "client-1", Seen::Disconnected { call: "call-1".into() });
+    stands(literal, 4, "client-1", TraceEvent::Disconnected { call: "call-1".into() });
 }
 
 #[test]
 fn a_line_of_a_worker_that_started_stands() {
     let literal = r#"{"at_us":5,"who":"worker-1","seen":"started","start_capacity":0.25,"warm_us":30000000,"lanes":4.0,"first":true}"#;
-    let seen =
-        Seen::Started { start_capacity: 0.25, slow_start_us: 30_000_000, concurrency: 4.0, first: true };
-    stands(literal, 5, "worker-1", seen);
+    let event = TraceEvent::Started {
+        start_capacity: 0.25,
+        slow_start_us: 30_000_000,
+        concurrency: 4.0,
+        first: true,
+    };
+    stands(literal, 5, "worker-1", event);
 }
 
-fn received(key: Option<&str>, settings: &[u64]) -> Seen {
-    Seen::Received {
+fn received(key: Option<&str>, settings: &[u64]) -> TraceEvent {
+    TraceEvent::Received {
         call: "call-1".into(),
         class: "booking".into(),
         key: key.map(String::from),
@@ -90,34 +94,35 @@
 #[test]
 fn a_line_of_a_call_that_never_ran_stands() {
     let literal = r#"{"at_us":8,"who":"worker-1","seen":"never-ran","call":"call-1","gateway":"gateway-1","attempt":1}"#;
-    let seen = Seen::NeverRan { call: "call-1".into(), gateway: "gateway-1".into(), attempt: 1 };
-    stands(literal, 8, "worker-1", seen);
+    let event = TraceEvent::NeverRan { call: "call-1".into(), gateway: "gateway-1".into(), attempt: 1 };
+    stands(literal, 8, "worker-1", event);
 }
 
 #[test]
 fn a_line_of_a_call_that_ran_stands() {
     let literal =
         r#"{"at_us":9,"who":"worker-1","seen":"ran","call":"call-1","class":"booking","key":"key-1"}"#;
-    let seen = Seen::Ran { call: "call-1".into(), class: "booking".into(), key: Some("key-1".into()) };
-    stands(literal, 9, "worker-1", seen);
+    let event = TraceEvent::Ran { call: "call-1".into(), class: "booking".into(), key: Some("key-1".into()) };
+    stands(literal, 9, "worker-1", event);
 }
 
 #[test]
 fn a_line_of_an_order_to_hold_copies_stands() {
     let literal = r#"{"at_us":10,"who":"worker-1","seen":"ordered","function":"function-1","copies":3,"gateway":"gateway-1"}"#;
-    let seen = Seen::LoadRequested { function: "function-1".into(), copies: 3, gateway: "gateway-1".into() };
-    stands(literal, 10, "worker-1", seen);
+    let event =
+        TraceEvent::LoadRequested { function: "function-1".into(), copies: 3, gateway: "gateway-1".into() };
+    stands(literal, 10, "worker-1", event);
 }
 
 #[test]
 fn a_line_of_a_load_that_began_stands() {
     let literal = r#"{"at_us":11,"who":"worker-1","seen":"fetched","function":"function-1"}"#;
-    stands(literal, 11, "worker-1", Seen::Fetched { function: "function-1".into() });
+    stands(literal, 11, "worker-1", TraceEvent::Fetched { function: "function-1".into() });
 }
 
 #[test]
 fn a_line_of_a_state_that_a_gateway_was_told_stands() {
     let literal = r#"{"at_us":12,"who":"list","seen":"told","worker":"worker-1","state":"draining","gateway":"gateway-1"}"#;
     let (worker, state, gateway) = ("worker-1".into(), "draining".into(), "gateway-1".into());
-    stands(literal, 12, "list", Seen::StateNotified { worker, state, gateway });
+    stands(literal, 12, "list", TraceEvent::StateNotified { worker, state, gateway });
 }
--- a/crates/trace-checker/tests/violations.rs
+++ b/crates/trace-checker/tests/violations.rs
@@ -1,10 +1,11 @@
 //! For each rule: a trace that keeps it, and one deliberately broken that must be caught.
 
-use slatevalve_trace_checker::trace::{read, write, Line, Seen};
+use slatevalve_trace_checker::trace::{read, write, Line, TraceEvent};
 use slatevalve_trace_checker::*;
 
 fn terms() -> Terms {
-    let class = |effect| ClassTerms { effect, aim_us: 500_000, worth: 1.0, late_worth: 0.0 };
+    let class =
+        |effect| ClassTerms { effect, latency_objective_us: 500_000, priority_weight: 1.0, late_value: 0.0 };
     let keyed = EffectTerms::Keyed { group: GroupTerms::Cell, window_us: 1_000_000 };
     let classes = [("quote", EffectTerms::Safe), ("booking", keyed), ("charge", EffectTerms::Unsafe)];
     let worker = |cell| WorkerTerms { zone: "z".into(), cell };
@@ -22,18 +23,18 @@
     }
 }
 
-fn line(at_us: i64, who: &str, seen: Seen) -> Line {
-    Line { at_us, who: who.into(), seen }
+fn line(at_us: i64, who: &str, event: TraceEvent) -> Line {
+    Line { at_us, who: who.into(), event }
 }
 
 fn asked(at_us: i64, call: &str, class: &str) -> Line {
     let (call, class, key) = (call.into(), class.into(), Some(call.into()));
     let (gateway, republished) = ("g".into(), false);
-    line(at_us, "c", Seen::Published { call, class, key, budget_us: 2_000_000, gateway, republished })
+    line(at_us, "c", TraceEvent::Published { call, class, key, budget_us: 2_000_000, gateway, republished })
 }
 
 fn answered(at_us: i64, call: &str, outcome: &str) -> Line {
-    line(at_us, "c", Seen::Answered { call: call.into(), outcome: outcome.into(), reason: None })
+    line(at_us, "c", TraceEvent::Answered { call: call.into(), outcome: outcome.into(), reason: None })
 }
 
 fn received(at_us: i64, worker: &str, call: &str, class: &str, attempt: usize) -> Line {
@@ -41,23 +42,23 @@
     line(
         at_us,
         worker,
-        Seen::Received { call, class, key: None, gateway, attempt, work_us: 100_000, settings: vec![] },
+        TraceEvent::Received { call, class, key: None, gateway, attempt, work_us: 100_000, settings: vec![] },
     )
 }
 
 fn never_ran(at_us: i64, worker: &str, call: &str, attempt: usize) -> Line {
-    line(at_us, worker, Seen::NeverRan { call: call.into(), gateway: "g".into(), attempt })
+    line(at_us, worker, TraceEvent::NeverRan { call: call.into(), gateway: "g".into(), attempt })
 }
 
 fn ran(at_us: i64, worker: &str, call: &str, class: &str) -> Line {
-    line(at_us, worker, Seen::Ran { call: call.into(), class: class.into(), key: None })
+    line(at_us, worker, TraceEvent::Ran { call: call.into(), class: class.into(), key: None })
 }
 
 fn told(at_us: i64, worker: &str, state: &str) -> Line {
     line(
         at_us,
         "list",
-        Seen::StateNotified { worker: worker.into(), state: state.into(), gateway: "g".into() },
+        TraceEvent::StateNotified { worker: worker.into(), state: state.into(), gateway: "g".into() },
     )
 }
 
@@ -74,7 +75,10 @@
     assert_eq!(broken(&[asked(0, "a", "quote"), answered(2_000_900, "a", "failed")]), []);
     assert_eq!(broken(&[asked(0, "a", "quote"), answered(2_001_100, "a", "served")]), [Rule::Answered]);
     assert_eq!(broken(&[asked(0, "a", "quote")]), [Rule::Answered]);
-    assert_eq!(broken(&[asked(0, "a", "quote"), line(5, "c", Seen::Disconnected { call: "a".into() })]), []);
+    assert_eq!(
+        broken(&[asked(0, "a", "quote"), line(5, "c", TraceEvent::Disconnected { call: "a".into() })]),
+        []
+    );
 }
 
 #[test]
@@ -122,7 +126,7 @@
     };
     assert_eq!(broken(&call(250_010)), []);
     assert_eq!(broken(&call(250_011)), [Rule::Drains]);
-    let order = Seen::LoadRequested { function: "f".into(), copies: 1, gateway: "g".into() };
+    let order = TraceEvent::LoadRequested { function: "f".into(), copies: 1, gateway: "g".into() };
     assert_eq!(broken(&[told(10, "w1", "gone"), line(300_000, "w1", order)]), [Rule::Drains]);
     let back = [told(10, "w1", "gone"), told(20, "w1", "ready"), received(400_000, "w1", "a", "quote", 0)];
     assert_eq!(broken(&back), []);
@@ -134,7 +138,7 @@
         line(
             0,
             "w1",
-            Seen::Started { start_capacity: 0.5, slow_start_us: 10_000_000, concurrency: 1.0, first },
+            TraceEvent::Started { start_capacity: 0.5, slow_start_us: 10_000_000, concurrency: 1.0, first },
         )
     };
     // Five calls of 0.1 s in a second are what half a lane can do.
@@ -146,8 +150,9 @@
 
 #[test]
 fn orders_stay_within_their_ration() {
-    let order =
-        |at| line(at, "w1", Seen::LoadRequested { function: "f".into(), copies: 1, gateway: "g".into() });
+    let order = |at| {
+        line(at, "w1", TraceEvent::LoadRequested { function: "f".into(), copies: 1, gateway: "g".into() })
+    };
     let asks = [
         asked(0, "a", "quote"),
         answered(1, "a", "served"),
@@ -170,7 +175,7 @@
 fn by(at_us: i64, gateway: &str, class: &str, settings: &[u64]) -> Line {
     let (call, class, gateway) = (format!("c{at_us}"), class.into(), gateway.into());
     let (attempt, work_us, settings) = (0, 1, settings.to_vec());
-    line(at_us, "w1", Seen::Received { call, class, key: None, gateway, attempt, work_us, settings })
+    line(at_us, "w1", TraceEvent::Received { call, class, key: None, gateway, attempt, work_us, settings })
 }
 
 #[test]
--- a/crates/worker-protocol/src/http_protocol.rs
+++ b/crates/worker-protocol/src/http_protocol.rs
@@ -1,29 +1,29 @@
 //! The Open Inference Protocol over HTTP/1.1 as a [`WorkerProtocol`].
 
-use crate::protocol::{CompletedRequest, MalformedReply, Reader, Tag, WorkerProtocol};
+use crate::protocol::{CompletedRequest, MalformedReply, ReplyReader, Tag, WorkerProtocol};
 use crate::reply;
 use crate::request::WorkerRequest;
 use slatevalve_http::{Limits, MessageReader, Side};
 
 /// The Open Inference Protocol over HTTP/1.1, one request at a time on a connection.
 #[derive(Clone, Debug)]
-pub struct Http {
+pub struct HttpProtocol {
     /// Name of the gateway, sent to the workers.
     pub gateway: String,
     /// Limits of a response.
     pub limits: Limits,
 }
 
-impl WorkerProtocol for Http {
-    fn streams(&self) -> usize {
+impl WorkerProtocol for HttpProtocol {
+    fn max_streams(&self) -> usize {
         1
     }
 
-    fn partial_request_may_run(&self) -> bool {
+    fn can_run_partial_request(&self) -> bool {
         true
     }
 
-    fn reader(&self) -> Box<dyn Reader> {
+    fn reader(&self) -> Box<dyn ReplyReader> {
         let messages = MessageReader::new(Side::Response, self.limits);
         Box::new(HttpReader { messages, pending: None, is_closing: false })
     }
@@ -32,7 +32,7 @@
         request.encode(host, &self.gateway)
     }
 
-    fn give_up(&self, _: &WorkerRequest) -> Option<Vec<u8>> {
+    fn encode_cancel(&self, _: &WorkerRequest) -> Option<Vec<u8>> {
         None
     }
 }
@@ -50,7 +50,7 @@
     is_closing: bool,
 }
 
-impl Reader for HttpReader {
+impl ReplyReader for HttpReader {
     fn expect(&mut self, tag: Tag, request: &WorkerRequest) {
         self.pending = Some(PendingRequest { tag, request: request.clone() });
     }
@@ -64,7 +64,7 @@
         let PendingRequest { tag, request } = self.pending.as_ref().ok_or(MalformedReply)?;
         if let Some(message) = self.messages.feed(bytes).map_err(|_| MalformedReply)? {
             self.is_closing = message.head.last;
-            out.push(CompletedRequest { tag: *tag, understood: reply::read(request, message) });
+            out.push(CompletedRequest { tag: *tag, reply: reply::read(request, message) });
             self.pending = None;
         }
         Ok(())
@@ -73,10 +73,10 @@
     fn end(&mut self) -> Option<CompletedRequest> {
         let PendingRequest { tag, request } = self.pending.take()?;
         let message = self.messages.end().ok()??;
-        Some(CompletedRequest { tag, understood: reply::read(&request, message) })
+        Some(CompletedRequest { tag, reply: reply::read(&request, message) })
     }
 
-    fn is_clean(&self) -> bool {
+    fn is_reusable(&self) -> bool {
         !self.is_closing && self.messages.is_idle()
     }
 }
--- a/crates/worker-protocol/src/lib.rs
+++ b/crates/worker-protocol/src/lib.rs
@@ -20,9 +20,9 @@
 mod tensor;
 mod text_encoding;
 
-pub use http_protocol::Http;
+pub use http_protocol::HttpProtocol;
 pub use load_report::LoadReport;
-pub use protocol::{CompletedRequest, MalformedReply, Reader, Tag, WorkerProtocol};
+pub use protocol::{CompletedRequest, MalformedReply, ReplyReader, Tag, WorkerProtocol};
 pub use reply::Reply;
 pub use request::{Call, ParsedRequest, RequestError, WorkerRequest};
 pub use slatevalve_http::{Head, Limits, Message, MessageError, MessageReader, Side};
--- a/crates/worker-protocol/src/protocol.rs
+++ b/crates/worker-protocol/src/protocol.rs
@@ -1,6 +1,6 @@
 //! The interface between the connection pool and a worker protocol: requests to bytes, bytes to completed requests.
 //!
-//! The pool depends on these traits only. [`crate::Http`] implements the Open Inference Protocol with one request at
+//! The pool depends on these traits only. [`crate::HttpProtocol`] implements the Open Inference Protocol with one request at
 //! a time on a connection; the platform's line protocol is another implementation.
 
 use crate::reply::ParsedReply;
@@ -17,7 +17,7 @@
     /// The request.
     pub tag: Tag,
     /// Its reply.
-    pub understood: ParsedReply,
+    pub reply: ParsedReply,
 }
 
 /// The received bytes violate the protocol; the connection cannot be used any more.
@@ -35,19 +35,19 @@
 /// A worker protocol.
 pub trait WorkerProtocol {
     /// Maximum number of concurrent requests on one connection.
-    fn streams(&self) -> usize;
+    fn max_streams(&self) -> usize;
     /// Whether a worker may run a request of which it received only a part.
-    fn partial_request_may_run(&self) -> bool;
+    fn can_run_partial_request(&self) -> bool;
     /// Creates the reader of a new connection.
-    fn reader(&self) -> Box<dyn Reader>;
+    fn reader(&self) -> Box<dyn ReplyReader>;
     /// Encodes a request; `host` is the worker's address.
     fn encode(&self, host: &str, tag: Tag, request: &WorkerRequest) -> Vec<u8>;
     /// Encodes the cancellation of a request, if the protocol has one.
-    fn give_up(&self, request: &WorkerRequest) -> Option<Vec<u8>>;
+    fn encode_cancel(&self, request: &WorkerRequest) -> Option<Vec<u8>>;
 }
 
 /// Parses the replies on one connection.
-pub trait Reader {
+pub trait ReplyReader {
     /// Registers a request that is sent on the connection.
     fn expect(&mut self, tag: Tag, request: &WorkerRequest);
     /// Discards a request; a reply to it will be ignored.
@@ -60,5 +60,5 @@
     /// The peer closed the connection: returns the request whose reply ends with the connection, if any.
     fn end(&mut self) -> Option<CompletedRequest>;
     /// Whether the connection can carry further requests: no reply is partly received, and the worker does not close it.
-    fn is_clean(&self) -> bool;
+    fn is_reusable(&self) -> bool;
 }
--- a/crates/worker-protocol/src/request.rs
+++ b/crates/worker-protocol/src/request.rs
@@ -23,7 +23,7 @@
     /// Number of the attempt, from 0.
     pub attempt: usize,
     /// Milliseconds until the client's deadline.
-    pub time_left_ms: u64,
+    pub time_remaining_ms: u64,
     /// Name of the class.
     pub class: String,
     /// Versions of the settings documents by which the call is sent: one, two during a change of settings, or none.
--- a/crates/worker-protocol/src/request/encode.rs
+++ b/crates/worker-protocol/src/request/encode.rs
@@ -100,7 +100,7 @@
         (headers::JSON_LENGTH, json_length.to_string()),
         (headers::REQUEST_ID, percent_encode(&call.request_id)),
         (headers::ATTEMPT, call.attempt.to_string()),
-        (headers::TIME_REMAINING, call.time_left_ms.to_string()),
+        (headers::TIME_REMAINING, call.time_remaining_ms.to_string()),
         (headers::CLASS, percent_encode(&call.class)),
     ];
     if !call.settings.is_empty() {
--- a/crates/worker-protocol/src/request/parse.rs
+++ b/crates/worker-protocol/src/request/parse.rs
@@ -81,7 +81,7 @@
         key,
         request_id: parse_text(&head, headers::REQUEST_ID)?,
         attempt: parse_number(&head, headers::ATTEMPT)?,
-        time_left_ms: parse_number(&head, headers::TIME_REMAINING)?,
+        time_remaining_ms: parse_number(&head, headers::TIME_REMAINING)?,
         class: parse_text(&head, headers::CLASS)?,
         settings,
     })
--- a/crates/worker-protocol/tests/requests.rs
+++ b/crates/worker-protocol/tests/requests.rs
@@ -19,7 +19,7 @@
         key: Some(vec![1, 254]),
         request_id: "77".into(),
         attempt: 2,
-        time_left_ms: 900,
+        time_remaining_ms: 900,
         class: "charge".into(),
         settings: vec![7, 8],
     };
--- a/crates/worker-protocol/tests/stored_forms.rs
+++ b/crates/worker-protocol/tests/stored_forms.rs
@@ -8,8 +8,8 @@
 use slatevalve::{Outcome, Report};
 use slatevalve_worker_protocol::reply::{read, ParsedReply};
 use slatevalve_worker_protocol::{
-    Call, Http, Limits, LoadReport, Message, MessageReader, ParsedRequest, Reply, Side, Tag, WorkerProtocol,
-    WorkerRequest,
+    Call, HttpProtocol, Limits, LoadReport, Message, MessageReader, ParsedRequest, Reply, Side, Tag,
+    WorkerProtocol, WorkerRequest,
 };
 
 const HOST: &str = "10.0.0.7:9000";
@@ -22,7 +22,7 @@
 fn is_request(order: WorkerRequest, literal: &[u8]) {
     let written = order.encode(HOST, "gw-1");
     assert_eq!(written.escape_ascii().to_string(), literal.escape_ascii().to_string());
-    let pooled = Http { gateway: "gw-1".into(), limits: Limits::default() };
+    let pooled = HttpProtocol { gateway: "gw-1".into(), limits: Limits::default() };
     assert_eq!(pooled.encode(HOST, Tag(5), &order), literal, "as the pool sends it");
     let asked = ParsedRequest::read(message(Side::Request, literal)).unwrap();
     assert_eq!(asked, ParsedRequest { order, gateway: Some("gw-1".into()) });
@@ -71,7 +71,7 @@
         key: Some(vec![1, 0xfe]),
         request_id: "77 a".into(),
         attempt: 2,
-        time_left_ms: 900,
+        time_remaining_ms: 900,
         class: "charge".into(),
         settings: vec![7, 8],
     };
--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -28,7 +28,7 @@
 
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
-    pub fn proves_never_ran(self) -> bool {
+    pub fn proves_not_run(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss)
     }
 }
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -102,7 +102,7 @@
     /// Workers may be probed.
     pub probes: bool,
     /// Hedged requests: two attempts of one request may be in flight together.
-    pub second_copies: bool,
+    pub hedged_requests: bool,
     /// Refusals may carry a retry-after time.
     pub retry_after: bool,
     /// The longest retry-after time.
@@ -116,7 +116,7 @@
         Limits {
             cancel: true,
             probes: true,
-            second_copies: false,
+            hedged_requests: false,
             retry_after: false,
             max_retry_after: Micros(0),
             max_attempts: 3,
@@ -132,7 +132,7 @@
     /// How long after a drain notification work may still be sent.
     pub drain_grace: Micros,
     /// Maximum interval between list requests where the list has to be requested.
-    pub ask_within: Micros,
+    pub subscription_interval: Micros,
     /// Fraction of its capacity that a worker has right after its start.
     pub start_capacity: f64,
     /// Time after which a started worker has its full capacity.
@@ -148,7 +148,7 @@
         Rules {
             answer_slack: Micros(5_000),
             drain_grace: Micros(0),
-            ask_within: Micros(10_000_000),
+            subscription_interval: Micros(10_000_000),
             start_capacity: 0.1,
             warm_within: Micros(20_000_000),
             fall_multiple: 1.0,
@@ -197,9 +197,9 @@
     /// Value of a request over its tenant's quota, as a fraction of the usual.
     pub over_quota_weight: f64,
     /// Priority weights are per unit of work, not per request.
-    pub worth_by_work: bool,
+    pub priority_per_work: bool,
     /// The worker list has to be requested.
-    pub must_ask: bool,
+    pub requires_subscription: bool,
     /// Meaning of the workers' weights.
     pub weights: Weights,
     /// Source of load reports.
@@ -223,8 +223,8 @@
             classes: Vec::new(),
             tenants: Vec::new(),
             over_quota_weight: 1.0,
-            worth_by_work: false,
-            must_ask: false,
+            priority_per_work: false,
+            requires_subscription: false,
             weights: Weights::None,
             reports: LoadReportSource::None,
             loading: Loading { orders: true, keep: Micros(8_000_000), ..Loading::default() },
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -110,7 +110,7 @@
     /// Priority of the class's work relative to the highest, from 0 to 1.
     fn priority_rank(&self, open: &OpenRequest) -> f64 {
         let density = |class: &Class, work_secs: f64| {
-            if self.settings.worth_by_work {
+            if self.settings.priority_per_work {
                 class.priority_weight
             } else {
                 class.priority_weight / work_secs.max(1e-3)
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -34,7 +34,7 @@
 impl Attempt {
     /// Whether it may have run, as nothing proves the contrary.
     pub(super) fn could_have_run(&self) -> bool {
-        !self.outcome.is_some_and(Outcome::proves_never_ran)
+        !self.outcome.is_some_and(Outcome::proves_not_run)
     }
 }
 
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -177,12 +177,12 @@
 
     /// Whether the worker list has to be requested because no subscription delivers it.
     pub(super) fn needs_subscription(&self) -> bool {
-        self.settings.must_ask && !self.membership.subscribed
+        self.settings.requires_subscription && !self.membership.subscribed
     }
 
     /// Requests the worker list if that is needed and the last request is long enough ago.
     pub(super) fn subscribe_if_due(&mut self, out: &mut Vec<Action>) {
-        let interval = self.settings.rules.ask_within.0 / LIST_REQUESTS_PER_INTERVAL;
+        let interval = self.settings.rules.subscription_interval.0 / LIST_REQUESTS_PER_INTERVAL;
         let is_due = self.membership.requested_at.is_none_or(|sent| since(self.now, sent).0 > interval);
         if self.needs_subscription() && is_due {
             self.membership.requested_at = Some(self.now);
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -138,7 +138,7 @@
             return;
         }
         // Without hedged requests this attempt is cancelled first; its end leads to the next.
-        if !self.settings.limits.second_copies {
+        if !self.settings.limits.hedged_requests {
             return self.cancel_attempts(id, out);
         }
         self.retry.tokens -= RETRY_TOKENS_PER_RETRY;
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -194,7 +194,7 @@
         let Some(worker) = self.membership.workers.get(&id) else { return false };
         let (limits, in_flight) = (&self.settings.limits, open.in_flight());
         let can_attempt =
-            open.attempts.len() < limits.max_attempts && (limits.second_copies || in_flight == 0);
+            open.attempts.len() < limits.max_attempts && (limits.hedged_requests || in_flight == 0);
         let is_due = open.is_undecided() && self.now < open.deadline && can_attempt;
         is_due
             && worker.is_ready()
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -20,7 +20,7 @@
         ..Settings::default()
     };
     s.loading.on_request = on_request;
-    s.limits.second_copies = true;
+    s.limits.hedged_requests = true;
     s.limits.probes = false;
     s
 }
@@ -359,7 +359,7 @@
 #[test]
 fn the_list_is_requested_at_a_bounded_rate() {
     let mut r = Router::new(site(Effect::Safe, true), &[]);
-    r.balancer = Balancer::new(Settings { must_ask: true, ..Settings::default() }, 1);
+    r.balancer = Balancer::new(Settings { requires_subscription: true, ..Settings::default() }, 1);
     let asks = |a: &[Action]| a.iter().filter(|a| matches!(a, Action::Subscribe)).count();
     let from = r.out.len();
     r.list(Scope::Remembered, vec![entry(1)]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -158,7 +158,7 @@
                 ration_share: SHARE,
                 ..Loading::default()
             },
-            limits: Limits { second_copies: second, max_attempts: ATTEMPTS, ..Limits::default() },
+            limits: Limits { hedged_requests: second, max_attempts: ATTEMPTS, ..Limits::default() },
             rules: Rules {
                 answer_slack: Micros(SLACK),
                 drain_grace: Micros(GRACE),
