--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -3,7 +3,6 @@
 //! The wire is one JSON object a line: batches of events on the standard input, one reply with commands for each on the
 //! standard output. The process ends with an error at the first line that cannot be read.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod commands;
 mod error;
--- a/benches/module.rs
+++ b/benches/module.rs
@@ -2,7 +2,7 @@
 //! number of workers.
 //! `cargo bench -p slatevalve`
 
-use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
+use criterion::{BenchmarkId, Criterion};
 use slatevalve::*;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -127,5 +127,9 @@
     group.finish();
 }
 
-criterion_group!(benches, module, change);
-criterion_main!(benches);
+fn main() {
+    let mut criterion = Criterion::default().configure_from_args();
+    module(&mut criterion);
+    change(&mut criterion);
+    criterion.final_summary();
+}
--- a/crates/blobs/src/lib.rs
+++ b/crates/blobs/src/lib.rs
@@ -8,7 +8,6 @@
 //! Layout: `blobs/sha256/HEX`, `partial/HEX` (an interrupted pull, to be resumed), `staged/NAME` (a push in chunks, whose
 //! digest follows at its end), `documents/NAME`.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod error;
 mod files;
--- a/crates/config-versioning/src/lib.rs
+++ b/crates/config-versioning/src/lib.rs
@@ -8,7 +8,6 @@
 //!
 //! The protocol, its assumptions and the argument for the invariant: `docs/design-config-versioning.md`.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod compare;
 mod coordinator;
--- a/crates/config-versioning/tests/model/fleet.rs
+++ b/crates/config-versioning/tests/model/fleet.rs
@@ -6,7 +6,7 @@
 
 /// What is under way between a router and the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum InFlight {
+pub(crate) enum InFlight {
     Write(Txn),
     Written(TxnOutcome),
     Read,
@@ -14,7 +14,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Router {
+pub(crate) struct Router {
     holder: LeaseHolder,
     /// As it was before the request that is under way.
     before_request: Option<LeaseHolder>,
@@ -25,14 +25,14 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Coordinator {
+pub(crate) struct Coordinator {
     coordinator: RolloutCoordinator,
     commit: Option<Txn>,
 }
 
 /// The state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World {
+pub(crate) struct World {
     pub tick: i64,
     pub store: Store,
     pub routers: Vec<Router>,
@@ -52,7 +52,7 @@
 
 /// What can happen. The numbers are those of a router or a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Event {
+pub(crate) enum Event {
     Tick,
     Publish,
     Withdraw,
@@ -77,7 +77,7 @@
 
 /// A fault planted into the protocol, which the model must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub(crate) enum Planted {
     Nothing,
     /// A lease is counted from its response instead of its request.
     LeaseFromTheResponse,
@@ -93,7 +93,7 @@
 
 /// The size of a model.
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub(crate) struct Fleet {
     pub routers: usize,
     /// So many of them, the last ones, observe, request and are answered in one event.
     pub prompt: usize,
@@ -146,7 +146,7 @@
     }
 
     /// The settings by which a router may send everything; `None` if it may not.
-    pub fn acts_by(&self, world: &World, at: usize) -> Option<ActiveSettings> {
+    pub(crate) fn acts_by(&self, world: &World, at: usize) -> Option<ActiveSettings> {
         let router = &world.routers[at];
         let has_lease = router.holder.send_permission(world.tick * ROUTER_RATE) == SendPermission::All;
         let checks = self.planted != Planted::NoCheck || at != 0;
@@ -154,7 +154,7 @@
     }
 
     /// Every two routers that may act do so by rules that do not contradict, and share a document.
-    pub fn agrees(&self, world: &World) -> bool {
+    pub(crate) fn agrees(&self, world: &World) -> bool {
         let all: Vec<ActiveSettings> = (0..self.routers).filter_map(|at| self.acts_by(world, at)).collect();
         all.iter().enumerate().all(|(at, one)| {
             all[at + 1..].iter().filter(|other| *other != one).all(|other| {
@@ -167,7 +167,7 @@
     }
 
     /// Carries out an event; returns whether it could occur.
-    pub fn step(&self, world: &mut World, event: Event) -> bool {
+    pub(crate) fn step(&self, world: &mut World, event: Event) -> bool {
         let occurred = match event {
             Event::Tick => {
                 world.tick += 1;
--- a/crates/config-versioning/tests/model/registry.rs
+++ b/crates/config-versioning/tests/model/registry.rs
@@ -4,15 +4,15 @@
 use std::collections::BTreeMap;
 
 /// Microseconds of a router's clock in a tick of true time: slow by a fifth.
-pub const ROUTER_RATE: i64 = 80;
+pub(crate) const ROUTER_RATE: i64 = 80;
 /// Microseconds of a coordinator's clock in a tick of true time: fast by a fifth.
-pub const COORDINATOR_RATE: i64 = 120;
+pub(crate) const COORDINATOR_RATE: i64 = 120;
 /// The drift that coordinators reckon with.
-pub const DRIFT_PPM: i64 = 200_000;
+pub(crate) const DRIFT_PPM: i64 = 200_000;
 /// A lease lasts two ticks and a half by a router's clock; a coordinator waits for three.
-pub const LEASE_US: i64 = 200;
+pub(crate) const LEASE_US: i64 = 200;
 
-pub fn keys() -> Keys {
+pub(crate) fn keys() -> Keys {
     Keys::new("/t/")
 }
 
@@ -22,15 +22,15 @@
     Terms { classes: [("charge".to_string(), Class::new(retry, 1, 1))].into(), ..Terms::default() }
 }
 
-pub fn terms(version: &DocumentVersion) -> Option<Terms> {
+pub(crate) fn terms(version: &DocumentVersion) -> Option<Terms> {
     Some(rules(version.number))
 }
 
 /// Values by key, each with the number of its writes as its revision. A deleted entry keeps it below an empty value, so that
 /// no revision is given twice.
-pub type Store = BTreeMap<String, (Vec<u8>, i64)>;
+pub(crate) type Store = BTreeMap<String, (Vec<u8>, i64)>;
 
-pub fn apply(store: &mut Store, txn: &Txn) -> TxnOutcome {
+pub(crate) fn apply(store: &mut Store, txn: &Txn) -> TxnOutcome {
     let current =
         |key: &String| store.get(key).filter(|entry| !entry.0.is_empty()).map_or(0, |entry| entry.1);
     if txn.compares.iter().any(|(key, revision)| current(key) != *revision) {
@@ -50,7 +50,7 @@
     TxnOutcome::Succeeded(written)
 }
 
-pub fn snapshot(store: &Store) -> Snapshot {
+pub(crate) fn snapshot(store: &Store) -> Snapshot {
     let present = store.iter().filter(|(_, entry)| !entry.0.is_empty());
     Snapshot::from_entries(
         &keys(),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -8,7 +8,6 @@
 //!
 //! The engine is deterministic: the clock is an argument, the seed a setting, and the same inputs give the same outputs.
 #![forbid(unsafe_code)]
-#![warn(missing_docs, unreachable_pub)]
 
 mod answer;
 mod attempt;
--- a/crates/fleet-test/src/lib.rs
+++ b/crates/fleet-test/src/lib.rs
@@ -4,7 +4,6 @@
 //! The crate starts the program's binary and uses nothing of the gateway's inside: its sources are the bytes on the links and
 //! the lines of the logs. The command `slatevalve fleet-test` calls [`run`]; `slatevalve link` is one link.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod counters;
 mod error;
--- a/crates/gateway/benches/plugins.rs
+++ b/crates/gateway/benches/plugins.rs
@@ -1,7 +1,7 @@
 //! What a gateway's start costs with 10,000 blobs in its folder of plug-ins, beside reading and hashing the same files
 //! and nothing else. `cargo bench -p slatevalve-gateway --bench plugins`
 
-use criterion::{criterion_group, criterion_main, Criterion, Throughput};
+use criterion::{Criterion, Throughput};
 use slatevalve_gateway::plugins::folder::{verify, PluginFolder};
 use slatevalve_plugins::{Digest, LayerRef, Manifest};
 use std::path::Path;
@@ -72,5 +72,8 @@
     group.finish();
 }
 
-criterion_group!(benches, recovery);
-criterion_main!(benches);
+fn main() {
+    let mut criterion = Criterion::default().configure_from_args();
+    recovery(&mut criterion);
+    criterion.final_summary();
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,7 +4,6 @@
 //! and in no crate below it. Where to start reading: [`server`] is the event loop of the gateway, [`platform`] that of the
 //! platform's router.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod chaos_test;
 mod child_processes;
--- a/crates/gateway/src/server/pool/connections.rs
+++ b/crates/gateway/src/server/pool/connections.rs
@@ -153,7 +153,7 @@
     }
 
     /// Handles an established connection: its queued requests are written at the next poll unless cancelled before.
-    pub fn connected(&mut self, now: Micros, reactor: &mut Reactor, id: Id) {
+    pub(crate) fn connected(&mut self, now: Micros, reactor: &mut Reactor, id: Id) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.connected = true;
         connection.deadline = None;
@@ -161,7 +161,13 @@
     }
 
     /// Handles received bytes; returns the requests that they complete.
-    pub fn received(&mut self, now: Micros, reactor: &mut Reactor, id: Id, bytes: &[u8]) -> Vec<RequestEnd> {
+    pub(crate) fn received(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        id: Id,
+        bytes: &[u8],
+    ) -> Vec<RequestEnd> {
         let Some(connection) = self.connections.get_mut(&id) else { return Vec::new() };
         let mut completed = Vec::new();
         let parsed = connection.reader.feed(bytes, &mut completed);
@@ -181,7 +187,7 @@
     }
 
     /// Handles a closed connection. `written` is the number of bytes that the kernel accepted on it in total.
-    pub fn closed(&mut self, now: Micros, id: Id, connected: bool, written: u64) -> Vec<RequestEnd> {
+    pub(crate) fn closed(&mut self, now: Micros, id: Id, connected: bool, written: u64) -> Vec<RequestEnd> {
         let Some(connection) = self.connections.get_mut(&id) else { return Vec::new() };
         connection.connected = connected;
         let last = connection.reader.end().filter(|_| connected);
--- a/crates/gateway/src/server/pool/mod.rs
+++ b/crates/gateway/src/server/pool/mod.rs
@@ -39,7 +39,7 @@
 
 /// What a request to a worker is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Purpose {
+pub(crate) enum Purpose {
     /// An attempt of a call.
     Attempt(AttemptRef),
     /// A health check.
@@ -59,7 +59,7 @@
 
 /// A completed request.
 #[derive(Debug)]
-pub struct RequestEnd {
+pub(crate) struct RequestEnd {
     /// The worker it was submitted for.
     pub worker: WorkerId,
     /// What it was for.
@@ -71,7 +71,7 @@
 }
 
 /// All connections to workers.
-pub struct Pool {
+pub(crate) struct Pool {
     settings: PoolSettings,
     protocol: Box<dyn WorkerProtocol>,
     /// Timeout of requests to load replicas.
@@ -87,7 +87,11 @@
 
 impl Pool {
     /// Creates a pool without workers.
-    pub fn new(settings: PoolSettings, protocol: Box<dyn WorkerProtocol>, load_timeout: Micros) -> Self {
+    pub(crate) fn new(
+        settings: PoolSettings,
+        protocol: Box<dyn WorkerProtocol>,
+        load_timeout: Micros,
+    ) -> Self {
         Pool {
             settings,
             protocol,
@@ -101,12 +105,12 @@
     }
 
     /// Sets the versions of the settings documents that attempts are sent under and carry from now on.
-    pub fn set_document_versions(&mut self, documents: &[u64]) {
+    pub(crate) fn set_document_versions(&mut self, documents: &[u64]) {
         self.document_versions = documents.to_vec();
     }
 
     /// Numbers of workers, connections, attempts and timers, for tests of the bounds.
-    pub fn sizes(&self) -> [usize; 4] {
+    pub(crate) fn sizes(&self) -> [usize; 4] {
         [self.peers.len(), self.connections.len(), self.attempts.len(), self.timers.len()]
     }
 }
--- a/crates/gateway/src/server/pool/outputs.rs
+++ b/crates/gateway/src/server/pool/outputs.rs
@@ -13,7 +13,7 @@
 impl Pool {
     /// Executes an output of the engine that concerns workers, and returns any other. `classes` are the names of the
     /// classes in the order of their ids; outputs that follow are appended to `out`.
-    pub fn execute(
+    pub(crate) fn execute(
         &mut self,
         now: Micros,
         reactor: &mut Reactor,
@@ -117,7 +117,7 @@
     }
 
     /// Reports a completed request to the engine.
-    pub fn report_completion(
+    pub(crate) fn report_completion(
         &self,
         now: Micros,
         end: RequestEnd,
--- a/crates/gateway/src/server/pool/peers.rs
+++ b/crates/gateway/src/server/pool/peers.rs
@@ -25,7 +25,13 @@
     ///
     /// Returns true if the address of a known worker changed: new requests go to the new address, and the caller is to
     /// cancel those not yet sent to the old one with [`Pool::cancel_unsent`].
-    pub fn list(&mut self, reactor: &mut Reactor, worker: WorkerId, name: &str, address: SocketAddr) -> bool {
+    pub(crate) fn list(
+        &mut self,
+        reactor: &mut Reactor,
+        worker: WorkerId,
+        name: &str,
+        address: SocketAddr,
+    ) -> bool {
         let peer = self.peers.entry(worker).or_insert_with(|| Peer {
             name: name.into(),
             address,
@@ -46,7 +52,7 @@
     }
 
     /// Removes a worker: no new request is sent to it, and those in flight run to their end.
-    pub fn unlist(&mut self, reactor: &mut Reactor, worker: WorkerId) {
+    pub(crate) fn unlist(&mut self, reactor: &mut Reactor, worker: WorkerId) {
         if let Some(peer) = self.peers.get_mut(&worker) {
             peer.workers_listed = false;
         }
@@ -55,7 +61,7 @@
     }
 
     /// A worker's name for logs; `?` for an unknown one.
-    pub fn name(&self, worker: WorkerId) -> &str {
+    pub(crate) fn name(&self, worker: WorkerId) -> &str {
         self.peers.get(&worker).map_or("?", |p| &p.name)
     }
 
--- a/crates/gateway/src/server/pool/requests.rs
+++ b/crates/gateway/src/server/pool/requests.rs
@@ -130,7 +130,12 @@
     }
 
     /// Cancels a worker's requests of which no byte has been written. Connections left without a request are closed.
-    pub fn cancel_unsent(&mut self, now: Micros, reactor: &mut Reactor, worker: WorkerId) -> Vec<RequestEnd> {
+    pub(crate) fn cancel_unsent(
+        &mut self,
+        now: Micros,
+        reactor: &mut Reactor,
+        worker: WorkerId,
+    ) -> Vec<RequestEnd> {
         let mut ends = Vec::new();
         for id in self.connections_of(worker) {
             let tags: Vec<Tag> =
@@ -147,7 +152,7 @@
     }
 
     /// Cancels the attempts that a predicate selects and of which no byte has been written.
-    pub fn cancel_unsent_where(
+    pub(crate) fn cancel_unsent_where(
         &mut self,
         now: Micros,
         reactor: &mut Reactor,
--- a/crates/gateway/src/server/pool/timers.rs
+++ b/crates/gateway/src/server/pool/timers.rs
@@ -26,12 +26,12 @@
 
 impl Pool {
     /// When [`Pool::advance`] is due next.
-    pub fn next_wake(&self) -> Option<Micros> {
+    pub(crate) fn next_wake(&self) -> Option<Micros> {
         self.timers.next()
     }
 
     /// Handles the timers that have expired by `now`; returns the requests that end with them.
-    pub fn advance(&mut self, now: Micros, reactor: &mut Reactor) -> Vec<RequestEnd> {
+    pub(crate) fn advance(&mut self, now: Micros, reactor: &mut Reactor) -> Vec<RequestEnd> {
         let mut ends = Vec::new();
         while let Some(timer) = self.timers.pop(now) {
             match timer {
--- a/crates/gateway/tests/platform/test_servers/change_log.rs
+++ b/crates/gateway/tests/platform/test_servers/change_log.rs
@@ -11,7 +11,7 @@
 
 /// A change log.
 #[derive(Clone)]
-pub struct ChangeLog {
+pub(crate) struct ChangeLog {
     pub address: SocketAddr,
     events: Arc<(Mutex<Vec<Value>>, Condvar)>,
     /// Answers that break off in the middle before one is whole.
@@ -28,7 +28,7 @@
 
 impl ChangeLog {
     /// One whose first event is the whole list of these workers.
-    pub fn start(workers: &[(&str, SocketAddr)]) -> Self {
+    pub(crate) fn start(workers: &[(&str, SocketAddr)]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let members: Vec<Value> = workers.iter().map(|(id, a)| member(id, *a, "active")).collect();
         let first = json!({"seq": 1, "fleet": {"revision": 1, "complete": true, "members": members}});
@@ -44,7 +44,7 @@
     }
 
     /// The same log at another address.
-    pub fn elsewhere(&self) -> Self {
+    pub(crate) fn elsewhere(&self) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let log = ChangeLog { address: listener.local_addr().unwrap(), ..self.clone() };
         log.listen(listener);
@@ -98,17 +98,17 @@
     }
 
     /// Answers that were written whole.
-    pub fn answers(&self) -> usize {
+    pub(crate) fn answers(&self) -> usize {
         self.answered.load(Ordering::SeqCst)
     }
 
     /// Questions that wait for news.
-    pub fn waiting(&self) -> usize {
+    pub(crate) fn waiting(&self) -> usize {
         self.asked.load(Ordering::SeqCst).saturating_sub(self.answers())
     }
 
     /// Tells of workers' new states.
-    pub fn tell(&self, changes: &[(&str, SocketAddr, &str)]) {
+    pub(crate) fn tell(&self, changes: &[(&str, SocketAddr, &str)]) {
         let (events, told) = &*self.events;
         let mut all = events.lock().unwrap();
         let seq = all.len() + 1;
@@ -118,14 +118,14 @@
     }
 
     /// The same to a follower whose question waits, until the answer has been written to it whole.
-    pub fn tell_whole(&self, changes: &[(&str, SocketAddr, &str)]) {
+    pub(crate) fn tell_whole(&self, changes: &[(&str, SocketAddr, &str)]) {
         let told = self.answers();
         self.tell(changes);
         until("the news to be in the router's socket", || self.answers() > told);
     }
 
     /// The next answers break off in the middle.
-    pub fn break_off(&self, times: usize) {
+    pub(crate) fn break_off(&self, times: usize) {
         *self.breaks.lock().unwrap() = times;
     }
 
--- a/crates/gateway/tests/platform/test_servers/client.rs
+++ b/crates/gateway/tests/platform/test_servers/client.rs
@@ -9,7 +9,7 @@
 
 /// How a call ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub(crate) enum End {
     Served(Vec<u8>),
     Error(String),
     /// The connection ended.
@@ -17,14 +17,14 @@
 }
 
 /// A client on one connection.
-pub struct Client {
+pub(crate) struct Client {
     pub stream: TcpStream,
     buffer: Vec<u8>,
     number: u32,
 }
 
 /// The bytes of one request.
-pub fn request(number: u32, class: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub(crate) fn request(number: u32, class: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     encode::write_array_len(&mut out, 4).unwrap();
     encode::write_uint(&mut out, 0).unwrap();
@@ -53,14 +53,14 @@
 }
 
 impl Client {
-    pub fn connect(address: SocketAddr) -> Self {
+    pub(crate) fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         Client { stream, buffer: Vec::new(), number: 0 }
     }
 
     /// The bytes of the next call; its id is made of `tag`.
-    pub fn bytes(&mut self, class: &str, function: u64, tag: u64) -> Vec<u8> {
+    pub(crate) fn bytes(&mut self, class: &str, function: u64, tag: u64) -> Vec<u8> {
         self.bytes_for(class, function, tag, 2500)
     }
 
@@ -75,12 +75,12 @@
     }
 
     /// Sends a call and gives its number.
-    pub fn send(&mut self, class: &str, function: u64, tag: u64) -> u32 {
+    pub(crate) fn send(&mut self, class: &str, function: u64, tag: u64) -> u32 {
         self.send_for(class, function, tag, 2500)
     }
 
     /// The same; the client waits for so many milliseconds.
-    pub fn send_for(&mut self, class: &str, function: u64, tag: u64, ms: u64) -> u32 {
+    pub(crate) fn send_for(&mut self, class: &str, function: u64, tag: u64, ms: u64) -> u32 {
         let bytes = self.bytes_for(class, function, tag, ms);
         // A router that closes may do so at any time.
         let _ = self.stream.write_all(&bytes);
@@ -88,19 +88,19 @@
     }
 
     /// Says that it no longer waits for a call.
-    pub fn interrupt(&mut self, number: u32) {
+    pub(crate) fn interrupt(&mut self, number: u32) {
         self.stream.write_all(&interrupt(number)).unwrap();
     }
 
     /// A call and its taking back in one write.
-    pub fn send_and_interrupt(&mut self, class: &str, function: u64, tag: u64) {
+    pub(crate) fn send_and_interrupt(&mut self, class: &str, function: u64, tag: u64) {
         let mut bytes = self.bytes(class, function, tag);
         bytes.extend(interrupt(self.number));
         self.stream.write_all(&bytes).unwrap();
     }
 
     /// Ends the connection with a reset.
-    pub fn reset(&mut self) {
+    pub(crate) fn reset(&mut self) {
         let ended = TcpStream::connect(self.stream.peer_addr().unwrap()).unwrap();
         let stream = std::mem::replace(&mut self.stream, ended);
         let socket = socket2::Socket::from(stream);
@@ -108,7 +108,7 @@
     }
 
     /// The next answer if it is there; the socket does not block.
-    pub fn answer_now(&mut self) -> Option<End> {
+    pub(crate) fn answer_now(&mut self) -> Option<End> {
         let mut bytes = [0; 4096];
         while let Ok(n) = self.stream.read(&mut bytes) {
             if n == 0 {
@@ -120,14 +120,14 @@
         whole.then(|| self.answer().1)
     }
 
-    pub fn call(&mut self, class: &str, function: u64, tag: u64) -> End {
+    pub(crate) fn call(&mut self, class: &str, function: u64, tag: u64) -> End {
         let number = self.send(class, function, tag);
         let (answered, end) = self.answer();
         assert!(end == End::Closed || answered == number);
         end
     }
 
-    pub fn is_ready(&mut self) -> bool {
+    pub(crate) fn is_ready(&mut self) -> bool {
         self.number += 1;
         self.stream.write_all(&request(self.number, "check", &[], b"")).unwrap();
         matches!(self.frame().as_deref(), Some([.., 0xc3, 0x80]))
@@ -147,7 +147,7 @@
     }
 
     /// The next answer.
-    pub fn answer(&mut self) -> (u32, End) {
+    pub(crate) fn answer(&mut self) -> (u32, End) {
         let Some(frame) = self.frame() else { return (0, End::Closed) };
         let mut rest = frame.as_slice();
         rmp::decode::read_array_len(&mut rest).unwrap();
--- a/crates/gateway/tests/platform/test_servers/mod.rs
+++ b/crates/gateway/tests/platform/test_servers/mod.rs
@@ -5,7 +5,7 @@
 mod router;
 mod worker;
 
-pub use change_log::ChangeLog;
-pub use client::{request, Client, End};
-pub use router::{config, ready, Router};
-pub use worker::{good, Act, Seen, Worker};
+pub(crate) use change_log::ChangeLog;
+pub(crate) use client::{request, Client, End};
+pub(crate) use router::{config, ready, Router};
+pub(crate) use worker::{good, Act, Seen, Worker};
--- a/crates/gateway/tests/platform/test_servers/router.rs
+++ b/crates/gateway/tests/platform/test_servers/router.rs
@@ -6,13 +6,13 @@
 use std::path::PathBuf;
 
 /// A running router.
-pub struct Router {
+pub(crate) struct Router {
     pub process: Process,
     directory: tempfile::TempDir,
 }
 
 /// The configuration's text.
-pub fn config(log: &ChangeLog) -> Value {
+pub(crate) fn config(log: &ChangeLog) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aim": 1000.0, "deadline": 3000.0, "effect": effect, "group": "cell",
             "key_ttl": 6000.0, "points": 1.0, "late_value": 0.1})
@@ -30,11 +30,11 @@
 }
 
 impl Router {
-    pub fn start(log: &ChangeLog) -> Self {
+    pub(crate) fn start(log: &ChangeLog) -> Self {
         Router::start_with(&config(log))
     }
 
-    pub fn start_with(config: &Value) -> Self {
+    pub(crate) fn start_with(config: &Value) -> Self {
         let directory = tempfile::tempdir().unwrap();
         let file = directory.path().join("config.json");
         std::fs::write(&file, config.to_string()).unwrap();
@@ -43,16 +43,16 @@
         Router { process, directory }
     }
 
-    pub fn file(&self) -> PathBuf {
+    pub(crate) fn file(&self) -> PathBuf {
         self.directory.path().join("config.json")
     }
 
-    pub fn log(&self) -> String {
+    pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(self.directory.path().join("log")).unwrap_or_default()
     }
 
     /// Ends it in order and gives the sizes of its tables at the end.
-    pub fn stop(mut self) -> Vec<usize> {
+    pub(crate) fn stop(mut self) -> Vec<usize> {
         self.process.signal("TERM");
         assert_eq!(self.process.wait(), Some(0));
         let log = self.log();
@@ -62,6 +62,6 @@
 }
 
 /// Waits until the router knows enough to serve.
-pub fn ready(router: &Router) {
+pub(crate) fn ready(router: &Router) {
     until("the router to be ready", || Client::connect(router.process.address).is_ready());
 }
--- a/crates/gateway/tests/platform/test_servers/worker.rs
+++ b/crates/gateway/tests/platform/test_servers/worker.rs
@@ -9,7 +9,7 @@
 
 /// What a worker does about a call.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub(crate) enum Act {
     /// A word and a body.
     Say(&'static str, Vec<u8>),
     /// The same after so many milliseconds.
@@ -26,7 +26,7 @@
 
 /// A call as a worker read it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub(crate) struct Seen {
     pub id: String,
     pub fields: String,
     pub body: Vec<u8>,
@@ -38,7 +38,7 @@
 
 /// A worker that answers probes and orders well and calls as a test says.
 #[derive(Clone)]
-pub struct Worker {
+pub(crate) struct Worker {
     pub address: SocketAddr,
     seen: Arc<Mutex<Vec<Seen>>>,
     orders: Arc<Mutex<usize>>,
@@ -46,7 +46,7 @@
 }
 
 impl Worker {
-    pub fn start(script: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static) -> Self {
+    pub(crate) fn start(script: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let worker = Worker {
             address: listener.local_addr().unwrap(),
@@ -64,16 +64,16 @@
         worker
     }
 
-    pub fn calls(&self) -> Vec<Seen> {
+    pub(crate) fn calls(&self) -> Vec<Seen> {
         self.seen.lock().unwrap().clone()
     }
 
     /// All its copies go.
-    pub fn forget(&self) {
+    pub(crate) fn forget(&self) {
         self.loaded.lock().unwrap().clear();
     }
 
-    pub fn orders(&self) -> usize {
+    pub(crate) fn orders(&self) -> usize {
         *self.orders.lock().unwrap()
     }
 
@@ -147,6 +147,6 @@
 }
 
 /// A worker that serves every call at once.
-pub fn good() -> Worker {
+pub(crate) fn good() -> Worker {
     Worker::start(|_, _| Act::Say("ACK", b"done".to_vec()))
 }
--- a/crates/gateway/tests/support/documents.rs
+++ b/crates/gateway/tests/support/documents.rs
@@ -4,14 +4,14 @@
 use serde_json::Value;
 use std::process::Output;
 
-pub const COMMON: &str = r#"
+pub(crate) const COMMON: &str = r#"
 (class "quote" (effect safe) (aim-ms 1000) (deadline-ms 5000))
 (route "quote/+" (class "quote") (function "{2}"))
 (route "charge/+" (class "charge") (function "{2}"))
 "#;
-pub const UNSAFE: &str = r#"(class "charge" (effect unsafe) (aim-ms 1000) (deadline-ms 5000))"#;
+pub(crate) const UNSAFE: &str = r#"(class "charge" (effect unsafe) (aim-ms 1000) (deadline-ms 5000))"#;
 
-pub struct Documents {
+pub(crate) struct Documents {
     pub registry: Process,
     pub directory: tempfile::TempDir,
     /// What routers do, by each of them, that cannot renew their lease to act.
@@ -21,24 +21,24 @@
 }
 
 impl Documents {
-    pub fn start(expiry_policy: &'static str) -> Self {
+    pub(crate) fn start(expiry_policy: &'static str) -> Self {
         let (registry, directory) = (Process::start(&["kv"], None), tempfile::tempdir().unwrap());
         Documents { registry, directory, expiry_policy, workers: Vec::new() }
     }
 
-    pub fn registry_address(&self) -> String {
+    pub(crate) fn registry_address(&self) -> String {
         self.registry.address.to_string()
     }
 
     /// A document of these forms.
-    pub fn text(&self, forms: &str) -> String {
+    pub(crate) fn text(&self, forms: &str) -> String {
         let workers = self.workers.iter().map(|(n, a)| format!("(worker \"{n}\" (address \"{a}\"))"));
         let agreement = format!("(agreement (right-ms 600) (in-doubt {}))", self.expiry_policy);
         format!("{forms}{COMMON}{}{agreement}", workers.collect::<String>())
     }
 
     /// A file with such a document.
-    pub fn file(&self, name: &str, forms: &str) -> PathBuf {
+    pub(crate) fn file(&self, name: &str, forms: &str) -> PathBuf {
         let path = self.directory.path().join(name);
         std::fs::write(&path, self.text(forms)).unwrap();
         path
@@ -50,29 +50,29 @@
         first.iter().chain(more).map(ToString::to_string).collect()
     }
 
-    pub fn output(&self, more: &[&str]) -> Output {
+    pub(crate) fn output(&self, more: &[&str]) -> Output {
         let all = self.arguments(more);
         command(&all.iter().map(String::as_str).collect::<Vec<_>>())
     }
 
     /// Exit code, and what was printed.
-    pub fn settings(&self, more: &[&str]) -> (Option<i32>, Value) {
+    pub(crate) fn settings(&self, more: &[&str]) -> (Option<i32>, Value) {
         let output = self.output(more);
         (output.status.code(), serde_json::from_slice(&output.stdout).unwrap_or(Value::Null))
     }
 
     /// A command that is not waited for.
-    pub fn spawn(&self, more: &[&str]) -> Child {
+    pub(crate) fn spawn(&self, more: &[&str]) -> Child {
         let mut command = Command::new(env!("CARGO_BIN_EXE_slatevalve"));
         command.args(self.arguments(more)).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
         command.spawn().unwrap()
     }
 
-    pub fn status(&self) -> Value {
+    pub(crate) fn status(&self) -> Value {
         self.settings(&["status"]).1
     }
 
-    pub fn publish(&self, forms: &str, wait_s: &str) -> (Option<i32>, Value) {
+    pub(crate) fn publish(&self, forms: &str, wait_s: &str) -> (Option<i32>, Value) {
         let file = self.file("document.scm", forms);
         self.settings(&["publish", file.to_str().unwrap(), "--why", "test", "--wait-s", wait_s])
     }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! A gateway as a child process, workers that do what a test says, and a plain MQTT client.
 #![allow(dead_code)] // each test file uses its part
 
-pub mod documents;
+pub(crate) mod documents;
 
 use mqtt_protocol_core::mqtt::common::Cursor;
 use mqtt_protocol_core::mqtt::connection::{Connection, Event};
@@ -19,10 +19,10 @@
 use std::time::{Duration, Instant};
 
 /// Nothing that a test waits for takes so long.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
 /// Classes and routes of a small site.
-pub const SITE: &str = r#"
+pub(crate) const SITE: &str = r#"
 (class "quote" (effect safe) (aim-ms 1000) (deadline-ms 5000))
 (class "booking" (effect keyed (group cell) (window-ms 20000)) (aim-ms 1000) (deadline-ms 5000))
 (class "charge" (effect unsafe) (aim-ms 1000) (deadline-ms 5000))
@@ -34,7 +34,7 @@
 "#;
 
 /// Waits until something holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub(crate) fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
         assert!(start.elapsed() < PATIENCE, "waited in vain: {what}");
@@ -43,12 +43,12 @@
 }
 
 /// Runs the binary to its end; one that finds none is killed.
-pub fn command(arguments: &[&str]) -> std::process::Output {
+pub(crate) fn command(arguments: &[&str]) -> std::process::Output {
     command_in(arguments, &[])
 }
 
 /// The same with variables of the environment that name files.
-pub fn command_in(arguments: &[&str], environment: &[(&str, &Path)]) -> std::process::Output {
+pub(crate) fn command_in(arguments: &[&str], environment: &[(&str, &Path)]) -> std::process::Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_slatevalve"));
     command
         .envs(environment.iter().copied())
@@ -72,12 +72,12 @@
 }
 
 /// A key or value as the registry's JSON mapping has it.
-pub fn registry_bytes(text: &str) -> serde_json::Value {
+pub(crate) fn registry_bytes(text: &str) -> serde_json::Value {
     serde_json::to_value(slatevalve_registry::wire::Bytes::of(text)).unwrap()
 }
 
 /// Asks a registry something by its JSON mapping and gives the body of its answer, which must be a good one.
-pub fn ask_registry(address: &str, path: &str, body: &impl serde::Serialize) -> Vec<u8> {
+pub(crate) fn ask_registry(address: &str, path: &str, body: &impl serde::Serialize) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     let body = serde_json::to_string(body).unwrap();
@@ -102,18 +102,18 @@
 }
 
 /// A child that says "ready ADDRESS".
-pub struct Process {
+pub(crate) struct Process {
     pub child: Child,
     pub address: SocketAddr,
 }
 
 impl Process {
-    pub fn start(arguments: &[&str], log: Option<&Path>) -> Self {
+    pub(crate) fn start(arguments: &[&str], log: Option<&Path>) -> Self {
         Process::start_in(arguments, &[], log)
     }
 
     /// The same with variables of the environment that name files.
-    pub fn start_in(arguments: &[&str], environment: &[(&str, &Path)], log: Option<&Path>) -> Self {
+    pub(crate) fn start_in(arguments: &[&str], environment: &[(&str, &Path)], log: Option<&Path>) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_slatevalve"));
         command.envs(environment.iter().copied()).args(arguments).stdin(Stdio::null()).stdout(Stdio::piped());
         if let Some(log) = log {
@@ -131,13 +131,13 @@
         Process { child, address }
     }
 
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args(["-s", name, &pid]).status().unwrap().success());
     }
 
     /// Waits for its end and gives its exit code.
-    pub fn wait(&mut self) -> Option<i32> {
+    pub(crate) fn wait(&mut self) -> Option<i32> {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -157,7 +157,7 @@
 }
 
 /// A running gateway and its files.
-pub struct Gateway {
+pub(crate) struct Gateway {
     pub process: Process,
     directory: tempfile::TempDir,
     site: String,
@@ -165,17 +165,17 @@
 
 impl Gateway {
     /// Starts one before workers, each a name, an address and further fields.
-    pub fn start(site: &str, workers: &[(&str, SocketAddr, &str)]) -> Self {
+    pub(crate) fn start(site: &str, workers: &[(&str, SocketAddr, &str)]) -> Self {
         Gateway::start_with("", site, workers)
     }
 
     /// The same under a name of its own.
-    pub fn start_named(name: &str, site: &str, workers: &[(&str, SocketAddr, &str)]) -> Self {
+    pub(crate) fn start_named(name: &str, site: &str, workers: &[(&str, SocketAddr, &str)]) -> Self {
         Gateway::start_as(name, "", site, workers)
     }
 
     /// The same with further fields of the gateway form.
-    pub fn start_with(fields: &str, site: &str, workers: &[(&str, SocketAddr, &str)]) -> Self {
+    pub(crate) fn start_with(fields: &str, site: &str, workers: &[(&str, SocketAddr, &str)]) -> Self {
         Gateway::start_as("g", fields, site, workers)
     }
 
@@ -195,20 +195,20 @@
         workers.iter().map(line).fold(site.to_string(), |text, line| text + &line)
     }
 
-    pub fn address(&self) -> SocketAddr {
+    pub(crate) fn address(&self) -> SocketAddr {
         self.process.address
     }
 
-    pub fn file(&self) -> PathBuf {
+    pub(crate) fn file(&self) -> PathBuf {
         self.directory.path().join("site.scm")
     }
 
-    pub fn log(&self) -> String {
+    pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(self.directory.path().join("log")).unwrap_or_default()
     }
 
     /// Writes a new worker list, sends SIGHUP and waits until it was read.
-    pub fn relist(&self, workers: &[(&str, SocketAddr, &str)]) {
+    pub(crate) fn relist(&self, workers: &[(&str, SocketAddr, &str)]) {
         let count = |log: &str| log.matches("worker list read again").count();
         let before = count(&self.log());
         std::fs::write(self.file(), Self::text(&self.site, workers)).unwrap();
@@ -219,7 +219,7 @@
 
 /// What a worker does about a call.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub(crate) enum Act {
     Answer(Reply),
     /// After so many milliseconds.
     Later(u64, Reply),
@@ -233,13 +233,13 @@
     Silence,
 }
 
-pub fn served(text: &str) -> Act {
+pub(crate) fn served(text: &str) -> Act {
     Act::Answer(Reply::Served { payload: text.into(), ran: Some("7".into()) })
 }
 
 /// A worker that answers probes and orders well and calls as a test says.
 #[derive(Clone)]
-pub struct Worker {
+pub(crate) struct Worker {
     pub address: SocketAddr,
     calls: Arc<Mutex<Vec<(Instant, slatevalve_worker_protocol::Call)>>>,
     orders: Arc<Mutex<Vec<WorkerRequest>>>,
@@ -250,7 +250,7 @@
 
 impl Worker {
     /// `act` is given the call and how many calls this worker had before it.
-    pub fn start(
+    pub(crate) fn start(
         act: impl Fn(&slatevalve_worker_protocol::Call, usize) -> Act + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -336,7 +336,7 @@
     }
 
     /// Waits until all that was written to this worker so far is counted: none of it is with the kernel, none with a reader.
-    pub fn settled(&self) {
+    pub(crate) fn settled(&self) {
         let port = format!(":{:04X}", self.address.port());
         until("the worker to have read what came", || {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -349,25 +349,25 @@
     }
 
     /// How many calls came.
-    pub fn calls(&self) -> usize {
+    pub(crate) fn calls(&self) -> usize {
         self.calls.lock().unwrap().len()
     }
 
     /// The payloads of the calls that came, in order.
-    pub fn payloads(&self) -> Vec<String> {
+    pub(crate) fn payloads(&self) -> Vec<String> {
         let calls = self.calls.lock().unwrap();
         calls.iter().map(|(_, c)| String::from_utf8_lossy(&c.payload).into_owned()).collect()
     }
 
     /// Calls and orders to load that came.
-    pub fn all(&self) -> usize {
+    pub(crate) fn all(&self) -> usize {
         self.calls() + self.orders.lock().unwrap().len()
     }
 }
 
 /// An answer as a client gets it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub(crate) struct Heard {
     pub outcome: String,
     pub reason: Option<String>,
     pub payload: String,
@@ -379,7 +379,7 @@
 }
 
 /// A plain blocking MQTT 5 client.
-pub struct Client {
+pub(crate) struct Client {
     stream: TcpStream,
     mqtt: Connection<role::Client>,
     heard: VecDeque<Heard>,
@@ -389,7 +389,7 @@
 
 impl Client {
     /// Connects; a session that lives on without a connection where `lasting`.
-    pub fn connect(address: SocketAddr, id: &str, lasting: bool) -> Self {
+    pub(crate) fn connect(address: SocketAddr, id: &str, lasting: bool) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
         let mut mqtt = Connection::new(Version::V5_0);
@@ -460,7 +460,7 @@
     }
 
     /// Subscribes and waits for the acknowledgement.
-    pub fn subscribe(&mut self, filter: &str) {
+    pub(crate) fn subscribe(&mut self, filter: &str) {
         let id = self.mqtt.acquire_packet_id().unwrap();
         let entries = vec![SubEntry::new(filter, SubOpts::new().set_qos(Qos::AtLeastOnce)).unwrap()];
         self.send(v5_0::Subscribe::builder().packet_id(id).entries(entries).build().unwrap().into());
@@ -472,7 +472,7 @@
     }
 
     /// Publishes with QoS 1 under a packet id of the test's choice; the payload names the call as well.
-    pub fn publish(&mut self, topic: &str, id: u16, key: Option<&str>, call: &str, dup: bool) {
+    pub(crate) fn publish(&mut self, topic: &str, id: u16, key: Option<&str>, call: &str, dup: bool) {
         let mut properties: Vec<Property> = vec![
             ResponseTopic::new("replies/me").unwrap().into(),
             CorrelationData::new(call.as_bytes()[..call.len().min(100)].to_vec()).unwrap().into(),
@@ -486,12 +486,12 @@
     }
 
     /// The next answer.
-    pub fn answer(&mut self) -> Heard {
+    pub(crate) fn answer(&mut self) -> Heard {
         self.answer_or(String::new)
     }
 
     /// The next answer; where none comes, what `words` gives is said.
-    pub fn answer_or(&mut self, words: impl Fn() -> String) -> Heard {
+    pub(crate) fn answer_or(&mut self, words: impl Fn() -> String) -> Heard {
         let start = Instant::now();
         loop {
             if let Some(heard) = self.heard.pop_front() {
@@ -503,7 +503,7 @@
     }
 
     /// Whether no further answer comes within a while. (That one comes late can only make a test pass wrongly.)
-    pub fn is_quiet(&mut self, millis: u64) -> bool {
+    pub(crate) fn is_quiet(&mut self, millis: u64) -> bool {
         let start = Instant::now();
         while start.elapsed() < Duration::from_millis(millis) {
             self.read();
@@ -512,13 +512,13 @@
     }
 
     /// Calls and waits for the answer.
-    pub fn call(&mut self, topic: &str, id: u16, key: Option<&str>, call: &str) -> Heard {
+    pub(crate) fn call(&mut self, topic: &str, id: u16, key: Option<&str>, call: &str) -> Heard {
         self.publish(topic, id, key, call, false);
         self.answer()
     }
 
     /// Sends bytes as they are.
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub(crate) fn raw(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -11,7 +11,6 @@
 //! | `head` | start line, headers and body framing |
 //! | `error` | why bytes are rejected |
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod decoder;
 mod error;
--- a/crates/mqtt/src/lib.rs
+++ b/crates/mqtt/src/lib.rs
@@ -8,7 +8,6 @@
 //! Packets are encoded and checked by `mqtt-protocol-core`. Section numbers refer to MQTT 5.0 (OASIS, 2019) unless 3.1.1
 //! is named.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod bridge;
 mod first_packet;
--- a/crates/mqtt/tests/front/bench.rs
+++ b/crates/mqtt/tests/front/bench.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// A front, its clock, and one library connection for each link.
-pub struct Bench {
+pub(crate) struct Bench {
     pub front: Front,
     pub now: Micros,
     pub clients: BTreeMap<LinkId, Connection<role::Client>>,
@@ -24,7 +24,7 @@
     pub acknowledge: bool,
 }
 
-pub fn settings() -> FrontSettings {
+pub(crate) fn settings() -> FrontSettings {
     let route = |filter: &str, class, key: Option<&str>| Route {
         filter: TopicFilter::parse(filter).unwrap(),
         class: ClassId(class),
@@ -44,16 +44,16 @@
     }
 }
 
-pub fn v5_connect(id: &str, clean: bool, properties: Vec<Property>) -> Packet {
+pub(crate) fn v5_connect(id: &str, clean: bool, properties: Vec<Property>) -> Packet {
     let builder = v5_0::Connect::builder().client_id(id).unwrap().clean_start(clean).props(properties);
     builder.build().unwrap().into()
 }
 
-pub fn expiry(seconds: u32) -> Property {
+pub(crate) fn expiry(seconds: u32) -> Property {
     SessionExpiryInterval::new(seconds).unwrap().into()
 }
 
-pub fn v5_publish(topic: &str, qos: Qos, id: u16, properties: Vec<Property>) -> v5_0::Publish {
+pub(crate) fn v5_publish(topic: &str, qos: Qos, id: u16, properties: Vec<Property>) -> v5_0::Publish {
     let builder = v5_0::Publish::builder().topic_name(topic).unwrap().qos(qos).props(properties).payload("p");
     match qos {
         Qos::AtMostOnce => builder.build().unwrap(),
@@ -61,17 +61,17 @@
     }
 }
 
-pub fn key(text: &str) -> Property {
+pub(crate) fn key(text: &str) -> Property {
     UserProperty::new("key", text).unwrap().into()
 }
 
-pub fn served(bytes: usize) -> Answer {
+pub(crate) fn served(bytes: usize) -> Answer {
     let payload = vec![b'x'; bytes].into();
     Answer { verdict: Verdict::Served { payload, ran: None }, attempts: 1, recorded: false, version: None }
 }
 
 impl Bench {
-    pub fn new(settings: FrontSettings) -> Self {
+    pub(crate) fn new(settings: FrontSettings) -> Self {
         Bench {
             front: Front::new(settings),
             now: Micros(1_000_000),
@@ -85,7 +85,7 @@
         }
     }
 
-    pub fn connect(&mut self, link: u64, version: Version, packet: Packet) {
+    pub(crate) fn connect(&mut self, link: u64, version: Version, packet: Packet) {
         let id = LinkId(link);
         let mut client = Connection::new(version);
         client.set_auto_pub_response(self.acknowledge);
@@ -95,12 +95,12 @@
     }
 
     /// Sends through the client's library.
-    pub fn send(&mut self, link: u64, packet: Packet) {
+    pub(crate) fn send(&mut self, link: u64, packet: Packet) {
         let events = self.clients.get_mut(&LinkId(link)).unwrap().send(packet);
         self.client_events(LinkId(link), events);
     }
 
-    pub fn publish(&mut self, link: u64, publish: v5_0::Publish) {
+    pub(crate) fn publish(&mut self, link: u64, publish: v5_0::Publish) {
         if let Some(id) = publish.packet_id() {
             let _ = self.clients.get_mut(&LinkId(link)).unwrap().register_packet_id(id);
         }
@@ -108,13 +108,13 @@
     }
 
     /// Sends bytes as they are.
-    pub fn raw(&mut self, link: u64, bytes: &[u8]) {
+    pub(crate) fn raw(&mut self, link: u64, bytes: &[u8]) {
         let mut out = Vec::new();
         self.front.received(self.now, LinkId(link), bytes, &mut out);
         self.carry(out);
     }
 
-    pub fn client_events(&mut self, id: LinkId, events: Vec<Event>) {
+    pub(crate) fn client_events(&mut self, id: LinkId, events: Vec<Event>) {
         for event in events {
             match event {
                 Event::RequestSendPacket { packet, .. } => {
@@ -129,7 +129,7 @@
         }
     }
 
-    pub fn carry(&mut self, out: Vec<FrontOutput>) {
+    pub(crate) fn carry(&mut self, out: Vec<FrontOutput>) {
         for output in out {
             match output {
                 FrontOutput::Write(id, bytes) => {
@@ -148,31 +148,31 @@
         }
     }
 
-    pub fn drop_link(&mut self, link: u64) {
+    pub(crate) fn drop_link(&mut self, link: u64) {
         self.clients.remove(&LinkId(link));
         let mut out = Vec::new();
         self.front.closed(self.now, LinkId(link), &mut out);
         self.carry(out);
     }
 
-    pub fn answer(&mut self, call: usize, answer: &Answer) {
+    pub(crate) fn answer(&mut self, call: usize, answer: &Answer) {
         let mut out = Vec::new();
         self.front.answer(self.now, self.calls[call].ticket, answer, &mut out);
         self.carry(out);
     }
 
-    pub fn pass(&mut self, seconds: i64) {
+    pub(crate) fn pass(&mut self, seconds: i64) {
         self.now.0 += seconds * 1_000_000;
         let mut out = Vec::new();
         self.front.advance(self.now, &mut out);
         self.carry(out);
     }
 
-    pub fn heard(&mut self, link: u64) -> Vec<Packet> {
+    pub(crate) fn heard(&mut self, link: u64) -> Vec<Packet> {
         self.heard.remove(&LinkId(link)).unwrap_or_default()
     }
 
-    pub fn outcomes(&mut self, link: u64) -> Vec<String> {
+    pub(crate) fn outcomes(&mut self, link: u64) -> Vec<String> {
         let told = |p: &v5_0::Publish, name: &str| {
             p.props().iter().find_map(|p| match p {
                 Property::UserProperty(p) if p.key() == name => Some(p.val().to_string()),
--- a/crates/oci/src/lib.rs
+++ b/crates/oci/src/lib.rs
@@ -8,7 +8,6 @@
 //! against its digest, interrupted transfers resume, redirects go to allowed hosts only, and each job fails or completes
 //! before its deadline.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod challenge;
 mod document;
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -9,7 +9,6 @@
 //!
 //! Two clients of the same seed would draw the same delays; [`seed_of`] derives seeds from names.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -8,7 +8,6 @@
 //! - [`changes::ChangeLogClient`] is the client of the change log.
 //! - [`config`] reads the configuration file of a router.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod changes;
 pub mod config;
--- a/crates/platform/src/workers/reply.rs
+++ b/crates/platform/src/workers/reply.rs
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     /// As soon as the bytes cannot become a reply within the bounds.
-    pub fn parse(bytes: &'a [u8]) -> Result<Option<Self>, MalformedReply> {
+    pub(super) fn parse(bytes: &'a [u8]) -> Result<Option<Self>, MalformedReply> {
         let Some(line_end) = bytes.iter().take(MAX_LINE).position(|byte| *byte == b'\n') else {
             return if bytes.len() >= MAX_LINE { Err(MalformedReply) } else { Ok(None) };
         };
@@ -59,7 +59,7 @@
 
     /// The reply in the load balancer's terms; `None` for a status that does not exist. A queue depth that the reply does not
     /// state is 0 where `reports_queue_depth` is set.
-    pub fn interpret(&self, kind: RequestKind, reports_queue_depth: bool) -> Option<ParsedReply> {
+    pub(super) fn interpret(&self, kind: RequestKind, reports_queue_depth: bool) -> Option<ParsedReply> {
         let outcome = match self.status {
             "ACK" | "READY" => Outcome::Ok,
             "NOENT" => Outcome::Miss,
--- a/crates/plugins/benches/plugins.rs
+++ b/crates/plugins/benches/plugins.rs
@@ -1,7 +1,7 @@
 //! Resolution of a call's reference by the number of versions, and verification beside the hash alone.
 //! `cargo bench -p slatevalve-plugins`
 
-use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
+use criterion::{BenchmarkId, Criterion, Throughput};
 use sha2::{Digest as _, Sha256};
 use slatevalve_plugins::{Catalogue, Digest, LayerRef, Manifest, Reference, Verifier, CURRENT};
 
@@ -64,5 +64,9 @@
     group.finish();
 }
 
-criterion_group!(benches, resolution, verification);
-criterion_main!(benches);
+fn main() {
+    let mut criterion = Criterion::default().configure_from_args();
+    resolution(&mut criterion);
+    verification(&mut criterion);
+    criterion.final_summary();
+}
--- a/crates/plugins/src/lib.rs
+++ b/crates/plugins/src/lib.rs
@@ -5,7 +5,6 @@
 //! version whose content is not what its digest says runs nowhere; and moving an alias does not cost the rush. The
 //! gateway's event loop calls it before a call goes to the engine and reports how calls of each version ended.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod catalogue;
 mod digest;
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -23,7 +23,6 @@
 //! | `connection`, `write_buffer` | state of one connection, bytes queued for writing |
 //! | `registry` | the poller and the sources registered with it |
 //! | `signal` | signals and wake-ups as readable streams |
-#![warn(missing_docs)]
 
 mod connection;
 mod event;
--- a/crates/registry-transport/src/lib.rs
+++ b/crates/registry-transport/src/lib.rs
@@ -1,7 +1,6 @@
 //! The registry's [`Client`] on sockets of a [`Reactor`], for the event loops of gateways, test workers and commands. It
 //! transfers bytes between the two and takes no decisions.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use slatevalve_registry::{Channel, Client, ClientEvent, ClientSettings, SocketAction};
--- a/crates/registry/benches/catch_up.rs
+++ b/crates/registry/benches/catch_up.rs
@@ -1,7 +1,7 @@
 //! What catching up after a break longer than the history costs: bytes of the list, memory of the follower, and the time to
 //! read and compare it, beside reading the JSON alone. `cargo bench -p slatevalve-registry`
 
-use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
+use criterion::{BenchmarkId, Criterion};
 use slatevalve_registry::wire::{Bytes, Header, KeyValue, RangeResponse};
 use slatevalve_registry::{worker_key, WatchSettings, WatchState};
 use std::alloc::{GlobalAlloc, Layout, System};
@@ -83,5 +83,8 @@
     group.finish();
 }
 
-criterion_group!(benches, catch_up);
-criterion_main!(benches);
+fn main() {
+    let mut criterion = Criterion::default().configure_from_args();
+    catch_up(&mut criterion);
+    criterion.final_summary();
+}
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -6,7 +6,6 @@
 //! registry from making every router take the whole load; [`Registration`] keeps this process's entry. [`Client`] joins them
 //! to HTTP messages; its owner holds the sockets.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod client;
 mod members;
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -9,7 +9,6 @@
 //! [`WatchCache`] holds the keys and their history, [`Relay`] serves routers; both are without I/O. [`run_relay`] is their
 //! event loop, run by the command `slatevalve relay`.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod entries;
 mod relay;
--- a/crates/sexpr/src/lib.rs
+++ b/crates/sexpr/src/lib.rs
@@ -4,7 +4,6 @@
 //! is left over is an error, so that a misspelt name cannot pass unnoticed. Every error names file, line and form. The crate
 //! does no I/O: callers pass the text of a file.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use lexpr::datum::{Datum, Ref};
 use lexpr::Value;
--- a/crates/site-config/src/lib.rs
+++ b/crates/site-config/src/lib.rs
@@ -3,7 +3,6 @@
 //! The bench's adapter and the platform's router receive the same JSON object, and both read it with [`SiteConfig::read`], so
 //! that they cannot differ. [`object`] reads single fields of any JSON object, with errors that name the field.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod object;
 mod settings;
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -5,7 +5,6 @@
 //! clients record their traffic as [`slatevalve_trace_checker::trace`] lines. None uses the gateway's code, except that
 //! workers and registries share its codecs. The command line, the demo, the chaos test and the fleet test start them.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod broker;
 mod call_body;
--- a/crates/trace-checker/src/lib.rs
+++ b/crates/trace-checker/src/lib.rs
@@ -5,7 +5,6 @@
 //! list is published. Test servers write [`trace::Line`]s; the chaos test and its tests call [`check`]. The format is
 //! described in `docs/trace.md`.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod draining;
 mod effects;
--- a/crates/worker-protocol/src/lib.rs
+++ b/crates/worker-protocol/src/lib.rs
@@ -9,7 +9,6 @@
 //! Sources: KServe "Open Inference Protocol" v2 (inference, health), its model-repository extension and
 //! binary-tensor-data extension; RFC 9112 (HTTP/1.1 messages); ORCA load reports (`endpoint-load-metrics`).
 #![forbid(unsafe_code)]
-#![warn(missing_docs, unreachable_pub)]
 
 pub mod headers;
 mod http_protocol;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -36,7 +36,6 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { worker: WorkerId(1), .. })));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod api;
 mod balancer;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -262,7 +262,7 @@
         }))
     }
 
-    fn step(&mut self, (op, a, b): (u8, u16, u16)) -> Result<(), String> {
+    fn step(&mut self, (operation, first, second): (u8, u16, u16)) -> Result<(), String> {
         const ENDS: [Outcome; 9] = [
             Outcome::Ok,
             Outcome::Error,
@@ -274,68 +274,74 @@
             Outcome::NotSent,
             Outcome::Miss,
         ];
-        let (x, y) = (a as usize, b as usize);
-        match op % 12 {
+        let (choice, variant) = (first as usize, second as usize);
+        match operation % 12 {
             0..=3 => {
-                let budget = [5_000, 60_000, 900_000, 3_000_000][y % 4];
+                let budget = [5_000, 60_000, 900_000, 3_000_000][variant % 4];
                 self.check.accepted_at.push(self.now);
-                let requests =
-                    CheckedRequest { class: x % 3, until: self.now + budget, attempts: vec![], over: false };
+                let requests = CheckedRequest {
+                    class: choice % 3,
+                    until: self.now + budget,
+                    attempts: vec![],
+                    over: false,
+                };
                 self.check.requests.insert(self.next, requests);
                 self.next += 1;
                 self.handle_event(Event::Request(Request {
                     id: RequestId(self.next - 1),
                     budget: Micros(budget),
-                    class: ClassId(x % 3),
-                    tenant: (y % 3 == 0).then_some(TenantId(0)),
-                    function: FunctionId((x / 3 % 7) as u64),
-                    concurrency: y % 3,
-                    work: (y % 2 == 0).then_some(Micros(b as i64)),
+                    class: ClassId(choice % 3),
+                    tenant: (variant % 3 == 0).then_some(TenantId(0)),
+                    function: FunctionId((choice / 3 % 7) as u64),
+                    concurrency: variant % 3,
+                    work: (variant % 2 == 0).then_some(Micros(i64::from(second))),
                     ..Request::default()
                 }))
             }
             4..=6 => {
-                let out = |(id, a): (&u64, &CheckedRequest)| {
-                    let n = a.attempts.iter().position(|t| t.end.is_none())?;
-                    Some((*id, n))
+                let out = |(id, request): (&u64, &CheckedRequest)| {
+                    let attempt = request.attempts.iter().position(|t| t.end.is_none())?;
+                    Some((*id, attempt))
                 };
                 let all: Vec<_> = self.check.requests.iter().filter_map(out).collect();
-                match all.get(x % all.len().max(1)) {
-                    Some(&(id, n)) => self.end(id, n, ENDS[if y % 2 == 0 { 0 } else { y / 2 % 9 }]),
+                match all.get(choice % all.len().max(1)) {
+                    Some(&(id, attempt)) => {
+                        self.end(id, attempt, ENDS[if variant % 2 == 0 { 0 } else { variant / 2 % 9 }])
+                    }
                     None => Ok(()),
                 }
             }
-            7 => self.pass(b as i64 * 8),
+            7 => self.pass(i64::from(second) * 8),
             8 => {
                 let state =
                     [WorkerState::Ready, WorkerState::Ready, WorkerState::Draining, WorkerState::Gone];
-                self.list((x % 6) as u64, state[y % 4], y % 3 == 0, y % 5 == 0)
+                self.list((choice % 6) as u64, state[variant % 4], variant % 3 == 0, variant % 5 == 0)
             }
             9 if !self.check.orders.is_empty() => {
-                let (worker, function) = self.check.orders.remove(x % self.check.orders.len());
+                let (worker, function) = self.check.orders.remove(choice % self.check.orders.len());
                 let (worker, function) = (WorkerId(worker), FunctionId(function));
-                let (outcome, copies) = (ENDS[y % 6], (y % 3) as u32);
+                let (outcome, copies) = (ENDS[variant % 6], (variant % 3) as u32);
                 self.handle_event(Event::LoadCompleted {
                     worker,
                     function,
                     outcome,
                     copies,
-                    latency: Micros(b as i64 * 9),
+                    latency: Micros(i64::from(second) * 9),
                 })
             }
             10 if !self.check.probes.is_empty() => {
                 let worker = WorkerId(self.check.probes.remove(0));
-                let (outcome, latency) = (ENDS[y % 6], Micros(1_000));
+                let (outcome, latency) = (ENDS[variant % 6], Micros(1_000));
                 self.handle_event(Event::ProbeCompleted { worker, outcome, latency, report: None })
             }
             11 => {
                 // A client leaves, or an event speaks of what nobody knows.
-                let id = 1 + (a as u64) % self.next;
+                let id = 1 + (first as u64) % self.next;
                 if let Some(a) = self.check.requests.get_mut(&id) {
                     a.over = true;
                 }
                 self.handle_event(Event::ClientDisconnected { id: RequestId(id) })?;
-                self.handle_event(Event::Wake { token: b as u64 })?;
+                self.handle_event(Event::Wake { token: second as u64 })?;
                 self.handle_event(Event::LoadCompleted {
                     worker: WorkerId(999),
                     function: FunctionId(999),
