--- a/benches/module.rs
+++ b/benches/module.rs
@@ -20,7 +20,7 @@
 
 impl World {
     fn new(workers: u64) -> Self {
-        let class = Class { effect: Effect::Safe, ..Class::default() };
+        let class = Class { effect: Effect::Idempotent, ..Class::default() };
         let settings =
             Settings { classes: vec![class], reports: LoadReportSource::Answers, ..Settings::default() };
         let entries = (0..workers)
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -95,7 +95,7 @@
         let rules = self.settings.balancer.classes.get(class.0)?;
         let policy = self.settings.classes.get(class.0);
         Some(ClassRules {
-            has_side_effects: rules.effect != Effect::Safe,
+            has_side_effects: rules.effect != Effect::Idempotent,
             deadline: rules.deadline,
             retention: policy.map_or(Micros(0), |policy| policy.remember),
         })
--- a/crates/engine/tests/engine/harness.rs
+++ b/crates/engine/tests/engine/harness.rs
@@ -28,10 +28,10 @@
 
 pub(crate) fn settings(remember: Micros) -> EngineSettings {
     let class = |effect| Class { effect, deadline: Micros(1_000_000), ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::All, memory: Micros(5_000_000) };
+    let keyed = Effect::IdempotentWithKey { group: Group::All, memory: Micros(5_000_000) };
     EngineSettings {
         balancer: Settings {
-            classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
+            classes: vec![class(Effect::Idempotent), class(keyed), class(Effect::NonIdempotent)],
             limits: Limits { probes: false, ..Limits::default() },
             loading: Loading { on_request: true, orders: true, ..Loading::default() },
             ..Settings::default()
--- a/crates/engine/tests/engine/settings_change.rs
+++ b/crates/engine/tests/engine/settings_change.rs
@@ -25,7 +25,7 @@
     let mut harness = Harness::new();
     let open = harness.call(1, KEYED, Some("k"), Repeat::Unmarked);
     let mut stricter = classes.clone();
-    stricter[KEYED.0].effect = Effect::Unsafe;
+    stricter[KEYED.0].effect = Effect::NonIdempotent;
     harness.engine.update_settings(other_settings(stricter, &[], 3));
     harness.end_first(Outcome::Reset);
     harness.advance_by(200_000);
@@ -49,7 +49,7 @@
 #[test]
 fn a_class_that_got_another_place_keeps_its_keys() {
     let mut classes = settings(Micros(0)).balancer.classes;
-    classes.push(Class { effect: Effect::Safe, ..classes[UNSAFE.0] });
+    classes.push(Class { effect: Effect::Idempotent, ..classes[UNSAFE.0] });
     let mut harness = Harness::new();
     let first = harness.call(1, UNSAFE, Some("k"), Repeat::Unmarked);
     harness.engine.update_settings(other_settings(classes, &[0, 1, 2, 2], 3));
--- a/crates/gateway/src/chaos_test/runner/mod.rs
+++ b/crates/gateway/src/chaos_test/runner/mod.rs
@@ -204,7 +204,7 @@
     let classes = site.classes.iter().zip(&site.engine.balancer.classes);
     let requirements = classes.map(|(name, class)| ClassRequirements {
         name: name.clone(),
-        is_keyed: class.effect != slatevalve::Effect::Safe,
+        is_keyed: class.effect != slatevalve::Effect::Idempotent,
         budget_us: class.deadline.0,
     });
     requirements.collect()
--- a/crates/gateway/src/chaos_test/runner/terms.rs
+++ b/crates/gateway/src/chaos_test/runner/terms.rs
@@ -17,9 +17,9 @@
             drain_grace_us: balancer.rules.drain_grace.0,
             fall_multiple: balancer.rules.fall_multiple,
             fall_window_us: balancer.rules.fall_window.0,
-            ration_window_us: balancer.loading.ration_window.0,
-            ration_free: balancer.loading.ration_free,
-            ration_share: balancer.loading.ration_share,
+            ration_window_us: balancer.loading.load_quota_window.0,
+            ration_free: balancer.loading.load_quota_free,
+            ration_share: balancer.loading.load_quota_share,
             settings: None,
         }
     }
@@ -41,9 +41,9 @@
 
 fn effect_terms(effect: Effect) -> EffectTerms {
     match effect {
-        Effect::Safe => EffectTerms::Safe,
-        Effect::Unsafe => EffectTerms::Unsafe,
-        Effect::Keyed { group, memory } => {
+        Effect::Idempotent => EffectTerms::Safe,
+        Effect::NonIdempotent => EffectTerms::Unsafe,
+        Effect::IdempotentWithKey { group, memory } => {
             let group = match group {
                 Group::All => GroupTerms::All,
                 Group::Zone => GroupTerms::Zone,
--- a/crates/gateway/src/platform/startup.rs
+++ b/crates/gateway/src/platform/startup.rs
@@ -151,11 +151,11 @@
     let ConnectionSettings { connect_timeout, idle, max_streams } = site.connections;
     let settings = PoolSettings {
         connect_timeout,
-        idle: Micros(idle.0 * IDLE_PERCENT / 100),
-        most: usize::MAX,
-        total: connections,
+        idle_timeout: Micros(idle.0 * IDLE_PERCENT / 100),
+        max_connections_per_worker: usize::MAX,
+        max_connections: connections,
         probe_timeout: connect_timeout,
     };
     let protocol = LineProtocol { max_streams, reports_queue_depth: site.names.queue_depth };
-    Pool::new(settings, Box::new(protocol), site.settings.loading.order_timeout)
+    Pool::new(settings, Box::new(protocol), site.settings.loading.load_timeout)
 }
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -261,5 +261,5 @@
 fn new_pool(site: &Site) -> Pool {
     let limits = Limits { body: site.max_response, ..Limits::default() };
     let protocol = HttpProtocol { gateway: site.name.clone(), limits };
-    Pool::new(site.pool, Box::new(protocol), site.engine.balancer.loading.order_timeout)
+    Pool::new(site.pool, Box::new(protocol), site.engine.balancer.loading.load_timeout)
 }
--- a/crates/gateway/src/server/plugins/mod.rs
+++ b/crates/gateway/src/server/plugins/mod.rs
@@ -84,7 +84,7 @@
                     latency_objective: class.latency_objective,
                 })
                 .collect(),
-            load_timeout: site.engine.balancer.loading.order_timeout,
+            load_timeout: site.engine.balancer.loading.load_timeout,
             background: BackgroundWorker::start(&settings.folder, worker_settings, waker)?,
             settings,
             catalogue,
--- a/crates/gateway/src/server/pool/connections.rs
+++ b/crates/gateway/src/server/pool/connections.rs
@@ -90,10 +90,10 @@
             return Ok(id);
         }
         let peer = self.peers.get(&worker).ok_or(Outcome::NotSent)?;
-        if peer.connections.len() >= self.settings.most {
+        if peer.connections.len() >= self.settings.max_connections_per_worker {
             return self.find_shareable(worker, purpose).ok_or(Outcome::ConnectFailed);
         }
-        if self.connections.len() >= self.settings.total && !self.close_longest_idle(reactor) {
+        if self.connections.len() >= self.settings.max_connections && !self.close_longest_idle(reactor) {
             return self.find_shareable(worker, purpose).ok_or(Outcome::NotSent);
         }
         self.open_connection(now, reactor, worker, purpose)
@@ -214,7 +214,7 @@
                 }
                 // One that is still being opened keeps its connect timeout.
                 if connection.connected {
-                    connection.deadline = Some(after(now, self.settings.idle));
+                    connection.deadline = Some(after(now, self.settings.idle_timeout));
                     self.set_connection_timer(id);
                 }
             }
--- a/crates/gateway/src/server/pool/tests.rs
+++ b/crates/gateway/src/server/pool/tests.rs
@@ -20,13 +20,13 @@
 }
 
 impl PoolFixture {
-    fn new(most: usize) -> Self {
+    fn new(max_connections_per_worker: usize) -> Self {
         let worker = TcpListener::bind("127.0.0.1:0").expect("a port");
         let settings = PoolSettings {
             connect_timeout: Micros(10_000_000),
-            idle: Micros(10_000_000),
-            most,
-            total: 16,
+            idle_timeout: Micros(10_000_000),
+            max_connections_per_worker,
+            max_connections: 16,
             probe_timeout: Micros(10_000_000),
         };
         let wire = LineProtocol { max_streams: 4, reports_queue_depth: false };
--- a/crates/gateway/src/settings/balancer.rs
+++ b/crates/gateway/src/settings/balancer.rs
@@ -49,16 +49,16 @@
 }
 
 fn loading(top: &mut Fields<'_>, kinds: &mut NameTable) -> Res<Loading> {
-    let mut loading = Loading { order_timeout: DEFAULT_LOAD_TIMEOUT, ..Settings::default().loading };
+    let mut loading = Loading { load_timeout: DEFAULT_LOAD_TIMEOUT, ..Settings::default().loading };
     let Some(mut form) = sub_form(top, "loading")? else { return Ok(loading) };
     loading.on_request = form.or("on-request", loading.on_request, Form::flag)?;
     loading.orders = form.or("orders", loading.orders, Form::flag)?;
     loading.keep = form.or("keep-ms", loading.keep, Form::millis)?;
-    loading.order_timeout = form.or("order-timeout-ms", loading.order_timeout, Form::millis)?;
+    loading.load_timeout = form.or("order-timeout-ms", loading.load_timeout, Form::millis)?;
     if let Some(mut quota) = sub_form(&mut form, "ration")? {
-        loading.ration_window = quota.need("window-ms")?.millis()?;
-        loading.ration_free = quota.or("free", 0.0, Form::number)?;
-        loading.ration_share = quota.or("share", 0.0, Form::number)?;
+        loading.load_quota_window = quota.need("window-ms")?.millis()?;
+        loading.load_quota_free = quota.or("free", 0.0, Form::number)?;
+        loading.load_quota_share = quota.or("share", 0.0, Form::number)?;
         quota.finish()?;
     }
     for kind in form.take_all("kind") {
--- a/crates/gateway/src/settings/classes.rs
+++ b/crates/gateway/src/settings/classes.rs
@@ -79,7 +79,7 @@
     }
 
     pub(super) fn has_unsafe_class(&self) -> bool {
-        self.classes.iter().any(|class| class.class.effect == Effect::Unsafe)
+        self.classes.iter().any(|class| class.class.effect == Effect::NonIdempotent)
     }
 
     pub(super) fn policies(&self) -> Vec<ClassPolicy> {
@@ -103,9 +103,9 @@
 
 fn effect_name(class: &NamedClass) -> &'static str {
     match class.class.effect {
-        Effect::Safe => "safe",
-        Effect::Keyed { .. } => "keyed",
-        Effect::Unsafe => "unsafe",
+        Effect::Idempotent => "safe",
+        Effect::IdempotentWithKey { .. } => "keyed",
+        Effect::NonIdempotent => "unsafe",
     }
 }
 
@@ -147,9 +147,9 @@
     if class.latency_objective > class.deadline || class.latency_objective.0 == 0 {
         return Err(form.error("the aim lies between 0 and the deadline"));
     }
-    let window = if let Effect::Keyed { memory, .. } = effect { memory } else { Micros(0) };
+    let window = if let Effect::IdempotentWithKey { memory, .. } = effect { memory } else { Micros(0) };
     let remember = fields.or("remember-ms", DEFAULT_REMEMBER.max(window), Form::millis)?;
-    if remember < window || (effect != Effect::Safe && remember < class.deadline) {
+    if remember < window || (effect != Effect::Idempotent && remember < class.deadline) {
         return Err(form.error("remember-ms is less than the key's window or the deadline"));
     }
     fields.finish()?;
@@ -159,8 +159,8 @@
 fn effect(form: &Form<'_>) -> Res<Effect> {
     if let Ok(word) = form.text() {
         return match word.as_str() {
-            "safe" => Ok(Effect::Safe),
-            "unsafe" => Ok(Effect::Unsafe),
+            "safe" => Ok(Effect::Idempotent),
+            "unsafe" => Ok(Effect::NonIdempotent),
             other => {
                 Err(form.error(format!("expected safe, unsafe or keyed with its fields, found {other}")))
             }
@@ -179,7 +179,7 @@
     };
     let memory = fields.need("window-ms")?.millis()?;
     fields.finish()?;
-    Ok(Effect::Keyed { group, memory })
+    Ok(Effect::IdempotentWithKey { group, memory })
 }
 
 fn tenants(top: &mut Fields<'_>, known: &[NamedClass]) -> Res<Vec<NamedTenant>> {
--- a/crates/gateway/src/settings/document.rs
+++ b/crates/gateway/src/settings/document.rs
@@ -99,7 +99,7 @@
     fn route_rule(&self, route: &slatevalve_mqtt::Route) -> Route {
         let text = |template: Option<&Template>| template.map_or("-".to_string(), ToString::to_string);
         let templates = [Some(&route.function), route.tenant.as_ref(), route.key.as_ref()];
-        let is_idempotent = self.site.engine.balancer.classes[route.class.0].effect == Effect::Safe;
+        let is_idempotent = self.site.engine.balancer.classes[route.class.0].effect == Effect::Idempotent;
         Route {
             filter: route.filter.to_string(),
             class: self.site.classes[route.class.0].clone(),
@@ -126,13 +126,13 @@
     fn bounds(&self) -> BTreeMap<String, Bound> {
         let (rules, loading) = (&self.site.engine.balancer.rules, &self.site.engine.balancer.loading);
         // Without a window there is no quota; a longer window is the stricter one.
-        let has_quota = loading.ration_window.0 > 0;
+        let has_quota = loading.load_quota_window.0 > 0;
         let quota = |maximum: f64| if has_quota { (maximum * 1e6) as i64 } else { i64::MAX };
-        let windows_per_hour = 3.6e9 / loading.ration_window.0.max(1) as f64;
+        let windows_per_hour = 3.6e9 / loading.load_quota_window.0.max(1) as f64;
         let bounds = [
             ("rules drain-grace", rules.drain_grace.0),
-            ("loading ration free", quota(loading.ration_free)),
-            ("loading ration share", quota(loading.ration_share)),
+            ("loading ration free", quota(loading.load_quota_free)),
+            ("loading ration share", quota(loading.load_quota_share)),
             ("loading ration windows an hour", quota(windows_per_hour)),
         ];
         bounds.map(|(name, maximum)| (name.to_string(), Bound::new(maximum))).into()
@@ -178,9 +178,9 @@
 /// When calls of this effect may be retried.
 pub(super) fn retry_rule(effect: Effect) -> RetryRule {
     match effect {
-        Effect::Safe => RetryRule::always(),
-        Effect::Unsafe => RetryRule::forbidden(),
-        Effect::Keyed { group, memory } => {
+        Effect::Idempotent => RetryRule::always(),
+        Effect::NonIdempotent => RetryRule::forbidden(),
+        Effect::IdempotentWithKey { group, memory } => {
             let condition = match group {
                 Group::All => None,
                 Group::Zone => Some(RetryCondition::Zone),
--- a/crates/gateway/src/settings/pool.rs
+++ b/crates/gateway/src/settings/pool.rs
@@ -13,11 +13,11 @@
     /// A connection that is not established after this time has failed.
     pub connect_timeout: Micros,
     /// An idle connection is closed after this time.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// The maximum of connections to one worker.
-    pub most: usize,
+    pub max_connections_per_worker: usize,
     /// The maximum of connections to all workers; beyond it, requests share connections where the protocol allows it.
-    pub total: usize,
+    pub max_connections: usize,
     /// A probe without an answer after this time has timed out.
     pub probe_timeout: Micros,
 }
@@ -26,9 +26,9 @@
     fn default() -> Self {
         PoolSettings {
             connect_timeout: Micros(250_000),
-            idle: Micros(15_000_000),
-            most: 1_024,
-            total: usize::MAX,
+            idle_timeout: Micros(15_000_000),
+            max_connections_per_worker: 1_024,
+            max_connections: usize::MAX,
             probe_timeout: Micros(1_000_000),
         }
     }
@@ -48,8 +48,9 @@
         let Some(mut form) = sub_form(top, "pool")? else { return Ok(pool) };
         let settings = &mut pool.settings;
         settings.connect_timeout = form.or("connect-timeout-ms", settings.connect_timeout, Form::millis)?;
-        settings.idle = form.or("idle-ms", settings.idle, Form::millis)?;
-        settings.most = whole(&mut form, "most", settings.most, 65_536)?;
+        settings.idle_timeout = form.or("idle-ms", settings.idle_timeout, Form::millis)?;
+        settings.max_connections_per_worker =
+            whole(&mut form, "most", settings.max_connections_per_worker, 65_536)?;
         settings.probe_timeout = form.or("probe-timeout-ms", settings.probe_timeout, Form::millis)?;
         pool.max_response = whole(&mut form, "max-response", pool.max_response, 1 << 30)?;
         form.finish()?;
--- a/crates/gateway/src/settings/versioned.rs
+++ b/crates/gateway/src/settings/versioned.rs
@@ -197,8 +197,9 @@
     /// Replaces the classes, tenants and routes of a site, which its document numbers, by those of the slots.
     fn apply_slots(&mut self, site: &mut Site, older: &[Site]) {
         let tenant_ids = self.assign_tenants(site);
-        let safe =
-            |(id, slot): (usize, &ClassSlot)| (slot.class.effect == Effect::Safe).then_some(ClassId(id));
+        let safe = |(id, slot): (usize, &ClassSlot)| {
+            (slot.class.effect == Effect::Idempotent).then_some(ClassId(id))
+        };
         site.front.routes = Routes {
             routes: self.slot_routes(site),
             tenants: site.tenants.iter().cloned().zip(tenant_ids).collect(),
@@ -281,14 +282,14 @@
 
 /// Restricts a load quota to the stricter one of both. A window of 0 means that there is no quota.
 fn restrict_load_quota(loading: &mut Loading, other: &Loading) {
-    if loading.ration_window.0 == 0 {
-        loading.ration_window = other.ration_window;
-        loading.ration_free = other.ration_free;
-        loading.ration_share = other.ration_share;
-    } else if other.ration_window.0 > 0 {
-        loading.ration_window = loading.ration_window.max(other.ration_window);
-        loading.ration_free = loading.ration_free.min(other.ration_free);
-        loading.ration_share = loading.ration_share.min(other.ration_share);
+    if loading.load_quota_window.0 == 0 {
+        loading.load_quota_window = other.load_quota_window;
+        loading.load_quota_free = other.load_quota_free;
+        loading.load_quota_share = other.load_quota_share;
+    } else if other.load_quota_window.0 > 0 {
+        loading.load_quota_window = loading.load_quota_window.max(other.load_quota_window);
+        loading.load_quota_free = loading.load_quota_free.min(other.load_quota_free);
+        loading.load_quota_share = loading.load_quota_share.min(other.load_quota_share);
     }
 }
 
@@ -299,11 +300,11 @@
         (false, false) => Group::All,
         (true, false) => Group::Zone,
         (false, true) => Group::Cell,
-        (true, true) => return Effect::Unsafe,
+        (true, true) => return Effect::NonIdempotent,
     };
     match rule.window_us() {
-        _ if rule.is_unconditional() => Effect::Safe,
-        0 => Effect::Unsafe,
-        window_us => Effect::Keyed { group, memory: Micros(window_us) },
+        _ if rule.is_unconditional() => Effect::Idempotent,
+        0 => Effect::NonIdempotent,
+        window_us => Effect::IdempotentWithKey { group, memory: Micros(window_us) },
     }
 }
--- a/crates/gateway/tests/agreed/meet.rs
+++ b/crates/gateway/tests/agreed/meet.rs
@@ -46,21 +46,21 @@
 
 #[test]
 fn a_class_gets_another_place_only_where_open_calls_would_be_loosened() {
-    let keyed = Effect::Keyed { group: Group::All, memory: Micros(9_000_000) };
+    let keyed = Effect::IdempotentWithKey { group: Group::All, memory: Micros(9_000_000) };
     let mut reader = SettingsReader::new();
     let (first, effect, _) = charge(&reader.site(&[UNSAFE], &[]));
-    assert_eq!(effect, Effect::Unsafe);
+    assert_eq!(effect, Effect::NonIdempotent);
     // Nothing is open: it becomes looser in its place, and stricter in the meet and after it.
     assert_eq!(charge(&reader.site(&[KEYED], &[])), (first, keyed, vec![keyed]));
     assert_eq!(
         charge(&reader.site(&[KEYED, UNSAFE], &[first])),
-        (first, Effect::Unsafe, vec![Effect::Unsafe])
+        (first, Effect::NonIdempotent, vec![Effect::NonIdempotent])
     );
     assert_eq!(charge(&reader.site(&[UNSAFE], &[first])).0, first);
     // Calls are open: what is looser is for those that come.
     let site = reader.site(&[KEYED], &[first]);
     let (second, effect, all) = charge(&site);
-    assert!(second != first && effect == keyed && all.contains(&Effect::Unsafe) && all.len() == 2);
+    assert!(second != first && effect == keyed && all.contains(&Effect::NonIdempotent) && all.len() == 2);
     assert_eq!(site.engine.key_spaces[first], site.engine.key_spaces[second], "the keys are the same");
     assert_ne!(
         site.engine.key_spaces[first],
@@ -71,7 +71,7 @@
     let (third, _, _) = charge(&reader.site(&[&shorter], &[first, second]));
     assert_eq!(third, second);
     let all = charge(&reader.site(&[UNSAFE], &[first, second])).2;
-    assert_eq!(all, vec![Effect::Unsafe; 2]);
+    assert_eq!(all, vec![Effect::NonIdempotent; 2]);
     // A place that nobody has calls in is used again: places do not grow with the number of changes.
     for _ in 0..50 {
         let at = charge(&reader.site(&[UNSAFE], &[])).0;
@@ -90,7 +90,10 @@
     let balancer = &site.engine.balancer;
     assert_eq!((balancer.limits.max_attempts, balancer.rules.drain_grace.0), (2, 200_000));
     let loading = &balancer.loading;
-    assert_eq!((loading.ration_window.0, loading.ration_free, loading.ration_share), (2_000_000, 5.0, 0.1));
+    assert_eq!(
+        (loading.load_quota_window.0, loading.load_quota_free, loading.load_quota_share),
+        (2_000_000, 5.0, 0.1)
+    );
     let states: Vec<_> = site.workers.iter().map(|w| w.entry.state).collect();
     assert_eq!(states, [WorkerState::Draining; 2], "where one is and whether the other is there is in doubt");
     let after = SettingsReader::new().site(&[&two], &[]);
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -273,7 +273,9 @@
         let mut classes = self.settings.classes.iter().enumerate();
         let class = classes.find(|(_, (name, _))| *name == request.class);
         match class.ok_or(InvalidRequest::Class)? {
-            (_, (_, Effect::Keyed { .. })) if request.key.is_none() => Err(InvalidRequest::Missing("opkey")),
+            (_, (_, Effect::IdempotentWithKey { .. })) if request.key.is_none() => {
+                Err(InvalidRequest::Missing("opkey"))
+            }
             (index, _) => Ok(ClassId(index)),
         }
     }
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -17,7 +17,7 @@
     let config = Config::read(&good().to_string()).unwrap();
     assert_eq!((config.seed, config.limits.sockets), (0x8c1f_30d2_7a5b_e964, 4096));
     let site = config.site;
-    assert_eq!((site.settings.classes.len(), site.settings.classes[0].effect), (1, Effect::Safe));
+    assert_eq!((site.settings.classes.len(), site.settings.classes[0].effect), (1, Effect::Idempotent));
     assert_eq!((site.connections.max_streams, site.connections.connect_timeout), (32, Micros(250_000)));
 }
 
--- a/crates/platform/tests/front.rs
+++ b/crates/platform/tests/front.rs
@@ -27,8 +27,8 @@
 
 impl Bench {
     fn new(connections: usize) -> Self {
-        let keyed = Effect::Keyed { group: Group::Cell, memory: Micros(6_000_000) };
-        let classes = [("quote", Effect::Safe), ("booking", keyed), ("charge", Effect::Unsafe)];
+        let keyed = Effect::IdempotentWithKey { group: Group::Cell, memory: Micros(6_000_000) };
+        let classes = [("quote", Effect::Idempotent), ("booking", keyed), ("charge", Effect::NonIdempotent)];
         let classes = classes.map(|(name, effect)| (name.to_string(), effect)).to_vec();
         let settings = FrontSettings { classes, connections };
         Bench { front: Front::new(settings), now: Micros(1_000_000), out: Vec::new() }
--- a/crates/platform/tests/stored_forms.rs
+++ b/crates/platform/tests/stored_forms.rs
@@ -177,8 +177,8 @@
 
 /// What a client is written after its request, as the front answers it with this verdict.
 fn answered(verdict: Verdict) -> Vec<u8> {
-    let keyed = Effect::Keyed { group: Group::Cell, memory: Micros(6_000_000) };
-    let classes = vec![("quote".to_string(), Effect::Safe), ("booking".to_string(), keyed)];
+    let keyed = Effect::IdempotentWithKey { group: Group::Cell, memory: Micros(6_000_000) };
+    let classes = vec![("quote".to_string(), Effect::Idempotent), ("booking".to_string(), keyed)];
     let mut front = Front::new(FrontSettings { classes, connections: 4 });
     let mut out = Vec::new();
     front.opened(Micros(0), LinkId(1), &mut out);
--- a/crates/site-config/src/settings.rs
+++ b/crates/site-config/src/settings.rs
@@ -135,8 +135,8 @@
 
 fn read_effect(class: &JsonObject) -> Result<Effect, FieldError> {
     match text(class, "effect")? {
-        "pure" => Ok(Effect::Safe),
-        "side_effect" => Ok(Effect::Unsafe),
+        "pure" => Ok(Effect::Idempotent),
+        "side_effect" => Ok(Effect::NonIdempotent),
         "token" => {
             let group = match text(class, "group")? {
                 "all" => Group::All,
@@ -144,7 +144,7 @@
                 "cell" => Group::Cell,
                 other => return unknown_value("group", other),
             };
-            Ok(Effect::Keyed { group, memory: time(class, "key_ttl")? })
+            Ok(Effect::IdempotentWithKey { group, memory: time(class, "key_ttl")? })
         }
         other => unknown_value("effect", other),
     }
@@ -172,10 +172,10 @@
         on_request: keyword(family, "if_cold") == Some("load"),
         orders: bool_or(family, "may_order", false)?,
         keep: time_or(family, "linger_idle", Settings::default().loading.keep)?,
-        order_timeout: time_or(family, "load_wait", DEFAULT_LOAD_TIMEOUT)?,
-        ration_window: time_or(family, "load_window", Micros(0))?,
-        ration_free: number_or(family, "load_free", 0.0)?,
-        ration_share: number_or(family, "load_ratio", 0.0)?,
+        load_timeout: time_or(family, "load_wait", DEFAULT_LOAD_TIMEOUT)?,
+        load_quota_window: time_or(family, "load_window", Micros(0))?,
+        load_quota_free: number_or(family, "load_free", 0.0)?,
+        load_quota_share: number_or(family, "load_ratio", 0.0)?,
         kind_memory_mb: memory.iter().map(|value| value.as_f64().unwrap_or(0.0)).collect(),
         memory_price: number_or(family, "price_of_idle", 0.0)?,
     })
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -19,16 +19,16 @@
 pub enum Effect {
     /// Idempotent: may be repeated without limit.
     #[default]
-    Safe,
+    Idempotent,
     /// Idempotent with a key: a group of workers drops repeats for a limited time.
-    Keyed {
+    IdempotentWithKey {
         /// The workers that drop repeats.
         group: Group,
         /// How long repeats are dropped, counted from the first send.
         memory: Micros,
     },
     /// Non-idempotent: must not run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A request class.
@@ -58,7 +58,7 @@
             deadline: Micros(3_000_000),
             priority_weight: 1.0,
             late_value: 0.0,
-            effect: Effect::Unsafe,
+            effect: Effect::NonIdempotent,
             stream: false,
         }
     }
@@ -81,13 +81,13 @@
     /// Minimum time an idle copy stays loaded.
     pub keep: Micros,
     /// Timeout of a load request.
-    pub order_timeout: Micros,
+    pub load_timeout: Micros,
     /// Window of the load request quota; 0 disables the quota.
-    pub ration_window: Micros,
+    pub load_quota_window: Micros,
     /// Load requests allowed per window regardless of traffic.
-    pub ration_free: f64,
+    pub load_quota_free: f64,
     /// Additional load requests per request accepted in the window.
-    pub ration_share: f64,
+    pub load_quota_share: f64,
     /// Memory of each kind of worker, in MB.
     pub kind_memory_mb: Vec<f64>,
     /// Score cost of holding all memory idle for a day.
--- a/src/balancer/completion.rs
+++ b/src/balancer/completion.rs
@@ -124,7 +124,7 @@
     /// Whether a repeat by the client cannot repeat an effect.
     fn can_refuse(&self, open: &OpenRequest) -> bool {
         match self.class(open).effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Idempotent | Effect::IdempotentWithKey { group: Group::All, .. } => true,
             _ => !open.attempts.iter().any(Attempt::could_have_run),
         }
     }
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -165,7 +165,7 @@
 
     /// Counts a request for its function, which is added if it is new.
     pub(super) fn count_call(&mut self, request: &Request) {
-        if self.settings.loading.ration_window.0 > 0 {
+        if self.settings.loading.load_quota_window.0 > 0 {
             self.placement.request_times.push_back(self.now);
         }
         let new_function = Function {
@@ -281,16 +281,17 @@
     /// Takes one load request from the quota; false if the quota of the window is used up.
     fn take_load_quota(&mut self) -> bool {
         let (now, loading) = (self.now, &self.settings.loading);
-        if loading.ration_window.0 <= 0 {
+        if loading.load_quota_window.0 <= 0 {
             return true;
         }
         let placement = &mut self.placement;
-        placement.load_request_times.retain(|time| since(now, *time) <= loading.ration_window);
+        placement.load_request_times.retain(|time| since(now, *time) <= loading.load_quota_window);
         // Requests at the window's edge may count or not: one tick is left out.
         placement
             .request_times
-            .retain(|time| after(since(now, *time), TICK_INTERVAL) <= loading.ration_window);
-        let allowed = loading.ration_free + loading.ration_share * placement.request_times.len() as f64;
+            .retain(|time| after(since(now, *time), TICK_INTERVAL) <= loading.load_quota_window);
+        let allowed =
+            loading.load_quota_free + loading.load_quota_share * placement.request_times.len() as f64;
         if placement.load_request_times.len() as f64 + 1.0 > allowed {
             return false;
         }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -206,9 +206,9 @@
     pub(super) fn effect_allows(&self, open: &OpenRequest, worker: &Worker) -> bool {
         let mut possible_runs = open.attempts.iter().filter(|attempt| attempt.could_have_run());
         match self.class(open).effect {
-            Effect::Safe => true,
-            Effect::Unsafe => possible_runs.next().is_none(),
-            Effect::Keyed { group, memory } => possible_runs.all(|attempt| {
+            Effect::Idempotent => true,
+            Effect::NonIdempotent => possible_runs.next().is_none(),
+            Effect::IdempotentWithKey { group, memory } => possible_runs.all(|attempt| {
                 let shares_keys = match group {
                     Group::All => true,
                     Group::Zone => attempt.zone == worker.entry.zone,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,7 +8,7 @@
 //! use slatevalve::{RequestId, Scope, Settings, WorkerEntry, WorkerId, WorkerState, ZoneId};
 //!
 //! let settings = Settings {
-//!     classes: vec![Class { effect: Effect::Safe, ..Class::default() }],
+//!     classes: vec![Class { effect: Effect::Idempotent, ..Class::default() }],
 //!     ..Settings::default()
 //! };
 //! let mut balancer = Balancer::new(settings, 7);
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -10,7 +10,7 @@
 }
 
 fn keyed_effect(group: Group, memory: i64) -> Effect {
-    Effect::Keyed { group, memory: Micros(memory) }
+    Effect::IdempotentWithKey { group, memory: Micros(memory) }
 }
 
 fn site(effect: Effect, on_request: bool) -> Settings {
@@ -117,15 +117,15 @@
 
 #[test]
 fn routers_agree_for_any_order_of_the_list() {
-    let a = primaries(&mut Router::new(site(Effect::Safe, true), &[1, 2, 3, 4, 5]), 200);
-    let b = primaries(&mut Router::new(site(Effect::Safe, true), &[4, 1, 5, 3, 2]), 200);
+    let a = primaries(&mut Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4, 5]), 200);
+    let b = primaries(&mut Router::new(site(Effect::Idempotent, true), &[4, 1, 5, 3, 2]), 200);
     assert_eq!(a, b);
 }
 
 #[test]
 fn only_the_arcs_of_a_removed_worker_move() {
-    let with = primaries(&mut Router::new(site(Effect::Safe, true), &[1, 2, 3, 4, 5, 6]), 400);
-    let without = primaries(&mut Router::new(site(Effect::Safe, true), &[1, 2, 3, 5, 6]), 400);
+    let with = primaries(&mut Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4, 5, 6]), 400);
+    let without = primaries(&mut Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 5, 6]), 400);
     for (a, b) in with.iter().zip(&without) {
         assert!(*a == 4 || a == b, "a function of worker {a} moved to {b}");
     }
@@ -136,7 +136,7 @@
 
 #[test]
 fn shares_follow_weights() {
-    let mut r = Router::new(site(Effect::Safe, true), &[]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[]);
     let heavy = WorkerEntry { weight: 2.0, ..entry(9) };
     r.list(Scope::Full, vec![entry(1), entry(2), entry(3), heavy]);
     let primaries = primaries(&mut r, 2_000);
@@ -146,7 +146,7 @@
 
 #[test]
 fn a_busy_primary_spills_over_and_is_preferred_again_when_idle() {
-    let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4]);
     let primary = r.send_request(1, 7).expect("sent");
     r.answer(1, primary, Outcome::Ok);
     let mut used = vec![];
@@ -165,7 +165,7 @@
 
 #[test]
 fn a_call_follows_the_load_request_of_its_function() {
-    let mut r = Router::new(site(Effect::Unsafe, false), &[1, 2, 3]);
+    let mut r = Router::new(site(Effect::NonIdempotent, false), &[1, 2, 3]);
     assert_eq!(r.send_request(1, 7), None);
     assert!(r.out.iter().any(|a| matches!(a, Action::Load { copies: 1, .. })));
     let orders = |r: &Router| r.out.iter().filter(|a| matches!(a, Action::Load { .. })).count();
@@ -179,7 +179,7 @@
 #[test]
 fn a_non_idempotent_call_that_could_have_run_is_failed_not_retried() {
     for outcome in [Outcome::TimedOut, Outcome::Error, Outcome::Reset, Outcome::Cancelled] {
-        let mut r = Router::new(site(Effect::Unsafe, true), &[1, 2, 3]);
+        let mut r = Router::new(site(Effect::NonIdempotent, true), &[1, 2, 3]);
         let w = r.send_request(1, 7).expect("sent");
         let end = r.answer(1, w, outcome);
         assert!(failed(&end) && sent(&end).is_none() && !refused(&end), "{outcome:?}");
@@ -190,7 +190,7 @@
 #[test]
 fn a_call_proven_not_to_have_run_is_retried_at_another_worker() {
     for outcome in [Outcome::Full, Outcome::ConnectFailed] {
-        let mut r = Router::new(site(Effect::Unsafe, true), &[1, 2, 3]);
+        let mut r = Router::new(site(Effect::NonIdempotent, true), &[1, 2, 3]);
         let w = r.send_request(1, 7).expect("sent");
         let next = sent(&r.answer(1, w, outcome));
         assert!(next.is_some_and(|n| n != w), "{outcome:?}: {next:?}");
@@ -217,7 +217,7 @@
 /// Incident ifaa967: a worker that refuses fast has no calls out and must not look idle for that.
 #[test]
 fn a_worker_that_rejects_fast_does_not_attract_calls() {
-    let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4]);
     let primary = r.send_request(1, 7).expect("sent");
     r.answer(1, primary, Outcome::Ok);
     r.send_request(2, 7);
@@ -232,7 +232,7 @@
 /// Incident if8355e: a request that nobody can take is answered before its client gives up.
 #[test]
 fn a_request_without_a_worker_is_refused_in_time() {
-    let mut r = Router::new(site(Effect::Unsafe, true), &[]);
+    let mut r = Router::new(site(Effect::NonIdempotent, true), &[]);
     assert_eq!(r.send_request(1, 7), None);
     let end = r.pass(3_000);
     assert!(refused(&end));
@@ -244,14 +244,14 @@
 
 #[test]
 fn a_draining_worker_is_sent_no_new_calls() {
-    let mut r = Router::new(site(Effect::Safe, true), &[1, 2]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2]);
     r.list(Scope::Changes, vec![WorkerEntry { state: WorkerState::Draining, ..entry(1) }]);
     assert!(primaries(&mut r, 50).iter().all(|w| *w == 2));
 }
 
 #[test]
 fn an_unresponsive_worker_is_ejected_and_its_calls_are_retried_elsewhere() {
-    let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4]);
     let primary = r.send_request(1, 7).expect("sent");
     r.answer(1, primary, Outcome::Ok);
     r.pass(20);
@@ -264,7 +264,7 @@
 /// A started worker is sent little until it warms, also in one burst, and after a restart under its old id.
 #[test]
 fn slow_start_limits_calls_to_a_started_worker() {
-    let mut s = site(Effect::Safe, true);
+    let mut s = site(Effect::Idempotent, true);
     s.rules = Rules { start_capacity: 0.2, fall_multiple: 2.0, ..Rules::default() };
     let mut r = Router::new(s, &[1]);
     let mut id = 0;
@@ -284,9 +284,9 @@
 
 #[test]
 fn load_requests_stay_within_the_quota() {
-    let mut s = site(Effect::Safe, false);
-    s.loading.ration_window = Micros(5_000_000);
-    s.loading.ration_free = 3.0;
+    let mut s = site(Effect::Idempotent, false);
+    s.loading.load_quota_window = Micros(5_000_000);
+    s.loading.load_quota_free = 3.0;
     let mut r = Router::new(s, &[1, 2, 3]);
     for id in 0..20 {
         r.send_request(id, id);
@@ -297,7 +297,7 @@
 /// Overload (incident i4ecc8c): when answers would all come late, a part is refused at once.
 #[test]
 fn requests_are_shed_under_overload() {
-    let mut r = Router::new(site(Effect::Safe, true), &[1, 2]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2]);
     let mut id = 0;
     for _ in 0..100 {
         id += 1;
@@ -319,7 +319,7 @@
 /// one, they would have the router refuse nearly everything.
 #[test]
 fn attempts_at_unresponsive_workers_do_not_count_as_a_queue() {
-    let mut s = site(Effect::Unsafe, true);
+    let mut s = site(Effect::NonIdempotent, true);
     s.classes[0].latency_objective = Micros(60_000);
     let mut r = Router::new(s, &[1, 2, 3, 4, 5]);
     let (mut refusals, mut id) = (0, 0);
@@ -342,7 +342,7 @@
 /// calls of functions that stand there go on.
 #[test]
 fn no_room_for_a_function_does_not_eject_its_worker() {
-    let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3]);
     let primaries = primaries(&mut r, 30);
     // Calls that find their copies, until the loads at the start are forgotten.
     for id in 1_000..1_400 {
@@ -358,7 +358,7 @@
 /// A site whose list must be asked for: one call, another some time after a failure, none while subscribed.
 #[test]
 fn the_list_is_requested_at_a_bounded_rate() {
-    let mut r = Router::new(site(Effect::Safe, true), &[]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[]);
     r.balancer = Balancer::new(Settings { requires_subscription: true, ..Settings::default() }, 1);
     let asks = |a: &[Action]| a.iter().filter(|a| matches!(a, Action::Subscribe)).count();
     let from = r.out.len();
@@ -375,7 +375,7 @@
 fn fleet(routers: usize, workers: u64, mut change: impl FnMut(&mut Settings)) -> Vec<Router> {
     let ids: Vec<u64> = (1..=workers).collect();
     let one = |n: usize| {
-        let mut s = site(Effect::Safe, true);
+        let mut s = site(Effect::Idempotent, true);
         s.routers = routers;
         s.loading.keep = Micros(8_000_000);
         change(&mut s);
@@ -471,7 +471,7 @@
 /// A client that left early leaves nothing running.
 #[test]
 fn attempts_of_a_disconnected_client_are_cancelled() {
-    let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3]);
     r.send_request(1, 7).expect("sent");
     let end = r.handle_event(Event::ClientDisconnected { id: RequestId(1) });
     assert!(end.iter().any(|a| matches!(a, Action::Cancel { id: RequestId(1), attempt: 0 })));
@@ -480,7 +480,7 @@
 /// The router itself stood still for two seconds: the silence was its own, and no worker is doubted for it.
 #[test]
 fn a_pause_of_the_router_ejects_no_worker() {
-    let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4]);
     let primary = r.send_request(1, 7).expect("sent");
     r.answer(1, primary, Outcome::Ok);
     assert_eq!(r.send_request(2, 7), Some(primary));
@@ -495,7 +495,7 @@
 /// One class fails at a worker that serves another: only that class steps past it.
 #[test]
 fn one_failing_class_does_not_eject_the_worker_for_others() {
-    let mut s = site(Effect::Safe, true);
+    let mut s = site(Effect::Idempotent, true);
     s.classes = vec![s.classes[0].clone(), s.classes[0].clone(), s.classes[0].clone()];
     let mut r = Router::new(s, &[1, 2, 3, 4]);
     let call = |r: &mut Router, id: u64, class: usize| {
@@ -525,7 +525,7 @@
 /// worker, whose functions were then loaded elsewhere until the store was overrun.
 #[test]
 fn errors_of_a_function_that_was_never_served_eject_no_worker() {
-    let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4, 5, 6, 7, 8]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4, 5, 6, 7, 8]);
     let before = primaries(&mut r, 8);
     for id in 0..2 {
         // Each asked anew, and failing wherever it goes.
@@ -545,7 +545,7 @@
 /// and is believed to keep its copies. Two in a row, nothing served between, are taken for one.
 #[test]
 fn one_reset_is_not_a_crash_and_two_in_a_row_are() {
-    let mut r = Router::new(site(Effect::Safe, false), &[1, 2, 3]);
+    let mut r = Router::new(site(Effect::Idempotent, false), &[1, 2, 3]);
     r.send_request(1, 7);
     let primary = sent(&r.pass(20)).expect("sent behind its order");
     r.handle_event(Event::LoadCompleted {
@@ -574,7 +574,7 @@
 #[test]
 fn broken_connections_take_fewer_retry_tokens_than_overload() {
     let repeats = |outcome: Outcome| {
-        let mut r = Router::new(site(Effect::Safe, true), &[1, 2, 3, 4]);
+        let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4]);
         primaries(&mut r, 20);
         let mut repeated = 0;
         for id in 0..60 {
@@ -604,7 +604,7 @@
 
 /// A router whose function 7 stands at one worker.
 fn router_with_copy(workers: &[u64]) -> (Router, u64) {
-    let mut r = Router::new(site(Effect::Safe, false), workers);
+    let mut r = Router::new(site(Effect::Idempotent, false), workers);
     let primary = send_quick_request(&mut r, 1, 7).expect("sent behind its order");
     let (worker, function) = (WorkerId(primary), FunctionId(7));
     let (outcome, latency) = (Outcome::Ok, Micros(80_000));
@@ -661,7 +661,7 @@
 /// others were refused, the pace of answers fell, and more were refused.
 #[test]
 fn answers_lost_everywhere_do_not_lead_to_refusals() {
-    let mut s = site(Effect::Safe, true);
+    let mut s = site(Effect::Idempotent, true);
     s.classes[0].latency_objective = Micros(300_000);
     let mut r = Router::new(s, &[1, 2, 3, 4, 5, 6]);
     let (mut out, mut refusals) = (Vec::new(), 0);
@@ -691,7 +691,7 @@
 /// Found by a test of the gateway: a worker that fails all it gets was never doubted, as no function was known yet.
 #[test]
 fn a_worker_that_serves_nothing_is_ejected_for_unknown_functions_too() {
-    let mut r = Router::new(site(Effect::Safe, true), &[1, 2]);
+    let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2]);
     for id in 0..20 {
         let mut worker = r.send_request(id, id);
         while worker == Some(1) {
--- a/tests/routers.rs
+++ b/tests/routers.rs
@@ -4,7 +4,7 @@
 
 /// The actions of a router over a busy second before eight workers, and what it was told of its fellows at the start.
 fn actions(routers_at_start: usize, told: &[usize]) -> Vec<String> {
-    let class = Class { effect: Effect::Safe, ..Class::default() };
+    let class = Class { effect: Effect::Idempotent, ..Class::default() };
     let settings = Settings { routers: routers_at_start, classes: vec![class], ..Settings::default() };
     let (mut balancer, mut out, mut seen) = (Balancer::new(settings, 1), Vec::new(), Vec::new());
     let start = Micros(100_000_000);
@@ -53,7 +53,7 @@
 
 /// What a router does with calls, once it knows a fleet by the list's events given.
 fn after(listings: Vec<Listing>) -> Vec<String> {
-    let class = Class { effect: Effect::Safe, ..Class::default() };
+    let class = Class { effect: Effect::Idempotent, ..Class::default() };
     let settings = Settings { classes: vec![class], weights: Weights::Size, ..Settings::default() };
     let (mut balancer, mut out) = (Balancer::new(settings, 1), Vec::new());
     listings.into_iter().for_each(|l| balancer.handle(Micros(1_000), Event::WorkersListed(l), &mut out));
@@ -98,7 +98,7 @@
 /// Probes that a router of little traffic before 100 workers sends for 600 calls of 60 functions, at a price for each;
 /// one of `jammed` workers tells of a long queue. Also its calls to those that told so within the second before.
 fn probes(price: f64, jammed: Option<u64>) -> (usize, usize) {
-    let class = Class { effect: Effect::Safe, ..Class::default() };
+    let class = Class { effect: Effect::Idempotent, ..Class::default() };
     let settings = Settings {
         routers: 300,
         classes: vec![class],
@@ -178,7 +178,7 @@
 /// Calls that a worker which never answers anything swallows in two minutes of ten calls a second before eight, at a price at
 /// which probes do not pay; and the probes sent.
 fn calls_lost_at_unresponsive_worker() -> (usize, usize) {
-    let class = Class { effect: Effect::Safe, ..Class::default() };
+    let class = Class { effect: Effect::Idempotent, ..Class::default() };
     let settings = Settings { routers: 300, classes: vec![class], probe_price: 0.5, ..Settings::default() };
     let (mut balancer, mut out) = (Balancer::new(settings, 1), Vec::new());
     let start = 100_000_000;
@@ -251,7 +251,7 @@
 /// `silent_ms`; `met` is whether it was heard from before. What was done about the call, and when, in milliseconds.
 fn outcomes_behind_slow_probes(met: bool, silent_ms: i64) -> Vec<(i64, &'static str)> {
     let class = |latency_objective| Class {
-        effect: Effect::Safe,
+        effect: Effect::Idempotent,
         latency_objective: Micros(latency_objective),
         ..Class::default()
     };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -139,12 +139,12 @@
 
 impl World {
     fn new(shape: u8) -> Self {
-        let keyed = Effect::Keyed { group: Group::Cell, memory: Micros(1_000_000) };
+        let keyed = Effect::IdempotentWithKey { group: Group::Cell, memory: Micros(1_000_000) };
         let class = |effect| Class { effect, ..Class::default() };
         let (second, ration) = (shape & 1 == 0, shape & 2 == 0);
         let settings = Settings {
             routers: 3,
-            classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
+            classes: vec![class(Effect::Idempotent), class(keyed), class(Effect::NonIdempotent)],
             tenants: vec![Tenant { quota_per_s: 3.0 }],
             weights: Weights::Size,
             reports: if shape & 8 == 0 { LoadReportSource::Probes } else { LoadReportSource::None },
@@ -152,10 +152,10 @@
                 on_request: shape & 4 == 0,
                 orders: true,
                 keep: Micros(3_000_000),
-                order_timeout: Micros(5_000_000),
-                ration_window: Micros(if ration { WINDOW } else { 0 }),
-                ration_free: FREE,
-                ration_share: SHARE,
+                load_timeout: Micros(5_000_000),
+                load_quota_window: Micros(if ration { WINDOW } else { 0 }),
+                load_quota_free: FREE,
+                load_quota_share: SHARE,
                 ..Loading::default()
             },
             limits: Limits { hedged_requests: second, max_attempts: ATTEMPTS, ..Limits::default() },
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -115,14 +115,14 @@
 fn day(new_versions: bool) -> Day {
     let settings = Settings {
         routers: ROUTERS,
-        classes: vec![Class { effect: Effect::Unsafe, ..Class::default() }],
+        classes: vec![Class { effect: Effect::NonIdempotent, ..Class::default() }],
         loading: Loading {
             on_request: false,
             orders: true,
             keep: Micros(20_000_000),
-            ration_window: Micros(WINDOW),
-            ration_free: FREE,
-            ration_share: SHARE,
+            load_quota_window: Micros(WINDOW),
+            load_quota_free: FREE,
+            load_quota_share: SHARE,
             ..Loading::default()
         },
         limits: Limits { probes: false, max_attempts: 3, ..Limits::default() },
