--- a/crates/gateway/tests/platform/main.rs
+++ b/crates/gateway/tests/platform/main.rs
@@ -36,7 +36,10 @@
         assert_eq!(fields.get("replay"), (class == "booking").then_some(&id.as_str()));
         assert!(fields["max"].parse::<u32>().is_ok_and(|ms| (1..=2500).contains(&ms)));
     }
-    assert!(worker.orders() > 0, "its function was ordered before");
+    // The worker reads orders on another thread than calls, and may count this one after it answered them; only what was
+    // sent before the end of the router can still come.
+    drop((client, router));
+    until("its load request to be counted", || worker.orders() > 0);
 }
 
 #[test]
