--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -97,7 +97,7 @@
         Some(ClassRules {
             has_side_effects: rules.effect != Effect::Idempotent,
             deadline: rules.deadline,
-            retention: policy.map_or(Micros(0), |policy| policy.remember),
+            retention: policy.map_or(Micros(0), |policy| policy.retention),
         })
     }
 
@@ -168,7 +168,7 @@
         if self.non_idempotent_suspended && rules.has_side_effects {
             return Err(Reason::LeaseExpired);
         }
-        let reserved = self.settings.margin.0.saturating_add(call.age.0.max(0));
+        let reserved = self.settings.answer_margin.0.saturating_add(call.age.0.max(0));
         let budget = Micros(call.budget.0.min(rules.deadline.0).saturating_sub(reserved));
         if budget.0 <= 0 {
             return Err(Reason::BudgetTooShort);
--- a/crates/engine/src/engine/fleet.rs
+++ b/crates/engine/src/engine/fleet.rs
@@ -20,7 +20,7 @@
     }
 
     /// The number of routers changed; `routers` includes this one.
-    pub fn routers(&mut self, now: Micros, routers: usize, out: &mut Vec<Output>) {
+    pub fn router_count_changed(&mut self, now: Micros, routers: usize, out: &mut Vec<Output>) {
         self.advance_clock(now);
         self.dispatch(Event::RouterCountChanged(routers), out);
     }
@@ -57,7 +57,7 @@
 
     /// Calls of the function `name` are about to replace those of `like`: the balancer may load up to `max_replicas` of it
     /// ahead. Returns the number of load requests that were put out.
-    pub fn expect(
+    pub fn expect_load(
         &mut self,
         now: Micros,
         name: &Arc<str>,
--- a/crates/engine/src/engine/settings_change.rs
+++ b/crates/engine/src/engine/settings_change.rs
@@ -13,8 +13,15 @@
     /// Replaces the settings. The seed, the limits of the duplicate table and the maxima of open calls and of function
     /// names stay as they were. A raised limit of attempts applies once all calls that are open now are closed.
     pub fn update_settings(&mut self, settings: EngineSettings) {
-        let EngineSettings { mut balancer, classes, key_spaces, functions, other_functions, margin, .. } =
-            settings;
+        let EngineSettings {
+            mut balancer,
+            classes,
+            key_spaces,
+            functions,
+            other_functions,
+            answer_margin,
+            ..
+        } = settings;
         self.deferred_attempt_limit = None;
         let current_limit = self.settings.balancer.limits.max_attempts;
         let new_limit = balancer.limits.max_attempts;
@@ -30,7 +37,7 @@
         self.settings.key_spaces = key_spaces;
         self.settings.functions = functions;
         self.settings.other_functions = other_functions;
-        self.settings.margin = margin;
+        self.settings.answer_margin = answer_margin;
     }
 
     /// Applies a raised limit of attempts once no call is open that was accepted under the lower one.
--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassPolicy {
     /// How long the answer to a key is kept after the call ended.
-    pub remember: Micros,
+    pub retention: Micros,
 }
 
 /// Properties of a function.
@@ -50,7 +50,7 @@
     /// are passed on to the workers, and the balancer decides about a call whose client disconnected.
     pub duplicates: Option<DuplicateLimits>,
     /// Time that is subtracted from each budget for the delivery of the answer.
-    pub margin: Micros,
+    pub answer_margin: Micros,
     /// Maximum number of open calls.
     pub max_open_calls: usize,
     /// Maximum number of function names held.
--- a/crates/engine/tests/engine/calls.rs
+++ b/crates/engine/tests/engine/calls.rs
@@ -52,9 +52,9 @@
     }
     let (new, mut out): (Arc<str>, _) = ("f@new".into(), Vec::new());
     assert!(harness.engine.workers_serving("f") >= 1);
-    assert_eq!(harness.engine.expect(harness.now, &new, "f", 1, &mut out), 1);
+    assert_eq!(harness.engine.expect_load(harness.now, &new, "f", 1, &mut out), 1);
     assert!(matches!(&out[..], [Output::Load { name, copies: 1, .. }] if **name == *new));
-    assert_eq!(harness.engine.expect(harness.now, &new, "nobody", 1, &mut out), 0);
+    assert_eq!(harness.engine.expect_load(harness.now, &new, "nobody", 1, &mut out), 0);
 }
 
 #[test]
--- a/crates/engine/tests/engine/harness.rs
+++ b/crates/engine/tests/engine/harness.rs
@@ -26,7 +26,7 @@
     pub(crate) charges: HashMap<Arc<[u8]>, BTreeMap<AttemptRef, Option<Outcome>>>,
 }
 
-pub(crate) fn settings(remember: Micros) -> EngineSettings {
+pub(crate) fn settings(retention: Micros) -> EngineSettings {
     let class = |effect| Class { effect, deadline: Micros(1_000_000), ..Class::default() };
     let keyed = Effect::IdempotentWithKey { group: Group::All, memory: Micros(5_000_000) };
     EngineSettings {
@@ -36,9 +36,9 @@
             loading: Loading { on_request: true, orders: true, ..Loading::default() },
             ..Settings::default()
         },
-        classes: vec![ClassPolicy { remember }; 3],
+        classes: vec![ClassPolicy { retention }; 3],
         duplicates: Some(DuplicateLimits { keys: 64, ..DuplicateLimits::default() }),
-        margin: Micros(10_000),
+        answer_margin: Micros(10_000),
         max_open_calls: 32,
         max_function_names: 16,
         ..EngineSettings::default()
@@ -66,12 +66,12 @@
 
 impl Harness {
     pub(crate) fn new() -> Self {
-        Harness::with_memory(Micros(2_000_000))
+        Harness::with_retention(Micros(2_000_000))
     }
 
-    pub(crate) fn with_memory(remember: Micros) -> Self {
+    pub(crate) fn with_retention(retention: Micros) -> Self {
         let mut harness = Harness {
-            engine: Engine::new(settings(remember)),
+            engine: Engine::new(settings(retention)),
             now: Micros(0),
             out: Vec::new(),
             next: 0,
--- a/crates/engine/tests/engine/properties.rs
+++ b/crates/engine/tests/engine/properties.rs
@@ -50,7 +50,7 @@
     /// The two promises: one answer for each ticket, and no key that may have run is sent again.
     #[test]
     fn whatever_happens_each_ticket_is_answered_once_and_no_charge_is_sent_twice(steps in steps()) {
-        let mut harness = Harness::with_memory(Micros(100_000_000));
+        let mut harness = Harness::with_retention(Micros(100_000_000));
         let (mut asked, mut left) = (Vec::new(), BTreeSet::new());
         for step in steps {
             match step {
--- a/crates/engine/tests/engine/settings_change.rs
+++ b/crates/engine/tests/engine/settings_change.rs
@@ -8,7 +8,7 @@
 /// The settings of a harness with other classes.
 fn other_settings(classes: Vec<Class>, spaces: &[usize], max_attempts: usize) -> EngineSettings {
     let base = settings(Micros(2_000_000));
-    let policies = vec![ClassPolicy { remember: Micros(2_000_000) }; classes.len()];
+    let policies = vec![ClassPolicy { retention: Micros(2_000_000) }; classes.len()];
     let limits = Limits { max_attempts, ..base.balancer.limits.clone() };
     let balancer = Settings { classes, limits, ..base.balancer };
     EngineSettings {
--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -70,7 +70,7 @@
 
 /// Responds to a request other than a call.
 fn other_response(message: Message) -> Vec<u8> {
-    let reply = match ParsedRequest::read(message).map(|request| request.order) {
+    let reply = match ParsedRequest::read(message).map(|request| request.request) {
         Ok(WorkerRequest::Load { copies, .. }) => Reply::Copies(copies),
         Ok(WorkerRequest::Ready) => Reply::Ready,
         _ => Reply::Copies(1),
--- a/crates/gateway/src/commands/relay.rs
+++ b/crates/gateway/src/commands/relay.rs
@@ -4,7 +4,7 @@
 use super::session::resolve;
 use super::{print_ready, CommandResult};
 use clap::Args;
-use slatevalve_pacing::seed_of;
+use slatevalve_pacing::derive_seed;
 use slatevalve_registry::{ClientSettings, Login, RegistrationSettings, WatchScope, WatchSettings};
 use slatevalve_relay::{run_relay, Limits, RelayPlan};
 use std::net::SocketAddr;
@@ -81,14 +81,14 @@
         },
         registration: RegistrationSettings { ttl_s: LEASE_TTL_S },
         pace: slatevalve_pacing::Limits {
-            few_us: FEW_RELAYS_DELAY_MAX_US,
+            few_clients_max_delay_us: FEW_RELAYS_DELAY_MAX_US,
             ..slatevalve_pacing::Limits::default()
         },
         // Relays are few; routers send their requests to the relays.
         clients: 1,
         drain_within_us: DRAIN_WITHIN_US,
         timeout_us: REQUEST_TIMEOUT_US,
-        seed: seed_of(1, &name),
+        seed: derive_seed(1, &name),
     };
     let limits = Limits { peers: connections, ..Limits::default() };
     run_relay(RelayPlan { name, listen, client, addresses, limits }, |address| {
--- a/crates/gateway/src/platform/startup.rs
+++ b/crates/gateway/src/platform/startup.rs
@@ -145,7 +145,7 @@
         functions: HashMap::new(),
         other_functions: FunctionTraits::default(),
         duplicates: None,
-        margin: ANSWER_MARGIN,
+        answer_margin: ANSWER_MARGIN,
         max_open_calls: usize::MAX,
         max_function_names: MAX_FUNCTIONS,
     }
--- a/crates/gateway/src/plugins/link.rs
+++ b/crates/gateway/src/plugins/link.rs
@@ -205,7 +205,7 @@
         for response_event in parts {
             let Some(connection) = self.connection.as_mut().filter(|open| open.busy) else { break };
             match &response_event {
-                MessageEvent::Head(head) => connection.last = head.last,
+                MessageEvent::Head(head) => connection.last = head.closes_connection,
                 MessageEvent::End => connection.busy = false,
                 MessageEvent::Body(_) => {}
             }
--- a/crates/gateway/src/server/members.rs
+++ b/crates/gateway/src/server/members.rs
@@ -56,7 +56,9 @@
                     let listing = Listing { scope: Scope::Refused, entries: Vec::new() };
                     self.engine.workers_listed(now, listing, &mut self.to_engine);
                 }
-                MembershipEvent::Routers(routers) => self.engine.routers(now, routers, &mut self.to_engine),
+                MembershipEvent::Routers(routers) => {
+                    self.engine.router_count_changed(now, routers, &mut self.to_engine)
+                }
             }
         }
         self.drain_outputs(now);
--- a/crates/gateway/src/server/plugins/rollouts.rs
+++ b/crates/gateway/src/server/plugins/rollouts.rs
@@ -68,7 +68,7 @@
         }
         self.expire_load_requests(now, load_timeout);
         if let RolloutRequest::Copies(count) = self.rollout.load_request() {
-            for _ in 0..engine.expect(now, &new, &old, count, outputs) {
+            for _ in 0..engine.expect_load(now, &new, &old, count, outputs) {
                 self.load_requests.push(now);
                 self.rollout.observe(now.0, Observed::Ordered);
             }
--- a/crates/gateway/src/settings/classes.rs
+++ b/crates/gateway/src/settings/classes.rs
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn policies(&self) -> Vec<ClassPolicy> {
-        self.classes.iter().map(|class| ClassPolicy { remember: class.remember }).collect()
+        self.classes.iter().map(|class| ClassPolicy { retention: class.remember }).collect()
     }
 
     /// What plug-ins may claim: the effect of each class, and the classes of tenants that are limited to some.
--- a/crates/gateway/src/settings/document.rs
+++ b/crates/gateway/src/settings/document.rs
@@ -89,7 +89,7 @@
         let Site { engine, classes, .. } = &self.site;
         let attempts = i64::try_from(engine.balancer.limits.max_attempts).unwrap_or(i64::MAX);
         let rules = classes.iter().enumerate().map(|(id, name)| {
-            let remember_us = engine.classes.get(id).map_or(0, |policy| policy.remember.0);
+            let remember_us = engine.classes.get(id).map_or(0, |policy| policy.retention.0);
             let retry = retry_rule(engine.balancer.classes[id].effect);
             (name.clone(), Class::new(retry, attempts, remember_us))
         });
--- a/crates/gateway/src/settings/members.rs
+++ b/crates/gateway/src/settings/members.rs
@@ -2,7 +2,7 @@
 
 use super::forms::{credentials, millis_as_us, optional_path, whole, Res};
 use crate::members::MemberSettings;
-use slatevalve_pacing::{seed_of, Limits};
+use slatevalve_pacing::{derive_seed, Limits};
 use slatevalve_registry::{
     ClientSettings, Login, RegistrationSettings, RouterCountSettings, WatchScope, WatchSettings,
 };
@@ -95,8 +95,8 @@
     }
     let drain_within_us = millis_as_us(fields, "drain-within-ms", DEFAULT_DRAIN_WITHIN_US)?;
     // It covers a wait, the time of an answer, and that of a liveness check that finds the watch behind.
-    let longest_us = drain_within_us - timeout_us - watch_state.lag_tolerance_us;
-    if longest_us <= 0 {
+    let max_delay_us = drain_within_us - timeout_us - watch_state.lag_tolerance_us;
+    if max_delay_us <= 0 {
         return Err(form.error("drain-within-ms is longer than timeout-ms and half a second together"));
     }
     let client = ClientSettings {
@@ -108,11 +108,16 @@
         own: None,
         watch_state,
         registration: RegistrationSettings { ttl_s },
-        pace: Limits { per_second, longest_us, few_us: base.few_us.min(longest_us), ..base },
+        pace: Limits {
+            per_second,
+            max_delay_us,
+            few_clients_max_delay_us: base.few_clients_max_delay_us.min(max_delay_us),
+            ..base
+        },
         clients: routers,
         drain_within_us,
         timeout_us,
-        seed: seed_of(seed, name),
+        seed: derive_seed(seed, name),
     };
     Ok((client, addresses))
 }
--- a/crates/gateway/src/settings/site.rs
+++ b/crates/gateway/src/settings/site.rs
@@ -183,7 +183,7 @@
         functions: functions.named,
         other_functions: functions.other,
         duplicates: Some(duplicates(top)?),
-        margin: gateway.or("answer-margin-ms", DEFAULT_ANSWER_MARGIN, Form::millis)?,
+        answer_margin: gateway.or("answer-margin-ms", DEFAULT_ANSWER_MARGIN, Form::millis)?,
         max_open_calls: whole(gateway, "max-open", 20_000, 10_000_000)?,
         max_function_names: whole(gateway, "max-functions", 65_536, 10_000_000)?,
     })
--- a/crates/gateway/src/settings/versioned.rs
+++ b/crates/gateway/src/settings/versioned.rs
@@ -154,7 +154,7 @@
         // By name, so that slots do not depend on the order of classes in a document.
         let mut classes: BTreeMap<&String, ClassSlot> = BTreeMap::new();
         for (id, name) in site.classes.iter().enumerate() {
-            let remember = site.engine.classes.get(id).map_or(Micros(0), |policy| policy.remember);
+            let remember = site.engine.classes.get(id).map_or(Micros(0), |policy| policy.retention);
             let class = site.engine.balancer.classes[id].clone();
             classes.insert(name, ClassSlot { name: name.clone(), class, remember });
         }
@@ -210,7 +210,7 @@
         site.classes = self.slots.iter().map(|slot| slot.name.clone()).collect();
         let engine = &mut site.engine;
         engine.balancer.classes = self.slots.iter().map(|slot| slot.class.clone()).collect();
-        engine.classes = self.slots.iter().map(|slot| ClassPolicy { remember: slot.remember }).collect();
+        engine.classes = self.slots.iter().map(|slot| ClassPolicy { retention: slot.remember }).collect();
         let key_space = |slot: &ClassSlot| ClassId(self.key_spaces.get(&slot.name).copied().unwrap_or(0));
         engine.key_spaces = self.slots.iter().map(key_space).collect();
     }
@@ -263,7 +263,7 @@
     for (id, name) in site.classes.iter().enumerate() {
         let Some(class) = terms.classes.get(name) else { continue };
         site.engine.balancer.classes[id].effect = strictest_effect(&class.retry);
-        site.engine.classes[id].remember = Micros(class.remember_us);
+        site.engine.classes[id].retention = Micros(class.remember_us);
     }
     let balancer = &mut site.engine.balancer;
     for other in older.iter().map(|site| &site.engine.balancer) {
--- a/crates/gateway/tests/stored_forms.rs
+++ b/crates/gateway/tests/stored_forms.rs
@@ -158,7 +158,7 @@
         ("gw-1", "hall-a", Micros(5_046_000))
     );
     let engine = &site.engine;
-    assert_eq!((engine.balancer.routers, engine.seed, engine.margin), (41, 42, Micros(43_000)));
+    assert_eq!((engine.balancer.routers, engine.seed, engine.answer_margin), (41, 42, Micros(43_000)));
     assert_eq!((engine.max_open_calls, engine.max_function_names), (20_044, 65_545));
     let front = &site.front;
     assert_eq!(site.listen.to_string(), "127.0.0.1:1883");
@@ -185,7 +185,7 @@
     assert_eq!((quote.priority_weight, quote.late_value, quote.objective_stretch), (2.5, 0.25, 0.5));
     let effects: Vec<&String> = site.rights.effects.values().collect();
     assert_eq!(effects, ["keyed", "keyed", "unsafe", "keyed", "safe"]);
-    assert_eq!(site.engine.classes[4].remember, Micros(600_005_000));
+    assert_eq!(site.engine.classes[4].retention, Micros(600_005_000));
     assert_eq!((balancer.tenants[0].quota_per_s, site.rights.tenants["north"].len()), (40.5, 2));
     let fare = &site.engine.functions["fare"];
     assert_eq!((fare.concurrency, fare.work, fare.memory_mb), (6, Some(Micros(7_000)), 409.5));
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -305,7 +305,7 @@
                 Ok(0) | Err(_) => Err(()),
                 Ok(count) => reader.feed(&bytes[..count]).map_err(|_| ()),
             };
-            let order = message.map(|m| m.map(|m| ParsedRequest::read(m).unwrap().order));
+            let order = message.map(|m| m.map(|m| ParsedRequest::read(m).unwrap().request));
             let before = match &order {
                 Ok(Some(order)) => self.count(order),
                 _ => 0,
--- a/crates/http/src/decoder.rs
+++ b/crates/http/src/decoder.rs
@@ -193,7 +193,7 @@
         if matches!(framing, Framing::Length(length) if length > self.limits.body) {
             return Err(MessageError::BodyTooLong);
         }
-        head.last |= framing == Framing::UntilClose;
+        head.closes_connection |= framing == Framing::UntilClose;
         self.body_length = 0;
         out.push(MessageEvent::Head(head));
         Ok(if framing == Framing::Length(0) { self.complete(out) } else { Progress::Incomplete })
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -26,7 +26,7 @@
     /// Header names as sent, and values.
     pub headers: Vec<(String, Vec<u8>)>,
     /// Whether the sender closes the connection after this message.
-    pub last: bool,
+    pub closes_connection: bool,
 }
 
 impl Head {
@@ -81,7 +81,7 @@
     let httparse::Status::Complete(length) = status else { return Ok(None) };
     head.headers = parsed.iter().map(|h| (h.name.to_string(), h.value.to_vec())).collect();
     let is_http_1_0 = version == Some(0);
-    head.last =
+    head.closes_connection =
         head.has_connection_option("close") || (is_http_1_0 && !head.has_connection_option("keep-alive"));
     Ok(Some(ParsedHead { head, length }))
 }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -55,7 +55,7 @@
     let mut reader = MessageReader::new(Side::Response, Limits::default());
     assert_eq!(reader.feed(b"HTTP/1.1 200 OK\r\n\r\nab"), Ok(None));
     let message = reader.end().unwrap().expect("ended by the close");
-    assert!(message.head.last && message.body == b"ab");
+    assert!(message.head.closes_connection && message.body == b"ab");
 }
 
 #[test]
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -5,9 +5,9 @@
 //! window that grows with the number of clients (full jitter, Brooker 2015: over the whole window, from 0 on); windows double
 //! with each consecutive failure, so that clients which assume too small a fleet still make room; and the service's
 //! `Retry-After` is extended by a draw, never shortened. The client is protected by a bound: no delay is longer than
-//! [`Limits::longest_us`], whatever the number of clients, as a drain must be received within a stated time.
+//! [`Limits::max_delay_us`], whatever the number of clients, as a drain must be received within a stated time.
 //!
-//! Two clients of the same seed would draw the same delays; [`seed_of`] derives seeds from names.
+//! Two clients of the same seed would draw the same delays; [`derive_seed`] derives seeds from names.
 #![forbid(unsafe_code)]
 
 use rand::{RngExt, SeedableRng};
@@ -37,9 +37,9 @@
     /// The least window of the first delay after a failure.
     pub initial_window_us: i64,
     /// The longest delay among few clients, once they were counted.
-    pub few_us: i64,
+    pub few_clients_max_delay_us: i64,
     /// The longest delay among any number of clients.
-    pub longest_us: i64,
+    pub max_delay_us: i64,
     /// Consecutive failures that are retried without back-off, as there are other members to try.
     pub immediate_retries: u32,
 }
@@ -50,8 +50,8 @@
             per_second: 500.0,
             requests: 2.0,
             initial_window_us: 100_000,
-            few_us: 2_000_000,
-            longest_us: 9_500_000,
+            few_clients_max_delay_us: 2_000_000,
+            max_delay_us: 9_500_000,
             immediate_retries: 0,
         }
     }
@@ -59,7 +59,7 @@
 
 /// Derives a seed from a client's name, so that clients configured with the same seed draw differently (FNV-1a).
 #[must_use]
-pub fn seed_of(seed: u64, name: &str) -> u64 {
+pub fn derive_seed(seed: u64, name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     name.bytes().fold(seed ^ OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
@@ -108,18 +108,18 @@
     pub fn window_us(&self) -> i64 {
         let requests = self.clients().saturating_sub(1) as f64 * self.limits.requests;
         let rate = self.limits.per_second.max(RATE_MIN) * RATE_SHARE;
-        ((requests / rate * MICROS_PER_SECOND) as i64).clamp(0, self.limits.longest_us)
+        ((requests / rate * MICROS_PER_SECOND) as i64).clamp(0, self.limits.max_delay_us)
     }
 
     /// Returns the longest delay: short for few clients, some windows for many. While the number is only assumed it is the
     /// longest of all: a thousand clients that assume ten would otherwise keep the service overloaded.
     #[must_use]
-    pub fn longest_us(&self) -> i64 {
+    pub fn max_delay_us(&self) -> i64 {
         match self.clients {
-            ClientCount::Assumed(_) => self.limits.longest_us,
+            ClientCount::Assumed(_) => self.limits.max_delay_us,
             ClientCount::Counted(_) => {
                 let windows_us = (self.window_us() as f64 * WINDOWS_PER_DELAY_MAX) as i64;
-                windows_us.max(self.limits.few_us).min(self.limits.longest_us)
+                windows_us.max(self.limits.few_clients_max_delay_us).min(self.limits.max_delay_us)
             }
         }
     }
@@ -145,15 +145,15 @@
     /// to half of the longest delay: the rest is left to draw from.
     pub fn failed(&mut self, retry_after_us: Option<i64>) -> i64 {
         self.failures = self.failures.saturating_add(1);
-        let demanded_us = retry_after_us.unwrap_or(0).clamp(0, self.limits.longest_us / 2);
-        let (window_us, drawn_max_us) = (self.window_us(), self.limits.longest_us - demanded_us);
+        let demanded_us = retry_after_us.unwrap_or(0).clamp(0, self.limits.max_delay_us / 2);
+        let (window_us, drawn_max_us) = (self.window_us(), self.limits.max_delay_us - demanded_us);
         let drawn_us = match self.failures.checked_sub(self.limits.immediate_retries + 1) {
             // All clients that lost the same member retry at the same next one.
             None => self.draw(window_us.min(drawn_max_us)),
             Some(retries) => {
                 let initial_us = self.limits.initial_window_us.max(window_us);
                 let doubled_us = initial_us.saturating_mul(1 << retries.min(DOUBLINGS_MAX));
-                self.draw(doubled_us.min(self.longest_us()).min(drawn_max_us))
+                self.draw(doubled_us.min(self.max_delay_us()).min(drawn_max_us))
             }
         };
         demanded_us + drawn_us
--- a/crates/pacing/src/tests.rs
+++ b/crates/pacing/src/tests.rs
@@ -13,7 +13,7 @@
 fn fleet(count: usize, assumed: usize, per_second: f64) -> Vec<PollSchedule> {
     let limits = Limits { per_second, ..Limits::default() };
     // All were given the same seed.
-    (0..count).map(|n| PollSchedule::new(limits, assumed, seed_of(1, &format!("r-{n}")))).collect()
+    (0..count).map(|n| PollSchedule::new(limits, assumed, derive_seed(1, &format!("r-{n}")))).collect()
 }
 
 #[test]
@@ -28,7 +28,7 @@
 fn no_bound_gathers_a_herd_at_its_end() {
     let limits = Limits { per_second: 100.0, ..Limits::default() };
     let drawn = |wait: fn(&mut PollSchedule) -> i64| {
-        let seeds = (0..300).map(|n| seed_of(1, &format!("r-{n}")));
+        let seeds = (0..300).map(|n| derive_seed(1, &format!("r-{n}")));
         peak_in_200ms(seeds.map(|seed| wait(&mut PollSchedule::new(limits, 300, seed))).collect())
     };
     assert!(drawn(PollSchedule::deferred_delay_us) <= 22, "{}", drawn(PollSchedule::deferred_delay_us));
@@ -67,7 +67,7 @@
     }
     schedule.succeeded();
     assert!(schedule.failed(None) <= 100_000);
-    assert!(schedule.failed(Some(i64::MAX)) >= Limits::default().longest_us / 2);
+    assert!(schedule.failed(Some(i64::MAX)) >= Limits::default().max_delay_us / 2);
 }
 
 #[test]
@@ -96,9 +96,9 @@
                 1 => schedule.deferred_delay_us(),
                 2 => schedule.failed(Some(demanded_us)),
                 3 => schedule.failed(None),
-                _ => schedule.interval_us(1_000_000, limits.longest_us, 0.05),
+                _ => schedule.interval_us(1_000_000, limits.max_delay_us, 0.05),
             };
-            let longest = if what == 1 { 2 * limits.longest_us } else { limits.longest_us };
+            let longest = if what == 1 { 2 * limits.max_delay_us } else { limits.max_delay_us };
             prop_assert!((0..=longest).contains(&wait), "{} {}", what, wait);
         }
     }
--- a/crates/platform/src/changes.rs
+++ b/crates/platform/src/changes.rs
@@ -49,8 +49,8 @@
     per_second: 500.0,
     requests: 1.0,
     initial_window_us: 100_000,
-    few_us: 400_000,
-    longest_us: 400_000,
+    few_clients_max_delay_us: 400_000,
+    max_delay_us: 400_000,
     immediate_retries: 1,
 };
 /// Consecutive answers with the same gap or malformed member before the client stops requesting it again: by then the
@@ -232,7 +232,7 @@
         };
         match self.handle_answer(now, &message, out) {
             AnswerStatus::Failed(failure) => self.schedule_retry(now, failure, out),
-            AnswerStatus::Complete if message.head.last => self.disconnect(now, out),
+            AnswerStatus::Complete if message.head.closes_connection => self.disconnect(now, out),
             AnswerStatus::Complete => self.poll(now, out),
         }
     }
--- a/crates/registry/src/client/settings.rs
+++ b/crates/registry/src/client/settings.rs
@@ -53,7 +53,7 @@
     pub drain_within_us: i64,
     /// Timeout of a short request, and of the start of a watch.
     pub timeout_us: i64,
-    /// Seed of random draws, different for each client, see [`slatevalve_pacing::seed_of`].
+    /// Seed of random draws, different for each client, see [`slatevalve_pacing::derive_seed`].
     pub seed: u64,
 }
 
--- a/crates/registry/src/client/stream.rs
+++ b/crates/registry/src/client/stream.rs
@@ -88,7 +88,7 @@
     fn handle_head(&mut self, channel: Channel, head: &Head) {
         let connection = self.connection_mut(channel);
         connection.status = head.status;
-        connection.closes_after_response = head.last;
+        connection.closes_after_response = head.closes_connection;
         let overloaded = matches!(head.status, STATUS_TOO_MANY_REQUESTS | STATUS_UNAVAILABLE);
         let retry_after = head.header("Retry-After").filter(|_| overloaded);
         let seconds = retry_after.and_then(|text| text.trim().parse::<u32>().ok());
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! counts and simulated times, so that the result is the same on any machine.
 
 use slatevalve_http::{Limits, MessageReader, Side};
-use slatevalve_pacing::{seed_of, Limits as PollSchedule};
+use slatevalve_pacing::{derive_seed, Limits as PollSchedule};
 use slatevalve_registry::serve::{answer, chunk, watch_line, WATCH_HEAD};
 use slatevalve_registry::wire::*;
 use slatevalve_registry::*;
@@ -72,7 +72,7 @@
                 drain_within_us: 12_000_000,
                 timeout_us: 2_000_000,
                 // All were given the same seed.
-                seed: seed_of(1, &format!("r-{n}")),
+                seed: derive_seed(1, &format!("r-{n}")),
             })
         };
         let mut world = World {
@@ -334,7 +334,11 @@
 fn ten_that_believe_themselves_a_thousand_only_wait_longer() {
     let mut world = World::new(10, 1_000, 200.0);
     world.run(20_000_000, None);
-    assert!(world.last_listed() <= PollSchedule::default().longest_us + 1_000_000, "{}", world.last_listed());
+    assert!(
+        world.last_listed() <= PollSchedule::default().max_delay_us + 1_000_000,
+        "{}",
+        world.last_listed()
+    );
 }
 
 #[test]
@@ -345,7 +349,7 @@
     assert_eq!(world.drained_us.len(), 1_000, "some never heard of it");
     let last = world.drained_us.values().max().unwrap() - 25_000_000;
     // The longest wait, twice where a question was lost: all that a thousand ask is what the service can just take.
-    assert!(last <= 2 * PollSchedule::default().longest_us, "{last}");
+    assert!(last <= 2 * PollSchedule::default().max_delay_us, "{last}");
     assert!(
         world.peak_requests(25_000_000..60_000_000) <= 250,
         "{}",
--- a/crates/relay/src/entries.rs
+++ b/crates/relay/src/entries.rs
@@ -36,7 +36,7 @@
     /// Creates an empty set for at most `capacity` leases. Relays of different names grant different ids, so that the lease
     /// of another relay is unknown here.
     pub fn new(name: &str, capacity: usize) -> Self {
-        let id_prefix = (slatevalve_pacing::seed_of(0, name) >> 24) as i64;
+        let id_prefix = (slatevalve_pacing::derive_seed(0, name) >> 24) as i64;
         Entries { leases: BTreeMap::new(), next_id: (id_prefix << 20) | 1, capacity }
     }
 
--- a/crates/test-servers/src/worker/mod.rs
+++ b/crates/test-servers/src/worker/mod.rs
@@ -232,7 +232,7 @@
     fn handle_request(&mut self, id: Id, request: ParsedRequest) {
         let now = unix_micros();
         let gateway = request.gateway.unwrap_or_default();
-        match request.order {
+        match request.request {
             WorkerRequest::Infer(call) => self.handle_call(id, gateway, call),
             // While calls get no response, other requests get none either.
             _ if self.faults.is_active(now, &FaultKind::Hang) => {}
--- a/crates/test-servers/src/worker/registration.rs
+++ b/crates/test-servers/src/worker/registration.rs
@@ -2,7 +2,7 @@
 
 use super::plan::RegisterPlan;
 use crate::clock::unix_micros;
-use slatevalve_pacing::{seed_of, Limits};
+use slatevalve_pacing::{derive_seed, Limits};
 use slatevalve_reactor::{Reactor, ReactorEvent};
 use slatevalve_registry::{
     worker_key, ClientEvent, ClientSettings, MemberState, RegistrationSettings, WatchScope, WatchSettings,
@@ -73,7 +73,7 @@
             clients: 1,
             drain_within_us: DRAIN_WITHIN_US,
             timeout_us: REQUEST_TIMEOUT_US,
-            seed: seed_of(seed, name),
+            seed: derive_seed(seed, name),
         };
         let mut link = Link::new(settings, plan.endpoints);
         // The lease of a worker is short: with the poll schedule of one client among hundreds of routers it would expire.
--- a/crates/worker-protocol/src/http_protocol.rs
+++ b/crates/worker-protocol/src/http_protocol.rs
@@ -63,7 +63,7 @@
         // Bytes that come without a pending request are the response to none.
         let PendingRequest { tag, request } = self.pending.as_ref().ok_or(MalformedReply)?;
         if let Some(message) = self.messages.feed(bytes).map_err(|_| MalformedReply)? {
-            self.is_closing = message.head.last;
+            self.is_closing = message.head.closes_connection;
             out.push(CompletedRequest { tag: *tag, reply: reply::read(request, message) });
             self.pending = None;
         }
--- a/crates/worker-protocol/src/request.rs
+++ b/crates/worker-protocol/src/request.rs
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsedRequest {
     /// The request.
-    pub order: WorkerRequest,
+    pub request: WorkerRequest,
     /// Name of the gateway that sent it, if given.
     pub gateway: Option<String>,
 }
--- a/crates/worker-protocol/src/request/parse.rs
+++ b/crates/worker-protocol/src/request/parse.rs
@@ -21,8 +21,8 @@
     /// If the message is no request of this profile.
     pub fn read(message: Message) -> Result<Self, RequestError> {
         let gateway = message.head.header(headers::GATEWAY).map(str::to_string);
-        let order = parse_request(message)?;
-        Ok(ParsedRequest { order, gateway })
+        let request = parse_request(message)?;
+        Ok(ParsedRequest { request, gateway })
     }
 }
 
--- a/crates/worker-protocol/tests/requests.rs
+++ b/crates/worker-protocol/tests/requests.rs
@@ -4,8 +4,8 @@
     headers, Call, Limits, MessageReader, ParsedRequest, RequestError, Side, TensorError, WorkerRequest,
 };
 
-fn through(order: WorkerRequest) -> ParsedRequest {
-    let bytes = order.encode("127.0.0.1:9", "gw");
+fn through(request: WorkerRequest) -> ParsedRequest {
+    let bytes = request.encode("127.0.0.1:9", "gw");
     let message = MessageReader::new(Side::Request, Limits::default()).feed(&bytes).unwrap();
     ParsedRequest::read(message.expect("whole")).unwrap()
 }
@@ -23,7 +23,7 @@
         class: "charge".into(),
         settings: vec![7, 8],
     };
-    let orders = [
+    let requests = [
         WorkerRequest::Infer(call.clone()),
         WorkerRequest::Infer(Call {
             key: None,
@@ -37,8 +37,8 @@
         WorkerRequest::Unload { function: "a".into() },
         WorkerRequest::Ready,
     ];
-    for order in orders {
-        assert_eq!(through(order.clone()), ParsedRequest { order, gateway: Some("gw".into()) });
+    for request in requests {
+        assert_eq!(through(request.clone()), ParsedRequest { request, gateway: Some("gw".into()) });
     }
 }
 
--- a/crates/worker-protocol/tests/stored_forms.rs
+++ b/crates/worker-protocol/tests/stored_forms.rs
@@ -18,28 +18,28 @@
     MessageReader::new(side, Limits::default()).feed(bytes).unwrap().expect("a whole message")
 }
 
-/// The request is read to the order, and the order is written as the request.
-fn is_request(order: WorkerRequest, literal: &[u8]) {
-    let written = order.encode(HOST, "gw-1");
+/// The literal decodes to the request, and the request encodes to the literal.
+fn is_request(request: WorkerRequest, literal: &[u8]) {
+    let written = request.encode(HOST, "gw-1");
     assert_eq!(written.escape_ascii().to_string(), literal.escape_ascii().to_string());
     let pooled = HttpProtocol { gateway: "gw-1".into(), limits: Limits::default() };
-    assert_eq!(pooled.encode(HOST, Tag(5), &order), literal, "as the pool sends it");
+    assert_eq!(pooled.encode(HOST, Tag(5), &request), literal, "as the pool sends it");
     let asked = ParsedRequest::read(message(Side::Request, literal)).unwrap();
-    assert_eq!(asked, ParsedRequest { order, gateway: Some("gw-1".into()) });
+    assert_eq!(asked, ParsedRequest { request, gateway: Some("gw-1".into()) });
 }
 
-/// The reply is written as the literal, and the literal understood by the gateway as an answer to the order.
+/// The reply is written as the literal, and the literal understood by the gateway as an answer to the request.
 fn is_reply(
     reply: &Reply,
     load: Option<LoadReport>,
     queue_depth: Option<u64>,
-    order: &WorkerRequest,
+    request: &WorkerRequest,
     literal: &[u8],
     wanted: ParsedReply,
 ) {
     let written = reply.encode(load, queue_depth);
     assert_eq!(written.escape_ascii().to_string(), literal.escape_ascii().to_string());
-    assert_eq!(read(order, message(Side::Response, literal)), wanted);
+    assert_eq!(read(request, message(Side::Response, literal)), wanted);
 }
 
 fn parsed_reply(outcome: Outcome) -> ParsedReply {
