--- a/crates/engine/src/answer.rs
+++ b/crates/engine/src/answer.rs
@@ -1,5 +1,5 @@
-//! The final answer to a call and the reasons for a call without a result. The engine creates answers, the front ends
-//! encode them.
+//! The final answer to a call, and the reasons why a call has no result. Answers are created by the engine
+//! and encoded by the front ends.
 
 use crate::version::Version;
 use std::fmt;
@@ -12,9 +12,9 @@
     pub verdict: Verdict,
     /// Number of attempts that were sent to workers.
     pub attempts: usize,
-    /// Whether this is the stored answer of a call that had ended before.
+    /// Whether this is a stored answer, returned for a repeat of a call that had already ended.
     pub recorded: bool,
-    /// The version that the call was accepted for, if functions have versions and the call started a run.
+    /// Version for which the call was accepted, if functions have versions and the call started a run.
     pub version: Option<Version>,
 }
 
@@ -23,13 +23,13 @@
 pub enum Verdict {
     /// A worker ran the call.
     Served {
-        /// The result.
+        /// Result of the call, opaque to the engine.
         payload: Arc<[u8]>,
-        /// Version or digest of the function that ran, if the worker reported it.
+        /// Version or digest of the function that ran; `None` if the worker did not report it.
         ran: Option<Arc<str>>,
     },
-    /// This submission started no run, and a retry is safe. [`Reason::UnknownRepeat`] does not exclude that an earlier
-    /// submission with the same key started one.
+    /// This submission started no run, and a retry is safe. [`Reason::UnknownRepeat`] does not exclude that
+    /// an earlier submission with the same key started one.
     Refused(Reason),
     /// The call ended without a result and may have run.
     Failed(Reason),
@@ -71,7 +71,7 @@
     KeyMissing,
     /// The key was used before for another function or payload.
     KeyReused,
-    /// The call repeats one that is not, or no longer, in the duplicate table.
+    /// The call is a repeat, but the first submission is not, or no longer, in the duplicate table.
     UnknownRepeat,
     /// The duplicate table has no room for another key.
     KeyTableFull,
@@ -79,25 +79,26 @@
     TooManyOpen,
     /// The client's budget is too short for an answer.
     BudgetTooShort,
-    /// The id of the function's name collides with that of another name, or there is no room for another name.
+    /// The id of the function's name collides with that of another name, or the table of names is full.
     InvalidFunctionName,
-    /// The name refers to no version that is available here.
+    /// The name resolves to no version that is available here.
     UnknownVersion,
     /// The plug-in belongs to another class than the route.
     WrongClass,
     /// The content of the version is corrupt; it runs again after an intact copy was pulled.
     Quarantined,
-    /// The version is not signed by a key that this site trusts, or it claims a class that it may not have.
+    /// The version is not signed by a key that this site trusts, or it declares a class that it is not
+    /// permitted to have.
     NotAllowed,
-    /// No such tenant.
+    /// The call names a tenant that is not configured.
     UnknownTenant,
     /// No route matches the topic, or the topic yields no valid name.
     NoRoute,
     /// The gateway is shutting down.
     Stopping,
-    /// The gateway's lease to act by its settings has expired.
+    /// The lease under which the gateway may act on its settings has expired.
     LeaseExpired,
-    /// Two settings documents that are both in use differ about the topic.
+    /// Two settings documents are in use at the same time and differ in the settings of the topic.
     SettingsChanging,
     /// No attempt returned a result in time; the call may have run.
     NoResult,
@@ -108,7 +109,7 @@
 }
 
 impl Reason {
-    /// The text that clients receive.
+    /// Text sent to clients.
     #[must_use]
     pub fn description(self) -> &'static str {
         match self {
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -6,31 +6,32 @@
 /// Identifies one attempt of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptRef {
-    /// The call.
+    /// Id of the call in the balancer.
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: usize,
 }
 
-/// How an attempt ended, as received over the worker protocol.
+/// How an attempt ended, as reported by the connection pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
     /// Outcome in the balancer's terms.
     pub outcome: Outcome,
     /// Result of the call, for [`Outcome::Ok`].
     pub payload: Arc<[u8]>,
-    /// Version or digest that the worker reported to have run.
+    /// Version or digest that ran; `None` if the worker did not report it.
     pub ran: Option<Arc<str>>,
-    /// In-flight calls of the same function at the worker on arrival.
+    /// Calls of the same function that were queued or running at the worker on arrival; `None` if not
+    /// reported.
     pub queue_depth: Option<u64>,
     /// Whether the load that the attempt waited for failed.
     pub load_failed: bool,
-    /// Load report of the worker.
+    /// Load report that came with the reply.
     pub report: Option<Report>,
 }
 
 impl AttemptEnd {
-    /// An end that carries nothing but its outcome.
+    /// Creates an end with an outcome and no other information.
     #[must_use]
     pub fn without_payload(outcome: Outcome) -> Self {
         AttemptEnd {
--- a/crates/engine/src/call.rs
+++ b/crates/engine/src/call.rs
@@ -6,12 +6,13 @@
 use slatevalve::{ClassId, Micros, TenantId};
 use std::sync::Arc;
 
-/// Identifies one submission of a call, for which the front end expects one answer. Never reused.
+/// Identifies one submission of a call. Chosen by the front end, which expects one answer for it; never
+/// reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// Identifies a client across its connections. A repeat by the same client supersedes its earlier ticket; a repeat by
-/// another client joins the call with a ticket of its own.
+/// Identifies a client across its connections. A repeat by the same client supersedes its earlier ticket; a
+/// repeat by another client joins the call with a separate ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClientRef(pub u64);
 
@@ -22,9 +23,9 @@
     Unmarked,
     /// The call is marked as a repeat, by the DUP flag of MQTT or by the client itself.
     Marked {
-        /// Earliest time, on this gateway's clock, at which the first submission may have arrived here, where that is
-        /// known. If everything accepted since then is still in the duplicate table, a key that is not in the table was
-        /// never accepted.
+        /// Earliest time, on this gateway's clock, at which the first submission may have arrived here;
+        /// `None` if unknown. If everything accepted since then is still in the duplicate table, a key that
+        /// is not in the table was never accepted.
         covered_since: Option<Micros>,
     },
 }
@@ -34,15 +35,15 @@
 pub struct RunBody {
     /// Name of the function, as workers know it.
     pub function: Arc<str>,
-    /// Version of the function, where functions have versions.
+    /// Version of the function; `None` if functions have no versions.
     pub version: Option<Version>,
-    /// The payload.
+    /// Payload of the call, opaque to the engine.
     pub payload: Arc<[u8]>,
-    /// The idempotency key, where the class has one.
+    /// Idempotency key; only for calls of classes with side effects.
     pub key: Option<Arc<[u8]>>,
-    /// The class of the call.
+    /// Index of the class in the settings.
     pub class: ClassId,
-    /// The client's own id of the request, where it is passed on to workers.
+    /// The client's id of the request, if it is forwarded to workers.
     pub request_id: Option<Arc<str>>,
 }
 
@@ -51,29 +52,29 @@
 pub struct Call {
     /// Identifies the answer to the front end.
     pub ticket: Ticket,
-    /// The client.
+    /// Client that submitted the call.
     pub client: ClientRef,
-    /// The class of the call.
+    /// Index of the class in the settings.
     pub class: ClassId,
-    /// The tenant, where the site has tenants.
+    /// Tenant of the client; `None` if the site has no tenants.
     pub tenant: Option<TenantId>,
     /// Name of the function, as given by the client.
     pub function: Arc<str>,
-    /// The version that the name refers to now, or the reason why it refers to none that may run. Used only if the call
-    /// starts a run: a repeat keeps the version of the first submission.
+    /// Version to which the name resolves at submission, or the reason why no version may run. Used only if
+    /// the call starts a run: a repeat keeps the version of the first submission.
     pub version: Result<Option<Version>, Reason>,
-    /// Properties that come with the version; without them those of the settings apply.
+    /// Properties of the version; if `None`, those of the settings apply.
     pub traits: Option<FunctionTraits>,
-    /// The idempotency key, by which repeats are recognised.
+    /// Idempotency key, by which repeats are recognised.
     pub key: Option<Arc<[u8]>>,
-    /// The client's own id of the request, where it is passed on to workers.
+    /// The client's id of the request, if it is forwarded to workers.
     pub request_id: Option<Arc<str>>,
-    /// The payload.
+    /// Payload of the call, opaque to the engine.
     pub payload: Arc<[u8]>,
     /// Time after which the client stops waiting; limited to the deadline of the class.
     pub budget: Micros,
-    /// Upper bound of the time that the call waited unread before it was submitted, because the gateway was busy or its
-    /// process paused. It is subtracted from the budget.
+    /// Upper bound of the time between the call's arrival and its submission, during which the gateway was
+    /// busy or its process paused. Subtracted from the budget.
     pub age: Micros,
     /// Whether the call may have been submitted before.
     pub repeat: Repeat,
--- a/crates/engine/src/duplicates.rs
+++ b/crates/engine/src/duplicates.rs
@@ -1,17 +1,17 @@
 //! The duplicate table: which idempotency keys were used, and how their calls ended.
 //!
-//! It prevents a second run of calls with side effects. A key is unknown, running, completed with a stored answer, or
-//! forgotten (the answer is gone, the fact that the key was used is not). Keys become unknown again by the passage of time,
-//! or by [`DuplicateTable::release`], which the engine calls only if every attempt is proven never to have run. The table is
-//! bounded in keys and in bytes of results: the oldest results are evicted, keys never are. A full table accepts no further
-//! key.
+//! It prevents a second run of calls with side effects. A key is unknown, running, completed with a stored
+//! answer, or forgotten (the answer was dropped, but the key still counts as used). A key becomes unknown
+//! again when it expires, or by [`DuplicateTable::release`], which the engine calls only if every attempt is
+//! proven never to have run. The table is bounded in keys and in bytes of results: the oldest results are
+//! evicted, keys never are. A full table accepts no further key.
 
 use crate::answer::{Answer, Reason, Verdict};
 use sha2::{Digest, Sha256};
 use slatevalve::{ClassId, Micros, RequestId, TenantId};
 use std::collections::{HashMap, VecDeque};
 
-/// Bytes that are kept of a SHA-256 digest: enough that collisions can be neglected.
+/// Length of a truncated SHA-256 digest: with 128 bits, collisions are negligible.
 const DIGEST_BYTES: usize = 16;
 
 /// Digest of an idempotency key together with its tenant and class.
@@ -29,7 +29,7 @@
 }
 
 impl KeyDigest {
-    /// Digest of a key of a tenant and class.
+    /// Computes the digest of a key within its tenant and class.
     #[must_use]
     pub(crate) fn new(tenant: Option<TenantId>, class: ClassId, key: &[u8]) -> Self {
         let tenant = tenant.map_or(0, |id| id.0 as u64 + 1).to_be_bytes();
@@ -39,7 +39,7 @@
 }
 
 impl Fingerprint {
-    /// Fingerprint of a call.
+    /// Computes the fingerprint of a call.
     #[must_use]
     pub(crate) fn new(function: &str, payload: &[u8]) -> Self {
         let length = (function.len() as u64).to_be_bytes();
@@ -51,11 +51,11 @@
 /// Limits of the duplicate table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateLimits {
-    /// Maximum number of keys: running, completed and forgotten ones together.
+    /// Maximum number of keys, counting running, completed and forgotten ones.
     pub keys: usize,
-    /// Maximum number of bytes of all stored results together.
+    /// Maximum total size in bytes of all stored results.
     pub result_bytes: usize,
-    /// How long a forgotten key counts as used, as a multiple of the retention time of its class.
+    /// How long a forgotten key still counts as used, as a multiple of the retention time of its class.
     pub forgotten_for: u32,
 }
 
@@ -65,10 +65,10 @@
     }
 }
 
-/// What the table knows of a key.
+/// Status of a key, as returned by [`DuplicateTable::lookup`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum KeyStatus {
-    /// The key was not used: the call may run.
+    /// The key is not in the table.
     Unknown,
     /// The call with this key is running.
     Running(RequestId),
@@ -91,7 +91,7 @@
 struct Entry {
     fingerprint: Fingerprint,
     state: EntryState,
-    /// When the present state expires; the end of time for a running call.
+    /// When the current state expires; `Micros(i64::MAX)` for a running call.
     expires_at: Micros,
     /// How long the answer is stored after the call ended.
     retention: Micros,
@@ -102,13 +102,13 @@
 pub(crate) struct DuplicateTable {
     limits: DuplicateLimits,
     entries: HashMap<KeyDigest, Entry>,
-    /// Keys with a stored result, oldest first, in the order of eviction.
+    /// Keys with a stored result, in the order of eviction: oldest first.
     results: VecDeque<KeyDigest>,
     result_bytes: usize,
 }
 
 impl DuplicateTable {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub(crate) fn new(limits: DuplicateLimits) -> Self {
         DuplicateTable { limits, entries: HashMap::new(), results: VecDeque::new(), result_bytes: 0 }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Whether the table has no room for another key.
+    /// Whether the maximum number of keys is reached.
     #[must_use]
     pub(crate) fn is_full(&self) -> bool {
         self.entries.len() >= self.limits.keys
@@ -142,7 +142,7 @@
         self.entries.len()
     }
 
-    /// Inserts a key whose call starts to run; its answer will be stored for `retention`.
+    /// Inserts a key whose call starts a run; its answer will be stored for `retention`.
     pub(crate) fn insert_running(
         &mut self,
         key: KeyDigest,
@@ -154,7 +154,7 @@
         self.entries.insert(key, Entry { fingerprint, state, expires_at, retention });
     }
 
-    /// Stores the answer of a running key; returns when [`DuplicateTable::expire`] is due.
+    /// Stores the answer of a running key; returns the time at which [`DuplicateTable::expire`] is due.
     pub(crate) fn record_answer(&mut self, now: Micros, key: KeyDigest, answer: Answer) -> Option<Micros> {
         let entry = self.entries.get_mut(&key)?;
         if let Verdict::Served { payload, .. } = &answer.verdict {
@@ -171,21 +171,21 @@
         Some(expires_at)
     }
 
-    /// Removes a key of which no attempt ran.
+    /// Removes the key of a call of which no attempt ran.
     pub(crate) fn release(&mut self, key: KeyDigest) {
         self.entries.remove(&key);
     }
 
-    /// Expires the present state of a key if it is due at `now`: a completed key becomes forgotten, a forgotten one is
-    /// removed. Returns when the next call of this function is due.
+    /// Expires the state of a key if that is due at `now`: a completed key becomes forgotten, a forgotten one
+    /// is removed. Returns the time at which the next call of this function is due.
     pub(crate) fn expire(&mut self, now: Micros, key: KeyDigest) -> Option<Micros> {
-        let forgotten_for = i64::from(self.limits.forgotten_for);
+        let retention_multiple = i64::from(self.limits.forgotten_for);
         let entry = self.entries.get_mut(&key).filter(|entry| entry.expires_at <= now)?;
         match entry.state {
             EntryState::Running(_) => None,
             EntryState::Completed(_) => {
-                let used_for = entry.retention.0.saturating_mul(forgotten_for);
-                entry.expires_at = Micros(now.0.saturating_add(used_for));
+                let forgotten_for = entry.retention.0.saturating_mul(retention_multiple);
+                entry.expires_at = Micros(now.0.saturating_add(forgotten_for));
                 let expires_at = entry.expires_at;
                 self.forget_answer(key);
                 Some(expires_at)
@@ -202,7 +202,8 @@
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.state = EntryState::Forgotten;
         }
-        // Answers may expire in another order than they were stored; keys without a result leave the queue at its front.
+        // Answers may expire in another order than they were stored, so keys without a result are removed
+        // from the queue only when they reach its front.
         while self.results.front().is_some_and(|oldest| !self.has_result(oldest)) {
             self.results.pop_front();
         }
@@ -213,7 +214,7 @@
         matches!(state, Some(EntryState::Completed(Answer { verdict: Verdict::Served { .. }, .. })))
     }
 
-    /// Drops the stored result of a key; the key remains completed, without its result.
+    /// Drops the stored result of a key, which remains completed: repeats get [`Reason::ResultEvicted`].
     fn evict_result(&mut self, key: KeyDigest) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let EntryState::Completed(answer) = &mut entry.state else { return };
--- a/crates/engine/src/duplicates/tests.rs
+++ b/crates/engine/src/duplicates/tests.rs
@@ -1,4 +1,4 @@
-//! The states of a key over time, and the limits of the table.
+//! States of a key over time, and limits of the table.
 
 use super::*;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_key_is_running_then_on_record_then_forgotten_then_unknown() {
+fn a_key_is_running_then_completed_then_forgotten_then_unknown() {
     let (mut duplicates, (digest, fingerprint)) = (table(100), key(1));
     assert_eq!(duplicates.lookup(Micros(0), digest, fingerprint), KeyStatus::Unknown);
     duplicates.insert_running(digest, fingerprint, RequestId(5), Micros(10));
@@ -30,7 +30,7 @@
     assert_eq!(
         duplicates.lookup(Micros(30), digest, fingerprint),
         KeyStatus::Forgotten,
-        "also before its timer fires"
+        "an expired answer must not be returned, even before its timer fires"
     );
     assert_eq!(duplicates.expire(Micros(30), digest), Some(Micros(50)));
     assert_eq!(duplicates.lookup(Micros(49), digest, fingerprint), KeyStatus::Forgotten);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_key_used_for_another_call_is_noticed_in_every_state() {
+fn reuse_of_a_key_for_another_call_is_detected_in_every_state() {
     let (mut duplicates, (digest, fingerprint), (_, other)) = (table(100), key(1), key(2));
     duplicates.insert_running(digest, fingerprint, RequestId(5), Micros(10));
     assert_eq!(duplicates.lookup(Micros(0), digest, other), KeyStatus::Mismatch);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn results_beyond_the_bytes_give_way_oldest_first_and_their_keys_stay() {
+fn the_oldest_results_beyond_the_byte_limit_are_evicted_but_their_keys_remain() {
     let mut duplicates = table(100);
     for n in 0..3 {
         let (digest, fingerprint) = key(n);
@@ -62,7 +62,7 @@
     }
     let (digest, fingerprint) = key(0);
     let KeyStatus::Completed(answer) = duplicates.lookup(Micros(1), digest, fingerprint) else {
-        panic!("the key is forgotten")
+        panic!("the key of an evicted result must remain completed")
     };
     assert_eq!(answer.verdict, Verdict::Failed(Reason::ResultEvicted));
     let (digest, fingerprint) = key(2);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_full_table_says_so_and_a_released_key_makes_room() {
+fn a_full_table_has_room_again_after_a_key_is_released() {
     let mut duplicates = table(100);
     for n in 0..4 {
         let (digest, fingerprint) = key(n);
--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -1,4 +1,4 @@
-//! Events to the balancer, and the execution of the actions that it returns.
+//! Dispatches events to the balancer and executes the actions that it returns.
 
 use super::open_call::Attempt;
 use super::{Engine, Timer};
@@ -9,8 +9,8 @@
 use std::collections::VecDeque;
 
 impl Engine {
-    /// Passes an event to the balancer and executes its actions. An action that cannot be executed is reported back as an
-    /// event of its own before this returns.
+    /// Passes an event to the balancer and executes its actions. An action that cannot be executed is
+    /// reported back as an event of its own before this returns.
     pub(super) fn dispatch(&mut self, event: Event, out: &mut Vec<Output>) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
@@ -23,11 +23,11 @@
         }
     }
 
-    /// Executes one action; returns the event that reports its failure, if it could not be executed at all.
+    /// Executes one action. If it cannot be executed, returns the event that reports this to the balancer.
     fn execute(&mut self, action: Action, out: &mut Vec<Output>) -> Option<Event> {
         match action {
             Action::Send { id, worker, timeout: _ } => return self.send(id, worker, out),
-            // Answers carry no advice on when to retry; the balancer gives none as long as the settings allow none.
+            // Answers have no field for `retry_after`; the balancer sets it only if the settings allow it.
             Action::Refuse { id, retry_after: _ } => self.refuse(id, out),
             Action::Fail { id } => self.close(id, Verdict::Failed(Reason::NoResult), out),
             Action::Cancel { id, attempt } => out.push(Output::Cancel(AttemptRef { request: id, attempt })),
@@ -67,13 +67,13 @@
         self.close(id, Verdict::Refused(reason), out);
     }
 
-    /// Ends a call as the balancer decided.
+    /// Ends a call by a decision of the balancer.
     fn close(&mut self, id: RequestId, verdict: Verdict, out: &mut Vec<Output>) {
         self.finish(id, verdict, out);
         self.remove_if_closed(id);
     }
 
-    /// Ends a call without a decision of the balancer, which is notified that the call is over.
+    /// Ends a call without a decision of the balancer, and notifies the balancer.
     pub(super) fn end_without_balancer(&mut self, id: RequestId, verdict: Verdict, out: &mut Vec<Output>) {
         self.finish(id, verdict, out);
         self.dispatch(Event::ClientDisconnected { id }, out);
@@ -101,7 +101,7 @@
     }
 }
 
-/// The end of an attempt of an open call that was not sent.
+/// Returns the event for an attempt that was not sent, of a call that is still open.
 fn not_sent(attempt: AttemptRef, worker: WorkerId) -> AttemptAnswer {
     AttemptAnswer {
         id: attempt.request,
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts: verification of the version that ran, and the report to the balancer.
+//! Handles the ends of attempts: verifies the version that ran and reports the outcome to the balancer.
 
 use super::Engine;
 use crate::answer::Verdict;
@@ -7,7 +7,7 @@
 use slatevalve::{Answer as AttemptAnswer, Event, Micros, Outcome, RequestId, WorkerId};
 
 impl Engine {
-    /// An attempt ended. The end of an attempt that is unknown or has ended before is ignored.
+    /// Handles the end of an attempt. It is ignored if the attempt is unknown or has already ended.
     pub fn attempt_completed(&mut self, now: Micros, of: AttemptRef, end: AttemptEnd, out: &mut Vec<Output>) {
         self.advance_clock(now);
         let id = of.request;
@@ -37,8 +37,8 @@
         self.remove_if_closed(id);
     }
 
-    /// Turns the result of another version than the call's into an error: it is no result of this call, but something
-    /// ran.
+    /// Replaces a result of another version than the call's by [`Outcome::Error`]: it is not the result of
+    /// this call, but code ran, so the attempt must not count as never run.
     fn verify_version(
         &mut self,
         id: RequestId,
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -1,4 +1,5 @@
-//! Acceptance of calls: recognition of repeats, admission, and the start of a run; and clients that disconnect.
+//! Accepts calls: duplicate detection, admission control and submission to the balancer. Handles disconnects
+//! of clients.
 
 use super::open_call::{OpenCall, Waiter};
 use super::Engine;
@@ -10,7 +11,7 @@
 use slatevalve::{ClassId, Effect, Event, FunctionId, Micros, Request, RequestId};
 use std::sync::Arc;
 
-/// The rules of a class that acceptance depends on.
+/// The rules of a class that decide about acceptance.
 #[derive(Clone, Copy)]
 struct ClassRules {
     /// Whether the class is keyed or non-idempotent, so that a second run could do harm.
@@ -27,9 +28,9 @@
     fingerprint: Fingerprint,
 }
 
-/// What the duplicate table decides about a call.
+/// Result of duplicate detection for a call.
 enum DuplicateDecision {
-    /// Start a run; its key is inserted into the table, if it has one.
+    /// Start a run. The key, if any, is inserted into the duplicate table.
     Run(Option<CallKey>),
     /// Join the running call with the same key.
     Join(RequestId),
@@ -49,8 +50,8 @@
 }
 
 impl Engine {
-    /// Submits a call. Its ticket gets exactly one answer, at once or later, unless it is superseded or its client
-    /// disconnects.
+    /// Submits a call. Its ticket gets exactly one answer, at once or later, unless it is superseded or its
+    /// client disconnects.
     pub fn call(&mut self, now: Micros, call: Call, out: &mut Vec<Output>) {
         self.advance_clock(now);
         self.statistics.calls += 1;
@@ -101,7 +102,7 @@
         })
     }
 
-    /// Looks the call's key up in the duplicate table, where one is kept.
+    /// Looks up the call's key in the duplicate table, if the engine has one.
     fn check_duplicate(&self, call: &Call, rules: ClassRules) -> Result<DuplicateDecision, Reason> {
         if self.settings.duplicates.is_none() {
             return Ok(DuplicateDecision::Run(None));
@@ -117,7 +118,8 @@
             KeyStatus::Completed(answer) => Ok(DuplicateDecision::Replay(answer)),
             KeyStatus::Forgotten => Err(Reason::UnknownRepeat),
             KeyStatus::Mismatch if rules.has_side_effects => Err(Reason::KeyReused),
-            // Clients may reuse their correlation data after a restart; without side effects that does no harm.
+            // Clients may reuse their correlation data after a restart; without side effects that does no
+            // harm.
             KeyStatus::Mismatch => Ok(DuplicateDecision::Run(None)),
             KeyStatus::Unknown => self.check_unknown_key(key, call.repeat, rules),
         }
@@ -129,7 +131,7 @@
         repeat: Repeat,
         rules: ClassRules,
     ) -> Result<DuplicateDecision, Reason> {
-        if rules.has_side_effects && self.can_be_forgotten(repeat, rules.retention) {
+        if rules.has_side_effects && self.may_have_been_forgotten(repeat, rules.retention) {
             return Err(Reason::UnknownRepeat);
         }
         match (self.keys.is_full(), rules.has_side_effects) {
@@ -148,9 +150,9 @@
         })
     }
 
-    /// Whether a marked repeat with an unknown key may have been accepted so long ago that its key was forgotten, or by
-    /// a previous process of this gateway.
-    fn can_be_forgotten(&self, repeat: Repeat, retention: Micros) -> bool {
+    /// Whether a marked repeat with an unknown key may have been accepted before: so long ago that its key
+    /// was removed from the table, or by a previous process of this gateway.
+    fn may_have_been_forgotten(&self, repeat: Repeat, retention: Micros) -> bool {
         match repeat {
             Repeat::Unmarked => false,
             Repeat::Marked { covered_since: None } => true,
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Checks whether the engine takes a new call now; returns the time that is left for it.
+    /// Checks whether a new call can be accepted now; returns the time budget that remains for it.
     fn admit(&self, call: &Call, rules: ClassRules) -> Result<Micros, Reason> {
         if self.is_stopping {
             return Err(Reason::Stopping);
@@ -219,8 +221,8 @@
         }
     }
 
-    /// Adds a repeat to the running call with the same key. It supersedes the same client's earlier ticket, so that a
-    /// client which reconnected gets one answer, not two.
+    /// Adds a repeat to the running call with the same key. It supersedes the same client's earlier ticket,
+    /// so that a client which reconnected gets one answer, not two.
     fn join(&mut self, id: RequestId, call: &Call, out: &mut Vec<Output>) {
         let Some(open_call) = self.open_calls.get_mut(&id) else { return };
         if let Some(earlier) = open_call.waiters.iter_mut().find(|waiter| waiter.client == call.client) {
@@ -233,9 +235,10 @@
         self.tickets.insert(call.ticket, id);
     }
 
-    /// The client of a ticket disconnected for good, and no answer is owed to it. A call that nobody waits for any more
-    /// is cancelled, unless its answer is stored: then it runs on, because the client may come back with its key, and
-    /// a cancellation would turn a known outcome into an unknown one.
+    /// Handles that the client of a ticket disconnected for good: the ticket gets no answer. A call without
+    /// any other waiting ticket is cancelled, unless its answer will be stored: then it continues, because
+    /// the client may reconnect and repeat its key, and a cancellation would turn a known outcome into an
+    /// unknown one.
     pub fn client_disconnected(&mut self, now: Micros, ticket: Ticket, out: &mut Vec<Output>) {
         self.advance_clock(now);
         let Some(id) = self.tickets.remove(&ticket) else { return };
@@ -254,7 +257,7 @@
         function,
         version,
         payload: call.payload,
-        // Workers drop duplicates of calls with side effects; the key of any other call is of no use to them.
+        // Workers drop duplicates only of calls with side effects; they do not use the keys of other calls.
         key: call.key.filter(|_| rules.has_side_effects),
         class: call.class,
         request_id: call.request_id,
--- a/crates/engine/src/engine/completion.rs
+++ b/crates/engine/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! Final answers: one for each call, delivered to everyone who waits for it and stored under its key.
+//! Final answers: one for each call, delivered to every waiting ticket and stored under the call's key.
 
 use super::{Engine, Timer};
 use crate::answer::{Answer, Verdict};
@@ -9,7 +9,8 @@
 use slatevalve::RequestId;
 
 impl Engine {
-    /// Ends a call with its final answer, unless it has one, and cancels its attempts that are not sent yet.
+    /// Ends a call with its final answer, unless it has one already, and cancels those of its attempts that
+    /// are not sent yet.
     pub(super) fn finish(&mut self, id: RequestId, verdict: Verdict, out: &mut Vec<Output>) {
         let Some(call) = self.open_calls.get_mut(&id).filter(|call| !call.answered) else { return };
         call.answered = true;
@@ -21,7 +22,8 @@
             recorded: false,
             version: call.body.version.clone(),
         };
-        // A key of which nothing ran may be used again, and a call without side effects needs no stored answer.
+        // The key of a call that never ran may be used again, and a call without side effects needs no stored
+        // answer.
         let has_run = call.can_have_run() || matches!(answer.verdict, Verdict::Served { .. });
         let is_stored = call.recorded && has_run;
         let key = call.key;
--- a/crates/engine/src/engine/deadlines.rs
+++ b/crates/engine/src/engine/deadlines.rs
@@ -8,7 +8,7 @@
 use slatevalve::{Event, Micros, RequestId};
 
 impl Engine {
-    /// When [`Engine::advance`] is due next.
+    /// Time at which [`Engine::advance`] is due next; `None` if no timer is set.
     #[must_use]
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.next()
@@ -18,21 +18,24 @@
     pub fn advance(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.advance_clock(now);
         self.apply_deferred_attempt_limit();
-        // No more than were set at the start: a timer that is set meanwhile, even one due now, waits for the next call.
+        // Pops at most as many timers as are set now: one that is set meanwhile waits for the next call, even
+        // if it is due.
         for _ in 0..self.timers.len() {
             let Some(timer) = self.timers.pop(self.now) else { return };
             self.fire(timer, out);
         }
     }
 
-    /// Refuses new calls from now on. Calls that are open at `until` are refused, or failed where they may have run.
+    /// Refuses new calls from now on. Calls that are still open at `until` end as refused, or as failed if
+    /// they may have run.
     pub fn stop(&mut self, now: Micros, until: Micros) {
         self.advance_clock(now);
         self.is_stopping = true;
         self.timers.set(until, Timer::Stop);
     }
 
-    /// Sets the timers of a call: for its deadline, and for the time at which the balancer should have ended it.
+    /// Sets the timers of a call: for its deadline, and for the time by which the balancer must have ended
+    /// it.
     pub(super) fn set_deadline(&mut self, id: RequestId, deadline: Micros) {
         self.timers.set(deadline, Timer::Deadline(id));
         let overdue_at = deadline.0.saturating_add(self.settings.balancer.rules.answer_slack.0);
@@ -54,8 +57,8 @@
         out.extend(in_flight.map(|attempt| Output::Expire(AttemptRef { request: id, attempt })));
     }
 
-    /// Ends a call that the balancer should have ended. That it did not is a defect, but no client is to wait for ever
-    /// because of it.
+    /// Ends a call that the balancer has not ended in time. That is a defect of the balancer; the call is
+    /// ended here so that its client does not wait forever.
     fn end_overdue(&mut self, id: RequestId, out: &mut Vec<Output>) {
         if self.open_calls.get(&id).is_some_and(|call| !call.answered) {
             self.statistics.overdue += 1;
--- a/crates/engine/src/engine/fleet.rs
+++ b/crates/engine/src/engine/fleet.rs
@@ -1,4 +1,4 @@
-//! Events about workers, replicas and routers, and what the balancer knows of replicas.
+//! Forwards events about workers, loads and routers to the balancer, and queries its view of replicas.
 
 use super::Engine;
 use crate::names::function_id;
@@ -7,25 +7,25 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// The worker list was received, or an update of it.
+    /// Handles a full worker list, or an update of it.
     pub fn workers_listed(&mut self, now: Micros, listing: Listing, out: &mut Vec<Output>) {
         self.advance_clock(now);
         self.dispatch(Event::WorkersListed(listing), out);
     }
 
-    /// The worker list is complete as of now and may be acted on for `lease`.
+    /// Handles the confirmation that the worker list is complete as of `now`. It may be acted on for `lease`.
     pub fn worker_list_confirmed(&mut self, now: Micros, lease: Micros, out: &mut Vec<Output>) {
         self.advance_clock(now);
         self.dispatch(Event::WorkerListConfirmed { lease }, out);
     }
 
-    /// The number of routers changed; `routers` includes this one.
+    /// Handles a change of the number of routers; `routers` includes this one.
     pub fn router_count_changed(&mut self, now: Micros, routers: usize, out: &mut Vec<Output>) {
         self.advance_clock(now);
         self.dispatch(Event::RouterCountChanged(routers), out);
     }
 
-    /// A health check ended.
+    /// Handles the end of a health check.
     pub fn probe_completed(
         &mut self,
         now: Micros,
@@ -39,7 +39,7 @@
         self.dispatch(Event::ProbeCompleted { worker, outcome, latency, report }, out);
     }
 
-    /// A load request ended.
+    /// Handles the end of a load request.
     #[allow(clippy::too_many_arguments)] // The fields of the balancer's event, one by one.
     pub fn load_completed(
         &mut self,
@@ -55,22 +55,23 @@
         self.dispatch(Event::LoadCompleted { worker, function, outcome, copies, latency }, out);
     }
 
-    /// Calls of the function `name` are about to replace those of `like`: the balancer may load up to `max_replicas` of it
-    /// ahead. Returns the number of load requests that were put out.
+    /// Announces that calls of the function `name` will replace those of `replaced`, so that the balancer can
+    /// load up to `max_replicas` replicas of it in advance. Returns the number of load requests appended to
+    /// `out`.
     pub fn expect_load(
         &mut self,
         now: Micros,
         name: &Arc<str>,
-        like: &str,
+        replaced: &str,
         max_replicas: usize,
         out: &mut Vec<Output>,
     ) -> usize {
         self.advance_clock(now);
-        // Registers the name before the first call, as the load requests need it.
+        // Load requests look up the name, which is otherwise registered by the first call.
         let Ok(expected) = self.names.acquire(name) else { return 0 };
         self.names.release(expected);
         let outputs_before = out.len();
-        let like = function_id(like);
+        let like = function_id(replaced);
         self.dispatch(Event::LoadExpected { function: expected, like, most: max_replicas }, out);
         let is_load =
             |output: &&Output| matches!(output, Output::Load { function, .. } if *function == expected);
@@ -83,7 +84,7 @@
         self.balancer.loaded_replicas(function_id(name))
     }
 
-    /// Number of workers that serve a function; 0 for a function without calls.
+    /// Number of workers to which the balancer assigns calls of a function; 0 for a function without calls.
     #[must_use]
     pub fn workers_serving(&self, name: &str) -> usize {
         self.balancer.workers_serving(function_id(name))
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -1,14 +1,16 @@
 //! The engine: open calls, attempts and final answers around one [`Balancer`].
 //!
 //! Invariants, each with a test:
-//! - a ticket gets one answer, unless it is superseded by a repeat of the same client or its client disconnects;
-//! - every call ends after its deadline, even if the balancer takes no decision;
+//! - a ticket gets exactly one answer, unless a repeat by the same client supersedes it or its client
+//!   disconnects;
+//! - every call ends soon after its deadline, even if the balancer takes no decision;
 //! - the end of an attempt is reported to the balancer once;
-//! - a closed call leaves nothing behind but the entry of its key in the duplicate table.
+//! - of a closed call only the entry of its key in the duplicate table remains.
 //!
-//! Modules: `calls` accepts calls, `attempts` handles the ends of attempts, `actions` executes the balancer's decisions,
-//! `completion` creates final answers, `deadlines` fires timers and stops the engine, `fleet` forwards what is known of
-//! workers, `settings_change` replaces settings while calls are open, and `open_call` is the state of one call.
+//! Modules: `calls` accepts calls, `attempts` handles the ends of attempts, `actions` executes the balancer's
+//! decisions, `completion` creates final answers, `deadlines` fires timers and stops the engine, `fleet`
+//! forwards events about workers, `settings_change` replaces settings while calls are open, and `open_call`
+//! is the state of one call.
 
 mod actions;
 mod attempts;
@@ -33,7 +35,7 @@
 pub struct Statistics {
     /// Calls submitted.
     pub calls: u64,
-    /// Of these, repeats that joined a running call or received a stored answer.
+    /// Calls that were repeats and joined a running call or received a stored answer; included in `calls`.
     pub repeats: u64,
     /// Answers with the verdict `Served`.
     pub served: u64,
@@ -43,7 +45,8 @@
     pub failed: u64,
     /// Attempts sent.
     pub attempts: u64,
-    /// Calls that the balancer had not ended some time after their deadline; each one is a defect.
+    /// Calls that the engine ended because the balancer had not done so within `answer_slack` after the
+    /// deadline; each one is a defect of the balancer.
     pub overdue: u64,
     /// Results that were discarded because another version than the call's had run.
     pub version_mismatches: u64,
@@ -52,11 +55,11 @@
 /// What happens when a timer fires.
 #[derive(Debug)]
 enum Timer {
-    /// The balancer receives the token that it set the timer with.
+    /// The balancer's wake-up: the token of the timer is returned to it.
     Wake(u64),
     /// The attempts in flight of a call expire.
     Deadline(RequestId),
-    /// A call that the balancer has still not ended is ended by the engine.
+    /// The engine ends the call if the balancer has not ended it.
     Overdue(RequestId),
     /// The state of a key in the duplicate table expires.
     KeyExpiry(KeyDigest),
@@ -64,7 +67,7 @@
     Stop,
 }
 
-/// A raised limit of attempts that does not apply yet, because calls accepted under the lower one are open.
+/// A raised limit of attempts that does not apply yet, because calls accepted under the lower limit are open.
 #[derive(Debug)]
 struct DeferredAttemptLimit {
     /// The first call that may have the new number of attempts.
@@ -72,12 +75,12 @@
     max_attempts: usize,
 }
 
-/// Runs calls on workers by the decisions of one [`Balancer`]; all inputs are method calls with the present time, all
-/// effects are [`Output`](crate::Output)s.
+/// Runs calls on workers by the decisions of one [`Balancer`]. All inputs are method calls with the current
+/// time, all effects are [`Output`](crate::Output)s.
 pub struct Engine {
     settings: EngineSettings,
     balancer: Balancer,
-    /// The latest time that any input came with.
+    /// Latest time that was passed with an input.
     now: Micros,
     next_request: u64,
     /// Ordered by request id, which is the order of acceptance.
@@ -96,7 +99,7 @@
 }
 
 impl Engine {
-    /// An engine without any known worker.
+    /// Creates an engine with an empty worker list.
     #[must_use]
     pub fn new(settings: EngineSettings) -> Self {
         Engine {
@@ -135,13 +138,13 @@
         self.keys.len()
     }
 
-    /// Counters since the start.
+    /// Counters since the engine was created.
     #[must_use]
     pub fn statistics(&self) -> Statistics {
         self.statistics
     }
 
-    /// Sets the engine's time; it never goes back.
+    /// Advances the engine's clock; a time in the past leaves it unchanged.
     fn advance_clock(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
--- a/crates/engine/src/engine/open_call.rs
+++ b/crates/engine/src/engine/open_call.rs
@@ -1,4 +1,4 @@
-//! State of one open call: who waits for its answer, and its attempts.
+//! State of one open call: the tickets that wait for its answer, and its attempts.
 
 use crate::call::{ClientRef, RunBody, Ticket};
 use crate::duplicates::KeyDigest;
@@ -21,14 +21,15 @@
     pub(super) client: ClientRef,
 }
 
-/// A call from its acceptance until it is answered and none of its attempts is in flight.
+/// A call, from its acceptance until it is answered and no attempt is in flight.
 #[derive(Debug)]
 pub(super) struct OpenCall {
     pub(super) waiters: Vec<Waiter>,
     pub(super) body: Arc<RunBody>,
     pub(super) function: FunctionId,
     pub(super) key: Option<KeyDigest>,
-    /// Whether the answer is stored in the duplicate table: the class has side effects and a duplicate table is kept.
+    /// Whether the answer will be stored in the duplicate table: the class has side effects and the engine
+    /// has a table.
     pub(super) recorded: bool,
     pub(super) deadline: Micros,
     pub(super) attempts: Vec<Attempt>,
@@ -36,7 +37,7 @@
 }
 
 impl OpenCall {
-    /// Whether any attempt is not proven never to have run.
+    /// Whether the call may have run: the outcome of some attempt does not prove that it never ran.
     pub(super) fn can_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| !attempt.outcome.is_some_and(Outcome::proves_not_run))
     }
--- a/crates/engine/src/engine/settings_change.rs
+++ b/crates/engine/src/engine/settings_change.rs
@@ -1,8 +1,8 @@
-//! Replacement of the settings while calls are open, and suspension of calls that may not be sent for lack of a lease.
+//! Replaces the settings while calls are open, and suspends calls that may not be sent without a valid lease.
 //!
-//! Every open call ends by the rules that it was accepted under, or by stricter ones. The rules of a class may become
-//! stricter under the same class id; a class whose rules are relaxed gets a new id, which the creator of the settings
-//! ensures. Used by a gateway whose settings come as versioned documents.
+//! Every open call is subject to the rules under which it was accepted, or to stricter ones. The rules of a
+//! class may become stricter under the same class id; a class whose rules are relaxed must get a new id,
+//! which the creator of the settings ensures. Used by gateways whose settings are versioned documents.
 
 use super::{DeferredAttemptLimit, Engine};
 use crate::settings::EngineSettings;
@@ -10,8 +10,9 @@
 use std::collections::BTreeSet;
 
 impl Engine {
-    /// Replaces the settings. The seed, the limits of the duplicate table and the maxima of open calls and of function
-    /// names stay as they were. A raised limit of attempts applies once all calls that are open now are closed.
+    /// Replaces the settings, except the seed, the limits of the duplicate table and the maximum numbers of
+    /// open calls and function names. A raised limit of attempts applies once all calls that are open now are
+    /// closed.
     pub fn update_settings(&mut self, settings: EngineSettings) {
         let EngineSettings {
             mut balancer,
@@ -40,7 +41,7 @@
         self.settings.answer_margin = answer_margin;
     }
 
-    /// Applies a raised limit of attempts once no call is open that was accepted under the lower one.
+    /// Applies a raised limit of attempts if no call is open that was accepted under the lower one.
     pub(super) fn apply_deferred_attempt_limit(&mut self) {
         let Some(deferred) = &self.deferred_attempt_limit else { return };
         let oldest = self.open_calls.keys().next();
@@ -52,8 +53,8 @@
         self.balancer.update_settings(self.settings.balancer.clone());
     }
 
-    /// Suspends or resumes calls with side effects. While they are suspended, new ones are refused, because nothing of
-    /// them was sent, and attempts of open ones end as not sent. Stored answers are returned as before.
+    /// Suspends or resumes calls with side effects. While suspended, new calls are refused (nothing of them
+    /// was sent), further attempts of open calls end as not sent, and stored answers are still returned.
     pub fn suspend_non_idempotent(&mut self, suspended: bool) {
         self.non_idempotent_suspended = suspended;
     }
@@ -64,7 +65,7 @@
         self.non_idempotent_suspended && self.open_calls.get(&request).is_some_and(|call| call.recorded)
     }
 
-    /// The classes of the open calls.
+    /// Classes that have open calls.
     #[must_use]
     pub fn open_classes(&self) -> BTreeSet<ClassId> {
         self.open_calls.values().map(|call| call.body.class).collect()
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -1,8 +1,8 @@
 //! Ids of functions and workers, derived from their names.
 //!
-//! An id is a hash of the name, so that all gateways agree on it without coordination, which the hash ring requires. Two
-//! function names with the same id are detected here and the second one is refused, because the balancer would take their
-//! replicas for one another.
+//! An id is a hash of the name, so that all gateways agree on it without coordination, which the hash ring
+//! requires. A function name whose id collides with that of a registered one is refused, because the balancer
+//! could not tell the replicas of the two functions apart.
 
 use sha2::{Digest, Sha256};
 use slatevalve::{FunctionId, WorkerId};
@@ -10,7 +10,8 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// When the names are at their limit, one of this many is evicted at once, so that the sort is amortised over many calls.
+/// At capacity, one in this many names is evicted at once, so that the cost of the sort is spread over many
+/// calls.
 const EVICTION_DIVISOR: usize = 8;
 
 /// Why a function name cannot be registered.
@@ -18,28 +19,30 @@
 pub(crate) enum NameError {
     /// Another name in use has the same id.
     Collision {
-        /// The name that was refused.
+        /// The refused name.
         name: String,
-        /// The name that has the id.
+        /// The registered name with the same id.
         other: String,
     },
-    /// The limit is reached and every name has open calls.
+    /// The table is at capacity and every name has open calls.
     Full,
 }
 
 impl fmt::Display for NameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NameError::Collision { name, other } => write!(f, "'{name}' has the same id as '{other}'"),
-            NameError::Full => f.write_str("no room for another name"),
+            NameError::Collision { name, other } => {
+                write!(f, "function name '{name}' has the same id as '{other}'")
+            }
+            NameError::Full => f.write_str("the table of function names is full"),
         }
     }
 }
 
 impl std::error::Error for NameError {}
 
-/// The first eight bytes, big-endian, of SHA-256 over the kind, a zero byte and the name: the same in all builds, machines
-/// and versions.
+/// Returns the first eight bytes, big-endian, of SHA-256 over the kind, a zero byte and the name. The result
+/// is the same in all builds, machines and versions.
 fn stable_hash(kind: &str, name: &str) -> u64 {
     let digest = Sha256::new().chain_update(kind).chain_update([0]).chain_update(name).finalize();
     digest.first_chunk::<8>().map_or(0, |bytes| u64::from_be_bytes(*bytes))
@@ -65,27 +68,27 @@
     last_use: u64,
 }
 
-/// The function names in use, up to a limit; beyond it those unused for longest are evicted.
+/// Function names in use, up to a capacity, at which the least recently used ones are evicted.
 #[derive(Debug)]
 pub(crate) struct Names {
     hash: fn(&str) -> FunctionId,
     entries: HashMap<FunctionId, NameEntry>,
     capacity: usize,
-    /// Number of acquisitions so far, a logical clock for the eviction order.
+    /// Number of acquisitions so far; a logical clock for the order of eviction.
     uses: u64,
 }
 
 impl Names {
-    /// An empty table for at most `capacity` names, at least one.
+    /// Creates an empty table for `capacity` names, at least one.
     #[must_use]
     pub(crate) fn new(capacity: usize) -> Self {
         Names { hash: function_id, entries: HashMap::new(), capacity: capacity.max(1), uses: 0 }
     }
 
-    /// Registers one more open call of a function and returns the id of the function.
+    /// Registers an open call of a function and returns the function's id.
     ///
     /// # Errors
-    /// If another name has the same id, or the table is full of names with open calls.
+    /// If another name has the same id, or the table is at capacity and every name has open calls.
     pub(crate) fn acquire(&mut self, name: &Arc<str>) -> Result<FunctionId, NameError> {
         let id = (self.hash)(name);
         self.uses += 1;
@@ -118,7 +121,7 @@
         self.entries.get(&id).map(|entry| entry.name.clone())
     }
 
-    /// Evicts the names without open calls that were unused for longest.
+    /// Evicts the least recently used names without open calls.
     fn evict_idle(&mut self) -> Result<(), NameError> {
         let idle_entries = self.entries.iter().filter(|(_, entry)| entry.open_calls == 0);
         let mut idle: Vec<(u64, FunctionId)> =
--- a/crates/engine/src/names/tests.rs
+++ b/crates/engine/src/names/tests.rs
@@ -1,16 +1,16 @@
-//! Stable ids, collisions of names and the eviction of unused names.
+//! Stability of ids, colliding names, and the eviction of unused names.
 
 use super::*;
 
 #[test]
-fn ids_never_change_between_builds() {
-    // printf 'function\0fare-quote' | sha256sum
+fn ids_are_the_same_in_all_builds() {
+    // Expected value: printf 'function\0fare-quote' | sha256sum
     assert_eq!(function_id("fare-quote").0, 0xe53f_7a30_4fb7_0a85);
     assert_ne!(function_id("a").0, worker_id("a").0);
 }
 
 #[test]
-fn a_second_name_with_the_same_id_is_refused_and_the_first_goes_on() {
+fn a_name_whose_id_collides_with_a_registered_name_is_refused() {
     let mut names = Names::new(8);
     names.hash = |name| FunctionId(name.len() as u64);
     let (first, second) = (Arc::from("one"), Arc::from("two"));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn names_in_use_stay_and_others_make_room() {
+fn only_names_without_open_calls_are_evicted() {
     let mut names = Names::new(2);
     let [first_name, second_name, third_name]: [Arc<str>; 3] = ["a", "b", "c"].map(Arc::from);
     let first = names.acquire(&first_name).unwrap();
--- a/crates/engine/src/output.rs
+++ b/crates/engine/src/output.rs
@@ -1,4 +1,4 @@
-//! Commands of the engine to the event loop, the connection pool and the front ends.
+//! Commands from the engine to the event loop, the connection pool and the front ends.
 
 use crate::answer::Answer;
 use crate::attempt::AttemptRef;
@@ -12,39 +12,41 @@
 pub enum Output {
     /// Send an attempt. It must be followed by exactly one [`crate::Engine::attempt_completed`].
     Send {
-        /// The attempt.
+        /// Identifies the attempt in [`crate::Engine::attempt_completed`].
         attempt: AttemptRef,
-        /// The worker to send it to.
+        /// Recipient of the request.
         worker: WorkerId,
-        /// The request's content.
+        /// Content of the request, shared by all attempts of the call.
         body: Arc<RunBody>,
-        /// Time until the deadline of the call.
+        /// Time until the deadline of the call, at the time of this output.
         time_remaining: Micros,
     },
-    /// Cancel an attempt. It ends as cancelled, or as not sent if no byte of it was written.
+    /// Cancel an attempt. It ends as cancelled, or as not sent if no byte of its request was written.
     Cancel(AttemptRef),
-    /// The call has its final answer: cancel the attempt if no byte of it was written, so that it ends as not sent. An
-    /// attempt that was partly written runs on. Unlike [`Output::Cancel`] it needs no permission by the settings.
+    /// The call has its final answer: cancel the attempt if no byte of its request was written, so that it
+    /// ends as not sent. A partly written attempt continues. Unlike [`Output::Cancel`], this is used even if
+    /// the settings do not allow cancellation.
     CancelUnsent(AttemptRef),
-    /// The deadline of the call passed. The attempt ends as timed out, or as not sent if no byte of it was written.
+    /// The deadline of the call passed. The attempt ends as timed out, or as not sent if no byte of its
+    /// request was written.
     Expire(AttemptRef),
-    /// Load replicas of a function. It must be followed by one [`crate::Engine::load_completed`]. With 0 copies
-    /// the worker only reports how many are loaded.
+    /// Load replicas of a function. It must be followed by one [`crate::Engine::load_completed`]. If `copies`
+    /// is 0, the worker only reports how many replicas are loaded.
     Load {
-        /// The worker.
+        /// Worker that loads the replicas.
         worker: WorkerId,
-        /// The function.
+        /// Id of the function, to be passed to [`crate::Engine::load_completed`].
         function: FunctionId,
-        /// Name of the function.
+        /// Name of the function, as workers know it.
         name: Arc<str>,
-        /// Number of replicas that are to be loaded in total.
+        /// Target number of loaded replicas, including those already loaded.
         copies: u32,
     },
-    /// Unload the idle replicas of a function. No result is reported back.
+    /// Unload the idle replicas of a function. The result is not reported to the engine.
     Unload {
-        /// The worker.
+        /// Worker that holds the replicas.
         worker: WorkerId,
-        /// Name of the function.
+        /// Name of the function, as workers know it.
         name: Arc<str>,
     },
     /// Send a health check. It must be followed by one [`crate::Engine::probe_completed`].
@@ -53,15 +55,15 @@
     Subscribe,
     /// A worker ran another version than the call's, or reported none. Its result was discarded.
     VersionMismatch {
-        /// The worker.
+        /// Worker that returned the result.
         worker: WorkerId,
-        /// The version that was to run.
+        /// Version for which the call was accepted.
         version: Version,
-        /// What the worker reported to have run.
+        /// Version or digest that the worker reported; `None` if it reported none.
         ran: Option<Arc<str>>,
     },
     /// Deliver the final answer to a ticket.
     Answer(Ticket, Answer),
-    /// The same client repeated the call: this ticket gets no answer, the one of the repeat does.
+    /// The same client repeated the call: this ticket gets no answer, the ticket of the repeat gets it.
     Superseded(Ticket),
 }
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -1,11 +1,11 @@
-//! A timer queue as a binary heap. Timers are not cancelled: whoever set one ignores it when it fires stale, which costs
-//! one `pop`. Used by the engine, the connection pool and the front ends.
+//! A timer queue as a binary heap. Timers cannot be cancelled: the owner ignores a stale timer when it fires,
+//! at the cost of one `pop`. Used by the engine, the connection pool and the front ends.
 
 use slatevalve::Micros;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Timers ordered by due time; of equal times the one set first fires first.
+/// Timers ordered by due time; timers with equal due times fire in the order in which they were set.
 #[derive(Debug)]
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
@@ -59,7 +59,7 @@
         self.next_sequence += 1;
     }
 
-    /// Due time of the next timer.
+    /// Due time of the next timer; `None` if no timer is set.
     #[must_use]
     pub fn next(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse(entry)| entry.due)
@@ -73,13 +73,13 @@
         self.heap.pop().map(|Reverse(entry)| entry.timer)
     }
 
-    /// Number of timers set, stale ones included.
+    /// Number of pending timers, including stale ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether no timer is set.
+    /// Whether no timer is pending.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
--- a/crates/engine/src/version.rs
+++ b/crates/engine/src/version.rs
@@ -1,14 +1,14 @@
-//! The version of a function that a call was accepted for.
+//! The version of a function for which a call was accepted.
 
 use std::sync::Arc;
 
-/// The version that the name in a call referred to when the call was accepted.
+/// The version to which the function name of a call resolved when the call was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Version {
-    /// Name of the version.
+    /// Name of the version, as sent to clients.
     pub name: Arc<str>,
-    /// Digest of its content. Every worker that runs it must report this digest.
+    /// Digest of the version's content. A result is accepted only if the worker reports this digest.
     pub digest: Arc<str>,
-    /// Name under which the balancer and the workers know it; one function for each digest.
+    /// Function name used by the balancer and the workers; one for each digest.
     pub function: Arc<str>,
 }
--- a/crates/engine/tests/engine/calls.rs
+++ b/crates/engine/tests/engine/calls.rs
@@ -1,4 +1,4 @@
-//! Final answers: versions, disconnects, shutdown and limits.
+//! Final answers: version mismatches, disconnects, shutdown and limits.
 
 use crate::harness::*;
 use slatevalve::{Micros, Outcome};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_answer_from_other_content_is_not_passed_on_and_counts_as_run() {
+fn a_result_of_another_version_is_discarded_and_its_attempt_counts_as_run() {
     for class in [SAFE, UNSAFE] {
         let mut harness = Harness::new();
         let ticket = Ticket(700);
@@ -22,11 +22,11 @@
         harness.engine.call(harness.now, call, &mut harness.out);
         harness.drain_outputs();
         for _ in 0..3 {
-            if let Some((attempt, body)) = harness.waiting.first().cloned() {
+            if let Some((attempt, body)) = harness.in_flight.first().cloned() {
                 assert_eq!(&*body.function, "f@sha256:aa");
                 let end =
                     AttemptEnd { ran: Some("sha256:bb".into()), ..AttemptEnd::without_payload(Outcome::Ok) };
-                harness.waiting.clear();
+                harness.in_flight.clear();
                 harness.engine.attempt_completed(harness.now, attempt, end, &mut harness.out);
                 harness.drain_outputs();
             }
@@ -44,36 +44,36 @@
 }
 
 #[test]
-fn copies_are_ordered_ahead_for_a_function_that_takes_over() {
+fn replicas_are_loaded_in_advance_for_a_function_that_replaces_another() {
     let mut harness = Harness::new();
     for _ in 0..40 {
         harness.call(1, SAFE, None, Repeat::Unmarked);
-        harness.end_first(Outcome::Ok);
+        harness.end_oldest(Outcome::Ok);
     }
     let (new, mut out): (Arc<str>, _) = ("f@new".into(), Vec::new());
     assert!(harness.engine.workers_serving("f") >= 1);
     assert_eq!(harness.engine.expect_load(harness.now, &new, "f", 1, &mut out), 1);
     assert!(matches!(&out[..], [Output::Load { name, copies: 1, .. }] if **name == *new));
-    assert_eq!(harness.engine.expect_load(harness.now, &new, "nobody", 1, &mut out), 0);
+    assert_eq!(harness.engine.expect_load(harness.now, &new, "function-without-calls", 1, &mut out), 0);
 }
 
 #[test]
-fn a_safe_call_is_called_off_when_its_client_leaves_and_a_charge_runs_on_for_the_record() {
+fn a_disconnect_cancels_an_idempotent_call_but_not_one_whose_answer_is_stored() {
     let mut harness = Harness::new();
-    let (quote, charge) =
+    let (idempotent, non_idempotent) =
         (harness.call(1, SAFE, None, Repeat::Unmarked), harness.call(1, UNSAFE, Some("k"), Repeat::Unmarked));
-    harness.engine.client_disconnected(harness.now, quote, &mut harness.out);
-    harness.engine.client_disconnected(harness.now, charge, &mut harness.out);
+    harness.engine.client_disconnected(harness.now, idempotent, &mut harness.out);
+    harness.engine.client_disconnected(harness.now, non_idempotent, &mut harness.out);
     harness.drain_outputs();
-    assert_eq!(harness.waiting.len(), 1, "the quote's attempt was called off");
-    harness.end_first(Outcome::Ok);
+    assert_eq!(harness.in_flight.len(), 1, "only the idempotent call's attempt is cancelled");
+    harness.end_oldest(Outcome::Ok);
     assert!(harness.answers.is_empty() && harness.engine.is_idle());
-    let again = harness.call(1, UNSAFE, Some("k"), Repeat::Unmarked);
-    assert_eq!((harness.verdicts(again), harness.sent.len()), (vec!["served"], 2));
+    let repeat = harness.call(1, UNSAFE, Some("k"), Repeat::Unmarked);
+    assert_eq!((harness.verdicts(repeat), harness.sent.len()), (vec!["served"], 2));
 }
 
 #[test]
-fn stopping_refuses_what_never_ran_and_fails_what_may_have() {
+fn stopping_refuses_new_calls_and_fails_open_ones_that_may_have_run() {
     let mut harness = Harness::new();
     let sent = harness.call(1, SAFE, None, Repeat::Unmarked);
     harness.engine.stop(harness.now, Micros(harness.now.0 + 50_000));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn everything_is_bounded_and_what_is_beyond_is_refused_with_its_reason() {
+fn calls_beyond_the_limits_of_open_calls_and_keys_are_refused() {
     let mut harness = Harness::new();
     let tickets: Vec<Ticket> = (0..40).map(|_| harness.call(1, SAFE, None, Repeat::Unmarked)).collect();
     assert_eq!(harness.reason(tickets[39]), Some(Reason::TooManyOpen));
@@ -92,8 +92,8 @@
     assert!(tickets.iter().all(|t| harness.verdicts(*t).len() == 1));
     for n in 0..64 {
         harness.call(1, UNSAFE, Some(&format!("k{n}")), Repeat::Unmarked);
-        harness.end_first(Outcome::Ok);
+        harness.end_oldest(Outcome::Ok);
     }
-    let beyond = harness.call(1, UNSAFE, Some("one more"), Repeat::Unmarked);
-    assert_eq!(harness.reason(beyond), Some(Reason::KeyTableFull));
+    let over_limit = harness.call(1, UNSAFE, Some("one more"), Repeat::Unmarked);
+    assert_eq!(harness.reason(over_limit), Some(Reason::KeyTableFull));
 }
--- a/crates/engine/tests/engine/harness.rs
+++ b/crates/engine/tests/engine/harness.rs
@@ -1,4 +1,5 @@
-//! A test harness in place of the event loop: the engine, its clock, and the attempts that are in flight.
+//! Test harness that replaces the event loop: runs the engine with a simulated clock and tracks attempts in
+//! flight.
 
 use slatevalve::{
     Class, ClassId, Effect, Group, Limits, Listing, Loading, Micros, Outcome, Scope, Settings, WorkerEntry,
@@ -11,19 +12,21 @@
 pub(crate) const KEYED: ClassId = ClassId(1);
 pub(crate) const UNSAFE: ClassId = ClassId(2);
 
-/// An engine, its clock and its outputs.
+/// An engine with a simulated clock, and what it has put out.
 pub(crate) struct Harness {
     pub(crate) engine: Engine,
     pub(crate) now: Micros,
     pub(crate) out: Vec<Output>,
-    pub(crate) next: u64,
+    /// Number of the last ticket; tickets are numbered from 1.
+    pub(crate) last_ticket: u64,
     pub(crate) answers: BTreeMap<Ticket, Vec<Answer>>,
     pub(crate) superseded: BTreeSet<Ticket>,
-    /// Attempts in flight.
-    pub(crate) waiting: Vec<(AttemptRef, Arc<RunBody>)>,
+    /// Attempts in flight, in the order in which they were sent.
+    pub(crate) in_flight: Vec<(AttemptRef, Arc<RunBody>)>,
+    /// Bodies of all attempts that were sent.
     pub(crate) sent: Vec<Arc<RunBody>>,
-    /// Outcome of each attempt of a non-idempotent call, by key, since the start of the engine.
-    pub(crate) charges: HashMap<Arc<[u8]>, BTreeMap<AttemptRef, Option<Outcome>>>,
+    /// Attempts of non-idempotent calls by key, with their outcomes; `None` while in flight.
+    pub(crate) non_idempotent_attempts: HashMap<Arc<[u8]>, BTreeMap<AttemptRef, Option<Outcome>>>,
 }
 
 pub(crate) fn settings(retention: Micros) -> EngineSettings {
@@ -45,7 +48,7 @@
     }
 }
 
-/// A call of the function `f` by client 1 without a key, which is no repeat.
+/// Returns a call of the function `f` by client 1, without a key and not marked as a repeat.
 pub(crate) fn new_call(ticket: Ticket, class: ClassId) -> Call {
     Call {
         ticket,
@@ -74,12 +77,12 @@
             engine: Engine::new(settings(retention)),
             now: Micros(0),
             out: Vec::new(),
-            next: 0,
+            last_ticket: 0,
             answers: BTreeMap::new(),
             superseded: BTreeSet::new(),
-            waiting: Vec::new(),
+            in_flight: Vec::new(),
             sent: Vec::new(),
-            charges: HashMap::new(),
+            non_idempotent_attempts: HashMap::new(),
         };
         let entries = ["a", "b"].map(|n| WorkerEntry { id: worker_id(n), ..WorkerEntry::default() });
         let listing = Listing { scope: Scope::Full, entries: entries.into() };
@@ -88,33 +91,33 @@
     }
 
     pub(crate) fn call(&mut self, client: u64, class: ClassId, key: Option<&str>, repeat: Repeat) -> Ticket {
-        self.next += 1;
+        self.last_ticket += 1;
         let call = Call {
             client: ClientRef(client),
             key: key.map(|k| k.as_bytes().into()),
             repeat,
-            ..new_call(Ticket(self.next), class)
+            ..new_call(Ticket(self.last_ticket), class)
         };
         self.engine.call(self.now, call, &mut self.out);
         self.drain_outputs();
-        Ticket(self.next)
+        Ticket(self.last_ticket)
     }
 
-    /// Executes the outputs: attempts that are cancelled or expire end so at once.
+    /// Executes the outputs. Cancelled and expired attempts end at once with that outcome.
     pub(crate) fn drain_outputs(&mut self) {
         while !self.out.is_empty() {
             for output in std::mem::take(&mut self.out) {
                 match output {
                     Output::Send { attempt, body, .. } => {
                         self.sent.push(body.clone());
-                        self.note_charge(attempt, &body);
-                        self.waiting.push((attempt, body));
+                        self.record_non_idempotent_attempt(attempt, &body);
+                        self.in_flight.push((attempt, body));
                     }
                     Output::Cancel(attempt) => self.end(attempt, Outcome::Cancelled),
                     Output::Expire(attempt) => self.end(attempt, Outcome::TimedOut),
                     Output::Answer(ticket, answer) => self.answers.entry(ticket).or_default().push(answer),
                     Output::Superseded(ticket) => {
-                        assert!(self.superseded.insert(ticket), "superseded twice");
+                        assert!(self.superseded.insert(ticket), "{ticket:?} was superseded twice");
                     }
                     _ => {}
                 }
@@ -122,35 +125,36 @@
         }
     }
 
-    /// Asserts that an attempt of a non-idempotent call is sent only if no earlier one can have run.
-    pub(crate) fn note_charge(&mut self, attempt: AttemptRef, body: &RunBody) {
+    /// Records an attempt; asserts that one of a non-idempotent call is sent only if no earlier one can have
+    /// run.
+    pub(crate) fn record_non_idempotent_attempt(&mut self, attempt: AttemptRef, body: &RunBody) {
         if body.class == UNSAFE {
-            let key = body.key.clone().expect("a charge without a key was sent");
-            let earlier = self.charges.entry(key).or_default();
-            let safe = earlier.values().all(|o| o.is_some_and(Outcome::proves_not_run));
-            assert!(safe, "{attempt:?} was sent after {earlier:?}");
+            let key = body.key.clone().expect("a non-idempotent call was sent without a key");
+            let earlier = self.non_idempotent_attempts.entry(key).or_default();
+            let none_ran = earlier.values().all(|o| o.is_some_and(Outcome::proves_not_run));
+            assert!(none_ran, "{attempt:?} was sent although an earlier attempt may have run: {earlier:?}");
             earlier.insert(attempt, None);
         }
     }
 
     /// Ends an attempt, which may be unknown to the engine.
     pub(crate) fn end(&mut self, attempt: AttemptRef, outcome: Outcome) {
-        for ends in self.charges.values_mut() {
-            ends.entry(attempt).and_modify(|end| *end = end.or(Some(outcome)));
+        for attempts in self.non_idempotent_attempts.values_mut() {
+            attempts.entry(attempt).and_modify(|recorded| *recorded = recorded.or(Some(outcome)));
         }
-        self.waiting.retain(|(a, _)| *a != attempt);
+        self.in_flight.retain(|(a, _)| *a != attempt);
         self.engine.attempt_completed(self.now, attempt, AttemptEnd::without_payload(outcome), &mut self.out);
     }
 
-    /// Ends the attempt that is in flight for longest, if any.
-    pub(crate) fn end_first(&mut self, outcome: Outcome) {
-        if let Some((attempt, _)) = self.waiting.first().cloned() {
+    /// Ends the attempt that has been in flight longest, if any.
+    pub(crate) fn end_oldest(&mut self, outcome: Outcome) {
+        if let Some((attempt, _)) = self.in_flight.first().cloned() {
             self.end(attempt, outcome);
             self.drain_outputs();
         }
     }
 
-    /// Lets time pass and fires the timers that become due.
+    /// Advances the clock and fires the timers that become due.
     pub(crate) fn advance_by(&mut self, micros: i64) {
         let until = Micros(self.now.0 + micros);
         while let Some(at) = self.engine.next_wake().filter(|at| *at <= until) {
--- a/crates/engine/tests/engine/main.rs
+++ b/crates/engine/tests/engine/main.rs
@@ -1,4 +1,5 @@
-//! The engine with a test in place of the event loop: what clients receive, whatever workers and clients do.
+//! Tests of the engine through its public interface; the harness replaces the event loop, workers and
+//! clients.
 
 mod calls;
 mod harness;
--- a/crates/engine/tests/engine/properties.rs
+++ b/crates/engine/tests/engine/properties.rs
@@ -1,4 +1,4 @@
-//! Properties over random sequences of events.
+//! Property tests over random sequences of events.
 
 use crate::harness::*;
 use proptest::prelude::*;
@@ -9,12 +9,29 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Call { client: u64, class: usize, key: Option<u8>, marked: bool },
-    End { which: usize, outcome: Outcome },
-    Late { which: u64, outcome: Outcome },
-    Leave(u64),
-    Pass(i64),
-    Gone(bool),
+    Call {
+        client: u64,
+        class: usize,
+        key: Option<u8>,
+        marked: bool,
+    },
+    /// Ends the attempt with this index among those in flight.
+    EndAttempt {
+        index: usize,
+        outcome: Outcome,
+    },
+    /// Reports the end of the first attempt of a request, if that attempt is not in flight.
+    EndUnknownAttempt {
+        request: u64,
+        outcome: Outcome,
+    },
+    Disconnect {
+        ticket: u64,
+    },
+    AdvanceTime {
+        micros: i64,
+    },
+    SetWorkerGone(bool),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -33,11 +50,11 @@
     let step = prop_oneof![
         4 => (0u64..3, 0usize..3, prop::option::of(0u8..4), any::<bool>())
             .prop_map(|(client, class, key, marked)| Step::Call { client, class, key, marked }),
-        4 => (0usize..4, outcome()).prop_map(|(which, outcome)| Step::End { which, outcome }),
-        1 => (0u64..30, outcome()).prop_map(|(which, outcome)| Step::Late { which, outcome }),
-        1 => (0u64..30).prop_map(Step::Leave),
-        3 => (0i64..400_000).prop_map(Step::Pass),
-        1 => any::<bool>().prop_map(Step::Gone),
+        4 => (0usize..4, outcome()).prop_map(|(index, outcome)| Step::EndAttempt { index, outcome }),
+        1 => (0u64..30, outcome()).prop_map(|(request, outcome)| Step::EndUnknownAttempt { request, outcome }),
+        1 => (0u64..30).prop_map(|ticket| Step::Disconnect { ticket }),
+        3 => (0i64..400_000).prop_map(|micros| Step::AdvanceTime { micros }),
+        1 => any::<bool>().prop_map(Step::SetWorkerGone),
     ];
     prop::collection::vec(step, 1..60)
 }
@@ -47,11 +64,12 @@
         cases: 300, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// The two promises: one answer for each ticket, and no key that may have run is sent again.
+    /// Checks the two guarantees of the engine: each ticket gets one answer, and a non-idempotent call that
+    /// may have run is not sent again (asserted by the harness).
     #[test]
-    fn whatever_happens_each_ticket_is_answered_once_and_no_charge_is_sent_twice(steps in steps()) {
+    fn each_ticket_gets_one_answer_and_no_non_idempotent_call_can_run_twice(steps in steps()) {
         let mut harness = Harness::with_retention(Micros(100_000_000));
-        let (mut asked, mut left) = (Vec::new(), BTreeSet::new());
+        let (mut submitted, mut disconnected) = (Vec::new(), BTreeSet::new());
         for step in steps {
             match step {
                 Step::Call { client, class, key, marked } => {
@@ -60,30 +78,30 @@
                         true => Repeat::Marked { covered_since: Some(harness.now) },
                         false => Repeat::Unmarked,
                     };
-                    asked.push(harness.call(client, ClassId(class), key.as_deref(), repeat));
+                    submitted.push(harness.call(client, ClassId(class), key.as_deref(), repeat));
                 }
-                Step::End { which, outcome } => {
-                    if let Some((attempt, _)) = harness.waiting.get(which).cloned() {
+                Step::EndAttempt { index, outcome } => {
+                    if let Some((attempt, _)) = harness.in_flight.get(index).cloned() {
                         harness.end(attempt, outcome);
                         harness.drain_outputs();
                     }
                 }
-                Step::Late { which, outcome } => {
-                    let attempt = AttemptRef { request: slatevalve::RequestId(which), attempt: 0 };
-                    if !harness.waiting.iter().any(|(a, _)| *a == attempt) {
+                Step::EndUnknownAttempt { request, outcome } => {
+                    let attempt = AttemptRef { request: slatevalve::RequestId(request), attempt: 0 };
+                    if !harness.in_flight.iter().any(|(a, _)| *a == attempt) {
                         harness.end(attempt, outcome);
                         harness.drain_outputs();
                     }
                 }
-                Step::Leave(ticket) => {
-                    if asked.contains(&Ticket(ticket)) && harness.verdicts(Ticket(ticket)).is_empty() {
-                        left.insert(Ticket(ticket));
+                Step::Disconnect { ticket } => {
+                    if submitted.contains(&Ticket(ticket)) && harness.verdicts(Ticket(ticket)).is_empty() {
+                        disconnected.insert(Ticket(ticket));
                         harness.engine.client_disconnected(harness.now, Ticket(ticket), &mut harness.out);
                         harness.drain_outputs();
                     }
                 }
-                Step::Pass(micros) => harness.advance_by(micros),
-                Step::Gone(gone) => {
+                Step::AdvanceTime { micros } => harness.advance_by(micros),
+                Step::SetWorkerGone(gone) => {
                     let state = if gone { slatevalve::WorkerState::Gone } else { slatevalve::WorkerState::Ready };
                     let entries = vec![WorkerEntry { id: worker_id("a"), state, ..WorkerEntry::default() }];
                     let listing = Listing { scope: Scope::Changes, entries };
@@ -93,11 +111,11 @@
             }
         }
         harness.advance_by(3_000_000);
-        for ticket in asked {
-            let owed = usize::from(!harness.superseded.contains(&ticket) && !left.contains(&ticket));
-            prop_assert_eq!(harness.verdicts(ticket).len(), owed, "{:?}", ticket);
+        for ticket in submitted {
+            let expected = usize::from(!harness.superseded.contains(&ticket) && !disconnected.contains(&ticket));
+            prop_assert_eq!(harness.verdicts(ticket).len(), expected, "{:?}", ticket);
         }
-        prop_assert_eq!(harness.engine.statistics().overdue, 0, "the module left a call without an answer");
-        prop_assert!(harness.engine.is_idle(), "something is left behind");
+        prop_assert_eq!(harness.engine.statistics().overdue, 0, "the balancer did not end a call in time");
+        prop_assert!(harness.engine.is_idle(), "calls or tickets are still open");
     }
 }
