--- a/crates/engine/src/duplicates/tests.rs
+++ b/crates/engine/src/duplicates/tests.rs
@@ -66,9 +66,8 @@
     };
     assert_eq!(answer.verdict, Verdict::Failed(Reason::ResultEvicted));
     let (digest, fingerprint) = key(2);
-    assert!(
-        matches!(duplicates.lookup(Micros(1), digest, fingerprint), KeyStatus::Completed(a) if a.verdict.as_str() == "served")
-    );
+    let newest = duplicates.lookup(Micros(1), digest, fingerprint);
+    assert!(matches!(newest, KeyStatus::Completed(answer) if answer.verdict.as_str() == "served"));
     assert!(duplicates.result_bytes <= 100);
 }
 
--- a/crates/engine/tests/engine/properties.rs
+++ b/crates/engine/tests/engine/properties.rs
@@ -3,7 +3,7 @@
 use crate::harness::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use slatevalve::{ClassId, Listing, Micros, Outcome, Scope, WorkerEntry};
+use slatevalve::{ClassId, Listing, Micros, Outcome, Scope, WorkerEntry, WorkerState};
 use slatevalve_engine::*;
 use std::collections::BTreeSet;
 
@@ -51,7 +51,8 @@
         4 => (0u64..3, 0usize..3, prop::option::of(0u8..4), any::<bool>())
             .prop_map(|(client, class, key, marked)| Step::Call { client, class, key, marked }),
         4 => (0usize..4, outcome()).prop_map(|(index, outcome)| Step::EndAttempt { index, outcome }),
-        1 => (0u64..30, outcome()).prop_map(|(request, outcome)| Step::EndUnknownAttempt { request, outcome }),
+        1 => (0u64..30, outcome())
+            .prop_map(|(request, outcome)| Step::EndUnknownAttempt { request, outcome }),
         1 => (0u64..30).prop_map(|ticket| Step::Disconnect { ticket }),
         3 => (0i64..400_000).prop_map(|micros| Step::AdvanceTime { micros }),
         1 => any::<bool>().prop_map(Step::SetWorkerGone),
@@ -102,7 +103,7 @@
                 }
                 Step::AdvanceTime { micros } => harness.advance_by(micros),
                 Step::SetWorkerGone(gone) => {
-                    let state = if gone { slatevalve::WorkerState::Gone } else { slatevalve::WorkerState::Ready };
+                    let state = if gone { WorkerState::Gone } else { WorkerState::Ready };
                     let entries = vec![WorkerEntry { id: worker_id("a"), state, ..WorkerEntry::default() }];
                     let listing = Listing { scope: Scope::Changes, entries };
                     harness.engine.workers_listed(harness.now, listing, &mut harness.out);
@@ -112,7 +113,8 @@
         }
         harness.advance_by(3_000_000);
         for ticket in submitted {
-            let expected = usize::from(!harness.superseded.contains(&ticket) && !disconnected.contains(&ticket));
+            let is_answered = !harness.superseded.contains(&ticket) && !disconnected.contains(&ticket);
+            let expected = usize::from(is_answered);
             prop_assert_eq!(harness.verdicts(ticket).len(), expected, "{:?}", ticket);
         }
         prop_assert_eq!(harness.engine.statistics().overdue, 0, "the balancer did not end a call in time");
--- a/crates/http/src/decoder.rs
+++ b/crates/http/src/decoder.rs
@@ -1,6 +1,6 @@
-//! Incremental decoding of one HTTP/1.1 message after another: the head, then the body as it arrives (RFC 9112).
+//! Incremental decoding of consecutive HTTP/1.1 messages (RFC 9112): the head, then the body as it arrives.
 //!
-//! Messages are never pipelined here: bytes after the end of a message are an error.
+//! Pipelining is not supported: bytes after the end of a message are an error.
 
 use crate::error::MessageError;
 use crate::head::{framing, parse_head, Framing, Head, ParsedHead, Side};
@@ -8,15 +8,15 @@
 const CRLF: &[u8] = b"\r\n";
 /// The end of a line and an empty line: the end of the trailer fields.
 const EMPTY_LINE: &[u8] = b"\r\n\r\n";
-/// Bytes of a chunk's size line, extensions included, at most.
+/// Maximum length in bytes of a chunk's size line, including extensions.
 const CHUNK_SIZE_LINE_MAX: usize = 256;
 
-/// Size limits of a message.
+/// Size limits of a message, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of the head: start line and headers.
+    /// Maximum size of the head: start line and headers.
     pub head: usize,
-    /// Bytes of the body, chunk framing not counted.
+    /// Maximum size of the body, without chunk framing.
     pub body: usize,
 }
 
@@ -84,7 +84,7 @@
     state: State,
     /// Bytes of the current body decoded so far.
     body_length: usize,
-    /// Whether the next response has no body, whatever its head declares, as it answers a HEAD request.
+    /// Whether the next response answers a HEAD request and so has no body, whatever its head declares.
     expects_no_body: bool,
 }
 
@@ -116,17 +116,17 @@
     /// Decodes bytes and appends the result to `out`. After [`MessageEvent::End`] the next message may begin.
     ///
     /// # Errors
-    /// When the bytes are not a message that this crate accepts; the connection is then to be closed. What was appended
-    /// before the error remains valid.
+    /// If the bytes are not a message that this crate accepts; the connection must then be closed. Events
+    /// appended before the error remain valid.
     pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<MessageEvent>) -> Result<(), MessageError> {
         self.buffer.extend_from_slice(bytes);
         loop {
             let (state, length) = (self.state, self.buffer.len());
             if self.step(out)? == Progress::Complete {
-                // Nobody sends the next message before this one has been answered.
+                // Without pipelining, the peer sends no further message before this one is answered.
                 return if self.buffer.is_empty() { Ok(()) } else { Err(MessageError::Trailing) };
             }
-            // A step that changes nothing needs more bytes.
+            // A step without progress needs more bytes.
             if state == self.state && length == self.buffer.len() {
                 return Ok(());
             }
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,25 +1,25 @@
-//! Why bytes are rejected.
+//! The error of the parser.
 
 use std::error::Error;
 use std::fmt;
 
-/// Why bytes are not a message that this crate accepts. The connection cannot be used any further.
+/// Why bytes are not a message that this crate accepts. The connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageError {
     /// Not HTTP/1.1.
     Syntax(httparse::Error),
-    /// The head exceeds the limit, or the number of headers does.
+    /// The head exceeds its size limit, or there are too many headers.
     HeadTooLong,
-    /// The body exceeds the limit.
+    /// The body exceeds its size limit.
     BodyTooLong,
-    /// Ambiguous or unsupported framing (RFC 9112 section 6.3): both a length and chunks, several lengths, a transfer coding
-    /// other than chunked, or a length that is not a number.
+    /// Ambiguous or unsupported framing (RFC 9112 section 6.3): both a length and chunks, several lengths, a
+    /// transfer coding other than chunked, or a length that is not a number.
     Framing,
     /// The size line or the end of a chunk is malformed.
     Chunk,
     /// Bytes arrived after the end of the message.
     Trailing,
-    /// The connection ended within the message.
+    /// The connection was closed before the end of the message.
     Truncated,
 }
 
@@ -29,10 +29,10 @@
             MessageError::Syntax(_) => "not HTTP/1.1",
             MessageError::HeadTooLong => "the head is too long",
             MessageError::BodyTooLong => "the body is too long",
-            MessageError::Framing => "the body's length is stated wrongly or twice",
+            MessageError::Framing => "the framing of the body is ambiguous or unsupported",
             MessageError::Chunk => "a chunk is malformed",
-            MessageError::Trailing => "bytes came after the message",
-            MessageError::Truncated => "the connection ended within the message",
+            MessageError::Trailing => "unexpected bytes after the end of the message",
+            MessageError::Truncated => "the connection was closed before the end of the message",
         })
     }
 }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -2,15 +2,15 @@
 
 use crate::error::MessageError;
 
-/// Number of headers of one message, at most.
+/// Maximum number of headers of one message.
 const MAX_HEADERS: usize = 64;
 
-/// The kind of message that is read.
+/// Kind of the messages to parse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// A request, as a server reads it.
+    /// Requests, as received by a server.
     Request,
-    /// A response, as a client reads it.
+    /// Responses, as received by a client.
     Response,
 }
 
@@ -23,21 +23,22 @@
     pub target: String,
     /// Status of a response; 0 for a request.
     pub status: u16,
-    /// Header names as sent, and values.
+    /// Header names and values, as sent and in the order of transmission.
     pub headers: Vec<(String, Vec<u8>)>,
     /// Whether the sender closes the connection after this message.
     pub closes_connection: bool,
 }
 
 impl Head {
-    /// The first value of a header, trimmed; none where it is absent or not UTF-8. Names are compared without regard to case.
+    /// Returns the first value of a header, trimmed; `None` if it is absent or not UTF-8. Names are
+    /// case-insensitive.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         let value = self.values(name).next()?;
         std::str::from_utf8(value).ok().map(str::trim)
     }
 
-    /// The values of all headers of a name.
+    /// Returns the values of all headers with a name.
     fn values<'a: 'n, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a [u8]> + 'n {
         self.headers
             .iter()
@@ -55,11 +56,11 @@
 /// A parsed head.
 pub(crate) struct ParsedHead {
     pub(crate) head: Head,
-    /// Number of bytes that it takes, the empty line included.
+    /// Length in bytes, including the empty line.
     pub(crate) length: usize,
 }
 
-/// Parses the head at the start of `bytes`; none if it is incomplete.
+/// Parses the head at the start of `bytes`; `None` if it is incomplete.
 pub(crate) fn parse_head(side: Side, bytes: &[u8]) -> Result<Option<ParsedHead>, MessageError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = Head::default();
@@ -97,7 +98,7 @@
     UntilClose,
 }
 
-/// The framing of a message's body (RFC 9112 section 6.3).
+/// Determines the framing of a message's body (RFC 9112 section 6.3).
 pub(crate) fn framing(side: Side, head: &Head) -> Result<Framing, MessageError> {
     if side == Side::Response && matches!(head.status, 204 | 304) {
         return Ok(Framing::Length(0));
@@ -113,7 +114,7 @@
     }
 }
 
-/// Parses a length. One too large for the type is the largest: it exceeds any limit.
+/// Parses a length. One that does not fit in `usize` becomes `usize::MAX`, which exceeds any limit.
 fn content_length(value: &[u8]) -> Result<usize, MessageError> {
     if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
         return Err(MessageError::Framing);
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,9 @@
-//! HTTP/1.1 message parsing without I/O (RFC 9112): bytes in, heads and bodies out, within limits.
+//! HTTP/1.1 message parsing (RFC 9112) with size limits, without I/O.
 //!
-//! [`MessageDecoder`] decodes a message incrementally and passes its body on as it arrives (layers of plug-ins, a registry's
-//! watch); [`MessageReader`] collects whole messages (the worker protocol). Both bound the size of head and body, and reject
-//! framing that two parsers could interpret differently (request smuggling).
+//! [`MessageDecoder`] decodes a message incrementally and returns its body as it arrives (layers of plug-ins,
+//! the watch of a registry); [`MessageReader`] collects whole messages (the worker protocol). Both limit the
+//! size of head and body, and reject framing that two parsers could interpret differently (request
+//! smuggling).
 //!
 //! | module | concern |
 //! | --- | --- |
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -1,4 +1,4 @@
-//! Whole messages, for callers that need all of one before acting on it.
+//! Whole messages, for callers that process a message only once it is complete.
 
 use crate::decoder::{Limits, MessageDecoder, MessageEvent};
 use crate::error::MessageError;
@@ -17,8 +17,9 @@
 #[derive(Debug)]
 pub struct MessageReader {
     decoder: MessageDecoder,
-    /// The message as far as it has been read.
+    /// The part of the current message that has been read so far.
     message: Message,
+    /// Buffer for the decoder's output, empty between calls.
     decoded: Vec<MessageEvent>,
 }
 
@@ -39,10 +40,10 @@
         self.decoder.is_idle()
     }
 
-    /// Reads bytes; returns the message once it is complete, after which the next one may begin.
+    /// Parses bytes; returns the message once it is complete, after which the next one may begin.
     ///
     /// # Errors
-    /// When the bytes are not a message that this crate accepts; the connection is then to be closed.
+    /// If the bytes are not a message that this crate accepts; the connection must then be closed.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Message>, MessageError> {
         self.decoder.feed(bytes, &mut self.decoded)?;
         let mut complete = None;
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,67 +1,68 @@
-//! Reading whole messages: framing, limits, malformed and truncated input.
+//! Parsing of whole messages: framing, limits, and malformed or truncated input.
 
 use slatevalve_http::{Limits, Message, MessageError, MessageReader, Side};
 
-fn whole(side: Side, bytes: &[u8]) -> Result<Option<Message>, MessageError> {
+fn parse(side: Side, bytes: &[u8]) -> Result<Option<Message>, MessageError> {
     MessageReader::new(side, Limits { head: 512, body: 64 }).feed(bytes)
 }
 
 #[test]
-fn pieces_of_any_size_give_the_same_message() {
+fn a_message_in_pieces_of_any_size_is_parsed_the_same() {
     let bytes: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n\
         4\r\nabcd\r\n3;x=y\r\nefg\r\n0\r\nT: v\r\n\r\n";
-    for step in 1..bytes.len() {
+    for piece_length in 1..bytes.len() {
         let mut reader = MessageReader::new(Side::Response, Limits { head: 512, body: 64 });
-        let mut found = None;
-        for piece in bytes.chunks(step) {
-            assert!(found.is_none());
-            found = reader.feed(piece).unwrap();
+        let mut message = None;
+        for piece in bytes.chunks(piece_length) {
+            assert!(message.is_none());
+            message = reader.feed(piece).unwrap();
         }
-        assert_eq!(found.expect("whole").body, b"abcdefg");
+        assert_eq!(message.expect("a complete message").body, b"abcdefg");
         assert!(reader.is_idle());
     }
 }
 
 #[test]
-fn framing_that_two_readers_could_take_differently_is_an_error() {
-    let two = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na";
-    let both = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    let sign = b"HTTP/1.1 200 OK\r\nContent-Length: +1\r\n\r\na";
-    for bytes in [&two[..], both, sign] {
-        assert_eq!(whole(Side::Response, bytes), Err(MessageError::Framing));
+fn ambiguous_framing_is_an_error() {
+    let two_lengths = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na";
+    let length_and_chunks =
+        b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
+    let signed_length = b"HTTP/1.1 200 OK\r\nContent-Length: +1\r\n\r\na";
+    for bytes in [&two_lengths[..], length_and_chunks, signed_length] {
+        assert_eq!(parse(Side::Response, bytes), Err(MessageError::Framing));
     }
 }
 
 #[test]
-fn limits_hold_for_head_body_and_chunks() {
-    let long = format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(600));
-    assert_eq!(whole(Side::Request, long.as_bytes()), Err(MessageError::HeadTooLong));
-    let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(70));
-    assert_eq!(whole(Side::Request, many.as_bytes()), Err(MessageError::HeadTooLong));
+fn heads_bodies_and_chunks_beyond_the_limits_are_rejected() {
+    let long_header = format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(600));
+    assert_eq!(parse(Side::Request, long_header.as_bytes()), Err(MessageError::HeadTooLong));
+    let many_headers = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(70));
+    assert_eq!(parse(Side::Request, many_headers.as_bytes()), Err(MessageError::HeadTooLong));
     let body = b"POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n";
-    assert_eq!(whole(Side::Request, body), Err(MessageError::BodyTooLong));
+    assert_eq!(parse(Side::Request, body), Err(MessageError::BodyTooLong));
     let huge = b"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n";
-    assert_eq!(whole(Side::Request, huge), Err(MessageError::BodyTooLong));
+    assert_eq!(parse(Side::Request, huge), Err(MessageError::BodyTooLong));
     let chunk = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n";
-    assert_eq!(whole(Side::Response, chunk), Err(MessageError::BodyTooLong));
+    assert_eq!(parse(Side::Response, chunk), Err(MessageError::BodyTooLong));
 }
 
 #[test]
-fn a_cut_message_is_told_from_one_that_never_began() {
+fn a_truncated_message_is_an_error_but_a_close_between_messages_is_not() {
     let mut reader = MessageReader::new(Side::Response, Limits::default());
     assert_eq!(reader.end(), Ok(None));
     assert_eq!(reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab"), Ok(None));
     assert_eq!(reader.end(), Err(MessageError::Truncated));
     let mut reader = MessageReader::new(Side::Response, Limits::default());
     assert_eq!(reader.feed(b"HTTP/1.1 200 OK\r\n\r\nab"), Ok(None));
-    let message = reader.end().unwrap().expect("ended by the close");
+    let message = reader.end().unwrap().expect("a message that ends with the connection");
     assert!(message.head.closes_connection && message.body == b"ab");
 }
 
 #[test]
 fn bytes_after_a_message_are_an_error() {
     let two = b"GET / HTTP/1.1\r\n\r\nGET / HTTP/1.1\r\n\r\n";
-    assert_eq!(whole(Side::Request, two), Err(MessageError::Trailing));
+    assert_eq!(parse(Side::Request, two), Err(MessageError::Trailing));
 }
 
 proptest::proptest! {
@@ -72,7 +73,7 @@
     })]
 
     #[test]
-    fn no_bytes_make_the_reader_panic_or_give_more_than_its_limits(
+    fn arbitrary_bytes_cause_no_panic_and_no_body_beyond_the_limit(
         pieces in proptest::collection::vec(proptest::collection::vec(0u8..=255, 0..80), 0..8),
         start in proptest::sample::select(vec![
             &b""[..], b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"HTTP/1.1 200 OK\r\n",
--- a/crates/pacing/src/tests.rs
+++ b/crates/pacing/src/tests.rs
@@ -1,65 +1,68 @@
-//! Unit tests of the parent module.
+//! Tests of the distribution and the bounds of delays.
 
 use super::*;
 use proptest::prelude::*;
 
-/// Returns the largest number of drawn moments in any 200 ms.
-fn peak_in_200ms(mut moments: Vec<i64>) -> usize {
-    moments.sort_unstable();
-    let within = |first: &i64| moments.iter().filter(|m| (*first..*first + 200_000).contains(*m)).count();
-    moments.iter().map(within).max().unwrap_or(0)
+/// Returns the largest number of delays that end within the same 200 ms.
+fn peak_in_200ms(mut delays: Vec<i64>) -> usize {
+    delays.sort_unstable();
+    let within =
+        |first: &i64| delays.iter().filter(|delay| (*first..*first + 200_000).contains(*delay)).count();
+    delays.iter().map(within).max().unwrap_or(0)
 }
 
+/// Returns the schedules of `count` clients that all assume a fleet of `assumed`.
 fn fleet(count: usize, assumed: usize, per_second: f64) -> Vec<PollSchedule> {
     let limits = Limits { per_second, ..Limits::default() };
-    // All were given the same seed.
+    // All clients are configured with the same seed.
     (0..count).map(|n| PollSchedule::new(limits, assumed, derive_seed(1, &format!("r-{n}")))).collect()
 }
 
 #[test]
-fn a_herd_that_knows_its_size_comes_at_the_rate_that_the_service_takes() {
-    let moments: Vec<i64> = fleet(300, 300, 100.0).iter_mut().map(PollSchedule::first_delay_us).collect();
-    // Two requests each: 8 clients in 200 ms on average; drawn moments cluster to little more than twice that.
-    assert!((8..=22).contains(&peak_in_200ms(moments.clone())), "{}", peak_in_200ms(moments));
-    assert!(moments.iter().all(|m| *m <= 7_500_000));
+fn a_fleet_of_known_size_sends_its_first_requests_at_the_rate_of_the_service() {
+    let delays: Vec<i64> = fleet(300, 300, 100.0).iter_mut().map(PollSchedule::first_delay_us).collect();
+    // Two requests each: 8 clients in 200 ms on average; random delays cluster to little more than twice
+    // that.
+    assert!((8..=22).contains(&peak_in_200ms(delays.clone())), "{}", peak_in_200ms(delays));
+    assert!(delays.iter().all(|delay| *delay <= 7_500_000));
 }
 
 #[test]
-fn no_bound_gathers_a_herd_at_its_end() {
+fn bounded_delays_of_a_fleet_do_not_cluster_at_the_bound() {
     let limits = Limits { per_second: 100.0, ..Limits::default() };
-    let drawn = |wait: fn(&mut PollSchedule) -> i64| {
+    let peak_of = |draw: fn(&mut PollSchedule) -> i64| {
         let seeds = (0..300).map(|n| derive_seed(1, &format!("r-{n}")));
-        peak_in_200ms(seeds.map(|seed| wait(&mut PollSchedule::new(limits, 300, seed))).collect())
+        peak_in_200ms(seeds.map(|seed| draw(&mut PollSchedule::new(limits, 300, seed))).collect())
     };
-    assert!(drawn(PollSchedule::deferred_delay_us) <= 22, "{}", drawn(PollSchedule::deferred_delay_us));
-    let demanded_us = |p: &mut PollSchedule| p.failed(Some(60_000_000));
-    assert!(drawn(demanded_us) <= 30, "{}", drawn(demanded_us));
-    let again = |p: &mut PollSchedule| (0..9).map(|_| p.failed(None)).last().unwrap_or(0);
-    assert!(drawn(again) <= 22, "{}", drawn(again));
+    assert!(peak_of(PollSchedule::deferred_delay_us) <= 22, "{}", peak_of(PollSchedule::deferred_delay_us));
+    let after_retry_after = |p: &mut PollSchedule| p.failed(Some(60_000_000));
+    assert!(peak_of(after_retry_after) <= 30, "{}", peak_of(after_retry_after));
+    let after_nine_failures = |p: &mut PollSchedule| (0..9).map(|_| p.failed(None)).last().unwrap_or(0);
+    assert!(peak_of(after_nine_failures) <= 22, "{}", peak_of(after_nine_failures));
 }
 
 #[test]
-fn one_alone_never_waits_for_others_and_a_small_fleet_hardly() {
-    let mut one = PollSchedule::new(Limits::default(), 1, 7);
+fn a_single_client_is_not_delayed_and_a_small_fleet_hardly() {
+    let mut single = PollSchedule::new(Limits::default(), 1, 7);
     assert_eq!(
-        (one.first_delay_us(), one.deferred_delay_us(), one.interval_us(1_000_000, 9_000_000, 0.05)),
+        (single.first_delay_us(), single.deferred_delay_us(), single.interval_us(1_000_000, 9_000_000, 0.05)),
         (0, 0, 1_000_000)
     );
     assert!(fleet(12, 12, 500.0).iter_mut().all(|p| p.first_delay_us() < 60_000));
 }
 
 #[test]
-fn a_herd_that_believes_itself_small_makes_room_after_some_failures() {
+fn a_fleet_that_assumes_too_few_clients_spreads_out_after_some_failures() {
     let mut schedules = fleet(300, 10, 100.0);
     for _ in 0..5 {
         schedules.iter_mut().for_each(|p| assert!(p.failed(None) >= 0));
     }
-    let moments: Vec<i64> = schedules.iter_mut().map(|p| p.failed(None)).collect();
-    assert!(peak_in_200ms(moments.clone()) <= 60, "{}", peak_in_200ms(moments));
+    let delays: Vec<i64> = schedules.iter_mut().map(|p| p.failed(None)).collect();
+    assert!(peak_in_200ms(delays.clone()) <= 60, "{}", peak_in_200ms(delays));
 }
 
 #[test]
-fn the_service_s_own_word_is_kept_and_a_success_forgets_failures() {
+fn retry_after_is_honoured_and_a_success_resets_the_backoff() {
     let mut schedule = PollSchedule::new(Limits::default(), 1, 3);
     assert!((3_000_000..=3_100_000).contains(&schedule.failed(Some(3_000_000))));
     for _ in 0..20 {
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn another_member_is_asked_at_once() {
+fn another_member_is_tried_without_delay() {
     let limits = Limits { immediate_retries: 2, ..Limits::default() };
     let mut schedule = PollSchedule::new(limits, 1, 3);
     assert_eq!((schedule.failed(None), schedule.failed(None)), (0, 0));
@@ -82,7 +85,7 @@
 
 proptest! {
     #[test]
-    fn no_wait_is_longer_than_stated_whatever_is_believed_or_told(
+    fn no_delay_exceeds_its_bound_for_any_assumed_fleet_and_retry_after(
         clients in 0usize..1_000_000,
         per_second in 0.0f64..10_000.0,
         steps in prop::collection::vec((0u8..5, any::<i64>()), 1..60),
@@ -90,16 +93,16 @@
     ) {
         let limits = Limits { per_second, ..Limits::default() };
         let mut schedule = PollSchedule::new(limits, clients, seed);
-        for (what, demanded_us) in steps {
-            let wait = match what {
+        for (step, retry_after_us) in steps {
+            let delay_us = match step {
                 0 => schedule.first_delay_us(),
                 1 => schedule.deferred_delay_us(),
-                2 => schedule.failed(Some(demanded_us)),
+                2 => schedule.failed(Some(retry_after_us)),
                 3 => schedule.failed(None),
                 _ => schedule.interval_us(1_000_000, limits.max_delay_us, 0.05),
             };
-            let longest = if what == 1 { 2 * limits.max_delay_us } else { limits.max_delay_us };
-            prop_assert!((0..=longest).contains(&wait), "{} {}", what, wait);
+            let max_us = if step == 1 { 2 * limits.max_delay_us } else { limits.max_delay_us };
+            prop_assert!((0..=max_us).contains(&delay_us), "step {}: {} us", step, delay_us);
         }
     }
 }
--- a/crates/site-config/src/object.rs
+++ b/crates/site-config/src/object.rs
@@ -1,4 +1,4 @@
-//! Fields of a JSON object, each read with an error that names it. A field that is null counts as absent.
+//! Reads fields of a JSON object, with errors that name the field. A field that is null counts as absent.
 
 use serde_json::{Map, Value};
 use slatevalve::Micros;
@@ -13,21 +13,21 @@
 pub enum FieldError {
     /// The field is absent or null.
     Missing(String),
-    /// The field has another type.
+    /// The value has another type than the field requires.
     Type {
-        /// The field's name.
+        /// Name of the field.
         field: String,
-        /// What is wrong with the value, as the rest of a sentence: `is not a number`.
+        /// What is wrong with the value, as a predicate: `is not a number`.
         problem: &'static str,
     },
-    /// The field has a value that is not one of those known.
+    /// The value is not one of the known ones.
     Value {
-        /// The field's name.
+        /// Name of the field.
         field: String,
-        /// The field's value.
+        /// Value of the field.
         value: String,
     },
-    /// A value that must be an object is none.
+    /// The value with this name is not an object.
     NotObject(String),
 }
 
@@ -52,15 +52,15 @@
     Err(FieldError::Type { field: field.into(), problem })
 }
 
-/// The error for a value of a field that is not one of those known.
+/// Returns [`FieldError::Value`] for a field whose value is not one of the known ones.
 ///
 /// # Errors
-/// Always; the result type is that of the caller.
+/// Always; `T` is the result type of the caller.
 pub fn unknown_value<T>(field: &str, value: &str) -> Result<T> {
     Err(FieldError::Value { field: field.into(), value: value.into() })
 }
 
-/// A required field.
+/// Returns a required field.
 ///
 /// # Errors
 /// Where the field is absent.
@@ -68,26 +68,26 @@
     optional(object, name).ok_or_else(|| FieldError::Missing(name.into()))
 }
 
-/// A field that may be absent.
+/// Returns a field; `None` if it is absent or null.
 #[must_use]
 pub fn optional<'a>(object: &'a JsonObject, name: &str) -> Option<&'a Value> {
     object.get(name).filter(|value| !value.is_null())
 }
 
-/// A required text.
+/// Returns a required string.
 ///
 /// # Errors
-/// Where the field is absent or not a text.
+/// If the field is absent or not a string.
 pub fn text<'a>(object: &'a JsonObject, name: &str) -> Result<&'a str> {
-    field(object, name)?.as_str().map_or_else(|| type_error(name, "is not a text"), Ok)
+    field(object, name)?.as_str().map_or_else(|| type_error(name, "is not a string"), Ok)
 }
 
-/// A required whole number of 0 or more, which may be written with a decimal point.
+/// Returns a required non-negative whole number, which may be written with a decimal point.
 ///
 /// # Errors
-/// Where the field is absent or not such a number.
+/// If the field is absent or not such a number.
 pub fn unsigned(object: &JsonObject, name: &str) -> Result<u64> {
-    /// Above this, the conversion to an integer would be cut off.
+    /// Just below 2^64: the conversion of a larger float to `u64` would saturate.
     const MAX: f64 = 1.8e19;
     let value = field(object, name)?;
     let from_float = || {
@@ -98,50 +98,50 @@
     number.map_or_else(|| type_error(name, "is not a whole number"), Ok)
 }
 
-/// A whole number of 0 or more, or `default` where the field is absent.
+/// Returns a non-negative whole number, or `default` if the field is absent.
 ///
 /// # Errors
-/// Where the field is not such a number.
+/// If the field is not such a number.
 pub fn unsigned_or(object: &JsonObject, name: &str, default: u64) -> Result<u64> {
     optional(object, name).map_or(Ok(default), |_| unsigned(object, name))
 }
 
-/// A required number.
+/// Returns a required number.
 ///
 /// # Errors
-/// Where the field is absent or not a number.
+/// If the field is absent or not a number.
 pub fn number(object: &JsonObject, name: &str) -> Result<f64> {
     field(object, name)?.as_f64().map_or_else(|| type_error(name, "is not a number"), Ok)
 }
 
-/// A number, or `default` where the field is absent.
+/// Returns a number, or `default` if the field is absent.
 ///
 /// # Errors
-/// Where the field is not a number.
+/// If the field is not a number.
 pub fn number_or(object: &JsonObject, name: &str, default: f64) -> Result<f64> {
     optional(object, name).map_or(Ok(default), |_| number(object, name))
 }
 
-/// A required time, given in milliseconds with fractions.
+/// Returns a required time, given in milliseconds, possibly fractional.
 ///
 /// # Errors
-/// Where the field is absent or not a number.
+/// If the field is absent or not a number.
 pub fn time(object: &JsonObject, name: &str) -> Result<Micros> {
     Ok(Micros((number(object, name)? * 1000.0).round() as i64))
 }
 
-/// A time in milliseconds with fractions, or `default` where the field is absent.
+/// Returns a time, given in milliseconds, possibly fractional, or `default` if the field is absent.
 ///
 /// # Errors
-/// Where the field is not a number.
+/// If the field is not a number.
 pub fn time_or(object: &JsonObject, name: &str, default: Micros) -> Result<Micros> {
     optional(object, name).map_or(Ok(default), |_| time(object, name))
 }
 
-/// A boolean, or `default` where the field is absent.
+/// Returns a boolean, or `default` if the field is absent.
 ///
 /// # Errors
-/// Where the field is not a boolean.
+/// If the field is not a boolean.
 pub fn bool_or(object: &JsonObject, name: &str, default: bool) -> Result<bool> {
     match optional(object, name) {
         None => Ok(default),
@@ -149,27 +149,27 @@
     }
 }
 
-/// A value that must be an object; `name` is for the error.
+/// Returns a value as an object; `name` is used in the error.
 ///
 /// # Errors
-/// Where it is not an object.
+/// If the value is not an object.
 pub fn object<'a>(value: &'a Value, name: &str) -> Result<&'a JsonObject> {
     value.as_object().ok_or_else(|| FieldError::NotObject(name.into()))
 }
 
-/// An object within an object, empty where the field is absent.
+/// Returns a nested object, or an empty one if the field is absent.
 ///
 /// # Errors
-/// Where the field is not an object.
+/// If the field is not an object.
 pub fn object_or_empty<'a>(parent: &'a JsonObject, name: &str) -> Result<&'a JsonObject> {
     static EMPTY: LazyLock<JsonObject> = LazyLock::new(JsonObject::new);
     optional(parent, name).map_or_else(|| Ok(&*EMPTY), |value| object(value, name))
 }
 
-/// An array, empty where the field is absent.
+/// Returns an array, or an empty one if the field is absent.
 ///
 /// # Errors
-/// Where the field is not an array.
+/// If the field is not an array.
 pub fn array<'a>(object: &'a JsonObject, name: &str) -> Result<&'a [Value]> {
     match optional(object, name) {
         None => Ok(&[]),
@@ -179,30 +179,33 @@
     }
 }
 
-/// An array of texts, empty where the field is absent.
+/// Returns an array of strings, or an empty one if the field is absent.
 ///
 /// # Errors
-/// Where the field is not an array, or holds another value than texts.
+/// If the field is not an array, or contains a value that is not a string.
 pub fn texts(object: &JsonObject, name: &str) -> Result<Vec<String>> {
     let text = |value: &Value| {
-        value.as_str().map(String::from).map_or_else(|| type_error(name, "holds no texts"), Ok)
+        value
+            .as_str()
+            .map(String::from)
+            .map_or_else(|| type_error(name, "contains a value that is not a string"), Ok)
     };
     array(object, name)?.iter().map(text).collect()
 }
 
-/// The index in `names` of the text in a required field.
+/// Returns the index in `names` of the string in a required field.
 ///
 /// # Errors
-/// Where the field is absent, not a text, or a text that is not in `names`.
+/// If the field is absent, not a string, or a string that is not in `names`.
 pub fn index_of(names: &[String], object: &JsonObject, name: &str) -> Result<usize> {
     let value = text(object, name)?;
     names.iter().position(|known| known == value).map_or_else(|| unknown_value(name, value), Ok)
 }
 
-/// The index in `names` of the text in a field, or `default` where the field is absent.
+/// Returns the index in `names` of the string in a field, or `default` if the field is absent.
 ///
 /// # Errors
-/// Where the field is not a text, or a text that is not in `names`.
+/// If the field is not a string, or a string that is not in `names`.
 pub fn index_or(names: &[String], object: &JsonObject, name: &str, default: usize) -> Result<usize> {
     optional(object, name).map_or(Ok(default), |_| index_of(names, object, name))
 }
--- a/crates/site-config/src/settings.rs
+++ b/crates/site-config/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings object: settings of the load balancer, the names behind its ids, and settings of connections.
+//! Reads the settings object: settings of the load balancer, the names of its ids, and settings of
+//! connections.
 
 use crate::object::{
     array, bool_or, index_or, number_or, object, object_or_empty, optional, text, texts, time, time_or,
@@ -9,47 +10,47 @@
     Class, Effect, Group, Limits, LoadReportSource, Loading, Micros, Rules, Settings, Tenant, Weights, ZoneId,
 };
 
-/// Time after which a connection that is not established has failed, where the settings state none.
+/// Default time after which a connection attempt fails.
 const DEFAULT_CONNECT_TIMEOUT: Micros = Micros(250_000);
-/// Time after which a worker closes an idle connection, where the settings state none.
+/// Default time after which a worker closes an idle connection.
 const DEFAULT_CONNECTION_IDLE: Micros = Micros(15_000_000);
-/// The most requests on one connection, whatever the settings state.
+/// Upper bound of the configured number of concurrent requests on one connection.
 const MAX_STREAMS: f64 = 1e6;
-/// Time after which a load has failed, where the settings state none.
+/// Default time after which a load fails.
 const DEFAULT_LOAD_TIMEOUT: Micros = Micros(10_000_000);
 
-/// The names of a site, in the order of their ids.
+/// Names of a site, each list in the order of the ids used in [`Settings`].
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Request classes.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Kinds of machine.
+    /// Names of the machine types.
     pub kinds: Vec<String>,
-    /// Whether replies state the queue depth of their function on arrival.
+    /// Whether workers' replies contain the queue depth of the function on arrival.
     pub queue_depth: bool,
 }
 
 /// Settings of connections to workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionSettings {
-    /// Time after which a connection that is not established has failed.
+    /// Time after which a connection attempt fails.
     pub connect_timeout: Micros,
     /// Time after which the worker closes an idle connection.
     pub idle: Micros,
-    /// Requests that one connection may carry at a time.
+    /// Maximum number of concurrent requests on one connection; at least 1.
     pub max_streams: usize,
 }
 
-/// The operators' settings.
+/// The operators' settings object, as read.
 #[derive(Clone, Debug)]
 pub struct SiteConfig {
     /// Settings of the load balancer.
     pub settings: Settings,
-    /// The names behind the ids in `settings`.
+    /// Names of the ids in `settings`.
     pub names: Names,
     /// Settings of connections to workers.
     pub connections: ConnectionSettings,
@@ -59,7 +60,7 @@
     /// Reads the settings object.
     ///
     /// # Errors
-    /// Names the first field that is missing, of another type or of an unknown value.
+    /// If a field is missing, has the wrong type or an unknown value; the error names the first such field.
     pub fn read(site: &JsonObject) -> Result<SiteConfig, FieldError> {
         let zones = texts(site, "zones")?;
         let limits = object_or_empty(site, "limits")?;
@@ -104,12 +105,12 @@
     })
 }
 
-/// The text of an optional field; a value of another type counts as absent.
+/// Returns the string in an optional field; a value of another type counts as absent.
 fn keyword<'a>(object: &'a JsonObject, name: &str) -> Option<&'a str> {
     optional(object, name).and_then(Value::as_str)
 }
 
-/// The `name` field of each object in an array.
+/// Returns the `name` field of each object in an array.
 fn names_in(site: &JsonObject, array_name: &str) -> Result<Vec<String>, FieldError> {
     let name = |value: &Value| Ok(text(object(value, array_name)?, "name")?.to_string());
     array(site, array_name)?.iter().map(name).collect()
--- a/crates/worker-protocol/src/http_protocol.rs
+++ b/crates/worker-protocol/src/http_protocol.rs
@@ -5,12 +5,12 @@
 use crate::request::WorkerRequest;
 use slatevalve_http::{Limits, MessageReader, Side};
 
-/// The Open Inference Protocol over HTTP/1.1, one request at a time on a connection.
+/// The Open Inference Protocol over HTTP/1.1, with one request at a time on a connection.
 #[derive(Clone, Debug)]
 pub struct HttpProtocol {
-    /// Name of the gateway, sent to the workers.
+    /// Name of the gateway, sent to workers in the header [`GATEWAY`](crate::headers::GATEWAY).
     pub gateway: String,
-    /// Limits of a response.
+    /// Size limits of a response.
     pub limits: Limits,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// The request whose response is awaited.
+/// A request that waits for its response.
 struct PendingRequest {
     tag: Tag,
     request: WorkerRequest,
@@ -60,7 +60,7 @@
     }
 
     fn feed(&mut self, bytes: &[u8], out: &mut Vec<CompletedRequest>) -> Result<(), MalformedReply> {
-        // Bytes that come without a pending request are the response to none.
+        // Bytes that arrive without a pending request belong to no response.
         let PendingRequest { tag, request } = self.pending.as_ref().ok_or(MalformedReply)?;
         if let Some(message) = self.messages.feed(bytes).map_err(|_| MalformedReply)? {
             self.is_closing = message.head.closes_connection;
--- a/crates/worker-protocol/src/load_report.rs
+++ b/crates/worker-protocol/src/load_report.rs
@@ -4,25 +4,25 @@
 use slatevalve::Report;
 use std::ops::Range;
 
-/// Marks the JSON form of an ORCA load report.
+/// Prefix of a header value that marks the JSON form of an ORCA load report.
 const JSON_PREFIX: &str = "JSON ";
 
-/// Values outside this range are no measurement and are ignored.
+/// Range of plausible metrics; values outside it are ignored.
 const VALID_VALUES: Range<f64> = 0.0..1e9;
 
-/// Load of a worker, as it reports it; each value only if the worker measures it.
+/// Load of a worker, as it reports it; a metric that the worker does not measure is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queued calls.
+    /// Number of queued calls.
     pub queue: Option<f64>,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub inflight: Option<f64>,
     /// Utilization of the cores, 0 to 1.
     pub util: Option<f64>,
 }
 
 impl LoadReport {
-    /// Value of the header [`LOAD`](crate::headers::LOAD).
+    /// Encodes the report as a value of the header [`LOAD`](crate::headers::LOAD).
     pub(crate) fn to_header(self) -> String {
         let mut named_metrics = Map::new();
         named_metrics.extend(self.queue.map(|value| ("queue".to_string(), json!(value))));
@@ -35,8 +35,8 @@
     }
 }
 
-/// Parses the value of the header [`LOAD`](crate::headers::LOAD) to the balancer's report. Reports are hints: a malformed
-/// one is ignored, and so is each value that is out of range.
+/// Parses a value of the header [`LOAD`](crate::headers::LOAD). Reports are hints: a malformed report is
+/// ignored, and so is each metric that is out of range.
 pub(crate) fn parse_load_report(header: &str) -> Option<Report> {
     let report: Value = serde_json::from_str(header.strip_prefix(JSON_PREFIX)?).ok()?;
     let metric = |pointer: &str| {
--- a/crates/worker-protocol/src/reply.rs
+++ b/crates/worker-protocol/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies of a worker: encoded by the test worker, parsed by the gateway to the balancer's outcomes.
+//! Replies of a worker: encoded by the test worker, parsed by the gateway into outcomes of the balancer.
 
 mod encode;
 mod parse;
@@ -12,26 +12,26 @@
 pub enum Reply {
     /// The call ran.
     Served {
-        /// The result.
+        /// Result of the call, opaque to the protocol.
         payload: Vec<u8>,
-        /// Version or digest that ran.
+        /// Version or digest that ran; `None` if it is not reported.
         ran: Option<String>,
     },
-    /// The call ran, or may have, without a result; with an error message.
+    /// The call ran, or may have run, without a result. Contains an error message.
     Failed(String),
-    /// The call was never started for lack of capacity.
+    /// The call was never started because the worker lacks capacity or time.
     Full,
     /// The call was never started because the function is not loaded.
     Miss,
-    /// Reply to a load, count or unload request: the number of loaded replicas.
+    /// Reply to a load, count or unload request: number of loaded replicas of the function.
     Copies(u32),
-    /// A load request was rejected for lack of memory.
+    /// A load request was rejected because the worker lacks memory.
     NoRoom,
     /// A load failed.
     LoadFailed,
-    /// Reply to a health check.
+    /// Reply to a health check of a worker that is ready.
     Ready,
-    /// The message was no request of this profile; with an error message.
+    /// The message was not a request of this profile. Contains an error message.
     BadRequest(String),
 }
 
@@ -42,14 +42,15 @@
     pub outcome: Outcome,
     /// Result of a call, for [`Outcome::Ok`].
     pub payload: Vec<u8>,
-    /// Number of loaded replicas, in replies to load, count and unload requests.
+    /// Number of loaded replicas, in replies to load, count and unload requests; 0 if not reported.
     pub copies: u32,
-    /// Calls of the same function that were queued or running at the worker on arrival.
+    /// Calls of the same function that were queued or running at the worker on arrival; `None` if not
+    /// reported.
     pub queue_depth: Option<u64>,
     /// Whether the load that the call waited for failed.
     pub load_failed: bool,
-    /// Version or digest that ran.
+    /// Version or digest that ran; `None` if not reported.
     pub ran: Option<String>,
-    /// Load report of the worker.
+    /// Load report of the worker; `None` if it is absent or malformed.
     pub report: Option<Report>,
 }
--- a/crates/worker-protocol/src/reply/encode.rs
+++ b/crates/worker-protocol/src/reply/encode.rs
@@ -15,7 +15,7 @@
 struct MessageParts {
     /// Status code and reason phrase.
     status: &'static str,
-    /// Headers of this reply only, in the order of transmission.
+    /// Headers that only some replies have, in the order of transmission.
     headers: Vec<(&'static str, String)>,
     body: Vec<u8>,
 }
@@ -36,7 +36,7 @@
 }
 
 impl Reply {
-    /// Encodes the reply, with the load report and the queue depth if given.
+    /// Encodes the reply; the load report and the queue depth are sent as headers if given.
     #[must_use]
     pub fn encode(&self, load: Option<LoadReport>, queue_depth: Option<u64>) -> Vec<u8> {
         let MessageParts { status, mut headers, body } = self.message_parts();
@@ -44,7 +44,7 @@
         headers.extend(load.map(|report| (headers::LOAD, report.to_header())));
         let mut head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n", body.len());
         for (name, value) in headers {
-            // Control characters could end the header early.
+            // Line breaks in a value would end the header early; all control characters are removed.
             let value: String = value.chars().filter(|character| !character.is_control()).collect();
             head.push_str(&format!("{name}: {value}\r\n"));
         }
--- a/crates/worker-protocol/src/reply/parse.rs
+++ b/crates/worker-protocol/src/reply/parse.rs
@@ -8,12 +8,12 @@
 use slatevalve_http::{Head, Message};
 use std::str::FromStr;
 
-/// Status codes of success.
+/// Status codes of successful responses.
 const SUCCESS: std::ops::Range<u16> = 200..300;
 
-/// Parses the reply to a request. Only the profile's own header proves that a call never ran. Any other response that is
-/// no success counts as an error after which the call may have run, whatever its status: 404, 429, 502 and 503 may come
-/// from an intermediary.
+/// Parses the reply to a request. Only the profile's own header proves that a call never ran. Any other
+/// unsuccessful response counts as an error after which the call may have run, whatever its status: 404, 429,
+/// 502 and 503 may come from an intermediary.
 #[must_use]
 pub fn read(request: &WorkerRequest, message: Message) -> ParsedReply {
     let head = &message.head;
@@ -32,10 +32,11 @@
     match request {
         WorkerRequest::Infer(_) => match tensor::decode(TensorList::Outputs, message) {
             Ok(payload) => reply.payload = payload,
-            // The call ran, but without a result that can be passed on.
+            // The call ran, but its result cannot be decoded.
             Err(_) => reply.outcome = Outcome::Error,
         },
-        // Servers without the project's header report only that the load succeeded.
+        // A server without the header `X-Copies` reports only that the load succeeded: all requested replicas
+        // are loaded.
         WorkerRequest::Load { copies, .. } if reply.copies == 0 => reply.copies = *copies,
         _ => {}
     }
--- a/crates/worker-protocol/src/request.rs
+++ b/crates/worker-protocol/src/request.rs
@@ -12,11 +12,11 @@
 pub struct Call {
     /// Name of the function.
     pub function: String,
-    /// The requested version; `None` for the worker's current one.
+    /// Requested version; `None` for the worker's current version.
     pub version: Option<String>,
-    /// The payload, opaque to the gateway.
+    /// Payload, opaque to the gateway.
     pub payload: Vec<u8>,
-    /// The idempotency key by which workers drop duplicates, for classes with side effects.
+    /// Idempotency key, by which workers drop duplicates; only for classes with side effects.
     pub key: Option<Vec<u8>>,
     /// The gateway's id of the call.
     pub request_id: String,
@@ -26,7 +26,8 @@
     pub time_remaining_ms: u64,
     /// Name of the class.
     pub class: String,
-    /// Versions of the settings documents by which the call is sent: one, two during a change of settings, or none.
+    /// Versions of the settings documents under which the call is sent: none without settings documents,
+    /// usually one, and two during a change of settings.
     pub settings: Vec<u64>,
 }
 
@@ -39,10 +40,10 @@
     Load {
         /// Name of the function.
         function: String,
-        /// Number of replicas that are to be loaded in total.
+        /// Target number of loaded replicas, including those already loaded.
         copies: u32,
     },
-    /// Report how many replicas of a function are loaded.
+    /// Report the number of loaded replicas of a function.
     Count {
         /// Name of the function.
         function: String,
@@ -56,7 +57,8 @@
     Ready,
 }
 
-/// Why a message is no request of this profile. The worker responds with 400 or 404, without [`NOT_EXECUTED`].
+/// Why a message is not a request of this profile. The worker responds with 400 or 404, without
+/// [`NOT_EXECUTED`].
 ///
 /// [`NOT_EXECUTED`]: crate::headers::NOT_EXECUTED
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -65,7 +67,7 @@
     Unknown(String),
     /// The header with this name is missing or malformed.
     Header(&'static str),
-    /// The body contains no payload.
+    /// The body does not contain a valid payload.
     Tensor(TensorError),
     /// The JSON body lacks a required member.
     Body,
@@ -100,8 +102,8 @@
 /// A request as a worker receives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsedRequest {
-    /// The request.
+    /// The decoded request.
     pub request: WorkerRequest,
-    /// Name of the gateway that sent it, if given.
+    /// Name of the gateway that sent it; `None` without the header [`GATEWAY`](crate::headers::GATEWAY).
     pub gateway: Option<String>,
 }
--- a/crates/worker-protocol/src/request/encode.rs
+++ b/crates/worker-protocol/src/request/encode.rs
@@ -13,7 +13,7 @@
 struct MessageParts {
     method: &'static str,
     path: String,
-    /// Headers of this request only, in the order of transmission.
+    /// Headers that only some requests have, in the order of transmission.
     headers: Vec<(&'static str, String)>,
     content_type: &'static str,
     body: Vec<u8>,
@@ -27,8 +27,8 @@
 }
 
 impl WorkerRequest {
-    /// Encodes the request. `host` is the worker's address and `gateway` the sender's name; neither may contain line
-    /// breaks, which is validated when the settings are read.
+    /// Encodes the request. `host` is the worker's address and `gateway` the sender's name. Neither may
+    /// contain line breaks; this is validated when the settings are read.
     #[must_use]
     pub fn encode(&self, host: &str, gateway: &str) -> Vec<u8> {
         let MessageParts { method, path, headers, content_type, body } = self.message_parts();
--- a/crates/worker-protocol/src/request/parse.rs
+++ b/crates/worker-protocol/src/request/parse.rs
@@ -8,17 +8,17 @@
 use slatevalve_http::{Head, Message};
 use std::str::FromStr;
 
-/// Versions of settings documents that are read of one call; further ones are ignored.
+/// Maximum number of settings versions read from one call; further ones are ignored.
 const MAX_SETTINGS_VERSIONS: usize = 8;
 
-/// Replicas that are loaded if a load request names no number.
+/// Number of replicas if a load request specifies none.
 const DEFAULT_COPIES: u64 = 1;
 
 impl ParsedRequest {
-    /// Parses a message.
+    /// Parses a message as a request.
     ///
     /// # Errors
-    /// If the message is no request of this profile.
+    /// If the message is not a request of this profile.
     pub fn read(message: Message) -> Result<Self, RequestError> {
         let gateway = message.head.header(headers::GATEWAY).map(str::to_string);
         let request = parse_request(message)?;
--- a/crates/worker-protocol/src/tensor.rs
+++ b/crates/worker-protocol/src/tensor.rs
@@ -1,5 +1,5 @@
-//! A payload as one BYTES tensor of the binary-tensor-data extension: a JSON part, then the payload's length as four
-//! little-endian bytes, then the payload. Used by the codecs of requests and replies.
+//! A payload as one BYTES tensor of the binary-tensor-data extension: a JSON part, then the payload's length
+//! as four little-endian bytes, then the payload. Used by the codecs of requests and replies.
 
 use crate::headers;
 use serde_json::{json, Value};
@@ -9,12 +9,13 @@
 /// Bytes of the length that precedes each element of a BYTES tensor.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Why a body contains no payload.
+/// Why a body does not contain a valid payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TensorError {
-    /// The header with the length of the JSON part is missing, not a number or greater than the length of the body.
+    /// The header with the length of the JSON part is missing, not a number or greater than the length of the
+    /// body.
     JsonLength,
-    /// The JSON part is not JSON.
+    /// The JSON part is malformed.
     Json,
     /// There is not exactly one BYTES tensor with one element in binary form.
     Shape,
@@ -25,10 +26,14 @@
 impl fmt::Display for TensorError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            TensorError::JsonLength => "the length of the JSON part is missing or wrong",
-            TensorError::Json => "the JSON part is not JSON",
-            TensorError::Shape => "the body is not one BYTES tensor of one element in binary form",
-            TensorError::Binary => "the binary part has not the stated size",
+            TensorError::JsonLength => {
+                "the length of the JSON part is missing, malformed or greater than the body"
+            }
+            TensorError::Json => "the JSON part is malformed",
+            TensorError::Shape => {
+                "the body does not contain exactly one BYTES tensor with one element in binary form"
+            }
+            TensorError::Binary => "the binary part is not one element of the declared size",
         })
     }
 }
@@ -38,9 +43,9 @@
 /// The member of the JSON part that lists the tensors.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum TensorList {
-    /// In a request.
+    /// The tensors of a request.
     Inputs,
-    /// In a response.
+    /// The tensors of a response.
     Outputs,
 }
 
@@ -53,14 +58,14 @@
     }
 }
 
-/// A body with a payload.
+/// A message body that contains a payload.
 pub(crate) struct EncodedTensor {
     pub(crate) body: Vec<u8>,
     /// Length in bytes of the JSON part, for [`headers::JSON_LENGTH`].
     pub(crate) json_length: usize,
 }
 
-/// Encodes a payload; `document` holds the other members of the JSON part.
+/// Encodes a payload; `document` contains the other members of the JSON part.
 pub(crate) fn encode(list: TensorList, mut document: Value, payload: &[u8]) -> EncodedTensor {
     document[list.member()] = json!([{
         "name": "payload", "shape": [1], "datatype": "BYTES",
--- a/crates/worker-protocol/src/text_encoding.rs
+++ b/crates/worker-protocol/src/text_encoding.rs
@@ -45,7 +45,8 @@
     encoded
 }
 
-/// Decodes hexadecimal digits of either case; `None` if there are other characters or an odd number of digits.
+/// Decodes hexadecimal digits of either case; `None` if there are other characters or an odd number of
+/// digits.
 pub(crate) fn hex_decode(text: &str) -> Option<Vec<u8>> {
     let digits: Vec<char> = text.chars().collect();
     let pairs = digits.chunks_exact(2);
--- a/crates/worker-protocol/tests/stored_forms.rs
+++ b/crates/worker-protocol/tests/stored_forms.rs
@@ -1,9 +1,9 @@
-//! The bytes that go between the gateway and its workers, as fixed literals.
+//! The bytes exchanged between gateways and workers, as fixed literals.
 //!
-//! Workers of other versions, and workers of other makes, read and write these bytes. Each literal was written by the
-//! program and must stay as it is, whatever the identifiers in the code are called: the names of headers and JSON
-//! members, the paths and the words are part of the protocol (`docs/worker-protocol.md`). A test that fails here says that
-//! the protocol changed; the literal is not to be adapted to the code.
+//! Workers of other versions and implementations read and write these bytes. Each literal was recorded from
+//! the program and must not change when identifiers in the code do: the names of headers and JSON members,
+//! the paths and the keywords are part of the protocol (`docs/worker-protocol.md`). A failure here means that
+//! the protocol changed; do not adapt the literal to the code.
 
 use slatevalve::{Outcome, Report};
 use slatevalve_worker_protocol::reply::{read, ParsedReply};
@@ -15,31 +15,35 @@
 const HOST: &str = "10.0.0.7:9000";
 
 fn message(side: Side, bytes: &[u8]) -> Message {
-    MessageReader::new(side, Limits::default()).feed(bytes).unwrap().expect("a whole message")
+    MessageReader::new(side, Limits::default()).feed(bytes).unwrap().expect("a complete message")
 }
 
 /// The literal decodes to the request, and the request encodes to the literal.
-fn is_request(request: WorkerRequest, literal: &[u8]) {
-    let written = request.encode(HOST, "gw-1");
-    assert_eq!(written.escape_ascii().to_string(), literal.escape_ascii().to_string());
-    let pooled = HttpProtocol { gateway: "gw-1".into(), limits: Limits::default() };
-    assert_eq!(pooled.encode(HOST, Tag(5), &request), literal, "as the pool sends it");
-    let asked = ParsedRequest::read(message(Side::Request, literal)).unwrap();
-    assert_eq!(asked, ParsedRequest { request, gateway: Some("gw-1".into()) });
+fn assert_request_bytes(request: WorkerRequest, literal: &[u8]) {
+    let encoded = request.encode(HOST, "gw-1");
+    assert_eq!(encoded.escape_ascii().to_string(), literal.escape_ascii().to_string());
+    let protocol = HttpProtocol { gateway: "gw-1".into(), limits: Limits::default() };
+    assert_eq!(
+        protocol.encode(HOST, Tag(5), &request),
+        literal,
+        "the connection pool must send the same bytes"
+    );
+    let parsed = ParsedRequest::read(message(Side::Request, literal)).unwrap();
+    assert_eq!(parsed, ParsedRequest { request, gateway: Some("gw-1".into()) });
 }
 
-/// The reply is written as the literal, and the literal understood by the gateway as an answer to the request.
-fn is_reply(
+/// The reply encodes to the literal, and the gateway parses the literal as the reply to the request.
+fn assert_reply_bytes(
     reply: &Reply,
     load: Option<LoadReport>,
     queue_depth: Option<u64>,
     request: &WorkerRequest,
     literal: &[u8],
-    wanted: ParsedReply,
+    expected: ParsedReply,
 ) {
-    let written = reply.encode(load, queue_depth);
-    assert_eq!(written.escape_ascii().to_string(), literal.escape_ascii().to_string());
-    assert_eq!(read(request, message(Side::Response, literal)), wanted);
+    let encoded = reply.encode(load, queue_depth);
+    assert_eq!(encoded.escape_ascii().to_string(), literal.escape_ascii().to_string());
+    assert_eq!(read(request, message(Side::Response, literal)), expected);
 }
 
 fn parsed_reply(outcome: Outcome) -> ParsedReply {
@@ -75,7 +79,7 @@
         class: "charge".into(),
         settings: vec![7, 8],
     };
-    is_request(WorkerRequest::Infer(call), b"POST /v2/models/fare%20p%C3%A5slag%2F1%25/versions/3.0/infer HTTP/1.1\r\n\
+    assert_request_bytes(WorkerRequest::Infer(call), b"POST /v2/models/fare%20p%C3%A5slag%2F1%25/versions/3.0/infer HTTP/1.1\r\n\
         Host: 10.0.0.7:9000\r\n\
         X-Gateway: gw-1\r\n\
         Inference-Header-Content-Length: 175\r\n\
@@ -92,7 +96,7 @@
 }
 
 #[test]
-fn the_request_of_a_call_with_the_least_headers_keeps_its_bytes() {
+fn the_request_of_a_call_without_optional_headers_keeps_its_bytes() {
     let call = Call {
         function: "fare".into(),
         payload: b"pay".to_vec(),
@@ -100,7 +104,7 @@
         class: "quote".into(),
         ..Call::default()
     };
-    is_request(WorkerRequest::Infer(call), b"POST /v2/models/fare/infer HTTP/1.1\r\n\
+    assert_request_bytes(WorkerRequest::Infer(call), b"POST /v2/models/fare/infer HTTP/1.1\r\n\
         Host: 10.0.0.7:9000\r\n\
         X-Gateway: gw-1\r\n\
         Inference-Header-Content-Length: 172\r\n\
@@ -115,7 +119,7 @@
 
 #[test]
 fn the_request_of_a_load_keeps_its_bytes() {
-    is_request(
+    assert_request_bytes(
         load(),
         b"POST /v2/repository/models/fare/load HTTP/1.1\r\n\
         Host: 10.0.0.7:9000\r\n\
@@ -128,7 +132,7 @@
 
 #[test]
 fn the_request_of_the_index_keeps_its_bytes() {
-    is_request(
+    assert_request_bytes(
         WorkerRequest::Count { function: "fare".into() },
         b"POST /v2/repository/index HTTP/1.1\r\n\
         Host: 10.0.0.7:9000\r\n\
@@ -141,7 +145,7 @@
 
 #[test]
 fn the_request_of_an_unload_keeps_its_bytes() {
-    is_request(
+    assert_request_bytes(
         WorkerRequest::Unload { function: "fare".into() },
         b"POST /v2/repository/models/fare/unload HTTP/1.1\r\n\
         Host: 10.0.0.7:9000\r\n\
@@ -154,7 +158,7 @@
 
 #[test]
 fn the_request_of_a_probe_keeps_its_bytes() {
-    is_request(
+    assert_request_bytes(
         WorkerRequest::Ready,
         b"GET /v2/health/ready HTTP/1.1\r\n\
         Host: 10.0.0.7:9000\r\n\
@@ -168,22 +172,22 @@
 fn the_reply_of_a_call_that_ran_keeps_its_bytes_and_its_load_report() {
     let reply = Reply::Served { payload: vec![0, 255], ran: Some("sha256:ab".into()) };
     let load = LoadReport { queue: Some(3.0), inflight: Some(2.5), util: Some(0.5) };
-    let wanted = ParsedReply {
+    let expected = ParsedReply {
         payload: vec![0, 255],
         queue_depth: Some(4),
         ran: Some("sha256:ab".into()),
         report: Some(Report { queue: Some(3.0), inflight: Some(2.5), util: Some(0.5) }),
         ..parsed_reply(Outcome::Ok)
     };
-    is_reply(&reply, Some(load), Some(4), &infer(), b"HTTP/1.1 200 OK\r\nContent-Length: 121\r\nInference-Header-Content-Length: 115\r\nX-Ran: sha256:ab\r\nX-Crowd: 4\r\nendpoint-load-metrics: JSON {\"cpu_utilization\":0.5,\"named_metrics\":{\"inflight\":2.5,\"queue\":3.0}}\r\n\r\n{\"model_name\":\"\",\"outputs\":[{\"datatype\":\"BYTES\",\"name\":\"payload\",\"parameters\":{\"binary_data_size\":6},\"shape\":[1]}]}\x02\x00\x00\x00\x00\xff", wanted);
+    assert_reply_bytes(&reply, Some(load), Some(4), &infer(), b"HTTP/1.1 200 OK\r\nContent-Length: 121\r\nInference-Header-Content-Length: 115\r\nX-Ran: sha256:ab\r\nX-Crowd: 4\r\nendpoint-load-metrics: JSON {\"cpu_utilization\":0.5,\"named_metrics\":{\"inflight\":2.5,\"queue\":3.0}}\r\n\r\n{\"model_name\":\"\",\"outputs\":[{\"datatype\":\"BYTES\",\"name\":\"payload\",\"parameters\":{\"binary_data_size\":6},\"shape\":[1]}]}\x02\x00\x00\x00\x00\xff", expected);
 }
 
 #[test]
-fn the_load_report_keeps_its_header_where_only_a_part_is_known() {
+fn a_load_report_with_one_metric_keeps_its_header() {
     let load = LoadReport { inflight: Some(2.0), ..LoadReport::default() };
     let report = Report { inflight: Some(2.0), ..Report::default() };
-    let wanted = ParsedReply { report: Some(report), ..parsed_reply(Outcome::Ok) };
-    is_reply(
+    let expected = ParsedReply { report: Some(report), ..parsed_reply(Outcome::Ok) };
+    assert_reply_bytes(
         &Reply::Ready,
         Some(load),
         None,
@@ -192,14 +196,14 @@
         Content-Length: 2\r\n\
         endpoint-load-metrics: JSON {\"named_metrics\":{\"inflight\":2.0}}\r\n\r\n\
         {}",
-        wanted,
+        expected,
     );
 }
 
 #[test]
 fn the_reply_of_a_full_worker_keeps_its_bytes() {
-    let wanted = ParsedReply { queue_depth: Some(12), ..parsed_reply(Outcome::Full) };
-    is_reply(
+    let expected = ParsedReply { queue_depth: Some(12), ..parsed_reply(Outcome::Full) };
+    assert_reply_bytes(
         &Reply::Full,
         None,
         Some(12),
@@ -209,13 +213,13 @@
         X-Never-Ran: full\r\n\
         X-Crowd: 12\r\n\r\n\
         {\"error\":\"full\"}",
-        wanted,
+        expected,
     );
 }
 
 #[test]
 fn the_reply_of_a_worker_without_the_function_keeps_its_bytes() {
-    is_reply(
+    assert_reply_bytes(
         &Reply::Miss,
         None,
         None,
@@ -231,7 +235,7 @@
 #[test]
 fn the_reply_of_a_call_that_failed_keeps_its_bytes() {
     let reply = Reply::Failed("broken \"here\"".into());
-    is_reply(
+    assert_reply_bytes(
         &reply,
         None,
         None,
@@ -246,7 +250,7 @@
 #[test]
 fn the_reply_to_a_bad_request_keeps_its_bytes() {
     let reply = Reply::BadRequest("no such thing".into());
-    is_reply(
+    assert_reply_bytes(
         &reply,
         None,
         None,
@@ -259,9 +263,9 @@
 }
 
 #[test]
-fn the_reply_with_the_copies_that_stand_keeps_its_bytes() {
-    let wanted = ParsedReply { copies: 2, ..parsed_reply(Outcome::Ok) };
-    is_reply(
+fn the_reply_with_the_number_of_loaded_replicas_keeps_its_bytes() {
+    let expected = ParsedReply { copies: 2, ..parsed_reply(Outcome::Ok) };
+    assert_reply_bytes(
         &Reply::Copies(2),
         None,
         None,
@@ -270,13 +274,13 @@
         Content-Length: 2\r\n\
         X-Copies: 2\r\n\r\n\
         []",
-        wanted,
+        expected,
     );
 }
 
 #[test]
-fn the_reply_to_a_load_without_room_keeps_its_bytes() {
-    is_reply(
+fn the_reply_to_a_load_rejected_for_lack_of_memory_keeps_its_bytes() {
+    assert_reply_bytes(
         &Reply::NoRoom,
         None,
         None,
@@ -291,8 +295,8 @@
 
 #[test]
 fn the_reply_of_a_load_that_failed_keeps_its_bytes() {
-    let wanted = ParsedReply { load_failed: true, ..parsed_reply(Outcome::Error) };
-    is_reply(
+    let expected = ParsedReply { load_failed: true, ..parsed_reply(Outcome::Error) };
+    assert_reply_bytes(
         &Reply::LoadFailed,
         None,
         None,
@@ -301,13 +305,13 @@
         Content-Length: 27\r\n\
         X-Load-Failed: 1\r\n\r\n\
         {\"error\":\"the load failed\"}",
-        wanted,
+        expected,
     );
 }
 
 #[test]
 fn header_names_are_read_in_any_case() {
     let literal = b"HTTP/1.1 503 x\r\nx-never-ran: miss\r\nX-CROWD: 7\r\ncontent-length: 0\r\n\r\n";
-    let wanted = ParsedReply { queue_depth: Some(7), ..parsed_reply(Outcome::Miss) };
-    assert_eq!(read(&infer(), message(Side::Response, literal)), wanted);
+    let expected = ParsedReply { queue_depth: Some(7), ..parsed_reply(Outcome::Miss) };
+    assert_eq!(read(&infer(), message(Side::Response, literal)), expected);
 }
