--- a/crates/config-versioning/src/coordinator.rs
+++ b/crates/config-versioning/src/coordinator.rs
@@ -6,7 +6,7 @@
 //! commands, and by routers where no command is at work.
 
 use crate::compare::contradictions;
-use crate::document::{ActLease, ActiveSettings, DocumentVersion, LeaseExpiryPolicy};
+use crate::document::{ActiveSettings, DocumentVersion, LeaseExpiryPolicy, RouterLease};
 use crate::keys::{Keys, RouterId};
 use crate::snapshot::Snapshot;
 use crate::terms::Terms;
@@ -126,7 +126,7 @@
     }
 
     /// Why to wait for a lease that does not acknowledge; `None` if it has ended.
-    fn wait_reason(&self, now_us: i64, id: &RouterId, lease: &ActLease) -> Option<WaitReason> {
+    fn wait_reason(&self, now_us: i64, id: &RouterId, lease: &RouterLease) -> Option<WaitReason> {
         if lease.expiry_policy == LeaseExpiryPolicy::GoOn {
             return Some(WaitReason::Acknowledgement);
         }
--- a/crates/config-versioning/src/document.rs
+++ b/crates/config-versioning/src/document.rs
@@ -141,7 +141,7 @@
 /// transaction that succeeds only while the state is the one that it names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ActLease {
+pub struct RouterLease {
     /// The step of the state that it acknowledges.
     pub step: u64,
     /// The settings by which the router acts.
@@ -155,7 +155,7 @@
     pub expiry_policy: LeaseExpiryPolicy,
 }
 
-impl ActLease {
+impl RouterLease {
     /// Whether it was written for this very state. The step alone does not tell: after a restore of the registry from a
     /// backup, steps are assigned again.
     #[must_use]
--- a/crates/config-versioning/src/lease_holder.rs
+++ b/crates/config-versioning/src/lease_holder.rs
@@ -5,7 +5,7 @@
 //! [`LeaseHolder::send_permission`] before each send, passes on what the registry holds, and carries out the requests of
 //! [`LeaseHolder::next_request`].
 
-use crate::document::{ActLease, ActiveSettings, DocumentVersion, LeaseExpiryPolicy, LeaseTerms, State};
+use crate::document::{ActiveSettings, DocumentVersion, LeaseExpiryPolicy, LeaseTerms, RouterLease, State};
 use crate::keys::Keys;
 use crate::transaction::{to_json, Entry, Txn, TxnOutcome};
 use std::fmt;
@@ -118,9 +118,9 @@
     terms: Option<LeaseTerms>,
     held: Option<HeldLease>,
     /// The lease in the registry as far as is known.
-    written: Option<ActLease>,
+    written: Option<RouterLease>,
     /// The lease of the last write that was requested.
-    attempted: Option<ActLease>,
+    attempted: Option<RouterLease>,
     /// The revision of the lease in the registry; 0 if there is none.
     revision: i64,
     /// The registry must be read before anything can be written.
@@ -265,7 +265,7 @@
     /// The transaction that writes the lease for the known state.
     fn begin_write(&mut self, now_us: i64) -> Option<Txn> {
         let (state, terms) = (self.state.as_ref()?, self.terms?);
-        let lease = ActLease {
+        let lease = RouterLease {
             step: state.value.step,
             active_settings: state.value.active_settings.clone(),
             lease_us: terms.lease_us,
@@ -311,7 +311,7 @@
     /// # Errors
     /// If a lease was held and the registry has none, or one that this incarnation did not write last. A registry restored
     /// from a backup does not hold by what the router acts, and a commit would not wait for it.
-    pub fn on_read(&mut self, own: Option<&Entry<ActLease>>) -> Result<(), LeaseFault> {
+    pub fn on_read(&mut self, own: Option<&Entry<RouterLease>>) -> Result<(), LeaseFault> {
         if !matches!(self.pending, PendingRequest::Read { .. }) {
             return Ok(());
         }
--- a/crates/config-versioning/src/lib.rs
+++ b/crates/config-versioning/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: no two routers act at the same time by rules that contradict each other. [`Terms`] are the rules of a document
 //! that can contradict another document's, with their *meet*, the strictest common rules. [`Document`], [`State`] and
-//! [`ActLease`] are the records in the key-value registry, and a [`Snapshot`] is all of them at one revision. A [`LeaseHolder`]
+//! [`RouterLease`] are the records in the key-value registry, and a [`Snapshot`] is all of them at one revision. A [`LeaseHolder`]
 //! keeps one router's lease to act and the [`ActiveSettings`] it acts by; a [`RolloutCoordinator`] takes a change from prepared
 //! to committed, and several coordinators may work on one change. Commands run a coordinator, routers run both.
 //!
@@ -24,7 +24,7 @@
 pub use compare::{contradictions, Contradiction};
 pub use coordinator::{PendingAck, RolloutCoordinator, RolloutStep, WaitReason};
 pub use document::{
-    ActLease, ActiveSettings, Document, DocumentVersion, LeaseExpiryPolicy, LeaseTerms, State,
+    ActiveSettings, Document, DocumentVersion, LeaseExpiryPolicy, LeaseTerms, RouterLease, State,
 };
 pub use keys::{Keys, RouterId};
 pub use lease_holder::{LeaseFault, LeaseHolder, LeaseOwner, LeaseRequest, SendPermission};
--- a/crates/config-versioning/src/snapshot.rs
+++ b/crates/config-versioning/src/snapshot.rs
@@ -3,7 +3,7 @@
 //! Records that cannot be used are reported beside the others; a lease that cannot be read counts as one that does not
 //! acknowledge.
 
-use crate::document::{ActLease, ActiveSettings, Document, DocumentVersion, State};
+use crate::document::{ActiveSettings, Document, DocumentVersion, RouterLease, State};
 use crate::keys::{Keys, RouterId};
 use crate::transaction::{to_json, Entry};
 use serde::de::DeserializeOwned;
@@ -59,7 +59,7 @@
     /// Documents by number.
     pub documents: BTreeMap<u64, Document>,
     /// Leases by router.
-    pub leases: BTreeMap<RouterId, Entry<ActLease>>,
+    pub leases: BTreeMap<RouterId, Entry<RouterLease>>,
     /// Records that cannot be used.
     pub unreadable: Vec<RecordError>,
     /// Routers whose leases cannot be read.
--- a/crates/config-versioning/tests/model/fleet.rs
+++ b/crates/config-versioning/tests/model/fleet.rs
@@ -10,7 +10,7 @@
     Write(Txn),
     Written(TxnOutcome),
     Read,
-    ReadResult(Option<Entry<State>>, Option<Entry<ActLease>>),
+    ReadResult(Option<Entry<State>>, Option<Entry<RouterLease>>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/config-versioning/tests/stored_forms.rs
+++ b/crates/config-versioning/tests/stored_forms.rs
@@ -89,7 +89,7 @@
     txn
 }
 
-fn right_read(literal: &str) -> ActLease {
+fn right_read(literal: &str) -> RouterLease {
     let mut leases = snapshot(&[(RIGHT_KEY, literal)]).leases;
     leases.remove(&RouterId::new("zone-a/router-1", "life-1")).unwrap().value
 }
@@ -137,7 +137,7 @@
         )),
         [(RIGHT_KEY, RIGHT)]
     );
-    let right = ActLease {
+    let right = RouterLease {
         step: 1,
         active_settings: active_settings(None),
         lease_us: 3_000_000,
@@ -154,8 +154,12 @@
     ];
     assert_eq!(written(&right_written(prepared_state(), &documents)), [(RIGHT_KEY, PREPARED_RIGHT)]);
     let active_settings = prepared_state().active_settings;
-    let right =
-        ActLease { step: 2, active_settings, lease_us: 2_000_000, expiry_policy: LeaseExpiryPolicy::GiveUp };
+    let right = RouterLease {
+        step: 2,
+        active_settings,
+        lease_us: 2_000_000,
+        expiry_policy: LeaseExpiryPolicy::GiveUp,
+    };
     assert_eq!(right_read(PREPARED_RIGHT), right);
 }
 
--- a/crates/gateway/src/commands/settings/output.rs
+++ b/crates/gateway/src/commands/settings/output.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{json, Value};
 use slatevalve_config_versioning::{
-    ActLease, Document, DocumentVersion, Entry, PendingAck, RouterId, Snapshot, State, WaitReason,
+    Document, DocumentVersion, Entry, PendingAck, RouterId, RouterLease, Snapshot, State, WaitReason,
 };
 use std::io::{self, IsTerminal, Write};
 
@@ -124,7 +124,7 @@
     })
 }
 
-fn router_row(state: &State, id: &RouterId, lease: &ActLease) -> Value {
+fn router_row(state: &State, id: &RouterId, lease: &RouterLease) -> Value {
     let numbers: Vec<u64> = lease.active_settings.versions().map(|version| version.number).collect();
     json!({
         "router": id.name,
--- a/crates/gateway/src/server/config_versioning/mod.rs
+++ b/crates/gateway/src/server/config_versioning/mod.rs
@@ -60,7 +60,7 @@
     send_permission: SendPermission,
     takeover_timer: TakeoverTimer,
     rollout: DocumentRollout,
-    has_left: bool,
+    lease_released: bool,
     /// Locked for as long as this incarnation lasts.
     _incarnation_file: Option<IncarnationFile>,
 }
@@ -104,7 +104,7 @@
             takeover_timer: TakeoverTimer::new(u64::from_be_bytes(seed)),
             rollout: DocumentRollout::new(keys.clone()),
             keys,
-            has_left: false,
+            lease_released: false,
             _incarnation_file: incarnation_file,
         })
     }
@@ -193,7 +193,7 @@
             self.requests.read_key(&self.keys.state(), RequestPurpose::State);
         }
         let site = self.adopt_new_state(now, open_classes, clock);
-        if !self.has_left {
+        if !self.lease_released {
             self.check_for_takeover(now);
             self.request_lease(now);
         }
@@ -249,7 +249,7 @@
             RequestPurpose::Leases => self.on_leases(now, requests::decode(response), clock),
             // Whether it was done shows in the state, as with a commit by anybody else.
             RequestPurpose::Commit => self.read_state_us = Some(now.0),
-            RequestPurpose::ReleaseLease => self.has_left = true,
+            RequestPurpose::ReleaseLease => self.lease_released = true,
         }
     }
 
@@ -274,15 +274,15 @@
     }
 
     /// Releases the lease to act.
-    pub(crate) fn leave(&mut self) {
+    pub(crate) fn release_lease(&mut self) {
         match self.lease_holder.release() {
             Some(txn) => self.requests.write(&txn, RequestPurpose::ReleaseLease),
-            None => self.has_left = true,
+            None => self.lease_released = true,
         }
     }
 
     /// Whether the lease has been released.
-    pub(crate) fn has_left(&self) -> bool {
-        self.has_left
+    pub(crate) fn is_lease_released(&self) -> bool {
+        self.lease_released
     }
 }
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -35,7 +35,7 @@
     /// When the poller fails.
     pub(super) fn shut_down(&mut self, now: Micros) -> Result<(), GatewayError> {
         if let Some(config_versioning) = &mut self.config_versioning {
-            config_versioning.leave();
+            config_versioning.release_lease();
         }
         self.front.stop(now, &mut self.to_front);
         self.drain_outputs(now);
@@ -57,7 +57,10 @@
     fn has_unfinished(&self) -> bool {
         self.reactor.has_pending()
             || self.bridge.as_ref().is_some_and(|link| link.has_unsent())
-            || self.config_versioning.as_ref().is_some_and(|config_versioning| !config_versioning.has_left())
+            || self
+                .config_versioning
+                .as_ref()
+                .is_some_and(|config_versioning| !config_versioning.is_lease_released())
             || self.source.as_ref().is_some_and(|source| !source.is_deregistered())
     }
 
