--- a/crates/config-versioning/src/compare.rs
+++ b/crates/config-versioning/src/compare.rs
@@ -1,7 +1,8 @@
-//! Whether two sets of terms contradict each other, field by field and with a reason.
+//! Detects contradictions between two sets of terms, with the field and a reason for each.
 //!
-//! Two terms contradict where one *applies* what the other does not *tolerate*; see [`Terms`]. What is unknown to one side
-//! contradicts nothing, as that side refuses it. Priority weights, objectives and the like are no terms. Used by coordinators
+//! Two sets contradict each other where one *applies* a rule that the other does not *tolerate*; see
+//! [`Terms`]. An item that only one side defines never contradicts, because the other side refuses such
+//! calls. Priority weights, objectives and similar settings are not part of the terms. Used by coordinators
 //! and by the commands that show a change.
 
 use crate::terms::{find_route, Route, Terms};
@@ -9,15 +10,16 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The number of filters above which routes are taken to contradict without a full comparison, which bounds its cost.
+/// Bounds the cost of comparing routes: with more shared filters than this, the routes count as
+/// contradicting.
 const MAX_COMPARED_FILTERS: usize = 20_000;
 
-/// One field in which two terms contradict each other.
+/// A field in which two sets of terms contradict each other.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Contradiction {
-    /// The field, such as `class "charge" effect`.
+    /// The name of the field, such as `class "charge" effect`.
     pub field: String,
-    /// Why it is one.
+    /// An explanation for operators.
     pub reason: String,
 }
 
@@ -27,7 +29,7 @@
     }
 }
 
-/// All fields in which two terms contradict each other, in order. The result is symmetric.
+/// All contradictions between two sets of terms, sorted by field. The order of the arguments does not matter.
 #[must_use]
 pub fn contradictions(one: &Terms, two: &Terms) -> Vec<Contradiction> {
     let mut found = Contradictions::default();
@@ -40,7 +42,7 @@
     found.0.into_iter().collect()
 }
 
-/// What `applied` does and `tolerant` does not tolerate, for both directions.
+/// Collects the rules that `applied` applies and `tolerant` does not tolerate; called for both directions.
 #[derive(Default)]
 struct Contradictions(BTreeSet<Contradiction>);
 
@@ -53,12 +55,13 @@
         for (name, class) in &applied.classes {
             let Some(other) = tolerant.classes.get(name) else { continue };
             if !other.tolerated.iter().any(|rule| class.retry.is_within(rule)) {
-                let reason = "one side sends a call again where the other holds that it must not run twice";
+                let reason =
+                    "one document permits a retry that the other forbids because the call must not run twice";
                 self.add(format!("class \"{name}\" effect"), reason);
             }
-            let attempts_count = !class.retry.is_unconditional() || !other.retry.is_unconditional();
-            if attempts_count && class.attempts.applied > other.attempts.tolerated {
-                let reason = "one side makes more attempts than the other allows";
+            let attempts_matter = !class.retry.is_unconditional() || !other.retry.is_unconditional();
+            if attempts_matter && class.attempts.applied > other.attempts.tolerated {
+                let reason = "one document permits more attempts than the other";
                 self.add(format!("class \"{name}\" attempts"), reason);
             }
         }
@@ -67,7 +70,7 @@
     fn compare_bounds(&mut self, applied: &Terms, tolerant: &Terms) {
         for (name, bound) in &applied.bounds {
             if tolerant.bounds.get(name).is_some_and(|other| bound.applied > other.tolerated) {
-                self.add(name, "one side goes further than the other allows");
+                self.add(name, "the value in one document exceeds the maximum of the other");
             }
         }
     }
@@ -78,14 +81,16 @@
                 continue;
             };
             if !others.iter().any(|other| other.as_deref().is_none_or(|other| other == value)) {
-                self.add(name, "the sides hold different things for true");
+                self.add(name, "the documents have different values");
             }
         }
     }
 
-    /// Finds topics that one side accepts and for which every table of the other side has another target.
+    /// Finds topics that one side accepts and that every table of the other side routes to a different
+    /// target.
     fn compare_routes(&mut self, applied: &Terms, tolerant: &Terms) {
-        // Sides that share a table tolerate each other: a meet tolerates all that either of its documents applies.
+        // Sides with a common table cannot contradict: a meet tolerates whatever one of its documents
+        // applies.
         let shares_table = !applied.tables.is_disjoint(&tolerant.tables);
         if applied.tables.is_empty() || tolerant.tables.is_empty() || shares_table {
             return;
@@ -93,7 +98,7 @@
         let tables: Vec<&[Route]> =
             applied.tables.iter().chain(&tolerant.tables).map(Vec::as_slice).collect();
         let Some(filters) = shared_filters(&tables) else {
-            let reason = "too many filters share topics to be compared; they are taken to contradict";
+            let reason = "too many overlapping topic filters to compare; the routes count as contradicting";
             return self.add("routes", reason);
         };
         let levels = tables.iter().copied().flatten().map(|route| route.filter.split('/').count()).max();
@@ -107,7 +112,7 @@
         let Some(route) = applied.route(topic) else { return };
         let others: Option<Vec<&Route>> =
             tolerant.tables.iter().map(|table| find_route(table, topic)).collect();
-        // A table without a route for the topic refuses it, and so contradicts nothing.
+        // A table without a route for the topic refuses its calls, so that there is no contradiction.
         let Some(others) = others else { return };
         if others.iter().any(|other| other.has_same_target(route)) {
             return;
@@ -118,16 +123,16 @@
         sides.sort();
         let [low, high] = sides;
         let reason = if low == high {
-            format!("function, tenant or key of class {low} follow from it differently")
+            format!("the documents derive function, tenant or key of class {low} differently from it")
         } else {
-            format!("it belongs to class {low} on one side and to {high} on the other")
+            format!("one document routes it to class {low}, the other to {high}")
         };
         self.add(format!("topic \"{topic}\""), reason);
     }
 }
 
-/// The filters that routes of all tables share, by which each topic that all tables match is represented; `None` if they are
-/// more than [`MAX_COMPARED_FILTERS`].
+/// Intersections of the filters of all tables. Together they match exactly the topics that every table
+/// matches. `None` if there are more than [`MAX_COMPARED_FILTERS`].
 fn shared_filters(tables: &[&[Route]]) -> Option<BTreeSet<String>> {
     let (first, others) = tables.split_first()?;
     let mut filters: BTreeSet<String> = first.iter().map(|route| route.filter.clone()).collect();
--- a/crates/config-versioning/src/lease_holder.rs
+++ b/crates/config-versioning/src/lease_holder.rs
@@ -1,65 +1,65 @@
-//! One router's lease to act, and the settings that it acts by.
+//! One router's lease and its active settings.
 //!
-//! Invariant: a router sends nothing non-idempotent and nothing keyed by settings that the fleet may have replaced. A lease is
-//! counted by the router's own monotonic clock from *before* it was requested. The caller checks
-//! [`LeaseHolder::send_permission`] before each send, passes on what the registry holds, and carries out the requests of
-//! [`LeaseHolder::next_request`].
+//! Invariant: a router sends no non-idempotent and no keyed call under settings that the fleet may have
+//! replaced. A lease is measured by the router's monotonic clock, starting *before* the lease was requested.
+//! The caller checks [`LeaseHolder::send_permission`] before each send, passes in what it reads from the
+//! registry, and performs the requests that [`LeaseHolder::next_request`] returns.
 
 use crate::document::{ActiveSettings, DocumentVersion, LeaseExpiryPolicy, LeaseTerms, RouterLease, State};
 use crate::keys::Keys;
 use crate::transaction::{to_json, Entry, Txn, TxnOutcome};
 use std::fmt;
 
-/// A lease is renewed after this fraction of its length: a third.
+/// A lease is renewed after `1 / RENEWAL_DIVISOR` of its duration.
 const RENEWAL_DIVISOR: i64 = 3;
-/// A request without an answer is abandoned after this fraction of a lease: a half.
+/// A request without an answer times out after `1 / TIMEOUT_DIVISOR` of a lease's duration.
 const TIMEOUT_DIVISOR: i64 = 2;
 
-/// Whose lease it is.
+/// The router incarnation that holds a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseOwner {
-    /// Keys of the records.
+    /// The layout of the records' keys.
     pub keys: Keys,
-    /// The router's name.
+    /// The router's configured name, which all its incarnations share.
     pub name: String,
-    /// This incarnation of it; no two incarnations of any router have the same.
+    /// The current incarnation; unique among all incarnations of all routers.
     pub incarnation: String,
-    /// Earlier incarnations of this name that are known to have ended. Each write deletes their leases, because a write that
-    /// such an incarnation requested last may arrive late.
+    /// Earlier incarnations of this router that are known to have ended. Each write deletes their leases,
+    /// because the last write of such an incarnation may reach the registry late.
     pub previous_incarnations: Vec<String>,
 }
 
-/// What a router may send now.
+/// Which calls a router may send now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SendPermission {
-    /// Everything, by its active settings.
+    /// All calls, under the active settings.
     All,
-    /// Idempotent calls only, once each; others are refused as "not sent".
+    /// Only idempotent calls, with a single attempt each; others are refused as "not sent".
     Safe,
-    /// Nothing: no document is known yet.
+    /// None, because no document has been read yet.
     Nothing,
 }
 
-/// A request to the registry.
+/// A request to the registry, which the caller performs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseRequest {
-    /// Read the state and the router's own lease, for [`LeaseHolder::on_read`].
+    /// Read the state and the router's own lease, and pass the lease to [`LeaseHolder::on_read`].
     Read,
-    /// Do this transaction, and pass its outcome to [`LeaseHolder::on_written`].
+    /// Perform this transaction, and pass its outcome to [`LeaseHolder::on_written`].
     Write(Txn),
 }
 
-/// A fault that needs an operator's attention.
+/// An inconsistency in the registry that needs an operator's attention.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseFault {
-    /// The registry holds an older content than was seen before; the router keeps its active settings.
+    /// The state in the registry is older than one observed before; the router keeps its active settings.
     StateRolledBack {
-        /// The step that was seen.
+        /// The newest step observed before.
         from: u64,
-        /// The step in the registry now.
+        /// The step in the registry now; it may be equal, with other content.
         to: u64,
     },
-    /// The lease was deleted or replaced by somebody else; a new one is requested.
+    /// The lease was deleted or replaced by another party; the router requests a new one.
     LeaseRevoked,
 }
 
@@ -67,10 +67,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LeaseFault::StateRolledBack { from, to } => {
-                write!(f, "the registry went back from step {from} to {to}; the rules stay as they were")
+                write!(f, "the registry was rolled back from step {from} to {to}; active settings are kept")
             }
             LeaseFault::LeaseRevoked => {
-                write!(f, "the right to act that the registry holds is not the one that was written")
+                write!(f, "the lease in the registry is missing or is not the one that this router wrote")
             }
         }
     }
@@ -78,22 +78,22 @@
 
 impl std::error::Error for LeaseFault {}
 
-/// The revisions of the entries that a write builds on.
+/// The revisions that a write of the lease compares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Revisions {
     state: i64,
     lease: i64,
 }
 
-/// A lease that was granted.
+/// A granted lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
-    /// When it was requested: its start.
+    /// When the lease was requested, which is the start of its duration.
     requested_us: i64,
     terms: LeaseTerms,
 }
 
-/// The request that is under way.
+/// The request in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum PendingRequest {
     None,
@@ -101,41 +101,42 @@
     Read { requested_us: i64 },
 }
 
-/// A write that failed or whose outcome is unknown.
+/// A write that was rejected or whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct FailedWrite {
     revisions: Revisions,
     requested_us: i64,
 }
 
-/// The lease of one router; see the module's documentation.
+/// Maintains the lease of one router; see the module's documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
-    settings: LeaseOwner,
-    /// The newest state that was accepted.
+    owner: LeaseOwner,
+    /// The newest accepted state.
     state: Option<Entry<State>>,
-    /// Terms of the next lease, by the documents of `state`.
+    /// Terms of the next lease, derived from the documents of `state`.
     terms: Option<LeaseTerms>,
     held: Option<HeldLease>,
-    /// The lease in the registry as far as is known.
+    /// The last known content of the lease in the registry.
     written: Option<RouterLease>,
-    /// The lease of the last write that was requested.
+    /// The content of the last requested write.
     attempted: Option<RouterLease>,
-    /// The revision of the lease in the registry; 0 if there is none.
+    /// The last known revision of the lease in the registry; 0 if it is absent.
     revision: i64,
-    /// The registry must be read before anything can be written.
+    /// Set when the content of the registry is uncertain and must be read before the next write.
     must_read: bool,
     pending: PendingRequest,
-    /// The last write that failed: the same one is not repeated at once.
+    /// The last failed write. A write that compares the same revisions is delayed instead of repeated at
+    /// once.
     failed_write: Option<FailedWrite>,
 }
 
 impl LeaseHolder {
-    /// A holder without a lease that knows no state.
+    /// A holder that has neither a lease nor a state.
     #[must_use]
-    pub fn new(settings: LeaseOwner) -> Self {
+    pub fn new(owner: LeaseOwner) -> Self {
         LeaseHolder {
-            settings,
+            owner,
             state: None,
             terms: None,
             held: None,
@@ -148,24 +149,24 @@
         }
     }
 
-    /// The state by which the router acts.
+    /// The newest accepted state; `None` before the first one.
     #[must_use]
     pub fn state(&self) -> Option<&Entry<State>> {
         self.state.as_ref()
     }
 
-    /// The settings by which the router acts.
+    /// The settings that the router applies; `None` before the first state.
     #[must_use]
     pub fn active_settings(&self) -> Option<&ActiveSettings> {
         self.state.as_ref().map(|entry| &entry.value.active_settings)
     }
 
-    /// Accepts a state whose documents were read whole and can be acted by; `documents` are the terms of leases under them, of
-    /// which the strictest hold. A state that cannot be acted by must not be passed in, so that it is not acknowledged. Returns
-    /// whether it is a new one.
+    /// Accepts a state; `documents` are the lease terms of its documents, of which the strictest apply.
+    /// Returns whether the state is new. The next lease acknowledges the state, so the caller must pass in
+    /// only states whose documents it has read completely and can apply.
     ///
     /// # Errors
-    /// If it is older than the known state; then nothing changes.
+    /// If the state is older than the known one; nothing changes then.
     pub fn observe_state(
         &mut self,
         state: &Entry<State>,
@@ -176,7 +177,7 @@
             if known == state {
                 return Ok(false);
             }
-            // A router that missed the states in between holds no valid lease any more: a commit has removed it.
+            // With no document in common, the router missed a commit, and that commit has deleted its lease.
             let is_known =
                 |version: &DocumentVersion| known.value.active_settings.versions().any(|one| one == version);
             if !state.value.active_settings.versions().any(is_known) {
@@ -188,7 +189,7 @@
         Ok(true)
     }
 
-    /// What may be sent at a time, in microseconds of the router's monotonic clock.
+    /// Which calls may be sent at `now_us`, in microseconds of the router's monotonic clock.
     #[must_use]
     pub fn send_permission(&self, now_us: i64) -> SendPermission {
         if self.state.is_none() {
@@ -204,7 +205,8 @@
         }
     }
 
-    /// When the permission to send is reduced unless the lease is renewed before; `None` if it is not by time.
+    /// When the held lease expires and reduces the permission to send unless it is renewed; `None` without a
+    /// lease, or if the permission outlasts it ([`LeaseExpiryPolicy::GoOn`]).
     #[must_use]
     pub fn expires_us(&self) -> Option<i64> {
         let HeldLease { requested_us, terms } = self.held.as_ref()?;
@@ -212,7 +214,7 @@
             .then(|| requested_us.saturating_add(terms.lease_us))
     }
 
-    /// When [`LeaseHolder::next_request`] is due; `None` before a state is known.
+    /// When [`LeaseHolder::next_request`] is due; `None` before the first state.
     #[must_use]
     pub fn next_request_us(&self) -> Option<i64> {
         let terms = self.terms.as_ref()?;
@@ -240,19 +242,19 @@
         Revisions { state: self.state.as_ref().map_or(0, |entry| entry.revision), lease: self.revision }
     }
 
-    /// Whether a lease is held and names the step of the known state.
+    /// Whether a lease is held and acknowledges the step of the known state.
     fn is_state_acknowledged(&self) -> bool {
         let step = self.state.as_ref().map(|entry| entry.value.step);
         self.held.is_some() && step == self.written.as_ref().map(|lease| lease.step)
     }
 
-    /// The next request to the registry, if one is due; none before a state is known.
+    /// The next request to the registry if one is due; `None` before the first state.
     pub fn next_request(&mut self, now_us: i64) -> Option<LeaseRequest> {
         if self.next_request_us()? > now_us {
             return None;
         }
         if self.pending != PendingRequest::None {
-            // The request timed out: whether it was done, and so what the registry holds, is unknown.
+            // The request timed out, so it is unknown whether it was applied and what the registry holds.
             self.must_read = true;
         }
         if self.must_read {
@@ -262,7 +264,7 @@
         self.begin_write(now_us).map(LeaseRequest::Write)
     }
 
-    /// The transaction that writes the lease for the known state.
+    /// Starts the write of a lease that acknowledges the known state.
     fn begin_write(&mut self, now_us: i64) -> Option<Txn> {
         let (state, terms) = (self.state.as_ref()?, self.terms?);
         let lease = RouterLease {
@@ -271,7 +273,7 @@
             lease_us: terms.lease_us,
             expiry_policy: terms.expiry_policy,
         };
-        let LeaseOwner { keys, name, incarnation, previous_incarnations } = &self.settings;
+        let LeaseOwner { keys, name, incarnation, previous_incarnations } = &self.owner;
         let own_key = keys.lease(name, incarnation);
         let txn = Txn {
             compares: vec![(keys.state(), state.revision), (own_key.clone(), self.revision)],
@@ -279,7 +281,8 @@
             deletes: previous_incarnations.iter().map(|previous| keys.lease(name, previous)).collect(),
         };
         self.attempted = Some(lease);
-        // If the outcome stays unknown, the entry may bind by the new terms while the old lease is held: both are observed.
+        // While the outcome is unknown, the registry may hold a lease with the new terms although the old
+        // lease is still held here. The stricter of both terms applies.
         if let Some(held) = &mut self.held {
             held.terms = held.terms.strictest(terms);
         }
@@ -288,7 +291,7 @@
         Some(txn)
     }
 
-    /// Takes the outcome of a requested write.
+    /// Processes the outcome of a requested write.
     pub fn on_written(&mut self, outcome: TxnOutcome) {
         let pending = std::mem::replace(&mut self.pending, PendingRequest::None);
         let PendingRequest::Write { requested_us, terms, revisions } = pending else { return };
@@ -305,12 +308,13 @@
         }
     }
 
-    /// Takes the result of a requested read: the router's own lease in the registry, if there is one. The state is to be
-    /// passed to [`LeaseHolder::observe_state`] before.
+    /// Processes the result of a requested read: `own` is the router's own lease in the registry, if it
+    /// exists. The state that was read must be passed to [`LeaseHolder::observe_state`] first.
     ///
     /// # Errors
-    /// If a lease was held and the registry has none, or one that this incarnation did not write last. A registry restored
-    /// from a backup does not hold by what the router acts, and a commit would not wait for it.
+    /// If a lease was held and the registry has none, or not the last one that this incarnation wrote. A
+    /// registry restored from a backup does not record the router's active settings, so a commit would not
+    /// wait for this router.
     pub fn on_read(&mut self, own: Option<&Entry<RouterLease>>) -> Result<(), LeaseFault> {
         if !matches!(self.pending, PendingRequest::Read { .. }) {
             return Ok(());
@@ -327,15 +331,17 @@
         Ok(())
     }
 
-    /// The transaction that releases the lease at an orderly shutdown, once no call is open any more; `None` if none is held.
+    /// The transaction that releases the lease at an orderly shutdown, after the last open call has ended;
+    /// `None` if no lease is held.
     pub fn release(&mut self) -> Option<Txn> {
         self.held.take()?;
-        let own_key = self.settings.keys.lease(&self.settings.name, &self.settings.incarnation);
+        let own_key = self.owner.keys.lease(&self.owner.name, &self.owner.incarnation);
         Some(Txn { deletes: vec![own_key], ..Txn::default() })
     }
 }
 
-/// Refuses a state of a lower step, of the same step with another content, or with an older committed document.
+/// Rejects a state with a lower step, with the same step and different content, or with an older committed
+/// document.
 fn check_not_rolled_back(known: &State, state: &State) -> Result<(), LeaseFault> {
     let is_rolled_back = state.step < known.step
         || (state.step == known.step && known != state)
--- a/crates/config-versioning/src/lib.rs
+++ b/crates/config-versioning/src/lib.rs
@@ -1,10 +1,12 @@
-//! Versioned settings that a fleet of routers switches to together, without I/O.
+//! Versioned settings that are rolled out to a fleet of routers in two phases (prepare, commit). This crate
+//! does no I/O.
 //!
-//! Invariant: no two routers act at the same time by rules that contradict each other. [`Terms`] are the rules of a document
-//! that can contradict another document's, with their *meet*, the strictest common rules. [`Document`], [`State`] and
-//! [`RouterLease`] are the records in the key-value registry, and a [`Snapshot`] is all of them at one revision. A [`LeaseHolder`]
-//! keeps one router's lease to act and the [`ActiveSettings`] it acts by; a [`RolloutCoordinator`] takes a change from prepared
-//! to committed, and several coordinators may work on one change. Commands run a coordinator, routers run both.
+//! Invariant: no two routers apply conflicting rules at the same time. [`Terms`] are those rules of a
+//! document that can conflict with another document's; their *meet* is the strictest common set of rules.
+//! [`Document`], [`State`] and [`RouterLease`] are the records in the key-value registry, and a [`Snapshot`]
+//! holds all of them at one revision. A [`LeaseHolder`] maintains one router's lease and its
+//! [`ActiveSettings`]. A [`RolloutCoordinator`] takes a change from prepared to committed; several
+//! coordinators may process the same change. Commands run a coordinator, routers run both.
 //!
 //! The protocol, its assumptions and the argument for the invariant: `docs/design-config-versioning.md`.
 #![forbid(unsafe_code)]
--- a/crates/config-versioning/src/publish.rs
+++ b/crates/config-versioning/src/publish.rs
@@ -1,7 +1,8 @@
-//! Transactions of operators: publish a document, withdraw a prepared one, declare a router gone.
+//! Transactions for operators' commands: publish a document, withdraw a prepared one, declare a router gone.
 //!
-//! Invariants: one publication is one document, a number is never assigned twice, and at most two successive documents are in
-//! use. Each transaction compares the revisions of what it builds on.
+//! Invariants: each publication creates one document, a number is never assigned twice, and at most two
+//! successive documents are in use. Each transaction compares the revisions of the entries that it was
+//! derived from.
 
 use crate::document::{ActiveSettings, Document, State};
 use crate::keys::{Keys, RouterId};
@@ -9,17 +10,17 @@
 use crate::transaction::{to_json, Entry, Txn};
 use std::fmt;
 
-/// The largest text of a document, in bytes. A registry takes 1.5 MiB a transaction.
+/// Size limit of a document's text, in bytes. The registry accepts at most 1.5 MiB per transaction.
 pub const MAX_DOCUMENT_BYTES: usize = 512 * 1024;
 
-/// Why a text cannot be published now.
+/// Why a text cannot be published.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublishError {
-    /// A change to this document is prepared and not yet committed.
+    /// A change to the document with this number is prepared and not yet committed.
     ChangeInProgress(u64),
     /// The committed document, with this number, has the same text.
     Unchanged(u64),
-    /// The text is longer than [`MAX_DOCUMENT_BYTES`]: its length in bytes.
+    /// The text has this many bytes, more than [`MAX_DOCUMENT_BYTES`].
     TooLong(usize),
 }
 
@@ -29,9 +30,9 @@
             PublishError::ChangeInProgress(number) => {
                 write!(f, "document {number} is prepared and not yet committed")
             }
-            PublishError::Unchanged(number) => write!(f, "document {number}, which counts, has this text"),
+            PublishError::Unchanged(number) => write!(f, "committed document {number} has the same text"),
             PublishError::TooLong(bytes) => {
-                write!(f, "{bytes} bytes; a document has at most {MAX_DOCUMENT_BYTES}")
+                write!(f, "the document has {bytes} bytes, more than the maximum of {MAX_DOCUMENT_BYTES}")
             }
         }
     }
@@ -40,12 +41,13 @@
 impl std::error::Error for PublishError {}
 
 impl Snapshot {
-    /// The document made from a draft, and the transaction that publishes it. The first document is committed at once, each
-    /// other one is prepared. Of the draft, number, parent and digest are replaced. The number is above all that were assigned
-    /// here and above `above`, which counts where the registry was restored from a backup.
+    /// Creates a document from a draft, whose number, parent and digest are ignored, and the transaction that
+    /// publishes it. The first document is committed at once, each later one is prepared. Its number is
+    /// greater than every number known here and than `above`, which is needed after the registry was restored
+    /// from a backup and lacks the latest numbers.
     ///
     /// # Errors
-    /// If it cannot be published now.
+    /// If another change is prepared, the text is unchanged, or it is too long.
     pub fn publish(
         &self,
         keys: &Keys,
@@ -83,7 +85,7 @@
         Ok((document, txn))
     }
 
-    /// A number above all that were assigned and above `above`.
+    /// The lowest number greater than every known one and than `above`.
     fn next_number(&self, above: u64) -> u64 {
         let referenced = self.referenced_versions().into_iter().map(|version| version.number);
         let last = self.state.as_ref().map_or(0, |entry| entry.value.last_number);
@@ -91,7 +93,8 @@
         known.max().unwrap_or(0) + 1
     }
 
-    /// The transaction that withdraws a prepared change, if one is: nobody acts by the prepared document alone yet.
+    /// The transaction that withdraws the prepared change; `None` if there is none. Withdrawal is safe
+    /// because no router applies the prepared document alone before the commit.
     #[must_use]
     pub fn withdraw(&self, keys: &Keys) -> Option<Txn> {
         let Entry { value: state, revision } = self.state.as_ref()?;
@@ -104,8 +107,8 @@
         })
     }
 
-    /// The transaction that deletes a router's leases on an operator's assurance that it sends nothing any more: those of one
-    /// incarnation, or all. `None` if it has none.
+    /// The transaction that deletes a router's leases, of one incarnation or of all; `None` if it has none.
+    /// Safe only if the operator has made sure that the router sends nothing any more.
     #[must_use]
     pub fn revoke_leases(&self, keys: &Keys, name: &str, incarnation: Option<&str>) -> Option<Txn> {
         let selected = |id: &RouterId| id.name == name && incarnation.is_none_or(|one| id.incarnation == one);
@@ -121,7 +124,7 @@
     }
 }
 
-/// Whether a text with this digest may be prepared to replace these settings.
+/// Checks that a text with this digest may be prepared as the successor of these settings.
 fn check_replaceable(active_settings: &ActiveSettings, digest: &str) -> Result<(), PublishError> {
     if let Some(prepared) = &active_settings.prepared {
         return Err(PublishError::ChangeInProgress(prepared.number));
--- a/crates/config-versioning/src/snapshot.rs
+++ b/crates/config-versioning/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! A snapshot of the registry's records, decoded and checked.
 //!
-//! Records that cannot be used are reported beside the others; a lease that cannot be read counts as one that does not
-//! acknowledge.
+//! Invalid records are reported separately from the valid ones. A lease that cannot be decoded counts as one
+//! that does not acknowledge the state.
 
 use crate::document::{ActiveSettings, Document, DocumentVersion, RouterLease, State};
 use crate::keys::{Keys, RouterId};
@@ -10,25 +10,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A record that cannot be used.
+/// A record that cannot be decoded or is inconsistent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordError {
-    /// The record's key.
+    /// The record's full key in the registry.
     pub key: String,
-    /// What is wrong with it.
+    /// Why the record is invalid.
     pub fault: RecordFault,
 }
 
-/// What is wrong with a record.
+/// Why a record is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordFault {
-    /// It is no JSON of the expected form: the parser's message, with line and column.
+    /// The value is not JSON of the expected form; holds the parser's message, with line and column.
     Malformed(String),
     /// The document's number differs from the one in its key.
     NumberMismatch,
     /// The document's digest is not that of its text.
     DigestMismatch,
-    /// The document's leases have no length.
+    /// The document's lease duration is zero or negative.
     LeaseNotPositive,
 }
 
@@ -36,9 +36,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             RecordFault::Malformed(message) => message,
-            RecordFault::NumberMismatch => "it bears another number than its key",
-            RecordFault::DigestMismatch => "its text has another digest",
-            RecordFault::LeaseNotPositive => "a right to act lasts for some time",
+            RecordFault::NumberMismatch => "the document's number differs from the one in its key",
+            RecordFault::DigestMismatch => "the document's digest does not match its text",
+            RecordFault::LeaseNotPositive => "the document's lease duration (right_us) is not positive",
         })
     }
 }
@@ -51,23 +51,24 @@
 
 impl std::error::Error for RecordError {}
 
-/// All records below the prefix at one revision.
+/// All records below the prefix at one revision of the registry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The state, if one was written.
+    /// The state; `None` before the first publication, or if its record is invalid.
     pub state: Option<Entry<State>>,
-    /// Documents by number.
+    /// Valid documents by number.
     pub documents: BTreeMap<u64, Document>,
-    /// Leases by router.
+    /// Valid leases by router incarnation.
     pub leases: BTreeMap<RouterId, Entry<RouterLease>>,
-    /// Records that cannot be used.
+    /// Errors of all invalid records, those of leases included.
     pub unreadable: Vec<RecordError>,
-    /// Routers whose leases cannot be read.
+    /// Router incarnations whose leases cannot be decoded.
     pub unreadable_leases: Vec<RouterId>,
 }
 
 impl Snapshot {
-    /// Decodes entries, each a key, a value and the revision that last changed it. Keys outside the prefix are skipped.
+    /// Decodes entries of the form (key, value, revision of the last change). Keys outside the prefix are
+    /// skipped.
     pub fn from_entries<'a>(
         keys: &Keys,
         entries: impl IntoIterator<Item = (&'a str, &'a [u8], i64)>,
@@ -94,7 +95,7 @@
         match path.split('/').collect::<Vec<_>>()[..] {
             ["state"] => self.state = Some(Entry { value: from_json(key, value)?, revision }),
             ["documents", _] => self.add_document(keys, key, from_json(key, value)?)?,
-            // A name may contain slashes, an incarnation has none.
+            // A router's name may contain slashes, an incarnation may not.
             ["rights", ref name @ .., incarnation] => {
                 let id = RouterId::new(name.join("/"), incarnation);
                 match from_json(key, value) {
@@ -124,7 +125,8 @@
         Err(RecordError { key: key.into(), fault })
     }
 
-    /// Encodes a state and its documents for a start without a registry; [`Snapshot::decode`] reads them.
+    /// Encodes a state and its documents for the router's local file, from which it can start while the
+    /// registry is unreachable; [`Snapshot::decode`] reads them.
     pub fn encode<'a>(
         keys: &Keys,
         state: &Entry<State>,
@@ -140,24 +142,25 @@
         to_json(&entries)
     }
 
-    /// Decodes what [`Snapshot::encode`] wrote, by the same checks as a registry's entries.
+    /// Decodes the output of [`Snapshot::encode`], with the same checks as for entries of the registry.
     ///
     /// # Errors
-    /// If the bytes are no list of entries. Single records that cannot be used are in [`Snapshot::unreadable`].
+    /// If the bytes are not a list of entries. Single invalid records are reported in
+    /// [`Snapshot::unreadable`].
     pub fn decode(keys: &Keys, encoded: &[u8]) -> Result<Self, RecordError> {
-        let entries: Vec<(String, String, i64)> = from_json("what was kept", encoded)?;
+        let entries: Vec<(String, String, i64)> = from_json("remembered settings", encoded)?;
         let entries =
             entries.iter().map(|(key, value, revision)| (key.as_str(), value.as_bytes(), *revision));
         Ok(Snapshot::from_entries(keys, entries))
     }
 
-    /// The document of a version, if it is here with that content.
+    /// The document with this number, if its digest matches too.
     #[must_use]
     pub fn document(&self, version: &DocumentVersion) -> Option<&Document> {
         self.documents.get(&version.number).filter(|document| document.digest == version.digest)
     }
 
-    /// All documents that the state or a lease names.
+    /// The versions of all documents that the state or a lease refers to.
     #[must_use]
     pub fn referenced_versions(&self) -> BTreeSet<&DocumentVersion> {
         let state = self.state.iter().map(|entry| &entry.value.active_settings);
--- a/crates/config-versioning/src/takeover.rs
+++ b/crates/config-versioning/src/takeover.rs
@@ -1,14 +1,15 @@
-//! When a router checks whether a change that somebody else began still waits for a coordinator.
+//! Schedules a router's checks for a prepared change whose coordinator has stopped.
 //!
-//! It bounds the load on the registry: all routers together check [`FLEET_CHECK_INTERVAL_US`] apart on average, however many
-//! they are. Whoever began the change has a head start. What a check reads is judged by [`crate::RolloutCoordinator`].
+//! Bounds the load on the registry: the fleet as a whole makes one check per [`FLEET_CHECK_INTERVAL_US`] on
+//! average, whatever its size. The first check is delayed, so that the coordinator that began the change can
+//! finish it. [`crate::RolloutCoordinator`] evaluates what a check reads.
 
-/// The average time between two checks of all routers together, in microseconds: five checks a second.
+/// The average interval between checks over the whole fleet, in microseconds (five checks per second).
 const FLEET_CHECK_INTERVAL_US: i64 = 200_000;
-/// The number of routers assumed before the first check has counted them.
+/// The fleet size assumed until the first check has counted the leases.
 const INITIAL_ROUTER_ESTIMATE: i64 = 50;
 
-/// A prepared change whose coordinator may have failed.
+/// A prepared change whose coordinator may have stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PreparedChange {
     /// The step of the state that prepared it.
@@ -16,7 +17,7 @@
     next_check_us: i64,
 }
 
-/// The takeover timer of one router; see the module's documentation.
+/// The check schedule of one router; see the module's documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TakeoverTimer {
     random_state: u64,
@@ -24,14 +25,14 @@
 }
 
 impl TakeoverTimer {
-    /// A timer whose times follow from a seed of its own.
+    /// A timer whose jitter is derived from `seed`, which should differ between routers.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         TakeoverTimer { random_state: seed, change: None }
     }
 
-    /// A uniformly drawn part of a span (splitmix64).
-    fn draw(&mut self, span_us: i64) -> i64 {
+    /// A uniformly distributed value in `0..span_us` (splitmix64).
+    fn random_below(&mut self, span_us: i64) -> i64 {
         self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.random_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -40,8 +41,9 @@
         ((u128::from(mixed) * u128::from(span_us.max(1).unsigned_abs())) >> 64) as i64
     }
 
-    /// Takes a new state: its step if a change is prepared. Whoever began the change is left alone for `head_start_us`.
-    pub fn observe_state(&mut self, now_us: i64, prepared_step: Option<u64>, head_start_us: i64) {
+    /// Observes a state: `prepared_step` is its step if a change is prepared, else `None`. For a new change,
+    /// the first check comes no earlier than `takeover_delay_us` from now.
+    pub fn observe_state(&mut self, now_us: i64, prepared_step: Option<u64>, takeover_delay_us: i64) {
         let Some(step) = prepared_step else {
             self.change = None;
             return;
@@ -49,21 +51,21 @@
         if self.change.is_some_and(|change| change.step == step) {
             return;
         }
-        let wait_us = self.draw(FLEET_CHECK_INTERVAL_US * INITIAL_ROUTER_ESTIMATE);
-        self.change = Some(PreparedChange { step, next_check_us: now_us + head_start_us + wait_us });
+        let wait_us = self.random_below(FLEET_CHECK_INTERVAL_US * INITIAL_ROUTER_ESTIMATE);
+        self.change = Some(PreparedChange { step, next_check_us: now_us + takeover_delay_us + wait_us });
     }
 
-    /// When the next check is due, while a change is prepared.
+    /// When the next check is due; `None` if no change is prepared.
     #[must_use]
     pub fn next_check_us(&self) -> Option<i64> {
         self.change.map(|change| change.next_check_us)
     }
 
-    /// Takes the end of a check that found leases of so many routers.
+    /// Schedules the next check after one that found `routers` leases.
     pub fn on_checked(&mut self, now_us: i64, routers: usize) {
         let routers = i64::try_from(routers.max(1)).unwrap_or(i64::MAX / FLEET_CHECK_INTERVAL_US);
         let span_us = FLEET_CHECK_INTERVAL_US.saturating_mul(routers);
-        let wait_us = span_us / 2 + self.draw(span_us);
+        let wait_us = span_us / 2 + self.random_below(span_us);
         if let Some(change) = &mut self.change {
             change.next_check_us = now_us.saturating_add(wait_us);
         }
--- a/crates/config-versioning/src/takeover/tests.rs
+++ b/crates/config-versioning/src/takeover/tests.rs
@@ -1,28 +1,28 @@
-//! How often many routers check together, and when none does.
+//! The rate of takeover checks over a fleet, and the cases without checks.
 
 use super::*;
 
 #[test]
-fn many_routers_look_as_often_together_as_few_and_none_within_the_head_start() {
+fn fleet_check_rate_is_independent_of_its_size_and_starts_after_the_takeover_delay() {
     for routers in [5, 50, 400] {
-        let mut all: Vec<TakeoverTimer> =
+        let mut timers: Vec<TakeoverTimer> =
             (0..routers).map(|n| TakeoverTimer::new(n as u64 * 7_919)).collect();
-        all.iter_mut().for_each(|p| p.observe_state(0, Some(3), 2_000_000));
-        assert!(all.iter().all(|p| p.next_check_us().is_some_and(|at| at >= 2_000_000)));
-        let mut looks = 0;
-        // The second minute, when all have looked once.
+        timers.iter_mut().for_each(|timer| timer.observe_state(0, Some(3), 2_000_000));
+        assert!(timers.iter().all(|timer| timer.next_check_us().is_some_and(|at| at >= 2_000_000)));
+        let mut checks = 0;
+        // Counts in the second minute, after every router has made its first check.
         for now in (0..120_000_000).step_by(10_000) {
-            for timer in all.iter_mut().filter(|p| p.next_check_us().is_some_and(|at| at <= now)) {
+            for timer in timers.iter_mut().filter(|timer| timer.next_check_us().is_some_and(|at| at <= now)) {
                 timer.on_checked(now, routers);
-                looks += usize::from(now >= 60_000_000);
+                checks += usize::from(now >= 60_000_000);
             }
         }
-        assert!((210..400).contains(&looks), "{routers} routers looked {looks} times in a minute");
+        assert!((210..400).contains(&checks), "{routers} routers made {checks} checks in a minute");
     }
 }
 
 #[test]
-fn nobody_looks_where_nothing_is_prepared_and_hearing_twice_changes_nothing() {
+fn no_check_without_a_prepared_change_and_a_repeated_state_keeps_the_schedule() {
     let mut timer = TakeoverTimer::new(1);
     timer.observe_state(0, Some(1), 0);
     let due = timer.next_check_us();
--- a/crates/config-versioning/src/terms.rs
+++ b/crates/config-versioning/src/terms.rs
@@ -1,24 +1,26 @@
-//! The rules of a document that can contradict another's, and the strictest rules that contradict neither of two.
+//! The rules of a document that can contradict another document's, and the meet: the strictest common rules
+//! of two documents.
 //!
-//! Each rule has two sides: what a router by these terms *applies*, and what it *tolerates* of other routers. In one document
-//! both are the same; in the meet of two, what both allow is applied, and what either applies is tolerated. Used by
-//! [`crate::contradictions`] and by whoever derives a router's rules from its active settings.
+//! Each rule has two sides: what a router under these terms *applies* itself, and what it *tolerates* of
+//! other routers. For a single document both are equal. The meet of two applies only what both allow, and
+//! tolerates what either applies. Used by [`crate::contradictions`] and to derive a router's rules from its
+//! active settings.
 
 use crate::document::{ActiveSettings, DocumentVersion};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What must hold where a call is repeated that may have run.
+/// A condition for retrying a call that may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RetryCondition {
     /// The call carries a key.
     Key,
-    /// The worker is in the zone of the first one.
+    /// The retry goes to a worker in the same zone as the first attempt.
     Zone,
-    /// The worker is in the cell of the first one.
+    /// The retry goes to a worker in the same cell as the first attempt.
     Cell,
 }
 
-/// When a call that may have run may be sent again.
+/// When a call that may already have run may be sent again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RetryRule {
     conditions: BTreeSet<RetryCondition>,
@@ -26,13 +28,13 @@
 }
 
 impl RetryRule {
-    /// Retries without condition: the call is idempotent.
+    /// Unconditional retries, for an idempotent class.
     #[must_use]
     pub fn always() -> Self {
         RetryRule { conditions: BTreeSet::new(), window_us: i64::MAX }
     }
 
-    /// No retries: the call is not idempotent.
+    /// No retries, for a class that is not idempotent.
     #[must_use]
     pub fn forbidden() -> Self {
         RetryRule {
@@ -41,8 +43,8 @@
         }
     }
 
-    /// Retries of a call with its key, to workers for which `group` holds (`None` for all workers), within so many
-    /// microseconds of the first send.
+    /// Retries with the same key, within `window_us` microseconds of the first send. `group` limits them to
+    /// workers in the same zone or cell; `None` allows all workers. A window of zero or less forbids retries.
     #[must_use]
     pub fn keyed(group: Option<RetryCondition>, window_us: i64) -> Self {
         if window_us <= 0 {
@@ -51,31 +53,32 @@
         RetryRule { conditions: group.into_iter().chain([RetryCondition::Key]).collect(), window_us }
     }
 
-    /// Whether it is [`RetryRule::always`].
+    /// Whether the rule equals [`RetryRule::always`].
     #[must_use]
     pub fn is_unconditional(&self) -> bool {
         self.conditions.is_empty() && self.window_us == i64::MAX
     }
 
-    /// What must hold for a retry.
+    /// The conditions, all of which must be met for a retry.
     #[must_use]
     pub fn conditions(&self) -> &BTreeSet<RetryCondition> {
         &self.conditions
     }
 
-    /// How long after the first send a retry may be made, in microseconds; 0 if none is allowed.
+    /// The time after the first send within which retries are allowed, in microseconds; 0 if they are
+    /// forbidden.
     #[must_use]
     pub fn window_us(&self) -> i64 {
         self.window_us
     }
 
-    /// Whether the other rule allows each retry that this one allows.
+    /// Whether the other rule allows every retry that this one allows.
     #[must_use]
     pub fn is_within(&self, other: &RetryRule) -> bool {
         other.conditions.is_subset(&self.conditions) && self.window_us <= other.window_us
     }
 
-    /// The rule that allows the retries that both allow.
+    /// The rule that allows exactly the retries that both rules allow.
     #[must_use]
     pub fn meet(&self, other: &RetryRule) -> RetryRule {
         let window_us = self.window_us.min(other.window_us);
@@ -86,23 +89,23 @@
     }
 }
 
-/// A number of which less is stricter.
+/// A numeric limit, of which a lower value is stricter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Bound {
-    /// The maximum that a router by these terms observes.
+    /// The maximum that a router under these terms keeps to.
     pub applied: i64,
-    /// The maximum that it tolerates of other routers.
+    /// The highest maximum that it tolerates of other routers; never below `applied`.
     pub tolerated: i64,
 }
 
 impl Bound {
-    /// The bound of one document.
+    /// The bound of a single document.
     #[must_use]
     pub fn new(maximum: i64) -> Self {
         Bound { applied: maximum, tolerated: maximum }
     }
 
-    /// The meet with terms that do not have this bound, under which other routers may do anything.
+    /// The meet with terms that lack this bound and so leave other routers unlimited.
     fn meet_unknown(self) -> Bound {
         Bound { tolerated: i64::MAX, ..self }
     }
@@ -112,27 +115,29 @@
     }
 }
 
-/// The rules of a class of calls.
+/// The rules for one class of calls.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Class {
-    /// How its calls are retried.
+    /// When a router under these terms retries a call.
     pub retry: RetryRule,
-    /// How other routers may retry them: each alternative by itself.
+    /// The alternatives that are tolerated of other routers: their rule must lie within one of these.
     pub tolerated: BTreeSet<RetryRule>,
-    /// The maximum of attempts of a call; it counts where the class is not idempotent.
+    /// The maximum number of attempts per call. It can contradict only if one of the classes is not
+    /// idempotent.
     pub attempts: Bound,
-    /// How long a key is remembered, in microseconds. More is stricter, and contradicts nothing.
+    /// How long a key is remembered, in microseconds. A longer time is stricter; different times do not
+    /// contradict.
     pub remember_us: i64,
 }
 
 impl Class {
-    /// The class of one document.
+    /// The class of a single document.
     #[must_use]
     pub fn new(retry: RetryRule, attempts: i64, remember_us: i64) -> Self {
         Class { tolerated: [retry.clone()].into(), retry, attempts: Bound::new(attempts), remember_us }
     }
 
-    /// The meet with terms that do not have this class: none of its calls is made, and everything is tolerated.
+    /// The meet with terms that lack this class: no calls of it are made, and everything is tolerated.
     fn meet_unknown(&self) -> Class {
         let mut tolerated = self.tolerated.clone();
         tolerated.insert(RetryRule::always());
@@ -154,41 +159,44 @@
     }
 }
 
-/// Where the calls of some topics go. The first route of a table that matches a topic takes it.
+/// Maps topics to a class. The first route of a table that matches a topic applies.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Route {
-    /// The topics, as an MQTT topic filter.
+    /// The MQTT topic filter.
     pub filter: String,
-    /// Their class.
+    /// The name of the class that handles the calls.
     pub class: String,
-    /// How function, tenant and key follow from the topic, which must be the same at all routers where the class is not
-    /// idempotent. Empty for an idempotent class.
+    /// The templates that derive function, tenant and key from the topic. All routers must use the same ones
+    /// if the class is not idempotent; empty for an idempotent class.
     pub templates: String,
 }
 
 impl Route {
-    /// Whether both routes treat a topic alike.
+    /// Whether both routes handle a topic in the same way.
     pub(crate) fn has_same_target(&self, other: &Route) -> bool {
         self.class == other.class && self.templates == other.templates
     }
 }
 
-/// The rules of a document, or of the meet of several.
+/// The rules of one document, or of the meet of several.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Terms {
-    /// Classes by name.
+    /// Rules of classes, by name.
     pub classes: BTreeMap<String, Class>,
-    /// The routing tables: one of a document, several of a meet. A topic is accepted only where all tables agree on it.
+    /// Routing tables: one for a document, several for a meet. A topic is accepted only if all tables route
+    /// it alike.
     pub tables: BTreeSet<Vec<Route>>,
-    /// Plain facts by name, such as the cell of a worker or the target of an alias: the values in the documents, `None` for a
-    /// document without it. A fact that is not the same in all is not acted on.
+    /// Plain values by name, such as the cell of a worker or the target of an alias: the values in all
+    /// documents, with `None` for a document without one. A value is used only if all documents have the
+    /// same.
     pub facts: BTreeMap<String, BTreeSet<Option<String>>>,
-    /// Numbers by name, such as the grace of a drain.
+    /// Numeric limits by name, such as `drain-grace`.
     pub bounds: BTreeMap<String, Bound>,
 }
 
 impl Terms {
-    /// The rules of active settings, from those of their documents; `None` if one of these is not known.
+    /// The rules of active settings: those of the committed document, or the meet with the prepared one.
+    /// `None` if `terms` does not know one of the documents.
     pub fn of_settings(
         active_settings: &ActiveSettings,
         terms: impl Fn(&DocumentVersion) -> Option<Terms>,
@@ -201,7 +209,7 @@
         }
     }
 
-    /// The strictest rules that contradict neither side.
+    /// The strictest common rules, which contradict neither side.
     #[must_use]
     pub fn meet(&self, other: &Terms) -> Terms {
         Terms {
@@ -217,14 +225,14 @@
         }
     }
 
-    /// The value of a fact, if it may be acted on.
+    /// The value of a fact if all documents have the same, otherwise `None`.
     #[must_use]
     pub fn fact(&self, name: &str) -> Option<&str> {
         let values = self.facts.get(name)?;
         values.first().filter(|_| values.len() == 1)?.as_deref()
     }
 
-    /// The route of a topic, if it may be acted on: all tables give it the same class and templates.
+    /// The route of a topic if all tables give it the same class and templates, otherwise `None`.
     #[must_use]
     pub fn route(&self, topic: &str) -> Option<&Route> {
         let mut routes = self.tables.iter().map(|table| find_route(table, topic));
@@ -238,7 +246,7 @@
     table.iter().find(|route| crate::topics::matches(&route.filter, topic))
 }
 
-/// Merges two maps: entries of both by `meet`, entries of one of them by `meet_unknown`.
+/// Merges two maps: entries in both by `meet`, entries in only one by `meet_unknown`.
 fn merge<V: Clone>(
     one: &BTreeMap<String, V>,
     two: &BTreeMap<String, V>,
--- a/crates/config-versioning/src/topics.rs
+++ b/crates/config-versioning/src/topics.rs
@@ -1,8 +1,8 @@
-//! MQTT topic filters: matching, intersection, and topics that represent all that a filter matches.
+//! MQTT topic filters: matching, intersection, and representative topics of a filter.
 
 use std::collections::BTreeSet;
 
-/// Stands for any level name that no filter contains: a wildcard cannot be a level's name.
+/// A level name that occurs in no filter as a literal: a wildcard character cannot be part of a name.
 const UNNAMED_LEVEL: &str = "+";
 
 /// Whether a filter matches a topic. Wildcards at the first level do not match topics that begin with `$`.
@@ -25,7 +25,7 @@
     level == "+" || level == "#"
 }
 
-/// The filter of all topics that both filters match; `None` if there are none.
+/// The filter that matches exactly the topics that both filters match; `None` if there are none.
 pub(crate) fn intersection(one: &str, two: &str) -> Option<String> {
     let (one, two): (Vec<&str>, Vec<&str>) = (one.split('/').collect(), two.split('/').collect());
     if (one[0].starts_with('$') && is_wildcard(two[0])) || (two[0].starts_with('$') && is_wildcard(one[0])) {
@@ -52,8 +52,9 @@
     Some(levels.join("/"))
 }
 
-/// Topics that represent all that a filter matches, before filters of at most so many levels: a filter that matches one of
-/// them matches all topics of the same length that this filter matches. Wildcards become a name that no filter contains.
+/// Topics that represent all topics that `filter` matches in a comparison with filters of at most `levels`
+/// levels: a filter that matches one of them matches all topics of the same length that `filter` matches.
+/// Wildcards are replaced by a level name that occurs in no filter.
 pub(crate) fn representative_topics(filter: &str, levels: usize) -> BTreeSet<String> {
     let Some(head) = filter.strip_suffix('#') else { return [filter.to_string()].into() };
     let head = head.trim_end_matches('/');
--- a/crates/config-versioning/src/transaction.rs
+++ b/crates/config-versioning/src/transaction.rs
@@ -2,39 +2,41 @@
 
 use serde::Serialize;
 
-/// An entry of the registry: its value, and the revision that last changed it.
+/// A decoded entry of the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Entry<T> {
-    /// The value.
+    /// The decoded content.
     pub value: T,
-    /// The revision of the last change (etcd's `mod_revision`).
+    /// The revision that last changed the entry (etcd's `mod_revision`).
     pub revision: i64,
 }
 
-/// An atomic transaction: all of its writes are done, or none.
+/// An atomic transaction: all of its writes are applied, or none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Txn {
-    /// Guards: the transaction succeeds only if each key was last changed by this revision; 0 means that the key is absent.
+    /// Keys with their expected revisions, 0 for an absent key. The transaction succeeds only if all of them
+    /// match.
     pub compares: Vec<(String, i64)>,
     /// Keys and values to write.
     pub puts: Vec<(String, Vec<u8>)>,
-    /// Keys to delete.
+    /// Keys to delete; absent keys are ignored.
     pub deletes: Vec<String>,
 }
 
 /// The outcome of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TxnOutcome {
-    /// It was done at this revision.
+    /// Applied at this revision.
     Succeeded(i64),
-    /// A guard failed: an entry has changed.
+    /// Not applied, because the revision of a compared key differs.
     Conflict,
-    /// No answer came: it may be done, now or later.
+    /// No answer arrived: the transaction may have been applied, or may still be applied later.
     Unknown,
 }
 
-/// The stored form of a record.
+/// Serializes a record to its stored form.
 pub(crate) fn to_json<T: Serialize>(value: &T) -> Vec<u8> {
-    // The records have only text as map keys and no numbers that JSON lacks, so that serialization cannot fail.
+    // Serialization cannot fail: the records have no map keys other than strings and no numbers without a
+    // JSON form.
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/config-versioning/tests/model/fleet.rs
+++ b/crates/config-versioning/tests/model/fleet.rs
@@ -1,10 +1,10 @@
-//! The model: the state of a fleet, what can happen to it, and what must hold.
+//! The model of a fleet: its state, the events, and the properties to check.
 
 use crate::registry::*;
 use slatevalve_config_versioning::*;
 use stateright::{Model, Property};
 
-/// What is under way between a router and the registry.
+/// A request or response between a router and the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum InFlight {
     Write(Txn),
@@ -16,12 +16,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Router {
     holder: LeaseHolder,
-    /// As it was before the request that is under way.
+    /// The holder before the request in flight; only used for [`InjectedFault::LeaseFromResponse`].
     before_request: Option<LeaseHolder>,
     incarnation: u8,
     in_flight: Option<InFlight>,
-    /// A write that was given up and may yet be done.
-    late: Option<Txn>,
+    /// A write that timed out and may still reach the registry.
+    delayed_write: Option<Txn>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -37,11 +37,11 @@
     pub store: Store,
     pub routers: Vec<Router>,
     pub coordinators: Vec<Coordinator>,
-    /// The highest document ever committed.
+    /// The highest number of a document committed so far.
     pub highest: u64,
-    /// A committed document was lost.
+    /// Whether a committed document was lost.
     pub lost: bool,
-    /// How often each kind of event may still occur.
+    // How often each kind of event may still occur.
     pub publishes: u8,
     pub withdraws: u8,
     pub losses: u8,
@@ -50,23 +50,23 @@
     pub reads: u8,
 }
 
-/// What can happen. The numbers are those of a router or a coordinator.
+/// An event; the argument is the index of a router or a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Event {
     Tick,
     Publish,
     Withdraw,
-    /// A router observes the state, and requests a lease by it where nothing is under way.
+    /// A router observes the state, and requests a lease for it if it has no request in flight.
     Observe(usize),
     Request(usize),
-    /// A router observes, requests, and is answered.
-    Prompt(usize),
-    /// The registry takes what is under way.
-    Take(usize),
+    /// A router observes the state, requests a lease and receives the response, in one event.
+    RoundTrip(usize),
+    /// The registry processes the router's request.
+    Process(usize),
     Deliver(usize),
-    /// What is under way is lost, before or after the registry had it.
+    /// The request or its response is lost.
     Lose(usize),
-    /// What is under way is given up, and still arrives some time.
+    /// The request times out at the router and reaches the registry later.
     Delay(usize),
     ArriveLate(usize),
     Restart(usize),
@@ -75,40 +75,40 @@
     CoordinatorRestarts(usize),
 }
 
-/// A fault planted into the protocol, which the model must find.
+/// A fault injected into the protocol, which the model must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Planted {
-    Nothing,
-    /// A lease is counted from its response instead of its request.
-    LeaseFromTheResponse,
+pub(crate) enum InjectedFault {
+    None,
+    /// A lease starts with its response instead of its request.
+    LeaseFromResponse,
     /// A commit does not wait for the first router.
-    CommitSkipsOne,
+    CommitSkipsRouter,
     /// The first router sends without checking its lease.
-    NoCheck,
-    /// The coordinator takes all clocks for perfect.
-    NoDrift,
+    NoLeaseCheck,
+    /// The coordinator assumes that clocks do not drift.
+    NoDriftAllowance,
     /// A published document is committed at once.
-    NoMeet,
+    NoPreparedPhase,
 }
 
 /// The size of a model.
 #[derive(Clone, Debug)]
 pub(crate) struct Fleet {
     pub routers: usize,
-    /// So many of them, the last ones, observe, request and are answered in one event.
-    pub prompt: usize,
+    /// How many routers, counted from the last, only make [`Event::RoundTrip`]s.
+    pub round_trip_routers: usize,
     pub coordinators: usize,
     pub ticks: i64,
     pub publishes: u8,
     pub withdraws: u8,
     pub losses: u8,
     pub crashes: u8,
-    /// Requests of all routers that are not prompt.
+    /// The total number of requests of the other routers.
     pub requests: u8,
-    /// Reads of all coordinators.
+    /// The total number of reads of all coordinators.
     pub reads: u8,
     pub expiry_policy: LeaseExpiryPolicy,
-    pub planted: Planted,
+    pub fault: InjectedFault,
 }
 
 fn lease_holder(router: usize, incarnation: u8) -> LeaseHolder {
@@ -135,7 +135,7 @@
     }
 
     fn coordinator(&self) -> Coordinator {
-        let drift_ppm = if self.planted == Planted::NoDrift { 0 } else { DRIFT_PPM };
+        let drift_ppm = if self.fault == InjectedFault::NoDriftAllowance { 0 } else { DRIFT_PPM };
         Coordinator { coordinator: RolloutCoordinator::new(keys(), drift_ppm), commit: None }
     }
 
@@ -145,17 +145,18 @@
         let _ = router.holder.observe_state(state, &documents);
     }
 
-    /// The settings by which a router may send everything; `None` if it may not.
-    pub(crate) fn acts_by(&self, world: &World, at: usize) -> Option<ActiveSettings> {
+    /// The settings under which a router may send all calls; `None` if it may not.
+    pub(crate) fn active_settings(&self, world: &World, at: usize) -> Option<ActiveSettings> {
         let router = &world.routers[at];
         let has_lease = router.holder.send_permission(world.tick * ROUTER_RATE) == SendPermission::All;
-        let checks = self.planted != Planted::NoCheck || at != 0;
+        let checks = self.fault != InjectedFault::NoLeaseCheck || at != 0;
         router.holder.active_settings().filter(|_| has_lease || !checks).cloned()
     }
 
-    /// Every two routers that may act do so by rules that do not contradict, and share a document.
-    pub(crate) fn agrees(&self, world: &World) -> bool {
-        let all: Vec<ActiveSettings> = (0..self.routers).filter_map(|at| self.acts_by(world, at)).collect();
+    /// Whether any two routers that may send all calls have compatible rules and a document in common.
+    pub(crate) fn is_consistent(&self, world: &World) -> bool {
+        let all: Vec<ActiveSettings> =
+            (0..self.routers).filter_map(|at| self.active_settings(world, at)).collect();
         all.iter().enumerate().all(|(at, one)| {
             all[at + 1..].iter().filter(|other| *other != one).all(|other| {
                 let shared = one.versions().any(|version| other.versions().any(|same| same == version));
@@ -166,7 +167,7 @@
         })
     }
 
-    /// Carries out an event; returns whether it could occur.
+    /// Applies an event; returns whether it was possible.
     pub(crate) fn step(&self, world: &mut World, event: Event) -> bool {
         let occurred = match event {
             Event::Tick => {
@@ -176,9 +177,9 @@
             Event::Publish => self.publish(world),
             Event::Withdraw => withdraw(world),
             Event::Observe(at) => self.observe(world, at),
-            Event::Prompt(at) => self.prompt(world, at),
+            Event::RoundTrip(at) => self.round_trip(world, at),
             Event::Request(at) => self.request(world, at),
-            Event::Take(at) => take(world, at),
+            Event::Process(at) => process(world, at),
             Event::Deliver(at) => self.deliver(world, at),
             Event::Lose(at) => lose(world, at),
             Event::Delay(at) => delay(world, at),
@@ -196,7 +197,7 @@
             event,
             Event::Publish
                 | Event::Withdraw
-                | Event::Take(_)
+                | Event::Process(_)
                 | Event::ArriveLate(_)
                 | Event::CoordinatorWrites(_)
         );
@@ -209,7 +210,7 @@
     fn publish(&self, world: &mut World) -> bool {
         let draft = self.draft(&format!("document {}", world.publishes));
         let Ok((_, mut txn)) = snapshot(&world.store).publish(&keys(), &draft, 0) else { return false };
-        if self.planted == Planted::NoMeet {
+        if self.fault == InjectedFault::NoPreparedPhase {
             let (_, value) = &mut txn.puts[1];
             let mut state: State = serde_json::from_slice(value).unwrap();
             state.active_settings.committed = state.active_settings.prepared.take().unwrap();
@@ -229,9 +230,9 @@
         true
     }
 
-    fn prompt(&self, world: &mut World, at: usize) -> bool {
+    fn round_trip(&self, world: &mut World, at: usize) -> bool {
         let requests = std::mem::replace(&mut world.requests, u8::MAX);
-        for event in [Event::Observe(at), Event::Request(at), Event::Take(at), Event::Deliver(at)] {
+        for event in [Event::Observe(at), Event::Request(at), Event::Process(at), Event::Deliver(at)] {
             self.step(world, event);
         }
         world.requests = requests;
@@ -243,7 +244,7 @@
         let before = router.holder.clone();
         let Some(request) = router.holder.next_request(world.tick * ROUTER_RATE) else { return false };
         world.requests -= 1;
-        if self.planted == Planted::LeaseFromTheResponse {
+        if self.fault == InjectedFault::LeaseFromResponse {
             router.before_request = Some(before);
         }
         router.in_flight = Some(match request {
@@ -272,7 +273,8 @@
         true
     }
 
-    /// A response that comes later only makes a coordinator wait longer; its commit may be late, however.
+    /// A coordinator's read is modelled without delay, because a late response only makes the coordinator
+    /// wait longer. Its commit is a separate event and may be late.
     fn coordinator_reads(&self, world: &mut World, at: usize) -> bool {
         let coordinator = &mut world.coordinators[at];
         let mut now = snapshot(&world.store);
@@ -280,7 +282,7 @@
             return false;
         }
         world.reads -= 1;
-        if self.planted == Planted::CommitSkipsOne {
+        if self.fault == InjectedFault::CommitSkipsRouter {
             now.leases.retain(|id, _| id.name != "r0");
         }
         let now_us = world.tick * COORDINATOR_RATE;
@@ -298,7 +300,7 @@
     true
 }
 
-fn take(world: &mut World, at: usize) -> bool {
+fn process(world: &mut World, at: usize) -> bool {
     let in_flight = match &world.routers[at].in_flight {
         Some(InFlight::Write(txn)) => InFlight::Written(apply(&mut world.store, txn)),
         Some(InFlight::Read) => {
@@ -314,7 +316,7 @@
 
 fn lose(world: &mut World, at: usize) -> bool {
     world.losses -= 1;
-    // A read that is lost is repeated after its timeout.
+    // The router repeats a lost read after its timeout.
     if let Some(InFlight::Write(_) | InFlight::Written(_)) = world.routers[at].in_flight.take() {
         world.routers[at].holder.on_written(TxnOutcome::Unknown);
     }
@@ -325,13 +327,13 @@
     let router = &mut world.routers[at];
     let Some(InFlight::Write(txn)) = router.in_flight.take() else { return false };
     world.losses -= 1;
-    router.late = Some(txn);
+    router.delayed_write = Some(txn);
     router.holder.on_written(TxnOutcome::Unknown);
     true
 }
 
 fn arrive_late(world: &mut World, at: usize) -> bool {
-    let Some(txn) = world.routers[at].late.take() else { return false };
+    let Some(txn) = world.routers[at].delayed_write.take() else { return false };
     apply(&mut world.store, &txn);
     true
 }
@@ -351,7 +353,7 @@
     true
 }
 
-/// Notes whether a committed document was lost, or one in force is not in the store.
+/// Records whether a committed document was lost or the store lacks a document in force.
 fn check_committed(world: &mut World) {
     let now = snapshot(&world.store);
     let active_settings = now.state.as_ref().map(|state| &state.value.active_settings);
@@ -375,7 +377,7 @@
             holder: lease_holder(at, 0),
             incarnation: 0,
             in_flight: None,
-            late: None,
+            delayed_write: None,
         };
         let mut world = World {
             tick: 0,
@@ -391,10 +393,11 @@
             losses: self.losses,
             crashes: self.crashes,
         };
-        // All hold a lease by the first document; a start in the middle of a change is a restart.
+        // All routers begin with a lease on the first document. A start during a change is modelled as a
+        // restart.
         for at in 0..self.routers {
-            self.step(&mut world, Event::Prompt(at));
-            assert!(self.acts_by(&world, at).is_some());
+            self.step(&mut world, Event::RoundTrip(at));
+            assert!(self.active_settings(&world, at).is_some());
         }
         vec![world]
     }
@@ -403,21 +406,21 @@
         events.extend((world.tick < self.ticks).then_some(Event::Tick));
         events.extend((world.publishes > 0).then_some(Event::Publish));
         events.extend((world.withdraws > 0).then_some(Event::Withdraw));
-        let slow = self.routers - self.prompt;
-        events.extend((slow..self.routers).map(Event::Prompt));
+        let slow = self.routers - self.round_trip_routers;
+        events.extend((slow..self.routers).map(Event::RoundTrip));
         for (at, router) in world.routers.iter().enumerate().take(slow) {
             events.push(Event::Observe(at));
             match &router.in_flight {
                 None => events.extend((world.requests > 0).then_some(Event::Request(at))),
                 Some(in_flight) => {
-                    let there = matches!(in_flight, InFlight::Write(_) | InFlight::Read);
-                    events.push(if there { Event::Take(at) } else { Event::Deliver(at) });
+                    let is_request = matches!(in_flight, InFlight::Write(_) | InFlight::Read);
+                    events.push(if is_request { Event::Process(at) } else { Event::Deliver(at) });
                     events.extend((world.losses > 0).then_some(Event::Lose(at)));
-                    let waits = matches!(in_flight, InFlight::Write(_)) && router.late.is_none();
-                    events.extend((world.losses > 0 && waits).then_some(Event::Delay(at)));
+                    let can_delay = matches!(in_flight, InFlight::Write(_)) && router.delayed_write.is_none();
+                    events.extend((world.losses > 0 && can_delay).then_some(Event::Delay(at)));
                 }
             }
-            events.extend(router.late.is_some().then_some(Event::ArriveLate(at)));
+            events.extend(router.delayed_write.is_some().then_some(Event::ArriveLate(at)));
             events.extend((world.crashes > 0).then_some(Event::Restart(at)));
         }
         for (at, coordinator) in world.coordinators.iter().enumerate() {
@@ -435,15 +438,14 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(
-                "no two routers act by rules that contradict",
-                |fleet: &Fleet, world: &World| fleet.agrees(world),
-            ),
+            Property::always("no two routers apply contradicting rules", |fleet: &Fleet, world: &World| {
+                fleet.is_consistent(world)
+            }),
             Property::always("a committed document is never lost", |_, world: &World| !world.lost),
             Property::sometimes("a change is committed under all routers", |fleet: &Fleet, world: &World| {
                 world.highest >= 2
                     && (0..fleet.routers)
-                        .all(|at| fleet.acts_by(world, at).is_some_and(|s| s.committed.number >= 2))
+                        .all(|at| fleet.active_settings(world, at).is_some_and(|s| s.committed.number >= 2))
             }),
         ]
     }
--- a/crates/config-versioning/tests/model/main.rs
+++ b/crates/config-versioning/tests/model/main.rs
@@ -1,17 +1,18 @@
-//! Everything that can happen to a small fleet, up to a size: routers, coordinators, registry, links and clocks that drift. The
-//! decision modules themselves run here; the model adds a registry of entries with revisions, and events.
+//! Model checking of a small fleet of bounded size: routers, coordinators, registry, links and drifting
+//! clocks. The model runs the production decision modules and adds a registry of entries with revisions, and
+//! events.
 
 mod fleet;
 mod registry;
 
-use fleet::{Event, Fleet, Planted};
+use fleet::{Event, Fleet, InjectedFault};
 use registry::snapshot;
 use slatevalve_config_versioning::LeaseExpiryPolicy;
 use stateright::{Checker, Model};
 
 const SMALL: Fleet = Fleet {
     routers: 2,
-    prompt: 1,
+    round_trip_routers: 1,
     coordinators: 1,
     ticks: 4,
     publishes: 1,
@@ -21,13 +22,13 @@
     requests: 2,
     reads: 2,
     expiry_policy: LeaseExpiryPolicy::GiveUp,
-    planted: Planted::Nothing,
+    fault: InjectedFault::None,
 };
 
-/// A tick and a request less.
+/// One tick and one request less than [`SMALL`].
 const SHORT: Fleet = Fleet { ticks: 3, requests: 1, ..SMALL };
 
-fn checked(name: &str, fleet: Fleet) -> usize {
+fn check_model(name: &str, fleet: Fleet) -> usize {
     let start = std::time::Instant::now();
     let checker = fleet.checker().threads(4).spawn_bfs().join();
     println!(
@@ -40,40 +41,43 @@
     checker.unique_state_count()
 }
 
-fn caught(planted: Planted, fleet: Fleet) {
-    let checker = Fleet { planted, ..fleet }.checker().threads(4).spawn_bfs().join();
-    let found = checker.discovery("no two routers act by rules that contradict");
+fn assert_detected(fault: InjectedFault, fleet: Fleet) {
+    let checker = Fleet { fault, ..fleet }.checker().threads(4).spawn_bfs().join();
+    let found = checker.discovery("no two routers apply contradicting rules");
     let events = found.map(|path| path.into_actions());
-    println!("{planted:?}: {events:?}");
-    assert!(events.is_some(), "{planted:?} was not found among {} states", checker.unique_state_count());
+    println!("{fault:?}: {events:?}");
+    assert!(events.is_some(), "{fault:?} was not detected in {} states", checker.unique_state_count());
 }
 
 #[test]
-fn no_move_of_a_small_fleet_breaks_the_agreement() {
-    checked("rights that end", SHORT);
-    checked("rights that go on", Fleet { expiry_policy: LeaseExpiryPolicy::GoOn, ..SHORT });
-    checked("an answer lost, or late", Fleet { losses: 1, ..SHORT });
-    checked("a router or a driver that starts anew", Fleet { crashes: 1, ..SHORT });
-    checked("two documents, one after the other", Fleet { publishes: 2, ..SHORT });
-    checked("two coordinators", Fleet { coordinators: 2, ..SHORT });
-    checked(
-        "one taken back, another published",
+fn small_fleets_never_apply_contradicting_rules() {
+    check_model("leases that expire", SHORT);
+    check_model(
+        "leases that outlast their expiry",
+        Fleet { expiry_policy: LeaseExpiryPolicy::GoOn, ..SHORT },
+    );
+    check_model("a lost or late response", Fleet { losses: 1, ..SHORT });
+    check_model("a restart of a router or a coordinator", Fleet { crashes: 1, ..SHORT });
+    check_model("two successive documents", Fleet { publishes: 2, ..SHORT });
+    check_model("two coordinators", Fleet { coordinators: 2, ..SHORT });
+    check_model(
+        "one document withdrawn, another published",
         Fleet { publishes: 2, withdraws: 1, reads: 1, ticks: 2, ..SHORT },
     );
 }
 
-/// Numbers of a small linear congruential generator.
-fn draw(state: &mut u64, most: usize) -> usize {
+/// The next value in `0..limit` of a linear congruential generator.
+fn random_below(state: &mut u64, limit: usize) -> usize {
     *state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-    (*state >> 33) as usize % most
+    (*state >> 33) as usize % limit
 }
 
 #[test]
-fn a_change_ends_once_faults_end() {
+fn a_change_completes_after_faults_cease() {
     for seed in 0..400 {
         let expiry_policy = if seed % 2 == 0 { LeaseExpiryPolicy::GiveUp } else { LeaseExpiryPolicy::GoOn };
         let fleet = Fleet {
-            prompt: 0,
+            round_trip_routers: 0,
             routers: 3,
             coordinators: 2,
             ticks: 20,
@@ -87,31 +91,31 @@
         for _ in 0..60 {
             let mut events = Vec::new();
             fleet.actions(&world, &mut events);
-            let event = events[draw(&mut random, events.len())];
+            let event = events[random_below(&mut random, events.len())];
             fleet.step(&mut world, event);
-            assert!(fleet.agrees(&world) && !world.lost, "seed {seed}: {event:?}");
+            assert!(fleet.is_consistent(&world) && !world.lost, "seed {seed}: {event:?}");
         }
-        // From here on every request is answered; at first what is under way arrives.
+        // No more faults: first deliver what is in flight, then answer every request.
         for at in 0..3 {
-            for event in [Event::ArriveLate(at), Event::Take(at), Event::Deliver(at)] {
+            for event in [Event::ArriveLate(at), Event::Process(at), Event::Deliver(at)] {
                 fleet.step(&mut world, event);
             }
         }
         for _ in 0..20 {
             (world.requests, world.reads) = (u8::MAX, u8::MAX);
             for at in 0..3 {
-                fleet.step(&mut world, Event::Prompt(at));
+                fleet.step(&mut world, Event::RoundTrip(at));
             }
             for event in [Event::CoordinatorReads(0), Event::CoordinatorWrites(0), Event::Tick] {
                 fleet.step(&mut world, event);
-                assert!(fleet.agrees(&world), "seed {seed}: {event:?}");
+                assert!(fleet.is_consistent(&world), "seed {seed}: {event:?}");
             }
         }
         let active_settings = snapshot(&world.store).state.unwrap().value.active_settings;
-        assert_eq!(active_settings.prepared, None, "seed {seed}: the change does not end");
+        assert_eq!(active_settings.prepared, None, "seed {seed}: the change did not complete");
         for at in 0..3 {
             assert_eq!(
-                fleet.acts_by(&world, at).as_ref(),
+                fleet.active_settings(&world, at).as_ref(),
                 Some(&active_settings),
                 "seed {seed}: router {at}"
             );
@@ -119,26 +123,26 @@
     }
 }
 
-/// Takes minutes; its sizes stand in the design.
+/// Takes minutes. The design document gives the sizes of these models.
 #[test]
 #[ignore = "large: run by hand with --release -- --ignored"]
-fn no_move_of_a_larger_fleet_breaks_the_agreement() {
+fn larger_fleets_never_apply_contradicting_rules() {
     for expiry_policy in [LeaseExpiryPolicy::GiveUp, LeaseExpiryPolicy::GoOn] {
         let fleet = Fleet { expiry_policy, ..SMALL };
-        checked("two slow routers", Fleet { prompt: 0, requests: 3, expiry_policy, ..SHORT });
-        checked("losses", Fleet { losses: 1, ..fleet.clone() });
-        checked("crashes", Fleet { crashes: 1, ..fleet.clone() });
-        checked("two documents", Fleet { publishes: 2, ..fleet.clone() });
-        checked("two coordinators", Fleet { coordinators: 2, ..fleet.clone() });
-        checked("three routers", Fleet { routers: 3, ..fleet });
+        check_model("two slow routers", Fleet { round_trip_routers: 0, requests: 3, expiry_policy, ..SHORT });
+        check_model("losses", Fleet { losses: 1, ..fleet.clone() });
+        check_model("crashes", Fleet { crashes: 1, ..fleet.clone() });
+        check_model("two documents", Fleet { publishes: 2, ..fleet.clone() });
+        check_model("two coordinators", Fleet { coordinators: 2, ..fleet.clone() });
+        check_model("three routers", Fleet { routers: 3, ..fleet });
     }
 }
 
 #[test]
-fn planted_faults_are_found() {
-    caught(Planted::LeaseFromTheResponse, Fleet { requests: 1, ..SMALL });
-    caught(Planted::CommitSkipsOne, SHORT);
-    caught(Planted::NoCheck, SHORT);
-    caught(Planted::NoDrift, Fleet { requests: 2, ..SHORT });
-    caught(Planted::NoMeet, SHORT);
+fn injected_faults_are_detected() {
+    assert_detected(InjectedFault::LeaseFromResponse, Fleet { requests: 1, ..SMALL });
+    assert_detected(InjectedFault::CommitSkipsRouter, SHORT);
+    assert_detected(InjectedFault::NoLeaseCheck, SHORT);
+    assert_detected(InjectedFault::NoDriftAllowance, Fleet { requests: 2, ..SHORT });
+    assert_detected(InjectedFault::NoPreparedPhase, SHORT);
 }
--- a/crates/config-versioning/tests/model/registry.rs
+++ b/crates/config-versioning/tests/model/registry.rs
@@ -1,22 +1,22 @@
-//! The model's registry, clocks and documents.
+//! The registry, clocks and documents of the model.
 
 use slatevalve_config_versioning::*;
 use std::collections::BTreeMap;
 
-/// Microseconds of a router's clock in a tick of true time: slow by a fifth.
+/// Microseconds of a router's clock per tick of true time: 20 % slow, as a tick is 100 us.
 pub(crate) const ROUTER_RATE: i64 = 80;
-/// Microseconds of a coordinator's clock in a tick of true time: fast by a fifth.
+/// Microseconds of a coordinator's clock per tick of true time: 20 % fast.
 pub(crate) const COORDINATOR_RATE: i64 = 120;
-/// The drift that coordinators reckon with.
+/// The drift that coordinators allow for.
 pub(crate) const DRIFT_PPM: i64 = 200_000;
-/// A lease lasts two ticks and a half by a router's clock; a coordinator waits for three.
+/// A lease lasts 2.5 ticks by a router's clock; a coordinator waits for 3 ticks.
 pub(crate) const LEASE_US: i64 = 200;
 
 pub(crate) fn keys() -> Keys {
     Keys::new("/t/")
 }
 
-/// Rules of the documents by number; each contradicts the others.
+/// The rules of a document by its number; any two documents contradict each other.
 fn rules(number: u64) -> Terms {
     let retry = if number == 1 { RetryRule::forbidden() } else { RetryRule::keyed(None, number as i64) };
     Terms { classes: [("charge".to_string(), Class::new(retry, 1, 1))].into(), ..Terms::default() }
@@ -26,8 +26,8 @@
     Some(rules(version.number))
 }
 
-/// Values by key, each with the number of its writes as its revision. A deleted entry keeps it below an empty value, so that
-/// no revision is given twice.
+/// Values by key, each with the number of its writes as its revision. A deleted entry keeps its revision next
+/// to an empty value, so that no revision of a key is used twice.
 pub(crate) type Store = BTreeMap<String, (Vec<u8>, i64)>;
 
 pub(crate) fn apply(store: &mut Store, txn: &Txn) -> TxnOutcome {
--- a/crates/config-versioning/tests/relations.rs
+++ b/crates/config-versioning/tests/relations.rs
@@ -1,11 +1,12 @@
-//! What contradicts what, and the meet: properties over drawn documents, and planted wrong cases.
+//! Contradictions and the meet: properties over generated documents, and deliberately wrong meets that must
+//! be detected.
 
 use proptest::collection::{btree_map, vec};
 use proptest::prelude::*;
 use slatevalve_config_versioning::{contradictions, Bound, Class, RetryCondition, RetryRule, Route, Terms};
 use std::collections::BTreeSet;
 
-fn repeat() -> impl Strategy<Value = RetryRule> {
+fn retry_rule() -> impl Strategy<Value = RetryRule> {
     let group = prop_oneof![Just(None), Just(Some(RetryCondition::Zone)), Just(Some(RetryCondition::Cell))];
     prop_oneof![
         Just(RetryRule::always()),
@@ -15,15 +16,16 @@
 }
 
 fn class() -> impl Strategy<Value = Class> {
-    (repeat(), 1..4i64, 1..4i64).prop_map(|(repeat, most, remember)| Class::new(repeat, most, remember))
+    (retry_rule(), 1..4i64, 1..4i64)
+        .prop_map(|(retry, attempts, remember_us)| Class::new(retry, attempts, remember_us))
 }
 
 const LEVELS: [&str; 3] = ["a", "b", "$c"];
 
 fn filter() -> impl Strategy<Value = String> {
     let level = prop_oneof![Just("a"), Just("b"), Just("$c"), Just("+")];
-    (vec(level, 0..3), any::<bool>()).prop_map(|(mut levels, rest)| {
-        if rest || levels.is_empty() {
+    (vec(level, 0..3), any::<bool>()).prop_map(|(mut levels, multi_level)| {
+        if multi_level || levels.is_empty() {
             levels.push("#");
         }
         levels.join("/")
@@ -32,11 +34,11 @@
 
 fn route() -> impl Strategy<Value = Route> {
     let class = prop_oneof![Just("x"), Just("y")];
-    let rest = prop_oneof![Just(""), Just("{2}")];
-    (filter(), class, rest).prop_map(|(filter, class, rest)| Route {
+    let templates = prop_oneof![Just(""), Just("{2}")];
+    (filter(), class, templates).prop_map(|(filter, class, templates)| Route {
         filter,
         class: class.into(),
-        templates: rest.into(),
+        templates: templates.into(),
     })
 }
 
@@ -49,7 +51,7 @@
         .prop_map(|(classes, table, facts, bounds)| Terms { classes, tables: [table].into(), facts, bounds })
 }
 
-/// All topics of up to four levels over the names that filters have and one that none has.
+/// All topics of up to four levels, built from the level names in filters and one that occurs in no filter.
 fn topics() -> Vec<String> {
     let names = [&LEVELS[..], &["other"]].concat();
     let mut all: Vec<String> = names.iter().map(|n| n.to_string()).collect();
@@ -70,7 +72,7 @@
     }
 
     #[test]
-    fn the_meet_contradicts_neither_side_nor_a_meet_that_shares_one(a in terms(), b in terms(), c in terms()) {
+    fn a_meet_contradicts_neither_its_sides_nor_overlapping_meets(a in terms(), b in terms(), c in terms()) {
         prop_assert_eq!(contradictions(&a, &a), vec![]);
         prop_assert_eq!(contradictions(&a.meet(&b), &a), vec![]);
         prop_assert_eq!(contradictions(&a.meet(&b), &b.meet(&c)), vec![]);
@@ -78,7 +80,7 @@
     }
 
     #[test]
-    fn topics_contradict_exactly_where_one_is_found_by_trying_all(a in terms(), b in terms()) {
+    fn route_contradictions_match_an_exhaustive_search_over_topics(a in terms(), b in terms()) {
         let table = |t: &Terms| Terms { tables: t.tables.clone(), ..Terms::default() };
         let (a, b) = (table(&a), table(&b));
         let differs = |topic: &String| {
@@ -89,7 +91,7 @@
     }
 
     #[test]
-    fn what_a_meet_does_both_sides_allow(a in terms(), b in terms()) {
+    fn a_meet_applies_only_what_both_sides_allow(a in terms(), b in terms()) {
         let both = a.meet(&b);
         for (name, class) in &both.classes {
             for side in [&a, &b].into_iter().filter_map(|t| t.classes.get(name)) {
@@ -108,8 +110,8 @@
     }
 }
 
-fn with_class(repeat: RetryRule, attempts: i64) -> Terms {
-    let classes = [("charge".to_string(), Class::new(repeat, attempts, 1))].into();
+fn with_class(retry: RetryRule, attempts: i64) -> Terms {
+    let classes = [("charge".to_string(), Class::new(retry, attempts, 1))].into();
     let route = Route { filter: "charge/+".into(), class: "charge".into(), templates: "{2}".into() };
     Terms { classes, tables: [vec![route]].into(), ..Terms::default() }
 }
@@ -119,7 +121,7 @@
 }
 
 #[test]
-fn each_field_that_can_contradict_is_named() {
+fn each_contradicting_field_is_reported() {
     let second = 1_000_000;
     let base = with_class(RetryRule::forbidden(), 3);
     assert_eq!(fields(&base, &with_class(RetryRule::forbidden(), 2)), ["class \"charge\" attempts"]);
@@ -147,15 +149,15 @@
         terms.bounds.insert("drain-grace".into(), Bound::new(grace));
     }
     assert_eq!(fields(&one, &other), ["drain-grace", "worker \"w\" cell"]);
-    assert_eq!(one.meet(&other).fact("worker \"w\" cell"), None, "what is in doubt is not acted on");
+    assert_eq!(one.meet(&other).fact("worker \"w\" cell"), None, "a fact with different values is not used");
     assert_eq!(one.fact("worker \"w\" cell"), Some("1"));
-    // A safe class may be tried as often as anybody likes; what only one side knows contradicts nothing.
+    // Attempts of a safe class are not limited; a class or route that only one side has does not contradict.
     assert_eq!(fields(&with_class(RetryRule::always(), 2), &with_class(RetryRule::always(), 9)), [""; 0]);
     assert_eq!(fields(&base, &Terms::default()), [""; 0]);
 }
 
 #[test]
-fn a_meet_that_takes_the_looser_side_is_caught() {
+fn a_meet_with_a_rule_of_the_less_strict_side_is_detected() {
     let (strict, loose) = (with_class(RetryRule::forbidden(), 1), with_class(RetryRule::always(), 5));
     let mut wrong = strict.meet(&loose);
     wrong.classes.get_mut("charge").unwrap().retry = RetryRule::always();
@@ -165,11 +167,13 @@
     assert_eq!(fields(&wrong, &strict), ["class \"charge\" attempts"]);
     let mut wrong = strict.meet(&loose);
     wrong.classes.get_mut("charge").unwrap().tolerated.clear();
-    assert_eq!(fields(&wrong, &loose), ["class \"charge\" effect"], "what is borne counts as well");
+    assert_eq!(fields(&wrong, &loose), ["class \"charge\" effect"], "tolerated rules are compared too");
 }
 
+/// 300 filters on each side have 90,000 intersections: the comparison must stop at its limit to keep its cost
+/// bounded.
 #[test]
-fn too_many_filters_are_taken_to_contradict_and_end_in_time() {
+fn too_many_shared_filters_count_as_contradicting() {
     let table = |class: &str, shape: fn(usize) -> String| -> Vec<Route> {
         let route = |n| Route { filter: shape(n), class: class.into(), templates: String::new() };
         (0..300).map(route).collect()
