--- a/crates/config-versioning/tests/model/main.rs
+++ b/crates/config-versioning/tests/model/main.rs
@@ -51,11 +51,8 @@
 
 #[test]
 fn small_fleets_never_apply_contradicting_rules() {
-    check_model("leases that expire", SHORT);
-    check_model(
-        "leases that outlast their expiry",
-        Fleet { expiry_policy: LeaseExpiryPolicy::GoOn, ..SHORT },
-    );
+    check_model("the give-up policy", SHORT);
+    check_model("the go-on policy", Fleet { expiry_policy: LeaseExpiryPolicy::GoOn, ..SHORT });
     check_model("a lost or late response", Fleet { losses: 1, ..SHORT });
     check_model("a restart of a router or a coordinator", Fleet { crashes: 1, ..SHORT });
     check_model("two successive documents", Fleet { publishes: 2, ..SHORT });
