--- a/crates/gateway/src/platform/outputs.rs
+++ b/crates/gateway/src/platform/outputs.rs
@@ -28,7 +28,7 @@
                 debug!(now = now.0, ticket = ticket.0, "client disconnected");
                 self.engine.client_disconnected(now, ticket, &mut self.to_engine);
             }
-            FrontOutput::Unusable(link, reason) => {
+            FrontOutput::Rejected(link, reason) => {
                 self.unusable += 1;
                 if self.unusable <= MAX_UNUSABLE_LOGGED {
                     info!(link = link.0, ?reason, "invalid message from a client");
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -54,12 +54,12 @@
     /// The client of a call disconnected or interrupted it.
     ClientDisconnected(Ticket),
     /// A message was rejected or a connection closed; for the log.
-    Unusable(LinkId, Unusable),
+    Rejected(LinkId, RejectReason),
 }
 
 /// Why a message was rejected or a connection closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unusable {
+pub enum RejectReason {
     /// The bytes cannot become a message.
     Frame(FrameError),
     /// A whole value is no message of the protocol.
@@ -136,7 +136,7 @@
             let idle = self.connections.iter().filter(|(_, connection)| connection.open.is_empty());
             let evicted = idle.min_by_key(|(other, connection)| connection.eviction_rank(now, **other == id));
             if let Some(evicted) = evicted.map(|(other, _)| *other) {
-                self.close(evicted, Unusable::NoRoom, out);
+                self.close(evicted, RejectReason::NoRoom, out);
             }
         }
     }
@@ -149,10 +149,10 @@
     }
 
     /// Closes a connection from this side.
-    fn close(&mut self, id: LinkId, reason: Unusable, out: &mut Vec<FrontOutput>) {
+    fn close(&mut self, id: LinkId, reason: RejectReason, out: &mut Vec<FrontOutput>) {
         if let Some(connection) = self.connections.remove(&id) {
             self.abandon_open(connection, out);
-            out.push(FrontOutput::Unusable(id, reason));
+            out.push(FrontOutput::Rejected(id, reason));
             out.push(FrontOutput::Finish(id));
         }
     }
@@ -193,7 +193,7 @@
                     connection.message_completed(now);
                     match message::read(frame) {
                         Ok(message) => self.handle_message(now, id, message, ready, out),
-                        Err(_) => self.close(id, Unusable::NotAMessage, out),
+                        Err(_) => self.close(id, RejectReason::NotAMessage, out),
                     }
                     start += length;
                 }
@@ -201,7 +201,7 @@
                     buffer.drain(..start);
                     return connection.keep_incomplete(now, buffer);
                 }
-                Err(e) => return self.close(id, Unusable::Frame(e), out),
+                Err(e) => return self.close(id, RejectReason::Frame(e), out),
             }
         }
     }
@@ -235,7 +235,7 @@
     fn accept_number(&mut self, id: LinkId, number: u32, out: &mut Vec<FrontOutput>) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         if number <= connection.last_number {
-            self.close(id, Unusable::Number, out);
+            self.close(id, RejectReason::Number, out);
             return false;
         }
         connection.last_number = number;
@@ -252,17 +252,17 @@
         let resolved = request.and_then(|request| Ok((self.resolve_class(&request)?, request)));
         let (class, request) = match resolved {
             Ok(resolved) => resolved,
-            Err(e) => return self.reject(id, number, Unusable::Call(e), out),
+            Err(e) => return self.reject(id, number, RejectReason::Call(e), out),
         };
         match self.ids.get(&request.id) {
             // With one id for two requests, the client could not tell which of them a response belongs to.
-            Some(other) if *other == id => return self.close(id, Unusable::OpenId, out),
-            Some(_) => return self.reject(id, number, Unusable::OpenId, out),
+            Some(other) if *other == id => return self.close(id, RejectReason::OpenId, out),
+            Some(_) => return self.reject(id, number, RejectReason::OpenId, out),
             None => {}
         }
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.open.len() >= MAX_OPEN_REQUESTS {
-            return self.close(id, Unusable::TooManyOpen, out);
+            return self.close(id, RejectReason::TooManyOpen, out);
         }
         self.next_ticket += 1;
         let ticket = Ticket(self.next_ticket);
@@ -288,8 +288,8 @@
     }
 
     /// Responds to a request with an error; the connection stays open.
-    fn reject(&mut self, id: LinkId, number: u32, reason: Unusable, out: &mut Vec<FrontOutput>) {
-        out.push(FrontOutput::Unusable(id, reason));
+    fn reject(&mut self, id: LinkId, number: u32, reason: RejectReason, out: &mut Vec<FrontOutput>) {
+        out.push(FrontOutput::Rejected(id, reason));
         self.write(id, message::error(number, CODE_INVALID), out);
     }
 
@@ -342,7 +342,7 @@
         let expired = self.connections.iter().filter(|(_, connection)| connection.is_expired(now));
         let expired: Vec<LinkId> = expired.map(|(id, _)| *id).collect();
         for id in expired {
-            self.close(id, Unusable::Silent, out);
+            self.close(id, RejectReason::Silent, out);
         }
         self.next_sweep = (!self.connections.is_empty()).then(|| after(now, SWEEP_INTERVAL));
     }
--- a/crates/platform/tests/front.rs
+++ b/crates/platform/tests/front.rs
@@ -3,7 +3,7 @@
 use rmp::encode;
 use slatevalve::{ClassId, Effect, Group, Micros};
 use slatevalve_engine::{Answer, Call, Reason, Ticket, Verdict};
-use slatevalve_platform::front::{Front, FrontOutput, FrontSettings, LinkId, Unusable};
+use slatevalve_platform::front::{Front, FrontOutput, FrontSettings, LinkId, RejectReason};
 use slatevalve_platform::message::InvalidRequest;
 
 const ID: &str = "9b1f03aa5c7e2d41";
@@ -22,7 +22,7 @@
     ended: Vec<u64>,
     calls: Vec<Call>,
     left: Vec<Ticket>,
-    why: Vec<Unusable>,
+    why: Vec<RejectReason>,
 }
 
 impl Bench {
@@ -66,7 +66,7 @@
                 FrontOutput::Finish(link) => seen.ended.push(link.0),
                 FrontOutput::Call(call) => seen.calls.push(*call),
                 FrontOutput::ClientDisconnected(ticket) => seen.left.push(ticket),
-                FrontOutput::Unusable(_, why) => seen.why.push(why),
+                FrontOutput::Rejected(_, why) => seen.why.push(why),
             }
         }
         seen
@@ -191,7 +191,7 @@
     for (n, (method, fields, why)) in cases.into_iter().enumerate() {
         let number = n as u32 + 1;
         let seen = bench.send(1, &request(number, method, &fields, b""));
-        assert_eq!(seen.why, [Unusable::Call(why)]);
+        assert_eq!(seen.why, [RejectReason::Call(why)]);
         assert!(seen.calls.is_empty());
         assert_eq!(
             (seen.written.len(), seen.written[0].1[2]),
@@ -228,7 +228,7 @@
     bench.open(2);
     let ticket = bench.send(1, &quote(1, ID)).calls.remove(0).ticket;
     let seen = bench.send(2, &quote(1, ID));
-    assert_eq!((seen.why, seen.calls.len(), seen.left.len()), (vec![Unusable::OpenId], 0, 0));
+    assert_eq!((seen.why, seen.calls.len(), seen.left.len()), (vec![RejectReason::OpenId], 0, 0));
     let served = Verdict::Served { payload: b"hi".as_slice().into(), ran: None };
     assert_eq!(bench.answer(ticket, served).written[0].0, 1);
 }
@@ -317,7 +317,7 @@
     // Each that comes takes the place of the one that has been silent for longest.
     for link in 5..300 {
         let seen = bench.open(link);
-        assert_eq!((seen.ended.len(), seen.why), (1, vec![Unusable::NoRoom]));
+        assert_eq!((seen.ended.len(), seen.why), (1, vec![RejectReason::NoRoom]));
         assert_ne!(seen.ended, [1], "one with an open request never makes room");
         bench.pass(50);
     }
