--- a/crates/gateway/src/platform/reload.rs
+++ b/crates/gateway/src/platform/reload.rs
@@ -37,7 +37,7 @@
         match startup::load(&self.file) {
             Ok(config) => {
                 info!(changelog = %config.changelog, "configuration read again");
-                self.watch_state.moved(now, config.changelog, &mut self.log_outputs);
+                self.watch_state.set_address(now, config.changelog, &mut self.log_outputs);
                 self.advance_log(now);
             }
             Err(error) => {
--- a/crates/platform/src/changes.rs
+++ b/crates/platform/src/changes.rs
@@ -170,7 +170,7 @@
     }
 
     /// Sets the log's address; the sequence numbers continue.
-    pub fn moved(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<ChangeLogOutput>) {
+    pub fn set_address(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<ChangeLogOutput>) {
         if self.address != address {
             self.address = address;
             self.disconnect(now, out);
--- a/crates/platform/tests/changes.rs
+++ b/crates/platform/tests/changes.rs
@@ -319,11 +319,11 @@
 fn a_log_that_moves_is_asked_at_its_new_address_from_the_same_number() {
     let mut log = Log::asked();
     let address: SocketAddr = "127.0.0.2:4222".parse().unwrap();
-    let seen = log.with(|f, now, out| f.moved(now, address, out));
+    let seen = log.with(|f, now, out| f.set_address(now, address, out));
     assert_eq!(seen.closes, 1);
     assert_eq!(log.tick(0).connects, [address]);
     assert!(log.with(|f, now, out| f.connected(now, out)).asked[0].contains("since=3&"));
-    assert_eq!(log.with(|f, now, out| f.moved(now, address, out)).closes, 0, "the same is no move");
+    assert_eq!(log.with(|f, now, out| f.set_address(now, address, out)).closes, 0, "the same is no move");
 }
 
 #[test]
