--- a/crates/gateway/src/platform/change_log.rs
+++ b/crates/gateway/src/platform/change_log.rs
@@ -1,6 +1,6 @@
-//! The change log: its connection, and its changes of the worker list.
+//! The change log's connection, and the application of its events to the worker list.
 
-use super::{Router, MAX_UNUSABLE_LOGGED};
+use super::{Router, MAX_INVALID_MESSAGES_LOGGED};
 use crate::clock::after;
 use slatevalve::{Micros, WorkerId, WorkerState};
 use slatevalve_platform::changes::{Change, ChangeLogOutput, ContactEvent, LIST_LEASE};
@@ -8,7 +8,7 @@
 use std::collections::{BTreeSet, HashSet};
 use tracing::{debug, info, warn};
 
-/// Workers that a change affects beyond their new state.
+/// Workers for which a change requires more than recording the new state.
 #[derive(Default)]
 struct AffectedWorkers {
     removed: Vec<WorkerId>,
@@ -21,38 +21,38 @@
     pub(super) fn handle_log_event(&mut self, now: Micros, event: ReactorEvent) {
         let (outputs, read_delay) = (&mut self.log_outputs, self.read_delay);
         match event {
-            ReactorEvent::Connected(_) => self.watch_state.connected(now, outputs),
-            ReactorEvent::Received(_, bytes) => self.watch_state.received(now, read_delay, &bytes, outputs),
+            ReactorEvent::Connected(_) => self.change_log.connected(now, outputs),
+            ReactorEvent::Received(_, bytes) => self.change_log.received(now, read_delay, &bytes, outputs),
             ReactorEvent::Closed { .. } => {
                 self.log_connection = None;
-                self.watch_state.closed(now, outputs);
+                self.change_log.closed(now, outputs);
             }
             _ => {}
         }
         self.drain_log_outputs(now);
     }
 
-    /// Fires the timers of the change log's client.
+    /// Runs the expired timers of the change log client.
     pub(super) fn advance_log(&mut self, now: Micros) {
-        self.watch_state.advance(now, &mut self.log_outputs);
+        self.change_log.advance(now, &mut self.log_outputs);
         self.drain_log_outputs(now);
     }
 
-    /// Executes the outputs of the change log's client until none is left, then what follows from the changes.
+    /// Executes the outputs of the change log client until none is left, then the outputs that the changes produced.
     fn drain_log_outputs(&mut self, now: Micros) {
         while !self.log_outputs.is_empty() {
             for output in std::mem::take(&mut self.log_outputs) {
-                self.execute_log(now, output);
+                self.execute_log_output(now, output);
             }
         }
         self.drain_outputs(now);
     }
 
-    fn execute_log(&mut self, now: Micros, output: ChangeLogOutput) {
+    fn execute_log_output(&mut self, now: Micros, output: ChangeLogOutput) {
         match output {
             ChangeLogOutput::Connect(address) => match self.reactor.connect(address) {
                 Ok(id) => self.log_connection = Some(id),
-                Err(_) => self.watch_state.closed(now, &mut self.log_outputs),
+                Err(_) => self.change_log.closed(now, &mut self.log_outputs),
             },
             ChangeLogOutput::Write(bytes) => {
                 if let Some(id) = self.log_connection {
@@ -66,8 +66,8 @@
             }
             ChangeLogOutput::Change(change) => self.apply_change(now, change),
             ChangeLogOutput::Malformed(error) => {
-                self.unusable += 1;
-                if self.unusable <= MAX_UNUSABLE_LOGGED {
+                self.invalid_messages += 1;
+                if self.invalid_messages <= MAX_INVALID_MESSAGES_LOGGED {
                     warn!(%error, "invalid response, or line of one, from the change log");
                 }
             }
@@ -75,42 +75,46 @@
         }
     }
 
-    /// The worker list is complete as of now.
+    /// Renews the lease on the worker list: the list was confirmed, and may be used for `lease` from `now`.
     pub(super) fn confirm_list(&mut self, now: Micros, lease: Micros) {
         if std::mem::take(&mut self.list_expiry_logged) {
-            info!(now = now.0, seq = self.watch_state.seq(), "the worker list is current again");
+            info!(now = now.0, seq = self.change_log.seq(), "the worker list is current again");
         }
         self.list_expires_at = after(now, lease);
         self.engine.worker_list_confirmed(now, lease, &mut self.to_engine);
     }
 
-    /// The list may be out of date: what was decided by it and has not been sent is decided anew, after the next answer of the
-    /// log or after workers were asked.
-    fn distrust_list(&mut self, now: Micros) {
-        debug!(now = now.0, seq = self.watch_state.seq(), "an answer of the change log waited to be read");
+    /// Ends the lease on the worker list, which may be out of date. Unsent requests that were assigned by it are cancelled;
+    /// the engine assigns them again after the next answer of the log or after probing workers.
+    fn expire_list(&mut self, now: Micros) {
+        debug!(
+            now = now.0,
+            seq = self.change_log.seq(),
+            "answer of the change log was read late; the worker list may be out of date"
+        );
         self.list_expires_at = now;
         self.engine.worker_list_confirmed(now, Micros(0), &mut self.to_engine);
         self.worker_side().cancel_all_unsent(now);
     }
 
-    /// Logs that the list is out of date, once for each time.
+    /// Logs the end of the lease on the worker list, once per expiry.
     pub(super) fn log_list_expiry(&mut self, now: Micros) {
         if now >= self.list_expires_at && !std::mem::replace(&mut self.list_expiry_logged, true) {
             warn!(
                 now = now.0,
-                seq = self.watch_state.seq(),
-                "the worker list is out of date; workers are asked before they are sent new work"
+                seq = self.change_log.seq(),
+                "the worker list is out of date; workers are probed before new calls are sent to them"
             );
         }
     }
 
     fn handle_contact(&mut self, now: Micros, event: ContactEvent) {
-        let seq = self.watch_state.seq();
+        let seq = self.change_log.seq();
         match event {
             ContactEvent::Confirmed { age } => {
                 self.confirm_list(now, Micros(LIST_LEASE.0.saturating_sub(age.0)));
             }
-            ContactEvent::Outdated => self.distrust_list(now),
+            ContactEvent::Outdated => self.expire_list(now),
             ContactEvent::Lost { failure, silent_for } => {
                 self.list_outages += 1;
                 let silent_us = silent_for.map(|time| time.0);
@@ -126,8 +130,8 @@
     pub(super) fn apply_change(&mut self, now: Micros, change: Change) {
         let AffectedWorkers { removed, not_accepting } = self.update_workers(&change);
         self.list_members += change.lines.len();
-        debug!(now = now.0, seq = self.watch_state.seq(), ?change, "change");
-        // The engine first: it decides about cancelled requests anew, with the drain known.
+        debug!(now = now.0, seq = self.change_log.seq(), ?change, "change");
+        // The engine is updated first: it reassigns the cancelled requests, and must know about the drain by then.
         self.engine.workers_listed(now, change.listing(), &mut self.to_engine);
         self.worker_side().cancel_unsent(now, not_accepting);
         for worker in removed {
@@ -135,13 +139,13 @@
         }
     }
 
-    /// Updates the worker table, and the addresses in the pool.
+    /// Updates the worker table and the addresses in the pool.
     fn update_workers(&mut self, change: &Change) -> AffectedWorkers {
         let mut affected = AffectedWorkers::default();
         let mut removed: BTreeSet<WorkerId> = BTreeSet::new();
         if change.complete {
-            let named: HashSet<WorkerId> = change.lines.iter().map(|line| line.entry.id).collect();
-            removed.extend(self.workers.keys().filter(|worker| !named.contains(worker)));
+            let listed: HashSet<WorkerId> = change.lines.iter().map(|line| line.entry.id).collect();
+            removed.extend(self.workers.keys().filter(|worker| !listed.contains(worker)));
         }
         for line in &change.lines {
             let worker = line.entry.id;
@@ -152,7 +156,7 @@
                 }
                 (state, Some(address)) => (state, address),
             };
-            // Removed and back in one event: waiting requests were for the one that was removed.
+            // Removed and added again by one event: unsent requests were meant for the previous instance.
             let replaced = removed.remove(&worker);
             let moved = self.pool.list(&mut self.reactor, worker, &line.name, address);
             self.workers.insert(worker, state);
--- a/crates/gateway/src/platform/error.rs
+++ b/crates/gateway/src/platform/error.rs
@@ -8,32 +8,37 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a router could not start or go on.
+/// Why a router could not start or continue.
 #[derive(Debug)]
 pub enum PlatformError {
-    /// An environment variable is not set.
+    /// A required environment variable is not set.
     Variable(&'static str),
     /// The configuration file cannot be read.
     Read(PathBuf, io::Error),
     /// The configuration is invalid.
     Config(PathBuf, ConfigError),
-    /// The configuration's first events of the change log are invalid.
+    /// The change log events in the configuration's field `known` are invalid.
     Known(PathBuf, FieldError),
-    /// The listener could not be opened.
+    /// The address for clients cannot be bound.
     Listen(SocketAddr, io::Error),
-    /// The poller or a signal failed.
+    /// The poller failed, or a signal handler could not be installed.
     Loop(io::Error),
 }
 
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlatformError::Variable(name) => write!(f, "{name} is not set; it names the configuration"),
-            PlatformError::Read(path, e) => write!(f, "{}: {e}", path.display()),
-            PlatformError::Config(path, e) => write!(f, "{}: {e}", path.display()),
-            PlatformError::Known(path, e) => write!(f, "{}: known: {e}", path.display()),
+            PlatformError::Variable(name) => write!(
+                f,
+                "environment variable {name} is not set; it must hold the path of the configuration file"
+            ),
+            PlatformError::Read(path, e) => write!(f, "cannot read {}: {e}", path.display()),
+            PlatformError::Config(path, e) => write!(f, "invalid configuration {}: {e}", path.display()),
+            PlatformError::Known(path, e) => {
+                write!(f, "invalid configuration {}: known: {e}", path.display())
+            }
             PlatformError::Listen(address, e) => write!(f, "cannot listen on {address}: {e}"),
-            PlatformError::Loop(e) => write!(f, "the loop failed: {e}"),
+            PlatformError::Loop(e) => write!(f, "event loop failed: {e}"),
         }
     }
 }
--- a/crates/gateway/src/platform/events.rs
+++ b/crates/gateway/src/platform/events.rs
@@ -1,4 +1,4 @@
-//! Dispatch of the reactor's events to clients, workers, the change log and the signals' handlers.
+//! Dispatch of reactor events to clients, workers, the change log and the signal handlers.
 
 use super::Router;
 use signal_hook::consts::SIGHUP;
@@ -7,13 +7,13 @@
 use tracing::warn;
 
 impl Router {
-    /// Handles the events of an iteration, each with all that follows from it before the next.
+    /// Handles the events of an iteration. All outputs of an event are executed before the next event is handled.
     pub(super) fn handle_events(&mut self, now: Micros, mut events: Vec<ReactorEvent>) {
-        // The change log comes before anything else in the iteration: a drain that has arrived is respected. The sort is
-        // stable: other events stay in the order of the poller.
-        events.sort_by_key(|event| !self.is_of_log(event));
+        // Events of the change log are handled first, so that a drain that has arrived applies to all other events of the
+        // iteration. The sort is stable: other events stay in the order of the poller.
+        events.sort_by_key(|event| !self.is_change_log_event(event));
         for event in events {
-            if self.is_of_log(&event) {
+            if self.is_change_log_event(&event) {
                 self.handle_log_event(now, event);
             } else {
                 self.handle_event(now, event);
@@ -37,7 +37,7 @@
             ReactorEvent::Signal(SIGHUP) => self.reload_on_signal(now),
             ReactorEvent::Signal(_) => self.begin_shutdown(now),
             ReactorEvent::AcceptFailed { error, .. } => {
-                warn!(%error, "cannot accept connections; open ones are served");
+                warn!(%error, "cannot accept connections; established connections are still served");
                 self.listener.pause(now);
             }
         }
@@ -54,12 +54,12 @@
         }
     }
 
-    /// The answer to readiness checks: some worker is ready, and no shutdown has begun.
+    /// Result of readiness checks: whether some worker is ready and no shutdown has begun.
     fn is_ready(&self) -> bool {
         !self.shutdown.has_begun() && self.workers.values().any(|state| *state == WorkerState::Ready)
     }
 
-    /// Whether an event is a client's input: a new connection, or bytes of a client.
+    /// Whether an event is client input: a new connection, or bytes from a client.
     pub(super) fn is_client_input(&self, event: &ReactorEvent) -> bool {
         match event {
             ReactorEvent::Accepted { .. } => true,
@@ -68,12 +68,12 @@
         }
     }
 
-    fn is_of_log(&self, event: &ReactorEvent) -> bool {
+    fn is_change_log_event(&self, event: &ReactorEvent) -> bool {
         self.log_connection.is_some() && connection_of(event) == self.log_connection
     }
 }
 
-/// The connection of an event; none for listeners, wakers and signals.
+/// The connection of an event; `None` for listeners, wakers and signals.
 fn connection_of(event: &ReactorEvent) -> Option<Id> {
     match event {
         ReactorEvent::Connected(id)
--- a/crates/gateway/src/platform/iteration_log.rs
+++ b/crates/gateway/src/platform/iteration_log.rs
@@ -1,25 +1,25 @@
-//! Log of loop iterations that took so long that whatever arrived meanwhile had to wait.
+//! Log of slow loop iterations, which delay everything that arrives meanwhile.
 
 use slatevalve::Micros;
 use tracing::warn;
 
-/// Work of one iteration from which on it is logged.
+/// Iterations that take at least this long are logged.
 const SLOW_ITERATION: Micros = Micros(50_000);
-/// Least time between two such lines; the iterations in between are only counted.
+/// Minimum time between two log lines; slow iterations in between are only counted.
 const LOG_INTERVAL: Micros = Micros(1_000_000);
 
-/// What one iteration did.
+/// Work done by one iteration.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IterationWork {
-    /// When its events were read.
+    /// When its events had been read.
     pub(super) began_at: Micros,
-    /// Time from then until all that followed from them was done.
+    /// Time from then until all events and their outputs were handled.
     pub(super) duration: Micros,
-    /// Events of the reactor.
+    /// Number of reactor events.
     pub(super) events: usize,
-    /// Members of the worker list that were applied.
+    /// Number of worker list members applied.
     pub(super) list_members: usize,
-    /// Calls without an answer after it.
+    /// Number of calls without an answer at the end.
     pub(super) open_calls: usize,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl IterationLog {
-    /// Takes an iteration into account and logs it if it was slow.
+    /// Counts an iteration, and logs it if it was slow.
     pub(super) fn record(&mut self, work: IterationWork) {
         self.longest = self.longest.max(work.duration);
         if work.duration < SLOW_ITERATION {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Work of the longest iteration.
+    /// Duration of the longest iteration.
     pub(super) fn longest(&self) -> Micros {
         self.longest
     }
--- a/crates/gateway/src/platform/mod.rs
+++ b/crates/gateway/src/platform/mod.rs
@@ -1,13 +1,18 @@
-//! The platform's router: one event loop around its clients, its workers, its change log and the request engine.
+//! The platform's router: one event loop that connects clients, workers, the change log and the request engine.
 //!
-//! It keeps the platform's terms for a process: it runs in the foreground, is ready only with a worker list, applies a new
-//! configuration on SIGHUP without losing a call, and on SIGTERM serves until no client can come any more. The loop does I/O
-//! and measures time; it decides nothing about a call. Called by the sub-command `platform`. What holds when events of one
-//! iteration cross is in `docs/design-platform.md`.
+//! It meets the platform's requirements on a process: it runs in the foreground, reports ready only while some worker is
+//! ready, applies a new configuration on SIGHUP without losing a call, and after SIGTERM serves until clients have stopped
+//! connecting. The loop does I/O and measures time; all decisions about calls are the engine's. The sub-command `platform`
+//! runs it. `docs/design-platform.md` describes the guarantees for events that arrive in the same iteration.
 //!
-//! One concern a module: `startup` reads the configuration, `events` dispatches what the reactor reports, `outputs` executes
-//! what the protocols ask for, `change_log` applies changes of the worker list, `reload` and `shutdown` handle the signals,
-//! `iteration_log` logs slow iterations.
+//! | module | concern |
+//! | --- | --- |
+//! | `startup` | reading the configuration, creating the router |
+//! | `events` | dispatch of reactor events |
+//! | `outputs` | execution of the outputs of front end and engine |
+//! | `change_log` | changes of the worker list |
+//! | `reload`, `shutdown` | handling of SIGHUP, SIGTERM and SIGINT |
+//! | `iteration_log` | log of slow iterations |
 
 mod change_log;
 mod error;
@@ -37,13 +42,13 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Invalid messages that are logged one by one; the count of all is logged at the end.
-const MAX_UNUSABLE_LOGGED: u64 = 20;
+/// Limit of invalid messages that are logged individually; their total number is logged at shutdown.
+const MAX_INVALID_MESSAGES_LOGGED: u64 = 20;
 
 /// A running router.
 pub struct Router {
     clock: Clock,
-    /// The configuration, read again on SIGHUP.
+    /// Path of the configuration, which is read again on SIGHUP.
     file: PathBuf,
     /// Names of the classes, in the order of their ids.
     classes: Vec<String>,
@@ -51,40 +56,40 @@
     engine: Engine,
     front: Front,
     pool: Pool,
-    watch_state: ChangeLogClient,
+    change_log: ChangeLogClient,
     log_connection: Option<Id>,
     listener: Listener,
     clients: ClientConnections<LinkId>,
-    /// Workers of the change log, without those that are gone.
+    /// State of each worker in the list, except those that are gone.
     workers: HashMap<WorkerId, WorkerState>,
-    /// Longest time that bytes read in this iteration may have waited to be read.
+    /// Upper bound of the time for which bytes read in this iteration may have been in socket buffers.
     read_delay: Micros,
     loop_timer: LoopTimer,
     iteration_log: IterationLog,
     /// Members of the worker list applied in this iteration.
     list_members: usize,
-    /// Until when the worker list may be acted on.
+    /// End of the lease on the worker list; workers are probed before use after it.
     list_expires_at: Micros,
     list_expiry_logged: bool,
-    /// Outages of the change log so far.
+    /// Number of change log outages so far.
     list_outages: u64,
     shutdown: Shutdown,
     reload_retry: Option<ReloadRetry>,
-    /// Invalid messages of clients and of the change log.
-    unusable: u64,
+    /// Number of invalid messages from clients and from the change log.
+    invalid_messages: u64,
     to_engine: Vec<Output>,
     to_front: Vec<FrontOutput>,
     log_outputs: Vec<ChangeLogOutput>,
 }
 
 impl Router {
-    /// Where clients connect.
+    /// The address on which clients are accepted.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Sizes of all tables that grow with traffic: the front's connections, open requests and ids; the pool's workers,
-    /// connections, attempts and timers. For tests of bounds and the log.
+    /// Sizes of all tables that grow with traffic: connections, open requests and ids of the front end; workers, connections,
+    /// attempts and timers of the pool. For the log and for tests of the bounds.
     pub fn sizes(&self) -> [usize; 7] {
         let (links, open, ids) = self.front.sizes();
         let [workers, connections, attempts, timers] = self.pool.sizes();
@@ -100,8 +105,8 @@
         Ok(())
     }
 
-    /// One iteration of the loop, which waits for `max_wait` at most; `true` once an orderly shutdown is complete. What it
-    /// decides to write is sent when the next iteration begins.
+    /// Runs one iteration of the loop, which waits for at most `max_wait`. Returns `true` once an orderly shutdown is
+    /// complete. Output is written at the beginning of the next iteration.
     ///
     /// # Errors
     /// When the poller fails.
@@ -135,7 +140,7 @@
         Ok(is_complete)
     }
 
-    /// Fires the timers of front end, pool and engine, and executes what follows.
+    /// Runs the expired timers of front end, pool and engine, and executes their outputs.
     fn advance_calls(&mut self, now: Micros) {
         self.front.advance(now, &mut self.to_front);
         self.worker_side().advance(now);
@@ -151,7 +156,7 @@
             self.pool.next_wake(),
             self.listener.resume_at(),
             self.reload_retry.map(|retry| retry.at),
-            Some(self.watch_state.next_wake()),
+            Some(self.change_log.next_wake()),
         ];
         event_loop::poll_timeout(now, timers)
     }
--- a/crates/gateway/src/platform/outputs.rs
+++ b/crates/gateway/src/platform/outputs.rs
@@ -1,13 +1,13 @@
 //! Execution of the outputs of front end and engine.
 
-use super::{Router, MAX_UNUSABLE_LOGGED};
+use super::{Router, MAX_INVALID_MESSAGES_LOGGED};
 use slatevalve::Micros;
 use slatevalve_engine::{Answer, Call, Output, Ticket};
 use slatevalve_platform::front::FrontOutput;
 use tracing::{debug, info};
 
 impl Router {
-    /// Executes pending outputs until none is left; an output may lead to others.
+    /// Executes pending outputs until none is left; executing an output may produce others.
     pub(super) fn drain_outputs(&mut self, now: Micros) {
         while !(self.to_front.is_empty() && self.to_engine.is_empty()) {
             for output in std::mem::take(&mut self.to_front) {
@@ -29,8 +29,8 @@
                 self.engine.client_disconnected(now, ticket, &mut self.to_engine);
             }
             FrontOutput::Rejected(link, reason) => {
-                self.unusable += 1;
-                if self.unusable <= MAX_UNUSABLE_LOGGED {
+                self.invalid_messages += 1;
+                if self.invalid_messages <= MAX_INVALID_MESSAGES_LOGGED {
                     info!(link = link.0, ?reason, "invalid message from a client");
                 }
             }
@@ -53,7 +53,8 @@
     }
 
     fn execute(&mut self, now: Micros, output: Output) {
-        // What is left is an answer: the worker list arrives by itself, and neither versions nor keys are held here.
+        // Of the outputs that the pool does not handle, only answers occur here: the change log sends the worker list
+        // unrequested, and this router stores neither versions nor keys.
         if let Some(Output::Answer(ticket, answer)) = self.worker_side().execute(now, output) {
             self.answer(now, ticket, &answer);
         }
--- a/crates/gateway/src/platform/shutdown.rs
+++ b/crates/gateway/src/platform/shutdown.rs
@@ -1,10 +1,11 @@
-//! The orderly shutdown after SIGTERM: every accepted call is answered, and no answer is lost by closing its connection.
+//! Orderly shutdown after SIGTERM: every accepted call is answered, and no answer is lost by closing its connection.
 //!
-//! Clients still connect for a while after the signal, so the listener stays open. When it closes, the accept queue is
-//! accepted first, and the shutdown waits for all answers, for incomplete requests, and for an iteration without input from a
-//! client. Shortly before the platform may kill the process all calls are answered and the connections closed, whatever the
-//! clients still send. Connections are half-closed and read until their peers close, as closing over unread bytes would
-//! discard answers that were written. Called at the end of each iteration.
+//! Clients still connect for a while after the signal, so the listener stays open for [`LAME_DUCK_PERIOD`]. Before it is
+//! closed, all connections in the accept queue are accepted. The shutdown then waits until all calls are answered, no request
+//! is incomplete, and an iteration has passed without client input. Shortly before the platform may kill the process, all
+//! calls are answered and all connections closed, even if clients are still sending. Connections are half-closed and read
+//! until their peers close them, because closing a socket with unread bytes resets the connection and discards answers in
+//! transit. The loop advances the shutdown at the end of each iteration.
 
 use super::Router;
 use crate::clock::{after, elapsed};
@@ -12,31 +13,32 @@
 use slatevalve_reactor::AcceptQueue;
 use tracing::info;
 
-/// New connections are accepted for this long after the signal.
+/// How long new connections are accepted after the signal.
 const LAME_DUCK_PERIOD: Micros = Micros(800_000);
-/// The platform kills no earlier than the longest deadline after the signal, where longer deadlines count as this one, ...
+/// The platform kills the process no earlier than the longest class deadline plus [`KILL_DELAY`] after the signal. Longer
+/// deadlines than this count as this one.
 const MAX_DEADLINE_COUNTED: Micros = Micros(3_000_000);
-/// ... and this much more.
+/// Time from the longest deadline to the earliest kill; see [`MAX_DEADLINE_COUNTED`].
 const KILL_DELAY: Micros = Micros(700_000);
-/// Open calls are answered this long before the kill, so that the answers are sent in time.
+/// Open calls are ended this long before the earliest kill, so that their answers can still be sent.
 const ANSWER_MARGIN: Micros = Micros(100_000);
-/// Clients that do not read, or stop within a request, are waited for until this long after the kill was possible.
+/// How long after the earliest kill the shutdown still waits for clients that do not read or that stopped within a request.
 const DRAIN_EXTENSION: Micros = Micros(1_000_000);
 
 /// The stages of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// No signal was received.
+    /// No signal was received yet.
     Running,
-    /// Readiness checks fail; new connections and calls are still served.
+    /// Readiness checks report not ready; new connections and calls are still served.
     LameDuck,
-    /// The listener is closed; open connections are served.
+    /// The listener is closed; established connections are served.
     Draining,
     /// All calls are answered; connections are half-closed and read until their peers close.
     Closing,
 }
 
-/// Whether an iteration had input from clients.
+/// Whether an iteration had client input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientInput {
     None,
@@ -47,14 +49,14 @@
 pub(super) struct Shutdown {
     stage: Stage,
     began_at: Micros,
-    /// Time from the signal to the moment at which the process may be killed.
+    /// Time from the signal to the earliest kill.
     kill_after: Micros,
-    /// The engine has ended all calls because the kill is near.
+    /// Whether the engine has ended all calls because the earliest kill is near.
     engine_stopped: bool,
 }
 
 impl Shutdown {
-    /// Not begun; `longest_deadline` is that of the settings' classes.
+    /// A shutdown that has not begun. `longest_deadline` is the longest one of all classes.
     pub(super) fn new(longest_deadline: Micros) -> Self {
         let kill_after = after(longest_deadline.clamp(Micros(0), MAX_DEADLINE_COUNTED), KILL_DELAY);
         Shutdown { stage: Stage::Running, began_at: Micros(0), kill_after, engine_stopped: false }
@@ -67,7 +69,7 @@
 }
 
 impl Router {
-    /// SIGTERM or SIGINT: begins the shutdown. A second signal changes nothing.
+    /// Begins the shutdown on SIGTERM or SIGINT. Further signals are ignored.
     pub(super) fn begin_shutdown(&mut self, now: Micros) {
         if !self.shutdown.has_begun() {
             info!(open = self.front.unanswered(), "stopping");
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Advances the shutdown; `true` once it is complete.
+    /// Advances the shutdown. Returns `true` once it is complete.
     pub(super) fn advance_shutdown(&mut self, now: Micros, client_input: ClientInput) -> bool {
         let stage = self.shutdown.stage;
         if stage == Stage::Running {
@@ -95,7 +97,7 @@
         false
     }
 
-    /// Ends all open calls shortly before the kill; from then on new ones are refused at once.
+    /// Ends all open calls shortly before the earliest kill; new calls are refused from then on.
     fn stop_engine_if_due(&mut self, now: Micros, since_signal: Micros) {
         if after(since_signal, ANSWER_MARGIN) < self.shutdown.kill_after || self.shutdown.engine_stopped {
             return;
@@ -106,8 +108,8 @@
         self.drain_outputs(now);
     }
 
-    /// Closes the listener once its queue is accepted. Where accepting fails, as no descriptor is available, it is tried again
-    /// until the calls are ended.
+    /// Accepts all queued connections, then closes the listener. If accepting fails, for example because no descriptor is
+    /// available, it is retried in each iteration until the calls are ended.
     fn close_listener(&mut self, now: Micros) {
         let mut accepted = Vec::new();
         let queue = self.listener.accept_all(&mut self.reactor, &mut accepted);
@@ -118,10 +120,10 @@
         }
     }
 
-    /// Whether nothing is left to be answered or sent, or the time for that is up.
+    /// Whether nothing is left to be answered or sent, or the time limit for that has passed.
     fn is_drained(&self, since_signal: Micros, client_input: ClientInput) -> bool {
         if self.shutdown.engine_stopped && self.front.unanswered() == 0 {
-            // Busy clients would send until the kill, and what it finds unanswered is lost.
+            // Clients may keep sending until the kill, which would lose the calls that are unanswered then.
             return true;
         }
         let open = self.front.unanswered() + self.front.incomplete();
@@ -139,7 +141,7 @@
             failed = counts.failed,
             attempts = counts.attempts,
             overdue = counts.overdue,
-            unusable = self.unusable,
+            unusable = self.invalid_messages,
             list_outages = self.list_outages,
             slow_iterations = self.iteration_log.slow_count(),
             longest_iteration_us = self.iteration_log.longest().0,
--- a/crates/gateway/src/platform/startup.rs
+++ b/crates/gateway/src/platform/startup.rs
@@ -1,4 +1,4 @@
-//! Start of a router: the configuration, and the settings of its parts that follow from it.
+//! Startup of a router: reading the configuration, and deriving the settings of its components.
 
 use super::iteration_log::IterationLog;
 use super::shutdown::Shutdown;
@@ -20,42 +20,43 @@
 use std::path::{Path, PathBuf};
 use tracing::warn;
 
-/// Bytes buffered for one connection at most; a client that reads more slowly is disconnected.
+/// Limit of bytes buffered for one connection; a client that reads too slowly is disconnected.
 const MAX_BUFFERED: usize = 512 * 1024;
 /// Pause of the listener after a failed accept.
 const ACCEPT_PAUSE: Micros = Micros(20_000);
-/// Descriptors that are neither a client's nor a worker's: standard streams, listener, poller, signals, change log, and
-/// client connections that linger after their end.
+/// File descriptors reserved for other purposes than client and worker connections: standard streams, listener, poller,
+/// signals, change log, and closed client connections in lingering close.
 const OTHER_DESCRIPTORS: usize = 24 + MAX_LINGERING;
-/// Descriptors for connections at least, whatever the process's limit.
+/// Minimum number of connections, whatever the descriptor limit of the process.
 const MIN_CONNECTIONS: usize = 8;
-/// Part of the remaining descriptors that is for clients. Usual clients hold a third of all descriptors at most; the rest of
-/// this share is for unusual ones.
+/// Percentage of the remaining descriptors for clients. Normal clients use at most a third of all descriptors; the rest of
+/// this share is for misbehaving ones.
 const CLIENT_PERCENT: usize = 45;
-/// Part of the workers' idle timeout after which this side closes an idle connection, to close it first.
+/// Percentage of the workers' idle timeout after which the router closes an idle connection, so that it closes it before
+/// the worker does.
 const IDLE_PERCENT: i64 = 90;
-/// Time kept back from each call's budget for the answer's way to the client.
+/// Time reserved in each call's budget for sending the answer to the client.
 const ANSWER_MARGIN: Micros = Micros(4_000);
-/// Functions whose names are held; the least recently used one is evicted.
+/// Limit of function names in memory; the least recently used one is evicted.
 const MAX_FUNCTIONS: usize = 8_192;
 
 /// Reads a configuration file.
 ///
 /// # Errors
-/// When the file cannot be read or is invalid.
+/// If the file cannot be read or is invalid.
 pub(super) fn load(path: &Path) -> Result<Config, PlatformError> {
     let text = std::fs::read_to_string(path).map_err(|error| PlatformError::Read(path.into(), error))?;
     Config::read(&text).map_err(|error| PlatformError::Config(path.into(), error))
 }
 
-/// How many connections each side may have.
+/// Limits of client and worker connections.
 struct ConnectionLimits {
     clients: usize,
     workers: usize,
 }
 
 impl ConnectionLimits {
-    /// Divides the process's file descriptors.
+    /// Divides the file descriptors of the process between clients and workers.
     fn new(descriptors: usize) -> Self {
         let connections = descriptors.saturating_sub(OTHER_DESCRIPTORS).max(MIN_CONNECTIONS);
         let clients = connections * CLIENT_PERCENT / 100;
@@ -64,10 +65,10 @@
 }
 
 impl Router {
-    /// Reads the configuration, listens, and applies the configuration's first events of the change log.
+    /// Reads the configuration, opens the listener, and applies the change log events in the configuration.
     ///
     /// # Errors
-    /// When the file is missing or invalid, or a socket is not available.
+    /// If the file is missing or invalid, or a socket cannot be opened.
     pub fn new(file: PathBuf, clock: Clock) -> Result<Self, PlatformError> {
         let config = load(&file)?;
         let mut reactor = Reactor::new(MAX_BUFFERED).map_err(PlatformError::Loop)?;
@@ -79,7 +80,7 @@
         let limits = ConnectionLimits::new(config.limits.sockets);
         let longest_deadline =
             site.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-        let (watch_state, known) = new_watch_state(&config, &file, clock)?;
+        let (change_log, known) = new_change_log_client(&config, &file, clock)?;
         let mut router = Router {
             clock,
             file,
@@ -88,7 +89,7 @@
             engine: Engine::new(engine_settings(site.settings.clone(), config.seed)),
             front: Front::new(front_settings(site, limits.clients)),
             pool: new_pool(site, limits.workers),
-            watch_state,
+            change_log,
             log_connection: None,
             listener,
             clients: ClientConnections::new(LinkId),
@@ -102,18 +103,18 @@
             list_outages: 0,
             shutdown: Shutdown::new(longest_deadline),
             reload_retry: None,
-            unusable: 0,
+            invalid_messages: 0,
             to_engine: Vec::new(),
             to_front: Vec::new(),
             log_outputs: Vec::new(),
         };
-        // Where workers cannot be asked, nothing could be sent until the first answer of the log.
+        // Without probes, no call could be sent between the end of the short lease and the first answer of the log.
         let lease = if site.settings.limits.probes { KNOWN_LIST_LEASE } else { LIST_LEASE };
         router.apply_known(clock.now(), known, lease);
         Ok(router)
     }
 
-    /// Applies the events that the configuration holds; the list may be acted on for `lease`.
+    /// Applies the events in the configuration; the resulting list may be used for `lease`.
     fn apply_known(&mut self, now: Micros, known: EventBatch, lease: Micros) {
         for error in known.malformed {
             warn!(%error, "invalid event in the configuration");
@@ -126,7 +127,7 @@
     }
 }
 
-fn new_watch_state(
+fn new_change_log_client(
     config: &Config,
     file: &Path,
     clock: Clock,
--- a/crates/platform/src/changes.rs
+++ b/crates/platform/src/changes.rs
@@ -1,9 +1,10 @@
-//! A client of the change log: numbered membership events over HTTP long polling, read without a gap.
+//! Client of the change log: numbered membership events over HTTP long polling, read without a gap.
 //!
-//! The log is polled with a short timeout. A connection that stays silent beyond it is closed, and the log is polled again
-//! on a new one from the last complete event. The first retry after a failure is immediate, further ones are delayed by
-//! random backoff ([`slatevalve_pacing`]). A truncated answer has no effect. An answer that omits numbers is applied, but
-//! requested again from the last event before the gap; so is one with a malformed member, whose other members are applied.
+//! The log is polled with a short timeout. If no answer arrives within it, the connection is closed and the log is polled
+//! on a new one, starting after the last complete event. The first retry after a failure is immediate, further ones are
+//! delayed by random backoff ([`slatevalve_pacing`]). A truncated answer has no effect. An answer that omits sequence
+//! numbers is applied, but the events after the last one before the gap are requested again. The same holds for an answer
+//! with a malformed member: its other members are applied.
 //!
 //! The client does no I/O: the gateway's event loop owns the connection and executes the outputs ([`ChangeLogOutput`]).
 
@@ -27,23 +28,24 @@
 use std::net::SocketAddr;
 use timeouts::Timeouts;
 
-/// How long the worker list may be acted on after a complete answer of the log: what the log would have told since it broke
-/// off counts as told after this time, by the platform's protocol.
+/// How long the worker list may be used after the poll that brought a complete answer. The platform's protocol treats an
+/// event as delivered this long after the log became unreachable, so an older list must not be relied on.
 pub const LIST_LEASE: Micros = Micros(7_000_000);
-/// How long the list of the configuration may be acted on without an answer of the log: a first poll with its grace. The log
-/// may have broken off long before the router's start.
+/// How long the list in the configuration may be used without an answer from the log: the timeout of a first poll plus its
+/// grace period. The log may have been unreachable long before the router started.
 pub const KNOWN_LIST_LEASE: Micros = Micros(500_000);
-/// How long the log may hold a poll open before it answers without events, in milliseconds as the request states it.
+/// `timeout` parameter of a poll, in milliseconds: how long the log may hold it open before it answers without events.
 const LONG_POLL_TIMEOUT_MS: i64 = 1_000;
-/// The same for a poll after the start or after a failure, as the list has to be confirmed soon.
+/// `timeout` of a poll after the start or a failure: short, because the list has to be confirmed soon.
 const FIRST_POLL_TIMEOUT_MS: i64 = 200;
-/// The same for a poll that only asks what the log has by now.
+/// `timeout` of a poll after an answer that was read too late: requests the current state without waiting for an event.
 const IMMEDIATE_POLL_TIMEOUT_MS: i64 = 1;
-/// An answer that may have waited longer to be read does not confirm the list. Less than the least drain grace of the platform.
-const ANSWER_MAX_AGE: Micros = Micros(100_000);
+/// An answer that may have been in the socket buffer for longer does not confirm the list. Shorter than the platform's
+/// shortest drain grace period.
+const ANSWER_READ_DELAY_MAX: Micros = Micros(100_000);
 const MICROS_PER_MILLISECOND: i64 = 1_000;
-/// Backoff: one immediate retry, then random delays, so that routers whose log went away together do not retry together.
-/// With the least connect timeout, an event is requested 0.65 s after it becomes available at the latest; the platform
+/// Backoff: one immediate retry, then random delays, so that routers that lose the log at the same time do not retry in
+/// step. With the shortest connect timeout, an event is requested at most 0.65 s after it becomes available; the platform
 /// allows 2 s after a broken connection.
 const RETRY_LIMITS: PaceLimits = PaceLimits {
     per_second: 500.0,
@@ -53,37 +55,37 @@
     max_delay_us: 400_000,
     immediate_retries: 1,
 };
-/// Consecutive answers with the same gap or malformed member before the client stops requesting it again: by then the
-/// numbers are taken to be unused, or the member to be malformed at the source.
+/// Consecutive answers with a gap or a malformed member after which the client stops requesting the same events again:
+/// the missing numbers are then assumed to be unused, or the member to be malformed in the log itself.
 const MAX_INCOMPLETE_ANSWERS: u32 = 3;
-/// The longest head of an answer, in bytes.
+/// Limit of an answer's HTTP head, in bytes.
 const MAX_HEAD: usize = 8 * 1024;
-/// The longest body of an answer, in bytes: enough for thousands of workers.
+/// Limit of an answer's body, in bytes: enough for a list of thousands of workers.
 const MAX_BODY: usize = 4 * 1024 * 1024;
 
-/// The events of one answer, or of the configuration at the start.
+/// The events of one answer, or those in the configuration at startup.
 #[derive(Debug, Default)]
 pub struct EventBatch {
     /// Membership changes, in order.
     pub changes: Vec<Change>,
-    /// Errors of members that could not be read and are left out of `changes`.
+    /// One error for each malformed member; such members are left out of `changes`.
     pub malformed: Vec<FieldError>,
 }
 
-/// An output of the client, to be executed by the event loop.
+/// An action for the event loop to execute.
 #[derive(Debug)]
 pub enum ChangeLogOutput {
     /// Connect to the log, then call [`ChangeLogClient::connected`] or [`ChangeLogClient::closed`].
     Connect(SocketAddr),
     /// Write a request.
     Write(Vec<u8>),
-    /// Close the connection; the client takes no further input from it.
+    /// Close the connection; the client must not receive further input from it.
     Close,
     /// A complete event with a membership change.
     Change(Change),
-    /// An answer or one of its members is malformed; the log is polled again.
+    /// An answer or one of its members is malformed. The client polls the log again by itself.
     Malformed(FieldError),
-    /// The contact with the log changed, or was confirmed.
+    /// The list was confirmed, or an outage of the log began or ended.
     Contact(ContactEvent),
 }
 
@@ -95,16 +97,16 @@
     /// Connecting or waiting for an answer.
     Pending {
         deadline: Micros,
-        /// What the exchange fails with at the deadline.
+        /// Reported as the failure when the deadline passes.
         timeout: ContactFailure,
     },
 }
 
-/// Whether an answer had all that was requested.
+/// Whether an answer contained everything that was requested.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AnswerStatus {
     Complete,
-    /// It must be requested again.
+    /// The events must be requested again.
     Failed(ContactFailure),
 }
 
@@ -112,18 +114,18 @@
 pub struct ChangeLogClient {
     events: EventReader,
     address: SocketAddr,
-    /// The number of the last event before any gap.
+    /// Sequence number of the last event before any gap.
     seq: u64,
     state: State,
     response: MessageReader,
     schedule: PollSchedule,
     contact: Contact,
-    /// When the last poll was written.
+    /// When the last poll request was written; the lease on the list counts from here.
     polled_at: Micros,
-    /// Whether the last answer waited too long to be read.
+    /// Whether the last answer may have been in the socket buffer for longer than [`ANSWER_READ_DELAY_MAX`].
     is_outdated: bool,
     timeouts: Timeouts,
-    /// Consecutive answers that left a gap.
+    /// Consecutive answers with a gap or a malformed member.
     incomplete_answers: u32,
 }
 
@@ -132,11 +134,11 @@
 }
 
 impl ChangeLogClient {
-    /// A client that continues after the events in `known`, and those events. `at_unix_ms` converts a Unix time in
-    /// milliseconds to the router's clock; `seed` is for the backoff and differs from router to router.
+    /// Creates a client that continues after the events in `known`, and returns it with those events. `at_unix_ms` converts
+    /// a Unix time in milliseconds to the router's clock. `seed` randomizes the backoff and must differ between routers.
     ///
     /// # Errors
-    /// Where `known` cannot be read.
+    /// If `known` is malformed.
     pub fn new(
         names: Names,
         at_unix_ms: Box<dyn Fn(f64) -> Micros>,
@@ -144,7 +146,7 @@
         known: &JsonObject,
         seed: u64,
     ) -> Result<(Self, EventBatch), FieldError> {
-        let mut follower = ChangeLogClient {
+        let mut client = ChangeLogClient {
             events: EventReader::new(names, at_unix_ms),
             address,
             seq: 0,
@@ -156,20 +158,20 @@
             polled_at: Micros(0),
             is_outdated: false,
             timeouts: Timeouts::default(),
-            // The first number may be any: a gap before it is accepted at once.
+            // The first event may have any number: a gap before it is accepted without another request.
             incomplete_answers: MAX_INCOMPLETE_ANSWERS,
         };
-        let batch = follower.read_events(None, known)?;
-        Ok((follower, batch))
+        let batch = client.read_events(None, known)?;
+        Ok((client, batch))
     }
 
-    /// The number of the last event before any gap.
+    /// Sequence number of the last event before any gap.
     #[must_use]
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// Sets the log's address; the sequence numbers continue.
+    /// Sets the log's address and reconnects if it differs. The sequence numbers continue.
     pub fn set_address(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<ChangeLogOutput>) {
         if self.address != address {
             self.address = address;
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Handles timers that are due.
+    /// Handles expired timers.
     pub fn advance(&mut self, now: Micros, out: &mut Vec<ChangeLogOutput>) {
         match self.state {
             State::Disconnected { connect_at } if connect_at <= now => {
@@ -187,7 +189,7 @@
                 out.push(ChangeLogOutput::Connect(self.address));
             }
             State::Pending { deadline, timeout } if deadline <= now => {
-                self.timeouts.reached();
+                self.timeouts.expired();
                 self.schedule_retry(now, timeout, out);
             }
             _ => {}
@@ -202,21 +204,21 @@
         }
     }
 
-    /// The connection is established.
+    /// Handles an established connection.
     pub fn connected(&mut self, now: Micros, out: &mut Vec<ChangeLogOutput>) {
         self.poll(now, out);
     }
 
-    /// The connection ended or could not be established.
+    /// Handles a connection that ended or could not be established.
     pub fn closed(&mut self, now: Micros, out: &mut Vec<ChangeLogOutput>) {
-        // An answer without a length ends with its connection.
+        // An answer without a content length ends where the connection is closed.
         if let Ok(Some(message)) = self.response.end() {
             self.handle_answer(now, &message, out);
         }
         self.schedule_retry(now, ContactFailure::Closed, out);
     }
 
-    /// Handles bytes that were read from the connection, and may have waited for `read_delay` to be read.
+    /// Handles received bytes, which may have been in the socket buffer for up to `read_delay`.
     pub fn received(
         &mut self,
         now: Micros,
@@ -224,7 +226,7 @@
         bytes: &[u8],
         out: &mut Vec<ChangeLogOutput>,
     ) {
-        self.is_outdated = read_delay > ANSWER_MAX_AGE;
+        self.is_outdated = read_delay > ANSWER_READ_DELAY_MAX;
         let message = match self.response.feed(bytes) {
             Ok(None) => return,
             Ok(Some(message)) => message,
@@ -291,7 +293,7 @@
         self.read_events(Some(now), object(&value, NAME)?)
     }
 
-    /// Disconnects and connects again after the backoff delay, which is zero for the first failure.
+    /// Disconnects, and reconnects after the backoff delay, which is zero for the first failure.
     fn schedule_retry(&mut self, now: Micros, failure: ContactFailure, out: &mut Vec<ChangeLogOutput>) {
         out.extend(self.contact.failed(now, failure).map(ChangeLogOutput::Contact));
         let delay = Micros(self.schedule.failed(None));
@@ -304,11 +306,12 @@
         out.push(ChangeLogOutput::Close);
     }
 
-    /// Reads `{"seq":N,"results":[...]}`: the events after `self.seq`, all of them or, on an error, none.
+    /// Parses `{"seq":N,"results":[...]}`: returns all events after `self.seq` or, on an error, none.
     ///
-    /// Events behind a gap are returned too, as a late drain is better than none, but `self.seq` stays before the gap, so
-    /// that they are requested again with what was left out. A complete list closes any gap before it. An event with a
-    /// malformed member counts as a gap: one bad member must not hide the drain of the next.
+    /// Events after a gap are returned too, because it is better to apply a drain out of order than not at all, but
+    /// `self.seq` stays before the gap, so that they are requested again together with the missing ones. A complete list
+    /// closes any gap before it. An event with a malformed member counts as a gap, and its other members are applied: one
+    /// malformed member must not hide the drain of another worker.
     fn read_events(&mut self, now: Option<Micros>, answer: &JsonObject) -> Result<EventBatch, FieldError> {
         let last_seq = unsigned(answer, "seq")?;
         let mut contiguous_seq = self.seq;
--- a/crates/platform/src/changes/contact.rs
+++ b/crates/platform/src/changes/contact.rs
@@ -1,53 +1,52 @@
-//! Contact with the change log: when the list was last confirmed, and outages with their cause.
+//! Availability of the change log: when the list was last confirmed, and outages with their cause.
 
 use slatevalve::Micros;
 
-/// Consecutive failures from which on the log counts as out of reach; a single one is repeated at once and is usual.
+/// Consecutive failures after which an outage is reported. Single failures are common, and are retried immediately.
 const FAILURES_OF_OUTAGE: u32 = 2;
 
-/// Why an exchange with the log failed.
+/// Why a poll of the log failed. Variant names appear in the log field `failure`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContactFailure {
     /// The connection was not established in time.
     ConnectTimeout,
-    /// No complete answer came in time.
+    /// No complete answer arrived in time.
     ResponseTimeout,
     /// The connection was refused, or ended before an answer was complete.
     Closed,
-    /// The answer was malformed or reported an error.
+    /// The answer was malformed or had a status other than 200.
     InvalidAnswer,
-    /// The answer left out numbers or had a malformed member.
+    /// The answer omitted sequence numbers or had a malformed member.
     IncompleteAnswer,
 }
 
-/// A change of the contact with the log.
+/// A confirmation of the list, or the beginning or end of an outage of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContactEvent {
-    /// A complete answer came: every event that the log had when it was asked is known.
+    /// A complete answer was read: the list includes every event that the log had when it was polled.
     Confirmed {
-        /// Time since it was asked.
+        /// Time since the poll was written.
         age: Micros,
     },
-    /// A complete answer came that waited to be read, as the process was paused or busy: what the log has had since is not
-    /// known yet.
+    /// A complete answer was read late, because the process was paused or busy: the log may have had further events since.
     Outdated,
-    /// The log cannot be reached.
+    /// The log is unreachable.
     Lost {
-        /// Why the last exchange failed.
+        /// Why the last poll failed.
         failure: ContactFailure,
         /// Time since the last complete answer; `None` before the first.
         silent_for: Option<Micros>,
     },
-    /// The log answers again. [`ContactEvent::Confirmed`] follows.
+    /// The outage ended. [`ContactEvent::Confirmed`] or [`ContactEvent::Outdated`] follows.
     Restored {
-        /// Consecutive exchanges that had failed.
+        /// Number of consecutive polls that failed.
         failures: u32,
         /// Time from the last complete answer before the outage, or from the first failure, until now.
         outage: Micros,
     },
 }
 
-/// What is known of the contact with the log.
+/// Tracks confirmations and failures of the polls.
 #[derive(Debug, Default)]
 pub(super) struct Contact {
     confirmed_at: Option<Micros>,
@@ -56,12 +55,12 @@
 }
 
 impl Contact {
-    /// Whether the last exchange brought a complete answer.
+    /// Whether the last poll brought a complete answer.
     pub(super) fn is_established(&self) -> bool {
         self.confirmed_at.is_some() && self.failures == 0
     }
 
-    /// Notes a complete answer; returns the end of an outage.
+    /// Records a complete answer; returns an event if it ends an outage.
     pub(super) fn confirmed(&mut self, now: Micros) -> Option<ContactEvent> {
         let failures = std::mem::take(&mut self.failures);
         let failed_at = self.first_failure_at.take();
@@ -70,7 +69,7 @@
         (failures >= FAILURES_OF_OUTAGE).then_some(ContactEvent::Restored { failures, outage })
     }
 
-    /// Notes a failed exchange; returns the beginning of an outage.
+    /// Records a failed poll; returns an event if an outage begins with it.
     pub(super) fn failed(&mut self, now: Micros, failure: ContactFailure) -> Option<ContactEvent> {
         self.failures = self.failures.saturating_add(1);
         self.first_failure_at.get_or_insert(now);
--- a/crates/platform/src/changes/event.rs
+++ b/crates/platform/src/changes/event.rs
@@ -1,4 +1,4 @@
-//! Events of the change log: JSON objects read into membership changes.
+//! Parsing of the change log's JSON events into membership changes.
 
 use super::starts::StartTimes;
 use serde_json::Value;
@@ -10,28 +10,28 @@
 use slatevalve_site_config::{FieldError, Names};
 use std::net::SocketAddr;
 
-/// One member of an event: a worker, its name and its address.
+/// One member of an event.
 #[derive(Clone, Debug)]
 pub struct MemberLine {
-    /// The worker as the load balancer takes it.
+    /// The worker in the load balancer's terms.
     pub entry: WorkerEntry,
-    /// The worker's name in the log.
+    /// The `id` of the member in the log; [`WorkerEntry::id`] is derived from it.
     pub name: String,
-    /// Where the worker listens; optional only for a worker that is gone.
+    /// Where the worker accepts connections; `None` only for a worker that is gone.
     pub address: Option<SocketAddr>,
 }
 
 /// The membership change of one event.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// Whether `lines` is the whole list rather than a difference.
+    /// Whether `lines` is the complete worker list rather than a difference from the previous one.
     pub complete: bool,
     /// The members, in the order of the event.
     pub lines: Vec<MemberLine>,
 }
 
 impl Change {
-    /// The change as the load balancer takes it.
+    /// Converts the change to the load balancer's terms.
     #[must_use]
     pub fn listing(&self) -> Listing {
         let scope = if self.complete { Scope::Full } else { Scope::Changes };
@@ -41,15 +41,14 @@
 
 /// One numbered event of an answer.
 pub(super) struct Event {
-    /// The event's sequence number.
     pub seq: u64,
-    /// The membership change, where the event has one.
+    /// `None` for an event of another kind.
     pub change: Option<Change>,
-    /// Errors of members that were left out of `change` because they could not be read.
+    /// One error for each malformed member; such members are left out of `change`.
     pub malformed: Vec<FieldError>,
 }
 
-/// Reads events, with the names of zones and kinds from the operators' settings.
+/// Parses events, using the zone and kind names from the operators' settings.
 pub(super) struct EventReader {
     names: Names,
     starts: StartTimes,
@@ -60,11 +59,11 @@
         EventReader { names, starts: StartTimes::new(at_unix_ms) }
     }
 
-    /// Reads an event whose number is above `after`; `None` for one that is not. `now` is when it came; none for events that
-    /// were known at the start.
+    /// Parses an event; `None` if its sequence number is not above `after`. `now` is when the event was received; `None` for
+    /// events from the configuration.
     ///
     /// # Errors
-    /// Where the event itself is malformed; malformed members are collected in [`Event::malformed`].
+    /// If the event itself is malformed. Errors of its members are collected in [`Event::malformed`].
     pub(super) fn read(
         &mut self,
         now: Option<Micros>,
@@ -89,10 +88,10 @@
         malformed: &mut Vec<FieldError>,
     ) -> Result<Change, FieldError> {
         let complete = bool_or(fleet, "complete", false)?;
-        let told_at = now.filter(|_| !complete);
+        let received_at = now.filter(|_| !complete);
         let mut lines = Vec::new();
         for value in array(fleet, "members")? {
-            match object(value, "members").and_then(|member| self.member(told_at, member)) {
+            match object(value, "members").and_then(|member| self.member(received_at, member)) {
                 Ok(line) => lines.push(line),
                 Err(error) => malformed.push(error),
             }
@@ -103,8 +102,8 @@
         Ok(Change { complete, lines })
     }
 
-    /// Reads a member of a complete list, or of an event of changes that came at `told_at`.
-    fn member(&mut self, told_at: Option<Micros>, member: &JsonObject) -> Result<MemberLine, FieldError> {
+    /// Parses a member of a difference received at `received_at`, or of a complete list if that is `None`.
+    fn member(&mut self, received_at: Option<Micros>, member: &JsonObject) -> Result<MemberLine, FieldError> {
         let name = text(member, "id")?.to_string();
         let state = match text(member, "phase")? {
             "active" => WorkerState::Ready,
@@ -122,7 +121,7 @@
             cell: CellId(optional(member, "cell").map_or(Ok(0), |_| unsigned(member, "cell"))?),
             state,
             weight: number_or(member, "size", 1.0)?,
-            up_since: (up_since_ms > 0.0).then(|| match told_at {
+            up_since: (up_since_ms > 0.0).then(|| match received_at {
                 Some(now) => self.starts.announced(now, id, up_since_ms),
                 None => self.starts.listed(id, up_since_ms),
             }),
@@ -142,13 +141,13 @@
     address.parse().map_or_else(|_| unknown_value("host_port", address), |parsed| Ok(Some(parsed)))
 }
 
-/// The index of a zone or kind; 0 where the field is absent. A name that the settings do not list gets an index beyond
-/// them that is derived from the name, so that all routers agree on it.
+/// The index of a zone or kind; 0 if the field is absent. A name that the settings do not list gets an index above the
+/// listed ones that is derived from the name, so that all routers use the same index.
 fn index_of_name(names: &[String], member: &JsonObject, field: &str) -> Result<usize, FieldError> {
     if optional(member, field).is_none() {
         return Ok(0);
     }
     let name = text(member, field)?;
-    let beyond_settings = || names.len() + (worker_id(name).0 >> 32) as usize;
-    Ok(names.iter().position(|known| known == name).unwrap_or_else(beyond_settings))
+    let unlisted_index = || names.len() + (worker_id(name).0 >> 32) as usize;
+    Ok(names.iter().position(|known| known == name).unwrap_or_else(unlisted_index))
 }
--- a/crates/platform/src/changes/starts.rs
+++ b/crates/platform/src/changes/starts.rs
@@ -1,24 +1,24 @@
-//! Start times of workers: the log states them by the Unix clock, which may step; the router counts by a monotonic one.
+//! Start times of workers. The log states them in Unix time, which may step; the router uses a monotonic clock.
 
 use slatevalve::{Micros, WorkerId};
 use std::collections::{HashMap, HashSet};
 
-/// A start that an event of changes tells for the first time is taken to be no longer ago than this, about the time that the
-/// log takes to list a new worker. After a step of the Unix clock a cold worker would otherwise pass for a warm one.
+/// Limit of the age of a start time that a difference reports for the first time: about the time that the log takes to
+/// list a new worker. Without the limit, a cold worker would be treated as warm after a step of the Unix clock.
 const ANNOUNCED_AGE_MAX: Micros = Micros(5_000_000);
 
-/// A start as the log states it, and by the router's clock.
+/// A start time as the log states it, and on the router's clock.
 #[derive(Clone, Copy, Debug)]
 struct Start {
     unix_ms: f64,
     at: Micros,
 }
 
-/// The starts that the log has told.
+/// Start times of the workers in the list.
 pub(super) struct StartTimes {
-    /// Converts a Unix time in milliseconds to the router's clock, by the Unix clock as it is now.
+    /// Converts a Unix time in milliseconds to the router's clock, using the current reading of the Unix clock.
     at_unix_ms: Box<dyn Fn(f64) -> Micros>,
-    /// Converted once each: a start that is told again must not pass for a restart.
+    /// Each start time is converted once: converting it again after a clock step would look like a restart.
     known: HashMap<WorkerId, Start>,
 }
 
@@ -27,20 +27,21 @@
         StartTimes { at_unix_ms, known: HashMap::new() }
     }
 
-    /// The start of a worker that a complete list states.
+    /// Converts a start time from a complete list.
     pub(super) fn listed(&mut self, worker: WorkerId, unix_ms: f64) -> Micros {
         self.convert(worker, unix_ms, |at| at)
     }
 
-    /// The start of a worker that an event of changes states, read at `now`: not in the future, and not long ago.
+    /// Converts a start time from a difference received at `now`. The result is not in the future, and if it is new at most
+    /// [`ANNOUNCED_AGE_MAX`] ago.
     pub(super) fn announced(&mut self, now: Micros, worker: WorkerId, unix_ms: f64) -> Micros {
         let earliest = Micros(now.0.saturating_sub(ANNOUNCED_AGE_MAX.0));
         self.convert(worker, unix_ms, |at| at.clamp(earliest, now))
     }
 
     fn convert(&mut self, worker: WorkerId, unix_ms: f64, limit: impl Fn(Micros) -> Micros) -> Micros {
-        let told = self.known.get(&worker).filter(|start| start.unix_ms == unix_ms);
-        if let Some(start) = told {
+        let known = self.known.get(&worker).filter(|start| start.unix_ms == unix_ms);
+        if let Some(start) = known {
             return start.at;
         }
         let at = limit((self.at_unix_ms)(unix_ms));
@@ -48,13 +49,13 @@
         at
     }
 
-    /// Forgets a worker that is gone.
+    /// Removes a worker that is gone.
     pub(super) fn forget(&mut self, worker: WorkerId) {
         self.known.remove(&worker);
     }
 
-    /// Forgets all workers that a complete list does not name.
-    pub(super) fn retain(&mut self, named: &HashSet<WorkerId>) {
-        self.known.retain(|worker, _| named.contains(worker));
+    /// Removes all workers that a complete list does not contain.
+    pub(super) fn retain(&mut self, listed_workers: &HashSet<WorkerId>) {
+        self.known.retain(|worker, _| listed_workers.contains(worker));
     }
 }
--- a/crates/platform/src/changes/timeouts.rs
+++ b/crates/platform/src/changes/timeouts.rs
@@ -1,41 +1,40 @@
-//! Time limits of an exchange with the change log, which adapt to a log that is slow.
+//! Timeouts of a poll of the change log, which adapt to a slow log.
 //!
-//! A connection or an answer that is given up too soon starts anew at the end of the log's queue, and may never be served. The
-//! limits are doubled with each that was reached, and halved again while answers come well within them.
+//! A poll that is aborted too soon is queued again behind all others in the log, and may never be answered. The timeouts are
+//! doubled whenever one expires, and halved again when an answer arrives well before its timeout.
 
 use slatevalve::Micros;
 
-/// Least time for a connection to be established.
+/// Shortest timeout for establishing a connection.
 const CONNECT_TIMEOUT: Micros = Micros(250_000);
-/// Least time for an answer beyond the wait that the poll asked for.
+/// Shortest time allowed for an answer in addition to the `timeout` parameter of the poll.
 const RESPONSE_GRACE: Micros = Micros(300_000);
-/// Doublings at most: four limits in a row, with the waits and the backoff in between, stay within the 7 s after which the
-/// platform counts the log's news as told.
+/// Limit of the doublings. Four timeouts in a row, with the polls' own wait and the backoff in between, take less than the
+/// 7 s after which the platform treats the log's events as delivered.
 const DOUBLINGS_MAX: u32 = 3;
 
-/// The current limits.
 #[derive(Debug, Default)]
 pub(super) struct Timeouts {
     doublings: u32,
 }
 
 impl Timeouts {
-    /// Time for a connection to be established.
+    /// Timeout for establishing a connection.
     pub(super) fn connect(&self) -> Micros {
         Micros(CONNECT_TIMEOUT.0 << self.doublings)
     }
 
-    /// Time for an answer beyond the wait that the poll asked for.
+    /// Time allowed for an answer in addition to the `timeout` parameter of the poll.
     pub(super) fn response_grace(&self) -> Micros {
         Micros(RESPONSE_GRACE.0 << self.doublings)
     }
 
-    /// A limit was reached.
-    pub(super) fn reached(&mut self) {
+    /// Records an expired timeout.
+    pub(super) fn expired(&mut self) {
         self.doublings = (self.doublings + 1).min(DOUBLINGS_MAX);
     }
 
-    /// An answer came so much before its limit.
+    /// Records an answer that arrived `time_left` before its timeout.
     pub(super) fn answered(&mut self, time_left: Micros) {
         if time_left.0 > self.response_grace().0 / 2 {
             self.doublings = self.doublings.saturating_sub(1);
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of a router: the JSON file that the environment variable `EDGE_CONFIG` names, read at the start and on
-//! SIGHUP. It is applied as a whole or not at all; an error names the field.
+//! Configuration of a router: a JSON file whose path is in the environment variable `EDGE_CONFIG`, read at startup and on
+//! SIGHUP. It is applied completely or not at all; an error names the invalid field.
 
 use serde_json::Value;
 use slatevalve_site_config::object::{field, number, object, text, unknown_value, unsigned, JsonObject};
@@ -7,40 +7,40 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The limits of the process.
+/// Resource limits of the process, as set by the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// Cores that the process may use.
+    /// Number of processor cores, possibly fractional.
     pub cores: f64,
     /// Memory, in MB.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// Number of file descriptors; client and worker connections share them.
     pub sockets: usize,
 }
 
-/// The configuration of a router.
+/// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The router's name.
+    /// The name that the platform gave the router.
     pub name: String,
-    /// The address for clients.
+    /// The address on which the router accepts clients.
     pub listen: SocketAddr,
-    /// The seed of random numbers, new with each start.
+    /// Seed of the random numbers, different for each start.
     pub seed: u64,
-    /// The limits of the process.
+    /// Resource limits of the process, as set by the platform.
     pub limits: ProcessLimits,
-    /// The address of the change log.
+    /// The address of the change log; the only field that a reload applies.
     pub changelog: SocketAddr,
-    /// The events of the change log up to now, in the form of one of its answers.
+    /// The events of the change log so far, in the format of its answers.
     pub known: JsonObject,
-    /// The operators' settings.
+    /// The operators' settings, from the field `settings`.
     pub site: SiteConfig,
 }
 
 /// Why a configuration is rejected.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// The file is not JSON.
+    /// The file is not valid JSON.
     Json(serde_json::Error),
     /// A field is missing or invalid.
     Field(FieldError),
@@ -83,13 +83,13 @@
 }
 
 impl Config {
-    /// Reads the text of the file.
+    /// Parses the content of a configuration file.
     ///
     /// # Errors
-    /// Names the first field that is missing or invalid.
-    pub fn read(text_of_file: &str) -> Result<Config, ConfigError> {
-        let value: Value = serde_json::from_str(text_of_file)?;
-        let file = object(&value, "the file")?;
+    /// For the first field that is missing or invalid.
+    pub fn read(json: &str) -> Result<Config, ConfigError> {
+        let value: Value = serde_json::from_str(json)?;
+        let file = object(&value, "configuration")?;
         let seed = seed(file)?;
         let limits = object(field(file, "limits")?, "limits")?;
         let settings = object(field(file, "settings")?, "settings")?;
@@ -110,7 +110,7 @@
     value.parse().map_or_else(|_| unknown_value(name, value), Ok)
 }
 
-/// The seed, a number or a text of hex digits.
+/// Reads the seed: a number, or a string of hex digits.
 fn seed(file: &JsonObject) -> Result<u64, FieldError> {
     if field(file, "seed")?.is_number() {
         return unsigned(file, "seed");
--- a/crates/platform/src/frame.rs
+++ b/crates/platform/src/frame.rs
@@ -1,79 +1,79 @@
-//! Framing of MessagePack-RPC: the end of a message, found as its bytes arrive, within bounds of size and depth.
+//! Framing of MessagePack-RPC: incremental detection of message ends, with bounds on size and nesting depth.
 //!
-//! A huge length, a value without end or deep nesting is rejected at the byte that states it, before memory is reserved for
-//! it. The front scans every byte of a client; [`crate::message`] reads whole frames.
+//! A length beyond the bound or a nesting that is too deep is rejected as soon as its header is received, before memory is
+//! allocated for it. The front end scans all bytes from clients; [`crate::message`] parses complete frames.
 
 use rmp::Marker;
 use std::fmt;
 
-/// The longest message, in bytes: a body of 16 KiB, the longest that clients may send, and its fields.
+/// Limit of a message, in bytes: the largest body that clients may send, 16 KiB, plus its fields.
 pub const MAX_MESSAGE: usize = 20 * 1024;
-/// The deepest nesting of arrays and maps; a request has four levels.
+/// Limit of the nesting of arrays and maps; a request has four levels.
 const MAX_DEPTH: usize = 6;
 
-/// Why bytes cannot become a message. The connection cannot be used any further.
+/// Why received bytes are not a valid frame. The connection cannot be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// They do not begin as an array of three or four values.
+    /// They do not start with an array of three or four values.
     NotRpc,
     /// The message is longer than [`MAX_MESSAGE`].
     TooLong,
-    /// The message is nested more deeply than any valid one.
+    /// Arrays and maps are nested more deeply than in any valid message.
     TooDeep,
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            FrameError::NotRpc => "not an array of three or four values",
-            FrameError::TooLong => "longer than the longest message",
-            FrameError::TooDeep => "nested too deeply",
-        })
+        match self {
+            FrameError::NotRpc => f.write_str("message is not an array of three or four values"),
+            FrameError::TooLong => write!(f, "message exceeds {MAX_MESSAGE} bytes"),
+            FrameError::TooDeep => write!(f, "message exceeds {MAX_DEPTH} levels of nesting"),
+        }
     }
 }
 
 impl std::error::Error for FrameError {}
 
-/// The scan of one message, resumed as more of its bytes arrive.
+/// Finds the end of a message; the scan is resumed when more bytes arrive.
 #[derive(Clone, Debug, Default)]
 pub struct Scanner {
-    /// Bytes that were scanned.
+    /// Number of bytes scanned.
     position: usize,
-    /// The values that are missing on each level of nesting, outermost first; empty at the start of a message.
+    /// Number of values still missing on each level of nesting, outermost first; empty at the start of a message.
     missing: Vec<usize>,
 }
 
-/// The head of a MessagePack value.
-struct Head {
-    /// Bytes of the head itself.
-    head: usize,
-    /// Bytes of data behind the head.
+/// The header of a MessagePack value.
+struct Header {
+    /// Size of the header, in bytes.
+    size: usize,
+    /// Size of the data after the header, in bytes; 0 for an array or a map.
     data: usize,
-    /// Values within an array or a map; `None` for a value of another type.
+    /// Number of values in an array or map, keys included; `None` for any other type.
     values: Option<usize>,
 }
 
 impl Scanner {
-    /// The length of the message at the start of `bytes`, once it is whole; `None` before. Called again with the same bytes
-    /// and more until then, after that with the bytes behind the message.
+    /// Returns the length of the message at the start of `bytes`, or `None` while it is incomplete. In that case the next call
+    /// must pass the same bytes followed by further ones; after a complete message it must pass the bytes that follow it.
     ///
     /// # Errors
-    /// As soon as the bytes cannot become a message.
+    /// As soon as the bytes are known not to be a valid frame.
     pub fn scan(&mut self, bytes: &[u8]) -> Result<Option<usize>, FrameError> {
-        while let Some(head) = read_head(bytes.get(self.position..).unwrap_or_default()) {
-            if self.missing.is_empty() && !matches!(head.values, Some(3 | 4)) {
+        while let Some(header) = parse_header(bytes.get(self.position..).unwrap_or_default()) {
+            if self.missing.is_empty() && !matches!(header.values, Some(3 | 4)) {
                 return Err(FrameError::NotRpc);
             }
-            let next = self.position.saturating_add(head.head).saturating_add(head.data);
-            // Each value within is at least one byte.
-            if next.saturating_add(head.values.unwrap_or(0)) > MAX_MESSAGE {
+            let next = self.position.saturating_add(header.size).saturating_add(header.data);
+            // Each nested value takes at least one byte.
+            if next.saturating_add(header.values.unwrap_or(0)) > MAX_MESSAGE {
                 return Err(FrameError::TooLong);
             }
             if next > bytes.len() {
                 return Ok(None);
             }
             self.position = next;
-            match head.values {
+            match header.values {
                 Some(values) if values > 0 => self.enter(values)?,
                 _ => self.finish_value(),
             }
@@ -84,7 +84,7 @@
         Ok(None)
     }
 
-    /// Enters an array or map that is not empty.
+    /// Starts an array or map that is not empty.
     fn enter(&mut self, values: usize) -> Result<(), FrameError> {
         if self.missing.len() >= MAX_DEPTH {
             return Err(FrameError::TooDeep);
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// Counts a complete value, and each array and map that it completes.
+    /// Counts a complete value, and all arrays and maps that it completes.
     fn finish_value(&mut self) {
         while let Some(missing) = self.missing.last_mut() {
             *missing -= 1;
@@ -105,17 +105,17 @@
     }
 }
 
-/// The head of the value at the start of `bytes`; `None` until all its bytes are there.
-fn read_head(bytes: &[u8]) -> Option<Head> {
+/// Parses the header at the start of `bytes`; `None` while it is incomplete.
+fn parse_header(bytes: &[u8]) -> Option<Header> {
     let length = |size: usize| -> Option<usize> {
         let digits = bytes.get(1..=size)?;
         Some(digits.iter().fold(0usize, |value, digit| (value << 8) | usize::from(*digit)))
     };
-    let scalar = |head: usize, data: usize| Some(Head { head, data, values: None });
-    let container = |head: usize, values: usize| Some(Head { head, data: 0, values: Some(values) });
+    let scalar = |size: usize, data: usize| Some(Header { size, data, values: None });
+    let container = |size: usize, values: usize| Some(Header { size, data: 0, values: Some(values) });
     match Marker::from_u8(*bytes.first()?) {
         Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => scalar(1, 0),
-        // Not used by the format; treated as a value without data, it is rejected when the message is read.
+        // Not used by MessagePack. It is treated as a value without data here and rejected when the message is parsed.
         Marker::Reserved => scalar(1, 0),
         Marker::U8 | Marker::I8 => scalar(2, 0),
         Marker::U16 | Marker::I16 => scalar(3, 0),
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -1,12 +1,13 @@
-//! Clients of the platform: their connections, their requests and one response to each.
+//! Front end for the platform's clients: their connections, their requests and one response to each request.
 //!
-//! A request that is invalid gets an error response and reaches nothing else. A client that violates the protocol loses its
-//! connection and, as with any connection that ends, the requests that are open on it. Connections that send nothing, stop
-//! within a message or are idle are closed, and evicted before that where the limit is reached.
+//! An invalid request is rejected with an error response and is not passed to the engine. A client that violates the
+//! protocol is disconnected. When a connection ends, its open requests are abandoned. Connections that send nothing, stop
+//! within a message or are idle for too long are closed; when the connection limit is reached, they are evicted earlier.
 //!
-//! The front does no I/O: the gateway's event loop executes the outputs ([`FrontOutput`]) and passes calls to the engine.
+//! The front end does no I/O: the gateway's event loop executes the outputs ([`FrontOutput`]) and passes calls to the
+//! engine.
 //!
-//! Bounds: [`FrontSettings::connections`], with 32 open requests and one message of 20 KiB on each.
+//! Bounds: [`FrontSettings::connections`], with 32 open requests and one message of 20 KiB on each connection.
 
 mod connection;
 
@@ -18,86 +19,86 @@
 use slatevalve_engine::{Answer, Call, ClientRef, Repeat, Ticket, Verdict};
 use std::collections::{BTreeMap, HashMap};
 
-/// The most open requests on one connection, set by the protocol.
+/// Limit of open requests on one connection, set by the protocol.
 const MAX_OPEN_REQUESTS: usize = 32;
 /// How often connections are checked for timeouts.
 const SWEEP_INTERVAL: Micros = Micros(250_000);
-/// The error code of a response to an invalid request.
+/// Error code of the response to an invalid request.
 const CODE_INVALID: &str = "Unusable";
-/// The error code of a response to a request that was refused.
+/// Error code of the response to a refused call.
 const CODE_REFUSED: &str = "Throttled";
-/// The error code of a response to a request that failed.
+/// Error code of the response to a failed call.
 const CODE_FAILED: &str = "Broken";
 
-/// The id of a client's connection; never reused.
+/// Identifies a client connection; never reused within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
-/// The settings of the front.
+/// Settings of the front end.
 #[derive(Clone, Debug)]
 pub struct FrontSettings {
-    /// The names and effects of the classes, in the order of their ids.
+    /// Names and effects of the classes, in the order of their ids.
     pub classes: Vec<(String, Effect)>,
-    /// The most connections at a time.
+    /// Limit of client connections; when it is exceeded, an idle connection is evicted.
     pub connections: usize,
 }
 
-/// An output of the front, to be executed by the event loop.
+/// An action for the event loop to execute.
 #[derive(Clone, Debug)]
 pub enum FrontOutput {
-    /// Write to a connection.
+    /// Write the bytes to the connection.
     Write(LinkId, Vec<u8>),
-    /// Close a connection once all is written.
+    /// Close the connection once all buffered bytes are written.
     Finish(LinkId),
     /// Pass a call to the engine.
     Call(Box<Call>),
-    /// The client of a call disconnected or interrupted it.
+    /// The client of the call disconnected or sent an interrupt; no response is expected any more.
     ClientDisconnected(Ticket),
-    /// A message was rejected or a connection closed; for the log.
+    /// A message was rejected or a connection closed by the front end; only to be logged.
     Rejected(LinkId, RejectReason),
 }
 
-/// Why a message was rejected or a connection closed.
+/// Why a message was rejected or a connection closed. Variant names appear in the log field `reason`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The bytes cannot become a message.
+    /// The received bytes are not a valid frame; the connection is closed.
     Frame(FrameError),
-    /// A whole value is no message of the protocol.
+    /// A complete frame is not a message of the protocol; the connection is closed.
     NotAMessage,
-    /// A request is invalid.
+    /// A request has an invalid field or class; it gets an error response.
     Call(InvalidRequest),
-    /// The number of a request is not above the one before on its connection.
+    /// A request's number is not above the previous one of its connection; the connection is closed.
     Number,
-    /// A request with the same id is open.
+    /// A request with the same id is open. On the same connection, the connection is closed; on another, the request gets an
+    /// error response.
     OpenId,
-    /// There are more open requests than the protocol allows.
+    /// The connection has more open requests than the protocol allows; it is closed.
     TooManyOpen,
-    /// The connection timed out.
+    /// The connection timed out: no complete message in time, idle, or nothing but interrupted requests.
     Silent,
-    /// The connection was evicted.
+    /// The connection was evicted because the connection limit was exceeded.
     NoRoom,
 }
 
-/// An open request.
 struct OpenRequest {
     connection: LinkId,
     number: u32,
     id: String,
 }
 
-/// The clients' side of the router; see the module's documentation.
+/// Tracks client connections and open requests; see the module documentation.
 pub struct Front {
     settings: FrontSettings,
     connections: BTreeMap<LinkId, Connection>,
     open: HashMap<Ticket, OpenRequest>,
-    /// The connections of the open requests, by the requests' ids.
+    /// Connection of each open request, by the request's id.
     ids: HashMap<String, LinkId>,
     next_ticket: u64,
     next_sweep: Option<Micros>,
 }
 
 impl Front {
-    /// A front without connections.
+    /// Creates a front end without connections.
     #[must_use]
     pub fn new(settings: FrontSettings) -> Self {
         Front {
@@ -110,25 +111,25 @@
         }
     }
 
-    /// The numbers of connections, open requests and ids of open requests; for tests of bounds.
+    /// Numbers of connections, open requests and ids of open requests; for tests of the bounds.
     #[must_use]
     pub fn sizes(&self) -> (usize, usize, usize) {
         (self.connections.len(), self.open.len(), self.ids.len())
     }
 
-    /// The number of open requests.
+    /// Number of requests without a response.
     #[must_use]
     pub fn unanswered(&self) -> usize {
         self.open.len()
     }
 
-    /// The number of connections with an incomplete message.
+    /// Number of connections with an incomplete message.
     #[must_use]
     pub fn incomplete(&self) -> usize {
         self.connections.values().filter(|connection| connection.incomplete_since.is_some()).count()
     }
 
-    /// A client connected; another connection is evicted where the limit is exceeded.
+    /// Adds a client connection. If the limit is then exceeded, an idle connection is evicted, possibly the new one.
     pub fn opened(&mut self, now: Micros, id: LinkId, out: &mut Vec<FrontOutput>) {
         self.connections.insert(id, Connection::new(now));
         self.next_sweep.get_or_insert(after(now, SWEEP_INTERVAL));
@@ -141,14 +142,14 @@
         }
     }
 
-    /// A client disconnected.
+    /// Handles a connection that the client closed.
     pub fn closed(&mut self, id: LinkId, out: &mut Vec<FrontOutput>) {
         if let Some(connection) = self.connections.remove(&id) {
             self.abandon_open(connection, out);
         }
     }
 
-    /// Closes a connection from this side.
+    /// Closes a connection on the front end's own initiative.
     fn close(&mut self, id: LinkId, reason: RejectReason, out: &mut Vec<FrontOutput>) {
         if let Some(connection) = self.connections.remove(&id) {
             self.abandon_open(connection, out);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Abandons the open requests of a connection that has ended.
+    /// Removes the open requests of a connection that has ended, and reports them as abandoned by their client.
     fn abandon_open(&mut self, connection: Connection, out: &mut Vec<FrontOutput>) {
         for ticket in connection.open.into_values() {
             self.remove_request(ticket);
@@ -171,7 +172,7 @@
         Some(request)
     }
 
-    /// Handles bytes that were read from a connection; `ready` is the response to `check`.
+    /// Handles bytes received from a client; `ready` is the result for `check` requests.
     pub fn received(
         &mut self,
         now: Micros,
@@ -184,7 +185,7 @@
         let mut buffer = std::mem::take(&mut connection.buffer);
         buffer.extend_from_slice(bytes);
         let mut start = 0;
-        // A message may close the connection; the bytes behind it are then ignored.
+        // Handling a message may close the connection; the bytes after it are then ignored.
         while let Some(connection) = self.connections.get_mut(&id) {
             let rest = buffer.get(start..).unwrap_or_default();
             match connection.scanner.scan(rest) {
@@ -230,8 +231,8 @@
         }
     }
 
-    /// Closes the connection unless `number` is above all earlier ones: with a number that was used before, the client could
-    /// not tell which request a response belongs to.
+    /// Returns whether `number` is above all earlier ones; otherwise closes the connection, because the client could not tell
+    /// which of two requests with the same number a response belongs to.
     fn accept_number(&mut self, id: LinkId, number: u32, out: &mut Vec<FrontOutput>) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         if number <= connection.last_number {
@@ -255,7 +256,7 @@
             Err(e) => return self.reject(id, number, RejectReason::Call(e), out),
         };
         match self.ids.get(&request.id) {
-            // With one id for two requests, the client could not tell which of them a response belongs to.
+            // With the same id for two requests, the client could not tell which of them a response belongs to.
             Some(other) if *other == id => return self.close(id, RejectReason::OpenId, out),
             Some(_) => return self.reject(id, number, RejectReason::OpenId, out),
             None => {}
@@ -272,10 +273,10 @@
         out.push(FrontOutput::Call(Box::new(call(ticket, id, class, request))));
     }
 
-    /// The class of a request.
+    /// Looks up the class of a request.
     ///
     /// # Errors
-    /// Where the class does not exist, or requires a key that the request does not have.
+    /// If the class does not exist, or requires a key that the request does not have.
     fn resolve_class(&self, request: &ClientRequest) -> Result<ClassId, InvalidRequest> {
         let mut classes = self.settings.classes.iter().enumerate();
         let class = classes.find(|(_, (name, _))| *name == request.class);
@@ -287,7 +288,7 @@
         }
     }
 
-    /// Responds to a request with an error; the connection stays open.
+    /// Sends an error response to an invalid request; the connection stays open.
     fn reject(&mut self, id: LinkId, number: u32, reason: RejectReason, out: &mut Vec<FrontOutput>) {
         out.push(FrontOutput::Rejected(id, reason));
         self.write(id, message::error(number, CODE_INVALID), out);
@@ -313,7 +314,7 @@
         out.push(FrontOutput::Write(id, bytes));
     }
 
-    /// Writes the response to a call, unless its client disconnected or interrupted it.
+    /// Writes the response to a call, unless its client has disconnected or interrupted it.
     pub fn answer(&mut self, now: Micros, ticket: Ticket, answer: &Answer, out: &mut Vec<FrontOutput>) {
         let Some(request) = self.remove_request(ticket) else { return };
         if let Some(connection) = self.connections.get_mut(&request.connection) {
--- a/crates/platform/src/front/connection.rs
+++ b/crates/platform/src/front/connection.rs
@@ -1,48 +1,49 @@
-//! The state of one client connection, and when it is to be closed.
+//! State of one client connection, and the rules for closing or evicting it.
 
 use crate::frame::Scanner;
 use slatevalve::Micros;
 use slatevalve_engine::Ticket;
 use std::collections::BTreeMap;
 
-/// Time in which a connection must bring its first message, and in which each message that began must be complete.
+/// Time within which the first message must arrive on a new connection, and within which a message must be complete after
+/// its first byte.
 const MESSAGE_TIMEOUT: Micros = Micros(2_000_000);
-/// Time after which a connection is closed that interrupted requests and never had a response: it only costs resources. It is
-/// not closed at once, as its next request may have been sent already.
+/// Time after which a connection is closed that only sent requests and interrupted them, without any response: it consumes
+/// resources without a result. It is not closed immediately, because its next request may already be in transit.
 const INTERRUPTED_TIMEOUT: Micros = Micros(1_500_000);
-/// Time after which a connection without an open request is closed; usual clients close theirs after 4 s.
+/// Time after which a connection without an open request is closed. Normal clients close idle connections after 4 s.
 const IDLE_TIMEOUT: Micros = Micros(5_500_000);
-/// Age below which a connection may be just about to send its first request; it is evicted after all others.
+/// Connections younger than this are evicted after all older ones, because their first request may still be in transit.
 const NEW_CONNECTION_AGE: Micros = Micros(100_000);
 
-/// One client connection.
 #[derive(Default)]
 pub(super) struct Connection {
     pub scanner: Scanner,
-    /// The bytes of an incomplete message.
+    /// Bytes of an incomplete message.
     pub buffer: Vec<u8>,
-    /// Open requests by their numbers.
+    /// Open requests by request number.
     pub open: BTreeMap<u32, Ticket>,
-    /// The highest number of a request.
+    /// Highest request number so far.
     pub last_number: u32,
     opened_at: Micros,
-    /// When a message or a request last began or completed.
+    /// When the last message was completed or the last call answered; initially when the connection was opened.
     pub last_active: Micros,
-    /// Since when a message has been incomplete.
+    /// When the first bytes of the incomplete message arrived; `None` without one.
     pub incomplete_since: Option<Micros>,
-    /// Whether a whole message was received.
+    /// Whether a complete message was ever received.
     received_message: bool,
-    /// Whether a response was written.
+    /// Whether a response was ever written.
     pub has_response: bool,
-    /// When a request was interrupted first.
+    /// When the client first interrupted a request.
     pub interrupted_since: Option<Micros>,
 }
 
-/// The order in which idle connections are evicted, lowest first: unused ones before used ones, and the longest idle
-/// first, but new connections, and last the one for which room is made, after all others.
+/// The order in which idle connections are evicted, lowest first. Connections that never sent a message come before the
+/// others, and among these the longest idle one. Connections younger than [`NEW_CONNECTION_AGE`] come after all older ones,
+/// and the connection that exceeded the limit comes last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
-    is_newcomer: bool,
+    exceeds_limit: bool,
     is_new: bool,
     received_message: bool,
     last_active: Micros,
@@ -53,17 +54,17 @@
         Connection { opened_at: now, last_active: now, ..Connection::default() }
     }
 
-    /// Notes that a whole message was received.
+    /// Records a complete message.
     pub(super) fn message_completed(&mut self, now: Micros) {
         self.received_message = true;
         self.incomplete_since = None;
         self.last_active = now;
     }
 
-    /// Keeps the bytes of an incomplete message, if any.
+    /// Stores the bytes of an incomplete message, if any.
     pub(super) fn keep_incomplete(&mut self, now: Micros, bytes: Vec<u8>) {
         if bytes.is_empty() {
-            // The memory of the buffer is released, so that an idle connection costs little.
+            // Releases the buffer's memory, so that idle connections take little.
             self.buffer = Vec::new();
         } else {
             self.incomplete_since.get_or_insert(now);
@@ -71,16 +72,17 @@
         }
     }
 
-    pub(super) fn eviction_rank(&self, now: Micros, is_newcomer: bool) -> EvictionRank {
+    pub(super) fn eviction_rank(&self, now: Micros, exceeds_limit: bool) -> EvictionRank {
         EvictionRank {
-            is_newcomer,
+            exceeds_limit,
             is_new: elapsed(self.opened_at, now) < NEW_CONNECTION_AGE,
             received_message: self.received_message,
             last_active: self.last_active,
         }
     }
 
-    /// Whether the connection has sent nothing, stopped within a message, been idle for too long or only taken requests back.
+    /// Whether the connection is to be closed: it sent nothing, stopped within a message, was idle for too long, or only sent
+    /// requests that it then interrupted.
     pub(super) fn is_expired(&self, now: Micros) -> bool {
         let is_stalled = self.incomplete_since.is_some_and(|since| elapsed(since, now) > MESSAGE_TIMEOUT);
         let is_unused = !self.received_message && elapsed(self.opened_at, now) > MESSAGE_TIMEOUT;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,12 +1,13 @@
 //! The protocols of the platform kyyti-central, without I/O: MessagePack-RPC clients, line-speaking workers, the change log.
 //!
-//! Bytes and the current time come in, calls, outputs and bytes come out; the gateway owns the sockets. Whatever a peer sends
-//! is handled within stated bounds, and a request that never ran is told from one that may have run.
+//! The modules take received bytes and the current time, and return calls, bytes to send and other outputs; the gateway owns
+//! the sockets. Input from peers is handled within fixed bounds of size, number and time, and a request that never ran is
+//! distinguished from one that may have run.
 //!
-//! - [`front::Front`] serves clients; [`frame`] and [`message`] read what they send.
-//! - [`workers`] is the protocol of the workers.
+//! - [`front::Front`] serves clients; [`frame`] and [`message`] parse their input.
+//! - [`workers`] implements the workers' protocol.
 //! - [`changes::ChangeLogClient`] is the client of the change log.
-//! - [`config`] reads the configuration file of a router.
+//! - [`config`] parses a router's configuration file.
 #![forbid(unsafe_code)]
 
 pub mod changes;
@@ -18,7 +19,7 @@
 
 use slatevalve::Micros;
 
-/// The time that is `duration` after `now`.
+/// The time `duration` after `now`, saturating.
 fn after(now: Micros, duration: Micros) -> Micros {
     Micros(now.0.saturating_add(duration.0))
 }
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -1,7 +1,7 @@
-//! MessagePack-RPC messages: clients' requests and notifications, read from whole frames, and the responses to them.
+//! MessagePack-RPC messages: parsing of clients' requests and notifications, and encoding of the responses.
 //!
-//! A request is passed on only if each of its fields is present, of its type and within its range, so that nothing
-//! malformed reaches the load balancer or a worker.
+//! A request is accepted only if every required field is present and every field has the right type and range, so that no
+//! malformed value reaches the load balancer or a worker.
 
 mod request;
 mod response;
@@ -22,23 +22,23 @@
 pub enum Message {
     /// A call.
     Call {
-        /// Its number on the connection.
+        /// Number chosen by the client, repeated in the response.
         number: u32,
-        /// The request, or why it is rejected.
+        /// The validated request, or why it is rejected with an error response.
         request: Result<ClientRequest, InvalidRequest>,
     },
-    /// A health check: whether the router is ready.
+    /// A readiness check.
     Check {
-        /// Its number on the connection.
+        /// Number chosen by the client, repeated in the response.
         number: u32,
     },
-    /// The client no longer waits for the requests with these numbers.
+    /// The client no longer waits for the responses to the requests with these numbers.
     Interrupt(Vec<u32>),
-    /// An unknown notification, which needs no response.
+    /// A notification of unknown method; it is ignored, as notifications get no response.
     Other,
 }
 
-/// The bytes are a MessagePack value, but no message of this protocol; the connection cannot be used any further.
+/// A frame is not a message of this protocol; the connection cannot be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedMessage;
 
@@ -50,10 +50,10 @@
 
 impl std::error::Error for MalformedMessage {}
 
-/// Reads one whole frame.
+/// Parses a complete frame.
 ///
 /// # Errors
-/// Where type, number or method cannot be read.
+/// If the message type, number or method is invalid. Invalid parameters of a call are reported in [`Message::Call`].
 pub fn read(frame: &[u8]) -> Result<Message, MalformedMessage> {
     let mut rest = frame;
     let length = decode::read_array_len(&mut rest).map_err(|_| MalformedMessage)?;
@@ -82,9 +82,9 @@
     Ok(Message::Interrupt(numbers.collect::<Result<_, _>>()?))
 }
 
-/// The text at the start of `rest`, which is advanced behind it.
+/// Reads the string at the start of `rest` and advances `rest` past it.
 fn take_text<'a>(rest: &mut &'a [u8]) -> Option<&'a str> {
-    let (text, behind) = decode::read_str_from_slice(*rest).ok()?;
-    *rest = behind;
+    let (text, remaining) = decode::read_str_from_slice(*rest).ok()?;
+    *rest = remaining;
     Some(text)
 }
--- a/crates/platform/src/message/request.rs
+++ b/crates/platform/src/message/request.rs
@@ -1,4 +1,4 @@
-//! The parameters of a call: `[FIELDS, BODY]`, a map of texts and bytes.
+//! Parameters of a call: `[FIELDS, BODY]`, where `FIELDS` is a map of strings and `BODY` a byte string.
 
 use super::take_text;
 use rmp::decode;
@@ -7,46 +7,46 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// The most fields of one request.
+/// Limit of fields in one request.
 const MAX_FIELDS: u32 = 32;
-/// The longest time that a client may state, in milliseconds: an hour.
+/// Limit of durations that a client may state, in milliseconds: one hour.
 const MAX_TIME_MS: f64 = 3_600_000.0;
-/// The most memory that a function may need, in MB.
+/// Limit of the memory that a function may need, in MB.
 const MAX_MEMORY_MB: f64 = 1e7;
-/// The most calls of a function that may run at a time on one worker.
+/// Limit of the concurrency that a client may state for a function.
 const MAX_CONCURRENCY: f64 = 1e4;
-/// The longest number, in digits.
+/// Limit of the length of a number, in characters.
 const MAX_DIGITS: usize = 20;
 
-/// A call whose fields are all present, of their type and within their range.
+/// A call with validated fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// The client's id of the request: 16 hex digits.
+    /// Request id chosen by the client: 16 hex digits. It is also the id sent to the worker.
     pub id: String,
-    /// The name of the class; whether the class exists is checked by the front.
+    /// Name of the class. [`Front`](crate::front::Front) checks that the class exists.
     pub class: String,
-    /// The function: 16 hex digits.
+    /// Id of the function: 16 hex digits.
     pub function: String,
-    /// How long the client waits.
+    /// How long the client waits for the response.
     pub timeout: Micros,
-    /// Whether the client sent this request before.
+    /// Whether the client has sent this request before.
     pub resent: bool,
-    /// The idempotency key: up to 64 hex digits.
+    /// Idempotency key: up to 64 hex digits.
     pub key: Option<String>,
-    /// The function's resource needs, as far as the client states them.
+    /// Resource needs of the function, as far as the client states them.
     pub traits: FunctionTraits,
-    /// The body.
+    /// Payload, passed to the worker unchanged.
     pub body: Vec<u8>,
 }
 
-/// Why a call is rejected; the client receives an error.
+/// Why a call is rejected with an error response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidRequest {
-    /// It is not `[FIELDS, BODY]` with texts and bytes of the right types.
+    /// The parameters are not `[FIELDS, BODY]` of the right types, or have too many or duplicate fields.
     Shape,
     /// A required field is absent.
     Missing(&'static str),
-    /// The value of a field is malformed or out of range.
+    /// A field is malformed or out of range.
     Field(&'static str),
     /// The class does not exist.
     Class,
@@ -55,17 +55,17 @@
 impl fmt::Display for InvalidRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            InvalidRequest::Shape => f.write_str("not a map of texts and a body of bytes"),
+            InvalidRequest::Shape => f.write_str("parameters are not a map of strings and a byte string"),
             InvalidRequest::Missing(field) => write!(f, "field '{field}' is missing"),
-            InvalidRequest::Field(field) => write!(f, "field '{field}' cannot be used"),
-            InvalidRequest::Class => f.write_str("there is no such class"),
+            InvalidRequest::Field(field) => write!(f, "field '{field}' is malformed or out of range"),
+            InvalidRequest::Class => f.write_str("class does not exist"),
         }
     }
 }
 
 impl std::error::Error for InvalidRequest {}
 
-/// The known fields of a request, as texts.
+/// The known fields of a request before validation.
 #[derive(Default)]
 struct RawFields<'a> {
     id: Option<&'a str>,
@@ -77,8 +77,8 @@
 }
 
 impl<'a> RawFields<'a> {
-    /// Reads the map at the start of `rest` and advances `rest` behind it. Unknown fields are ignored, so that the
-    /// protocol can be extended.
+    /// Reads the map at the start of `rest` and advances `rest` past it. Unknown fields are ignored, so that the protocol
+    /// can be extended.
     fn read(rest: &mut &'a [u8]) -> Result<Self, InvalidRequest> {
         let count = decode::read_map_len(rest).map_err(|_| InvalidRequest::Shape)?;
         if count > MAX_FIELDS {
@@ -137,10 +137,10 @@
     }
 }
 
-/// Reads the parameters of a call of `class`.
+/// Parses the parameters of a call of `class`.
 ///
 /// # Errors
-/// Names the first field that is missing or invalid.
+/// If the parameters have the wrong shape, or for the first field that is missing or invalid.
 pub(super) fn read(class: &str, mut rest: &[u8]) -> Result<ClientRequest, InvalidRequest> {
     if decode::read_array_len(&mut rest).map_err(|_| InvalidRequest::Shape)? != 2 {
         return Err(InvalidRequest::Shape);
@@ -155,7 +155,7 @@
     length.contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// A decimal number without sign or exponent, so that a worker cannot read it differently.
+/// Parses a decimal number. Signs and exponents are rejected, so that a worker cannot interpret the value differently.
 fn parse_number(text: &str, range: RangeInclusive<f64>) -> Option<f64> {
     let is_decimal =
         text.len() <= MAX_DIGITS && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
@@ -166,7 +166,7 @@
     Micros((milliseconds * 1000.0) as i64)
 }
 
-/// Parses `memory_mb:512;concurrency:2;load_ms:640`, under the platform's or the simulator's names; `None` where a known
+/// Parses `memory_mb:512;lanes:2;load_ms:640`. Both the platform's and the simulator's names are accepted. `None` if a known
 /// entry is malformed.
 fn parse_traits(info: &str) -> Option<FunctionTraits> {
     let mut traits = FunctionTraits::default();
--- a/crates/platform/src/message/response.rs
+++ b/crates/platform/src/message/response.rs
@@ -1,13 +1,14 @@
-//! Responses to clients, encoded: `[1, NUMBER, ERROR, RESULT]`.
+//! Encoding of responses to clients: `[1, NUMBER, ERROR, RESULT]`.
 
 use rmp::encode;
 
 /// The MessagePack-RPC type of a response.
 const RESPONSE: u64 = 1;
-/// Bytes of a response besides its value, at most.
+/// Upper bound of the encoded size of a response without its value, in bytes; only used to reserve memory.
 const OVERHEAD: usize = 16;
 
-/// The start of a response, up to its error; `value_size` is about how many bytes follow. Writing to a vector cannot fail.
+/// Encodes the start of a response, before its error. `value_size` is the approximate number of bytes that follow. Writing to
+/// a vector cannot fail.
 fn response(number: u32, value_size: usize) -> Vec<u8> {
     let mut out = Vec::with_capacity(value_size + OVERHEAD);
     let _ = encode::write_array_len(&mut out, 4);
@@ -16,7 +17,8 @@
     out
 }
 
-/// The start of a response without error; its result is a value and a map of fields, which is always empty.
+/// Encodes the start of a response without error. The result that follows is a value and a map of fields, which is always
+/// empty.
 fn success(number: u32, value_size: usize) -> Vec<u8> {
     let mut out = response(number, value_size);
     let _ = encode::write_nil(&mut out);
@@ -24,7 +26,7 @@
     out
 }
 
-/// The response to a call that was served.
+/// Encodes the response to a served call.
 #[must_use]
 pub fn served(number: u32, body: &[u8]) -> Vec<u8> {
     let mut out = success(number, body.len());
@@ -33,7 +35,7 @@
     out
 }
 
-/// The response to `check`.
+/// Encodes the response to `check`.
 #[must_use]
 pub fn checked(number: u32, ready: bool) -> Vec<u8> {
     let mut out = success(number, 1);
@@ -42,7 +44,8 @@
     out
 }
 
-/// An error response: code `Throttled` where the call was refused, another where it failed.
+/// Encodes an error response. `code` tells clients what happened: `Throttled` for a refused call, `Broken` for a failed one,
+/// `Unusable` for an invalid request.
 #[must_use]
 pub fn error(number: u32, code: &str) -> Vec<u8> {
     let mut out = response(number, code.len());
--- a/crates/platform/src/workers.rs
+++ b/crates/platform/src/workers.rs
@@ -1,9 +1,9 @@
-//! The platform's line protocol of workers, client side: requests encoded as lines, replies parsed within bounds.
+//! Client side of the platform's line protocol for workers: encoding of requests, bounded parsing of replies.
 //!
-//! `NOENT`, `AGAIN` and `STALE` prove that a request never ran; after any other end it may have run. A line without end, a
-//! length that does not fit its body or exceeds the bound is an error that ends the connection. Replies under an unknown
-//! id, and duplicates, are ignored, but the connection is not reused after them. The gateway's connection pool calls this
-//! through [`WorkerProtocol`].
+//! A reply of `NOENT`, `AGAIN` or `STALE` means that the request never ran; after any other reply or failure it may have run.
+//! An unterminated line, or a body length that exceeds the bound or does not match the body, is an error that closes the
+//! connection. Replies with an unknown id and duplicate replies are ignored, but the connection is not reused after them. The
+//! gateway's connection pool uses this module through [`WorkerProtocol`].
 
 mod reply;
 
@@ -12,16 +12,16 @@
     CompletedRequest, MalformedReply, ReplyReader, Tag, WorkerProtocol, WorkerRequest,
 };
 
-/// The protocol, as the operators' settings configure it.
+/// The line protocol, with the parameters from the operators' settings.
 #[derive(Clone, Copy, Debug)]
 pub struct LineProtocol {
-    /// Requests that one connection may carry at a time.
+    /// Limit of concurrent requests on one connection.
     pub max_streams: usize,
-    /// Whether replies state the queue depth of their function; one that does not then has depth 0.
+    /// Whether workers report the queue depth of a function in their replies; a reply without one then means depth 0.
     pub reports_queue_depth: bool,
 }
 
-/// The id of a request on the wire: the client's own for a call, else a name made from the tag.
+/// The id of a request on the wire: the client's request id for a call, otherwise derived from the tag.
 fn wire_id(tag: Tag, request: &WorkerRequest) -> String {
     match request {
         WorkerRequest::Infer(call) => call.request_id.clone(),
@@ -82,28 +82,28 @@
     }
 }
 
-/// A request whose reply has not come.
+/// A request without a reply so far.
 struct PendingRequest {
     tag: Tag,
     id: String,
     kind: RequestKind,
 }
 
-/// Parses the replies of one connection.
+/// Parser of the replies on one connection.
 struct LineReader {
     reports_queue_depth: bool,
-    /// Requests on the connection; bounded by [`LineProtocol::max_streams`].
+    /// Requests in flight; bounded by [`LineProtocol::max_streams`].
     pending: Vec<PendingRequest>,
     buffer: Vec<u8>,
-    /// Whether bytes came that belong to no pending request.
+    /// Whether bytes were received that belong to no pending request; the connection must then not be reused.
     unsolicited: bool,
 }
 
 impl LineReader {
-    /// Completes the pending request that `reply` names.
+    /// Completes the pending request with the id of `reply`; `None` if there is none.
     ///
     /// # Errors
-    /// Where the reply is malformed; the request then stays pending, as it may have run.
+    /// If the reply is malformed; the request then stays pending, because it may have run.
     fn complete(
         pending: &mut Vec<PendingRequest>,
         reply: &RawReply<'_>,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Parses replies from the buffer until one is incomplete or malformed; `consumed` counts the bytes of whole ones.
+    /// Parses replies from the buffer until one is incomplete or malformed; adds the bytes of complete ones to `consumed`.
     fn parse_buffer(
         &mut self,
         consumed: &mut usize,
--- a/crates/platform/src/workers/reply.rs
+++ b/crates/platform/src/workers/reply.rs
@@ -1,39 +1,39 @@
-//! Replies of workers: lines `ID STATUS FIELDS LENGTH`, a body of that length and a line end, parsed from received bytes.
+//! Parsing of replies: a line `ID STATUS FIELDS LENGTH`, then a body of `LENGTH` bytes and a line end.
 
 use slatevalve::{Outcome, Report};
 use slatevalve_worker_protocol::reply::ParsedReply;
 use slatevalve_worker_protocol::MalformedReply;
 
-/// The longest line, in bytes: an id, a status, fields and a length.
+/// Limit of a reply's first line, in bytes: id, status, fields and length.
 pub(super) const MAX_LINE: usize = 1024;
-/// The longest body, in bytes; bodies of requests are 16 KiB at most.
+/// Limit of a reply's body, in bytes. Request bodies have at most 16 KiB.
 const MAX_BODY: usize = 256 * 1024;
 
-/// The kind of request that a reply belongs to.
+/// Determines how a reply is interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestKind {
-    /// The execution of a function; its reply carries a result.
+    /// Execution of a function; the reply carries its result.
     Call,
-    /// A load, count or probe.
+    /// A load, count or probe request.
     Control,
 }
 
 /// One reply, borrowed from the receive buffer.
 pub(super) struct RawReply<'a> {
-    /// The id of the request.
+    /// The request id on the wire.
     pub id: &'a str,
     status: &'a str,
     fields: &'a str,
     body: &'a [u8],
-    /// Bytes of the whole reply, line ends included.
+    /// Size of the complete reply, in bytes, including line ends.
     pub length: usize,
 }
 
 impl<'a> RawReply<'a> {
-    /// The reply at the start of `bytes`; `None` until it is complete.
+    /// Parses the reply at the start of `bytes`; `None` while it is incomplete.
     ///
     /// # Errors
-    /// As soon as the bytes cannot become a reply within the bounds.
+    /// As soon as the bytes are malformed or exceed a bound.
     pub(super) fn parse(bytes: &'a [u8]) -> Result<Option<Self>, MalformedReply> {
         let Some(line_end) = bytes.iter().take(MAX_LINE).position(|byte| *byte == b'\n') else {
             return if bytes.len() >= MAX_LINE { Err(MalformedReply) } else { Ok(None) };
@@ -57,8 +57,8 @@
         Ok(Some(RawReply { id, status, fields, body, length }))
     }
 
-    /// The reply in the load balancer's terms; `None` for a status that does not exist. A queue depth that the reply does not
-    /// state is 0 where `reports_queue_depth` is set.
+    /// Converts the reply to the load balancer's terms; `None` for an unknown status. If `reports_queue_depth` is set, a
+    /// missing queue depth counts as 0.
     pub(super) fn interpret(&self, kind: RequestKind, reports_queue_depth: bool) -> Option<ParsedReply> {
         let outcome = match self.status {
             "ACK" | "READY" => Outcome::Ok,
@@ -85,7 +85,7 @@
                 "copies" => reply.copies = value.parse().unwrap_or(0),
                 "queue_fn" => queue_depth = value.parse().unwrap_or(0),
                 "report" => reply.report = Some(parse_report(value)),
-                // The load that the request waited for failed.
+                // The replica that the request needed could not be loaded.
                 "remark" => reply.load_failed = value == "f",
                 _ => {}
             }
@@ -103,7 +103,7 @@
     digits.parse().ok().filter(|length| *length <= MAX_BODY).ok_or(MalformedReply)
 }
 
-/// Parses a load report such as `inflight:7;util:0.61`, under the platform's or the simulator's names.
+/// Parses a load report such as `inflight:7;util:0.61`. Both the platform's and the simulator's names are accepted.
 fn parse_report(text: &str) -> Report {
     let mut report = Report::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
