--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,14 +1,14 @@
-//! The gateway's clock: monotonic, in microseconds, with a conversion from the Unix clock for times that others report.
+//! Monotonic clock of the gateway, in microseconds, with conversion from Unix time for times that other processes report.
 //!
-//! Only the event loops and commands read it; everything below them takes the time as an argument.
+//! Only event loops and commands read it; all other code takes the time as an argument.
 
 use slatevalve::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The clock's time at its start, in microseconds: one day, so that times before the start are positive too.
+/// Reading of the clock at its start, in microseconds. One day, so that times shortly before the start are positive too.
 const ORIGIN_US: i64 = 86_400_000_000;
 
-/// A monotonic clock with a fixed offset to the Unix clock, taken at its start.
+/// A monotonic clock that also records the Unix time of its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -16,34 +16,34 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock.
     #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix_start_us: i64::try_from(unix.as_micros()).unwrap_or(i64::MAX) }
     }
 
-    /// The time now.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Micros {
         let elapsed_us = i64::try_from(self.start.elapsed().as_micros()).unwrap_or(i64::MAX);
         Micros(ORIGIN_US.saturating_add(elapsed_us))
     }
 
-    /// Converts a time of this clock to the system's monotonic clock; times before the start become the start.
+    /// Converts a time of this clock to an [`Instant`]; times before the start become the start.
     #[must_use]
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros(at.0.saturating_sub(ORIGIN_US).max(0) as u64)
     }
 
-    /// The Unix time at this clock's start, in milliseconds.
+    /// The Unix time at the clock's start, in milliseconds.
     #[must_use]
     pub fn start_unix_ms(&self) -> i64 {
         self.unix_start_us / 1_000
     }
 
-    /// Converts a Unix time in milliseconds to this clock by the Unix clock as it is now. Never 0, which stands for an unknown
-    /// time.
+    /// Converts a Unix time in milliseconds to this clock, using the current reading of the Unix clock. Never returns 0,
+    /// which means an unknown time.
     #[must_use]
     pub fn at_present_unix_ms(&self, millis: f64) -> Micros {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -51,7 +51,8 @@
         Micros(self.now().0.saturating_sub(age_us as i64).max(1))
     }
 
-    /// Converts a Unix time in milliseconds to this clock, by the offset at its start. Never 0, which stands for an unknown time.
+    /// Converts a Unix time in milliseconds to this clock, using the offset between the clocks at the start. Never returns 0,
+    /// which means an unknown time.
     #[must_use]
     pub fn at_unix_ms(&self, millis: f64) -> Micros {
         let since_start_us = (millis * 1_000.0) as i64 - self.unix_start_us;
--- a/crates/gateway/src/event_loop/client_connections.rs
+++ b/crates/gateway/src/event_loop/client_connections.rs
@@ -1,14 +1,14 @@
-//! The client connections of a front end: sockets of the reactor by link of the front end, and the reverse.
+//! Client connections of a front end: maps reactor connections to the front end's links and back.
 
 use slatevalve_reactor::{Id, Reactor};
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Maps the reactor's connections to the links `Link` by which a front end knows them, both ways.
+/// Two-way map between reactor connections and the ids (`Link`) that a front end uses for them.
 ///
-/// A link is in both maps or in neither, and its number is never used again.
+/// A link is in both maps or in neither. Link numbers are never reused.
 pub(crate) struct ClientConnections<Link> {
-    /// Makes a link of its number.
+    /// Constructs a link from its number.
     link_of_number: fn(u64) -> Link,
     last_number: u64,
     links: HashMap<Id, Link>,
@@ -16,7 +16,7 @@
 }
 
 impl<Link: Copy + Eq + Hash> ClientConnections<Link> {
-    /// No connections yet.
+    /// Creates an empty map.
     pub(crate) fn new(link_of_number: fn(u64) -> Link) -> Self {
         ClientConnections { link_of_number, last_number: 0, links: HashMap::new(), sockets: HashMap::new() }
     }
@@ -30,26 +30,26 @@
         link
     }
 
-    /// The link of a connection, where it is a client's.
+    /// The link of a connection; `None` if it is not a client connection.
     pub(crate) fn link(&self, connection: Id) -> Option<Link> {
         self.links.get(&connection).copied()
     }
 
-    /// Forgets a connection that the reactor reported closed; returns its link where it was a client's.
+    /// Removes a connection that the reactor reported closed; returns its link if it was a client connection.
     pub(crate) fn remove(&mut self, connection: Id) -> Option<Link> {
         let link = self.links.remove(&connection)?;
         self.sockets.remove(&link);
         Some(link)
     }
 
-    /// Buffers bytes for a client; does nothing once its connection is gone.
+    /// Buffers bytes for a client; does nothing if its connection has been removed.
     pub(crate) fn write(&self, reactor: &mut Reactor, link: Link, bytes: &[u8]) {
         if let Some(connection) = self.sockets.get(&link) {
             reactor.write(*connection, bytes);
         }
     }
 
-    /// Closes a client's connection after its buffered bytes are sent, and forgets it.
+    /// Removes a client connection and closes it once its buffered bytes are sent.
     pub(crate) fn close_gracefully(&mut self, reactor: &mut Reactor, link: Link) {
         if let Some(connection) = self.sockets.remove(&link) {
             self.links.remove(&connection);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Like [`ClientConnections::close_gracefully`] for all clients.
+    /// Same as [`ClientConnections::close_gracefully`], for all clients.
     pub(crate) fn close_all_gracefully(&mut self, reactor: &mut Reactor) {
         for (connection, _) in self.links.drain() {
             reactor.close_gracefully(connection);
--- a/crates/gateway/src/event_loop/listener.rs
+++ b/crates/gateway/src/event_loop/listener.rs
@@ -1,4 +1,4 @@
-//! The public listener of an event loop, and its pause after a failed accept.
+//! Public listener of an event loop, with a pause after a failed accept.
 
 use crate::clock::after;
 use slatevalve::Micros;
@@ -6,47 +6,47 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A TCP listener that accepts no connections for a fixed time after an accept failed.
+/// A TCP listener that stops accepting for a fixed time after a failed accept.
 #[derive(Debug)]
 pub(crate) struct Listener {
     id: Id,
     address: SocketAddr,
-    /// Length of the pause after a failed accept.
+    /// Duration of the pause after a failed accept.
     accept_pause: Micros,
     resume_at: Option<Micros>,
 }
 
 impl Listener {
-    /// Binds and listens.
+    /// Binds the address and listens on it.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub(crate) fn open(reactor: &mut Reactor, address: SocketAddr, accept_pause: Micros) -> io::Result<Self> {
         let (id, address) = reactor.listen(address)?;
         Ok(Listener { id, address, accept_pause, resume_at: None })
     }
 
-    /// Identifies the listener in the reactor's events.
+    /// The listener's id in reactor events.
     pub(crate) fn id(&self) -> Id {
         self.id
     }
 
-    /// The bound address, with the port that the system chose where port 0 was asked for.
+    /// The bound address; for port 0, with the port chosen by the system.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// When a paused listener accepts again.
+    /// When a paused listener accepts again; `None` if it is not paused.
     pub(crate) fn resume_at(&self) -> Option<Micros> {
         self.resume_at
     }
 
-    /// Starts the pause after a failed accept; the reactor has stopped watching the listener already.
+    /// Starts the pause after a failed accept. The reactor has already stopped polling the listener.
     pub(crate) fn pause(&mut self, now: Micros) {
         self.resume_at = Some(after(now, self.accept_pause));
     }
 
-    /// Ends the pause once its time is up.
+    /// Ends the pause if it has expired.
     pub(crate) fn resume_if_due(&mut self, now: Micros, reactor: &mut Reactor) {
         if self.resume_at.is_some_and(|at| at <= now) {
             self.resume_at = None;
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Closes at once; connections in the kernel's accept queue are reset.
+    /// Closes the listener immediately. Connections in the kernel's accept queue are reset.
     pub(crate) fn close(&mut self, reactor: &mut Reactor) {
         reactor.close(self.id);
         self.resume_at = None;
     }
 
-    /// Accepts what is in the kernel's accept queue; `accepted` receives the events of these connections.
+    /// Accepts all connections in the kernel's accept queue and appends their events to `accepted`.
     pub(crate) fn accept_all(&self, reactor: &mut Reactor, accepted: &mut Vec<ReactorEvent>) -> AcceptQueue {
         reactor.accept_all(self.id, accepted)
     }
--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -1,8 +1,8 @@
-//! The parts that the event loops of the gateway server and of the platform's router have in common: signals, the poll
-//! timeout, the public listener, client connections and the worker side.
+//! Components shared by the event loops of the gateway server and of the platform's router: signals, the poll timeout, the
+//! public listener, client connections and the worker side.
 //!
-//! Each loop keeps its own order of steps; nothing here starts an iteration or decides about a call. The wait itself is
-//! in [`crate::loop_timer`].
+//! Each loop defines its own order of steps; nothing here runs an iteration or makes decisions about a call. The wait itself
+//! is in [`crate::loop_timer`].
 
 mod client_connections;
 mod listener;
@@ -17,19 +17,19 @@
 use std::io;
 use std::time::Duration;
 
-/// Longest wait of one iteration, so that a pause of the whole process is noticed also when no timer is due.
+/// Longest wait of one iteration, so that a pause of the process is detected even if no timer is due.
 pub(crate) const LONGEST_WAIT: Duration = Duration::from_millis(100);
 
-/// Subscribes to the signals of an orderly stop (SIGTERM, SIGINT) and of a reload (SIGHUP).
+/// Subscribes to the signals for an orderly shutdown (SIGTERM, SIGINT) and for a reload (SIGHUP).
 ///
 /// # Errors
-/// When a signal handler cannot be installed.
+/// If a signal handler cannot be installed.
 pub(crate) fn subscribe_to_signals(reactor: &mut Reactor) -> io::Result<()> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
     [SIGTERM, SIGINT, SIGHUP].into_iter().try_for_each(|signal| reactor.signal(signal))
 }
 
-/// Time from `now` until the earliest of the given timers, at most [`LONGEST_WAIT`].
+/// Time from `now` until the earliest of `timers`, at most [`LONGEST_WAIT`].
 #[must_use]
 pub(crate) fn poll_timeout(now: Micros, timers: impl IntoIterator<Item = Option<Micros>>) -> Duration {
     timers.into_iter().flatten().min().map_or(LONGEST_WAIT, |due| {
--- a/crates/gateway/src/server/pool/connections.rs
+++ b/crates/gateway/src/server/pool/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to workers: which one a request takes, and what happens when one opens, receives bytes or closes.
+//! Connections to workers: selection of a connection for a request, and handling of connection events.
 
 use super::requests::{without_payload, PendingRequest};
 use super::timers::after;
@@ -8,30 +8,30 @@
 use slatevalve_worker_protocol::{CompletedRequest, ReplyReader, Tag};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Number of calls remembered of those that a connection carried last.
+/// Limit of the recently completed calls that are remembered for each connection.
 const RECENT_CALLS_MAX: usize = 8;
 
-/// A connection to a worker, established or being opened.
+/// A connection to a worker, established or still connecting.
 pub(super) struct Connection {
     pub(super) worker: WorkerId,
     pub(super) reader: Box<dyn ReplyReader>,
     /// Whether the connection is established.
     pub(super) connected: bool,
-    /// Whether it closes once its requests have completed, instead of being reused.
+    /// Whether the connection is closed once its requests have completed, instead of being reused.
     pub(super) retired: bool,
     /// Requests queued or in flight.
     pub(super) requests: BTreeMap<Tag, PendingRequest>,
     pub(super) next_tag: u64,
     /// Total bytes passed to the reactor, not counting discarded ones.
     pub(super) bytes_submitted: u64,
-    /// When the connect timeout or the idle timeout expires; none while an established connection carries a request.
+    /// When the connect or idle timeout expires; `None` while an established connection has requests.
     pub(super) deadline: Option<Micros>,
-    /// The calls whose attempts completed here last, the latest first. A worker may send a duplicate of such a reply under
-    /// the same id.
+    /// The calls whose attempts completed last on this connection, latest first. A worker may send a duplicate reply with the
+    /// same id.
     recent_calls: VecDeque<RequestId>,
 }
 
-/// Outcomes of the requests of a connection that is given up.
+/// Outcomes of the requests on a failed connection.
 #[derive(Clone, Copy)]
 pub(super) struct FailureOutcomes {
     /// For requests that may have run.
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Whether an attempt of the same call completed here recently: a duplicate of that reply could be mistaken for the
-    /// reply to this one.
+    /// Whether an attempt of the same call completed recently on this connection: a duplicate of that reply could be mistaken
+    /// for the reply to the new attempt.
     fn has_carried(&self, purpose: Purpose) -> bool {
         matches!(purpose, Purpose::Attempt(attempt) if self.recent_calls.contains(&attempt.request))
     }
@@ -73,11 +73,12 @@
 }
 
 impl Pool {
-    /// Selects a connection for a request: an idle one, else a new one, else one that carries requests of the same kind.
+    /// Selects a connection for a request: an idle one if available, otherwise a new one, otherwise one with requests of the
+    /// same kind.
     ///
     /// # Errors
-    /// The outcome of the request where no connection can be had: [`Outcome::NotSent`] for an unlisted worker or when the
-    /// pool is full, [`Outcome::ConnectFailed`] when the worker accepts no further connection or cannot be reached.
+    /// The outcome of the request if no connection is available: [`Outcome::NotSent`] if the worker is not listed or the pool
+    /// is full, [`Outcome::ConnectFailed`] if the worker's connection limit is reached or its address is unreachable.
     pub(super) fn acquire(
         &mut self,
         now: Micros,
@@ -99,7 +100,7 @@
         self.open_connection(now, reactor, worker, purpose)
     }
 
-    /// Opens a connection; shares one where no descriptor is available or the address is unreachable.
+    /// Opens a connection; shares an existing one if no descriptor is available or the address is unreachable.
     fn open_connection(
         &mut self,
         now: Micros,
@@ -118,10 +119,10 @@
         Ok(id)
     }
 
-    /// Takes the most recently used idle connection that is fit for a request.
+    /// Takes the most recently used idle connection that is suitable for a request.
     ///
-    /// Connections whose idle timeout has expired or on which bytes or an end of stream are waiting are closed: an event not
-    /// yet handled would be attributed to the new request.
+    /// Closes connections whose idle timeout has expired, or that have unread bytes or an unread end of stream: the
+    /// corresponding event would be attributed to the new request.
     fn take_idle(
         &mut self,
         now: Micros,
@@ -142,7 +143,7 @@
         None
     }
 
-    /// The connection to a worker with the fewest requests of the same kind, among those with room for another.
+    /// The worker's connection with the fewest requests, among those that may carry another request of this kind.
     fn find_shareable(&self, worker: WorkerId, purpose: Purpose) -> Option<Id> {
         let max_requests = self.protocol.max_streams();
         let ids = self.peers.get(&worker)?.connections.iter();
@@ -152,7 +153,7 @@
             .map(|(id, _)| id)
     }
 
-    /// Handles an established connection: its queued requests are written at the next poll unless cancelled before.
+    /// Handles an established connection. Its queued requests are written at the next poll unless they are cancelled before.
     pub(crate) fn connected(&mut self, now: Micros, reactor: &mut Reactor, id: Id) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.connected = true;
@@ -160,7 +161,7 @@
         self.release(now, reactor, id);
     }
 
-    /// Handles received bytes; returns the requests that they complete.
+    /// Handles received bytes; returns the requests that end as a result.
     pub(crate) fn received(
         &mut self,
         now: Micros,
@@ -176,7 +177,7 @@
             ends.extend(self.complete(now, id, tag, reply));
         }
         if parsed.is_err() {
-            // The worker received the requests and replied with something else, so they may have run.
+            // The worker may have run the requests: it received them, even if its reply is malformed.
             let outcomes = FailureOutcomes { sent: Outcome::Error, unsent: Outcome::NotSent };
             ends.extend(self.complete_all(now, id, reactor.written(id), outcomes));
             self.close_connection(reactor, id);
@@ -199,20 +200,20 @@
         ends
     }
 
-    /// Makes a connection without requests idle, or closes it if it cannot be reused. Others are left as they are.
+    /// Makes a connection without requests idle, or closes it if it cannot be reused. Does nothing if it has requests.
     pub(super) fn release(&mut self, now: Micros, reactor: &mut Reactor, id: Id) {
         let Some(connection) = self.connections.get_mut(&id).filter(|c| c.requests.is_empty()) else {
             return;
         };
         let peer = self.peers.get_mut(&connection.worker).filter(|p| p.is_listed);
         match peer.filter(|_| connection.reader.is_reusable() && !connection.retired) {
-            // Idle already, with its timer running.
+            // Already idle, with its timer set.
             Some(peer) if peer.idle.contains(&id) && connection.deadline.is_some() => {}
             Some(peer) => {
                 if !peer.idle.contains(&id) {
                     peer.idle.push(id);
                 }
-                // One that is still being opened keeps its connect timeout.
+                // A connection that is still connecting keeps its connect timeout.
                 if connection.connected {
                     connection.deadline = Some(after(now, self.settings.idle_timeout));
                     self.set_connection_timer(id);
@@ -222,7 +223,8 @@
         }
     }
 
-    /// Completes all requests of a connection, by whether `written` bytes may have let them run.
+    /// Completes all requests of a connection. `written` is the number of bytes that the kernel accepted on it; it determines
+    /// for each request whether it may have run.
     pub(super) fn complete_all(
         &mut self,
         now: Micros,
@@ -245,7 +247,7 @@
             .collect()
     }
 
-    /// Closes a connection once its requests have completed; at once if it has none.
+    /// Closes a connection once its requests have completed, immediately if it has none.
     pub(super) fn close_when_empty(&mut self, reactor: &mut Reactor, id: Id) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.requests.is_empty() {
--- a/crates/gateway/src/server/pool/mod.rs
+++ b/crates/gateway/src/server/pool/mod.rs
@@ -1,13 +1,13 @@
-//! Connection pool to the workers, independent of the protocol they speak.
+//! Pool of connections to the workers, independent of the worker protocol.
 //!
-//! The pool decides for each request whether it may have run: an attempt whose connection failed before the kernel
-//! accepted enough bytes for a worker to run it ends as not sent, any later failure as one that may have run. A request
-//! of which no byte has been written can be cancelled without a trace ([`Pool::cancel_unsent`]). Each request gets a
-//! connection of its own while the limits allow one, so that a malformed reply or a reset affects no other request;
-//! beyond the limits, requests of the same kind share connections.
+//! The pool determines for each failed request whether it may have run: if the connection failed before the kernel accepted
+//! enough bytes for a worker to run the request, it ends as not sent, otherwise as possibly run. A request can be cancelled
+//! without effect on the worker as long as none of its bytes has been written ([`Pool::cancel_unsent`]). Each request gets
+//! its own connection while the limits allow, so that a malformed reply or a reset affects no other request; beyond the
+//! limits, requests of the same kind share connections.
 //!
-//! The event loops pass reactor events in and receive [`RequestEnd`]s. Bounds: `PoolSettings::total` connections,
-//! `WorkerProtocol::max_streams` requests on each, one peer for each worker that is listed or has a connection.
+//! The event loops pass reactor events in and receive [`RequestEnd`]s. Bounds: [`PoolSettings::max_connections`]
+//! connections, [`WorkerProtocol::max_streams`] requests on each, one peer for each worker that is listed or has a connection.
 //!
 //! | module | concern |
 //! | --- | --- |
@@ -37,21 +37,21 @@
 use std::collections::{BTreeMap, HashMap};
 use timers::Timer;
 
-/// What a request to a worker is for.
+/// Purpose of a request to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Purpose {
     /// An attempt of a call.
     Attempt(AttemptRef),
     /// A health check.
     Probe,
-    /// A request to load replicas of a function, or to count them.
+    /// A request to load or count the replicas of a function.
     Load(FunctionId),
     /// A request to unload a function; its completion is not reported to the engine.
     Unload,
 }
 
 impl Purpose {
-    /// Whether two requests may share a connection when no further connection can be opened: those of one kind may.
+    /// Whether two requests may share a connection when no further one can be opened: only requests of the same kind may.
     fn can_share_with(self, other: Purpose) -> bool {
         std::mem::discriminant(&self) == std::mem::discriminant(&other)
     }
@@ -60,13 +60,11 @@
 /// A completed request.
 #[derive(Debug)]
 pub(crate) struct RequestEnd {
-    /// The worker it was submitted for.
     pub worker: WorkerId,
-    /// What it was for.
     pub purpose: Purpose,
-    /// Time since it was submitted.
+    /// Time from submission to completion.
     pub latency: Micros,
-    /// The worker's reply; without payload where the request ended for another reason.
+    /// The worker's reply; only an outcome without payload if the request ended without a reply.
     pub reply: ParsedReply,
 }
 
@@ -74,13 +72,13 @@
 pub(crate) struct Pool {
     settings: PoolSettings,
     protocol: Box<dyn WorkerProtocol>,
-    /// Timeout of requests to load replicas.
+    /// Timeout of [`Purpose::Load`] requests.
     load_timeout: Micros,
-    /// Versions of the settings documents that attempts are sent under.
+    /// Versions of the settings documents in effect; attempts carry them to the worker.
     document_versions: Vec<u64>,
     peers: BTreeMap<WorkerId, Peer>,
     connections: HashMap<Id, Connection>,
-    /// Where each attempt in flight or queued is.
+    /// Location of each attempt that is queued or in flight.
     attempts: HashMap<AttemptRef, RequestKey>,
     timers: Timers<Timer>,
 }
@@ -104,7 +102,7 @@
         }
     }
 
-    /// Sets the versions of the settings documents that attempts are sent under and carry from now on.
+    /// Sets the versions of the settings documents that subsequent attempts carry.
     pub(crate) fn set_document_versions(&mut self, documents: &[u64]) {
         self.document_versions = documents.to_vec();
     }
--- a/crates/gateway/src/server/pool/outputs.rs
+++ b/crates/gateway/src/server/pool/outputs.rs
@@ -1,4 +1,4 @@
-//! Execution of the engine's outputs that concern workers, and the report of completed requests to the engine.
+//! Execution of the engine's outputs that concern workers, and reporting of completed requests to the engine.
 
 use super::requests::OutgoingRequest;
 use super::{Pool, Purpose, RequestEnd};
@@ -11,8 +11,8 @@
 const MICROS_PER_MILLISECOND: i64 = 1_000;
 
 impl Pool {
-    /// Executes an output of the engine that concerns workers, and returns any other. `classes` are the names of the
-    /// classes in the order of their ids; outputs that follow are appended to `out`.
+    /// Executes an engine output that concerns workers; returns any other output. `classes` are the class names in the order
+    /// of their ids. Outputs that the engine produces as a result are appended to `out`.
     pub(crate) fn execute(
         &mut self,
         now: Micros,
@@ -77,7 +77,7 @@
         OutgoingRequest { worker, purpose: Purpose::Attempt(attempt), message: WorkerRequest::Infer(call) }
     }
 
-    /// A request for a number of loaded replicas; for none, the worker is only asked to count them.
+    /// Builds a request to have `copies` replicas loaded; for 0, a request to count the loaded replicas.
     fn load_request(
         &self,
         now: Micros,
@@ -111,7 +111,7 @@
     ) {
         match self.cancel_attempt(now, reactor, attempt, outcome) {
             Some(end) => self.report_completion(now, end, engine, out),
-            // The attempt has completed already, in which case the engine ignores this, or was never submitted.
+            // The attempt was never submitted, or it has already completed, in which case the engine ignores this.
             None => engine.attempt_completed(now, attempt, AttemptEnd::without_payload(outcome), out),
         }
     }
@@ -157,7 +157,7 @@
     }
 }
 
-/// A call as the worker protocol carries it, under the client's own request id where it has one.
+/// Builds the call for the worker protocol. Its request id is the client's own if the client provided one.
 fn worker_call(
     classes: &[String],
     document_versions: &[u64],
--- a/crates/gateway/src/server/pool/peers.rs
+++ b/crates/gateway/src/server/pool/peers.rs
@@ -1,4 +1,4 @@
-//! The workers that the pool knows: their addresses and connections.
+//! Workers in the pool: their addresses and connections.
 
 use super::connections::Connection;
 use super::Pool;
@@ -6,14 +6,14 @@
 use slatevalve_reactor::{Id, Reactor};
 use std::net::SocketAddr;
 
-/// A worker that is listed or still has a connection.
+/// A worker that is in the worker list or still has a connection.
 pub(super) struct Peer {
-    /// The worker's name, for logs.
+    /// Used in logs only.
     pub(super) name: String,
     pub(super) address: SocketAddr,
-    /// The address as sent in the requests' `Host` header.
+    /// The address, formatted for the `Host` header of requests.
     pub(super) host: String,
-    /// Connections without a request; the one used last is at the end.
+    /// Connections without a request, most recently used last.
     pub(super) idle: Vec<Id>,
     /// All connections, in the order they were opened.
     pub(super) connections: Vec<Id>,
@@ -24,8 +24,8 @@
 impl Pool {
     /// Adds a worker or updates its address.
     ///
-    /// Returns true if the address of a known worker changed: new requests go to the new address, and the caller is to
-    /// cancel those not yet sent to the old one with [`Pool::cancel_unsent`].
+    /// Returns true if the address of a known worker changed. New requests then go to the new address, and the caller must
+    /// cancel the requests not yet sent to the old one with [`Pool::cancel_unsent`].
     pub(crate) fn list(
         &mut self,
         reactor: &mut Reactor,
@@ -52,7 +52,7 @@
         moved
     }
 
-    /// Removes a worker: no new request is sent to it, and those in flight run to their end.
+    /// Removes a worker: no new request is sent to it, and those in flight are completed.
     pub(crate) fn unlist(&mut self, reactor: &mut Reactor, worker: WorkerId) {
         if let Some(peer) = self.peers.get_mut(&worker) {
             peer.is_listed = false;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Lets a worker's connections complete their requests and close instead of being reused.
+    /// Marks a worker's connections to be closed once their requests have completed, instead of being reused.
     fn retire_connections(&mut self, worker: WorkerId) {
         for id in self.connections_of(worker) {
             if let Some(connection) = self.connections.get_mut(&id) {
@@ -95,7 +95,7 @@
 
     /// Closes the connection that has been idle for the longest time. Returns whether there was one.
     pub(super) fn close_longest_idle(&mut self, reactor: &mut Reactor) -> bool {
-        // The connections are few; the workers may be thousands.
+        // Searches the connections, which are few, rather than the workers, of which there may be thousands.
         let is_idle = |id: &Id, connection: &Connection| {
             self.peers.get(&connection.worker).is_some_and(|peer| peer.idle.contains(id))
         };
--- a/crates/gateway/src/server/pool/requests.rs
+++ b/crates/gateway/src/server/pool/requests.rs
@@ -22,20 +22,20 @@
     pub(super) purpose: Purpose,
     pub(super) message: WorkerRequest,
     pub(super) submitted_at: Micros,
-    /// Its place among all bytes of the connection, counted as [`Reactor::written`] does.
+    /// Position of its bytes on the connection, counted like [`Reactor::written`].
     pub(super) bytes: Range<u64>,
-    /// When the request times out; none for attempts, whose deadlines the engine keeps.
+    /// When the request times out; `None` for attempts, whose deadlines are tracked by the engine.
     pub(super) deadline: Option<Micros>,
 }
 
-/// Where a request is: its connection and its tag there.
+/// Identifies a request by its connection and its tag on it.
 #[derive(Clone, Copy)]
 pub(super) struct RequestKey {
     pub(super) connection: Id,
     pub(super) tag: Tag,
 }
 
-/// A reply that has an outcome and nothing else.
+/// A reply with an outcome and no other content.
 pub(super) fn without_payload(outcome: Outcome) -> ParsedReply {
     ParsedReply {
         outcome,
@@ -49,7 +49,7 @@
 }
 
 impl Pool {
-    /// Submits a request. Returns its end if no connection can be had for it.
+    /// Submits a request. Returns its end if no connection is available for it.
     pub(super) fn submit(
         &mut self,
         now: Micros,
@@ -101,7 +101,7 @@
         reactor.write(id, &bytes);
     }
 
-    /// The timeout of a request; none for attempts, whose deadlines the engine keeps.
+    /// The timeout of a request; `None` for attempts, whose deadlines are tracked by the engine.
     fn timeout(&self, purpose: Purpose) -> Option<Micros> {
         match purpose {
             Purpose::Attempt(_) => None,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Completes a request; returns none if it has completed before.
+    /// Completes a request; returns `None` if it has already completed.
     pub(super) fn complete(
         &mut self,
         now: Micros,
@@ -129,7 +129,7 @@
         Some(RequestEnd { worker: connection.worker, purpose: request.purpose, latency, reply })
     }
 
-    /// Cancels a worker's requests of which no byte has been written. Connections left without a request are closed.
+    /// Cancels a worker's requests of which no byte has been written. Connections without further requests are closed.
     pub(crate) fn cancel_unsent(
         &mut self,
         now: Micros,
@@ -140,7 +140,7 @@
         for id in self.connections_of(worker) {
             let tags: Vec<Tag> =
                 self.connections.get(&id).into_iter().flat_map(|c| c.requests.keys().copied()).collect();
-            // The last request first, so that discarding one moves no other that is discarded next.
+            // In reverse order, so that discarding a request does not move the bytes of those still to be discarded.
             for tag in tags.into_iter().rev() {
                 ends.extend(self.discard_unsent(now, reactor, RequestKey { connection: id, tag }));
             }
@@ -151,14 +151,15 @@
         ends
     }
 
-    /// Cancels the requests of which no byte has been written, of all workers. Connections left without a request can be
+    /// Cancels the requests to all workers of which no byte has been written. Connections without further requests can be
     /// reused.
     pub(crate) fn cancel_all_unsent(&mut self, now: Micros, reactor: &mut Reactor) -> Vec<RequestEnd> {
         let requests = self.connections.iter().flat_map(|(id, connection)| {
             connection.requests.keys().map(|tag| RequestKey { connection: *id, tag: *tag })
         });
         let mut requests: Vec<RequestKey> = requests.collect();
-        // The last request of a connection first, so that discarding one moves no other that is discarded next.
+        // In reverse order on each connection, so that discarding a request does not move the bytes of those still to be
+        // discarded.
         requests.sort_unstable_by_key(|request| Reverse((request.connection, request.tag)));
         let mut ends = Vec::new();
         for request in requests {
@@ -170,7 +171,7 @@
         ends
     }
 
-    /// Cancels the attempts that a predicate selects and of which no byte has been written.
+    /// Cancels the attempts selected by a predicate of which no byte has been written.
     pub(crate) fn cancel_unsent_where(
         &mut self,
         now: Micros,
@@ -183,12 +184,14 @@
             .filter(|(attempt, _)| is_selected(attempt))
             .map(|(_, request)| *request)
             .collect();
-        // The last request of a connection first, so that discarding one moves no other that is discarded next.
+        // In reverse order on each connection, so that discarding a request does not move the bytes of those still to be
+        // discarded.
         found.sort_unstable_by_key(|request| Reverse(request.tag));
         found.into_iter().filter_map(|request| self.discard_unsent(now, reactor, request)).collect()
     }
 
-    /// Cancels an attempt. It ends with `outcome` if it may have run, else as not sent; returns none for an unknown one.
+    /// Cancels an attempt. It ends with `outcome` if it may have run, otherwise as not sent. Returns `None` for an unknown
+    /// attempt.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
@@ -204,7 +207,7 @@
         }
         let connection = self.connections.get(&id)?;
         let request = connection.requests.get(&key.tag)?;
-        // A shared connection stays open for the others, and a request that was partly written is written to its end.
+        // A shared connection stays open for its other requests, so the rest of a partly written request is still written.
         let is_shared = connection.requests.len() > 1;
         let cancellation = self.protocol.encode_cancel(&request.message).filter(|_| is_shared);
         let has_possibly_run = is_shared || self.has_possibly_run(request, reactor.written(id));
@@ -222,7 +225,7 @@
         end
     }
 
-    /// Cancels an attempt if no byte of it has been written; one that is in flight goes on.
+    /// Cancels an attempt if none of its bytes has been written; otherwise it continues.
     pub(super) fn cancel_attempt_if_unsent(
         &mut self,
         now: Micros,
@@ -235,8 +238,8 @@
         end
     }
 
-    /// Removes a request of which no byte has been written, as if it had never been submitted; returns none for any other.
-    /// The other requests of the connection are not affected.
+    /// Removes a request of which no byte has been written, as if it had never been submitted; returns `None` for any other
+    /// request. The other requests of the connection are not affected.
     fn discard_unsent(&mut self, now: Micros, reactor: &mut Reactor, key: RequestKey) -> Option<RequestEnd> {
         let connection = self.connections.get_mut(&key.connection)?;
         let discarded = connection.requests.get(&key.tag)?.bytes.clone();
@@ -254,8 +257,8 @@
 
     /// Whether the kernel accepted enough of a request for a worker to run it.
     ///
-    /// Only the reactor's count decides: a connection that was established in this loop iteration may have been written
-    /// to before the pool handles its event.
+    /// Uses only the reactor's byte count, not `Connection::connected`: a
+    /// connection established in this iteration may have been written to before the pool handles its event.
     pub(super) fn has_possibly_run(&self, request: &PendingRequest, written: u64) -> bool {
         if self.protocol.can_run_partial_request() {
             written > request.bytes.start
--- a/crates/gateway/src/server/pool/timers.rs
+++ b/crates/gateway/src/server/pool/timers.rs
@@ -1,4 +1,4 @@
-//! The pool's timers: connect and idle timeouts of connections, timeouts of requests.
+//! Timers of the pool: connect and idle timeouts of connections, timeouts of requests.
 
 use super::connections::FailureOutcomes;
 use super::requests::{without_payload, RequestKey};
@@ -6,7 +6,8 @@
 use slatevalve::{Micros, Outcome};
 use slatevalve_reactor::{Id, Reactor};
 
-/// What a timer is for. Timers are not removed when a deadline changes: one that no longer matches is ignored.
+/// The subject of a timer. Timers are not removed when a deadline changes; an expired timer whose deadline is not reached is
+/// ignored.
 #[derive(Clone, Copy)]
 pub(super) enum Timer {
     /// The connect or idle timeout of a connection.
@@ -30,7 +31,7 @@
         self.timers.next()
     }
 
-    /// Handles the timers that have expired by `now`; returns the requests that end with them.
+    /// Handles the timers that have expired by `now`; returns the requests that end as a result.
     pub(crate) fn advance(&mut self, now: Micros, reactor: &mut Reactor) -> Vec<RequestEnd> {
         let mut ends = Vec::new();
         while let Some(timer) = self.timers.pop(now) {
@@ -42,7 +43,7 @@
         ends
     }
 
-    /// Sets the timer for a connection's deadline.
+    /// Sets a timer for a connection's current deadline.
     pub(super) fn set_connection_timer(&mut self, id: Id) {
         if let Some(at) = self.connections.get(&id).and_then(|c| c.deadline) {
             self.timers.set(at, Timer::Connection(id));
--- a/crates/reactor/src/connection.rs
+++ b/crates/reactor/src/connection.rs
@@ -1,23 +1,23 @@
-//! The state of one connection.
+//! State of one connection.
 
 use crate::write_buffer::WriteBuffer;
 use socket2::Socket;
 
-/// How far a connection's graceful close has come.
+/// Phase of a connection's graceful close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClosePhase {
-    /// The connection is open.
+    /// Not closing.
     Open,
-    /// The connection is half-closed as soon as its buffered bytes are written; it is no longer read.
+    /// The buffered bytes are being written, after which the connection is half-closed. It is no longer read.
     Flushing,
-    /// Half-closed, and closed for its owner; what the peer still sends is read and discarded.
+    /// Half-closed, and reported to its owner as closed; further bytes from the peer are read and discarded.
     Lingering {
-        /// Number of bytes still read before the connection is closed.
+        /// Number of bytes that may still be read before the connection is closed.
         remaining: usize,
     },
 }
 
-/// A connection, established or being opened.
+/// A connection, established or still connecting.
 pub(crate) struct Connection {
     pub(crate) stream: Socket,
     /// Whether the connection was ever established.
@@ -25,13 +25,13 @@
     pub(crate) output: WriteBuffer,
     /// Whether the poller watches for writability.
     pub(crate) watches_writes: bool,
-    /// Whether the connection is listed to be written at the next poll.
+    /// Whether the connection is in `Reactor::scheduled_writes`.
     pub(crate) write_scheduled: bool,
     pub(crate) close_phase: ClosePhase,
 }
 
 impl Connection {
-    /// A connection that is being opened.
+    /// Creates the state of a connection that is still connecting.
     pub(crate) fn opening(stream: Socket) -> Self {
         Connection {
             stream,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A connection that a listener accepted.
+    /// Creates the state of an accepted connection.
     pub(crate) fn established(stream: Socket) -> Self {
         Connection { connected: true, watches_writes: false, ..Connection::opening(stream) }
     }
@@ -52,7 +52,7 @@
         matches!(self.close_phase, ClosePhase::Lingering { .. })
     }
 
-    /// Whether the poller is to watch for writability: until established, and while bytes are pending.
+    /// Whether to poll for writability: until the connection is established, and while bytes are pending.
     pub(crate) fn needs_writability(&self) -> bool {
         !self.connected || self.output.pending() > 0
     }
--- a/crates/reactor/src/event.rs
+++ b/crates/reactor/src/event.rs
@@ -1,4 +1,4 @@
-//! Events of the reactor and the ids they refer to.
+//! Reactor events, and the ids of the sources that they refer to.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,26 +12,26 @@
 pub enum ReactorEvent {
     /// A peer connected to a listener.
     Accepted {
-        /// The listener.
+        /// The listener that accepted the connection.
         listener: Id,
-        /// The new connection.
+        /// The new connection, which is established.
         connection: Id,
-        /// The peer's address; none on a Unix socket.
+        /// The peer's address; `None` on a Unix socket.
         peer: Option<SocketAddr>,
     },
     /// An outgoing connection is established.
     Connected(Id),
-    /// Bytes were received.
+    /// Bytes received by one read; message boundaries are not preserved.
     Received(Id, Vec<u8>),
-    /// All buffered bytes have been written, after the kernel had accepted only a part of them.
+    /// All buffered bytes have been written, after an earlier write had been accepted only in part.
     Drained(Id),
-    /// The connection ended; its id is no longer valid.
+    /// A connection ended, or could not be established.
     Closed {
-        /// The connection.
+        /// The connection; the id is no longer valid.
         id: Id,
         /// Whether the connection was ever established.
         connected: bool,
-        /// Total bytes that the kernel accepted.
+        /// Total number of bytes that the kernel accepted on the connection.
         written: u64,
     },
     /// A [`Waker`](crate::Waker) was used, once or more since the last poll.
@@ -41,9 +41,9 @@
     /// Accepting failed, most likely because no file descriptor was available. The listener is suspended until
     /// [`crate::Reactor::resume_accepting`].
     AcceptFailed {
-        /// The listener.
+        /// The suspended listener.
         listener: Id,
-        /// The cause.
+        /// The error returned by `accept`.
         error: io::Error,
     },
 }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,23 +1,23 @@
 //! Single-threaded event loop over sockets: readiness, bounded write buffers, graceful close, signals and wakers.
 //!
-//! The crate knows no protocol and takes no decisions; the gateway, the relay and the test servers build their loops on
-//! it. It bounds what a peer can cost: one that reads slowly fills a bounded write buffer and is then disconnected, one that
-//! floods is read at most 64 KiB per poll. Connect timeouts are the caller's. Source ids are never reused, so that an event of
-//! a closed connection cannot be mistaken for one of a later connection.
+//! The crate is independent of protocols and policies; the event loops of the gateway, the relay and the test servers are
+//! built on it. It bounds the resources that a peer can consume: a peer that reads too slowly is disconnected once its write
+//! buffer is full, and at most 64 KiB per poll are read from one connection. Callers implement connect timeouts themselves.
+//! Source ids are never reused, so that an event of a closed connection cannot be attributed to a later one.
 //!
 //! # Invariants
-//! - Bytes are written at the beginning of a poll, never while its events are gathered, so that bytes not yet written can
-//!   still be discarded because of what a poll brings ([`Reactor::discard_unsent`]).
-//! - Bytes received from a peer are reported before the end of its connection, also where a failing write reveals the end.
+//! - Bytes are written at the beginning of a poll, never while its events are collected, so that unwritten bytes can still be
+//!   discarded in response to these events ([`Reactor::discard_unsent`]).
+//! - Bytes received from a peer are reported before the end of its connection, even if a failed write reveals the end first.
 //! - A gracefully closed connection is half-closed and read to its end first ([`Reactor::close_gracefully`]): closing a socket with
-//!   unread bytes sends a reset, which destroys what the peer has not read yet.
+//!   unread bytes sends a reset, which discards data that the peer has not read yet.
 //!
 //! # Modules
 //! | module | concern |
 //! | --- | --- |
 //! | `reactor` | polling and dispatch of readiness |
 //! | `reactor::connections` | connecting, reading and writing |
-//! | `reactor::graceful_close` | closing after all is written, lingering close |
+//! | `reactor::graceful_close` | closing after buffered bytes are written, lingering close |
 //! | `reactor::listeners` | listening and accepting |
 //! | `reactor::signals` | registration of signals and wakers |
 //! | `connection`, `write_buffer` | state of one connection, bytes queued for writing |
--- a/crates/reactor/src/reactor/connections.rs
+++ b/crates/reactor/src/reactor/connections.rs
@@ -12,15 +12,15 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Number of reads of a connection whose write failed, before its end is reported.
+/// Limit of reads from a connection whose write failed, before its end is reported.
 const READS_BEFORE_CLOSE_MAX: usize = 16;
 
-/// Whether a flush offered all scheduled connections to the kernel.
+/// Result of writing the scheduled connections.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Flush {
-    /// All bytes were offered to the kernel.
+    /// All scheduled connections were written as far as the kernel accepted.
     Complete,
-    /// The time limit was reached before.
+    /// The time limit passed before that.
     TimedOut,
 }
 
@@ -28,7 +28,7 @@
     /// Opens a TCP connection; [`ReactorEvent::Connected`] or [`ReactorEvent::Closed`] reports the result.
     ///
     /// # Errors
-    /// When no socket is available or the address is unreachable.
+    /// If no socket is available or the address is unreachable.
     pub fn connect(&mut self, address: SocketAddr) -> io::Result<Id> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -42,9 +42,9 @@
         self.registry.register(Source::Connection(Connection::opening(socket)), Event::all)
     }
 
-    /// Buffers bytes, which are written when the next poll begins: one write for many messages costs little more than one
-    /// for each. A connection whose buffer would exceed the limit or whose write fails is closed, which that poll reports.
-    /// Unknown ids are ignored.
+    /// Buffers bytes, which are written at the beginning of the next poll; all messages buffered by then take one system call.
+    /// A connection whose buffer would exceed the limit or whose write fails is closed, and that poll reports it. Unknown
+    /// ids are ignored.
     pub fn write(&mut self, id: Id, bytes: &[u8]) {
         let max_buffered = self.max_buffered;
         let Some(connection) = self.registry.connection_mut(id) else { return };
@@ -60,16 +60,16 @@
         }
     }
 
-    /// Discards buffered bytes, if none of them has been written: those from position `from` to before `to`, counted from
-    /// the first byte of the connection as [`Reactor::written`] does. Later bytes move up. Returns whether they were
-    /// discarded; it is all or nothing.
+    /// Discards the buffered bytes from position `from` up to but excluding `to`, if none of them has been written. Positions
+    /// count from the first byte written on the connection, like [`Reactor::written`]; those of later bytes decrease. Returns
+    /// whether the bytes were discarded; a range is never discarded in part.
     #[must_use]
     pub fn discard_unsent(&mut self, id: Id, from: u64, to: u64) -> bool {
         self.registry.connection_mut(id).is_some_and(|c| c.output.discard(from..to))
     }
 
-    /// Whether a connection is established and neither bytes nor an end of stream are waiting to be read from it. Only
-    /// such a connection is safe to reuse for another request.
+    /// Whether a connection is established and has neither unread bytes nor an unread end of stream. Only such a connection
+    /// can safely be reused for another request.
     #[must_use]
     pub fn is_reusable(&self, id: Id) -> bool {
         let Some(connection) = self.registry.connection(id) else { return false };
@@ -89,7 +89,7 @@
         self.registry.connections().any(|c| c.output.pending() > 0)
     }
 
-    /// Total bytes of a connection that the kernel accepted; 0 for an unknown one.
+    /// Total number of bytes that the kernel accepted on a connection; 0 for an unknown one.
     #[must_use]
     pub fn written(&self, id: Id) -> u64 {
         self.registry.connection(id).map_or(0, |c| c.output.written())
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Writes the scheduled connections in the order they were scheduled. Stops before the first one for which `until` has
-    /// passed; the rest stays scheduled.
+    /// Writes the scheduled connections in the order in which they were scheduled. Once `until` has passed, the remaining ones
+    /// stay scheduled.
     pub(super) fn flush(&mut self, until: Option<Instant>, out: &mut Vec<ReactorEvent>) -> Flush {
         let scheduled = std::mem::take(&mut self.scheduled_writes);
         for (index, id) in scheduled.iter().copied().enumerate() {
@@ -120,7 +120,7 @@
         Flush::Complete
     }
 
-    /// Offers the buffered bytes to the kernel, and watches for writability while some are left.
+    /// Writes as many buffered bytes as the kernel accepts, and polls for writability while some are left.
     fn write_pending(&mut self, id: Id, out: &mut Vec<ReactorEvent>) {
         let Some(connection) = self.registry.connection_mut(id) else { return };
         if connection.output.pending() > 0 {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Handles writability: completes a connection that is being opened, and schedules the buffered bytes.
+    /// Handles writability: completes a connection attempt, and schedules the buffered bytes.
     pub(super) fn handle_writable(&mut self, id: Id, out: &mut Vec<ReactorEvent>) {
         let Some(connection) = self.registry.connection_mut(id) else { return };
         if !connection.connected {
@@ -153,11 +153,11 @@
             connection.connected = true;
             out.push(ReactorEvent::Connected(id));
         }
-        // Not written at once: another event of this poll may discard the bytes.
+        // Not written immediately: they may be discarded in response to another event of this poll.
         self.schedule_write(id);
     }
 
-    /// Handles readability: reports what one read returns.
+    /// Handles readability: reports the result of one read.
     pub(super) fn handle_readable(&mut self, id: Id, out: &mut Vec<ReactorEvent>) {
         let Some(connection) = self.registry.connection_mut(id) else { return };
         if !connection.connected {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Closes a connection whose write failed; what its peer sent before is reported first.
+    /// Closes a connection whose write failed, after reporting the bytes that its peer had sent.
     fn read_then_close(&mut self, id: Id) {
         for _ in 0..READS_BEFORE_CLOSE_MAX {
             let Some(connection) = self.registry.connection_mut(id) else { return };
@@ -194,7 +194,7 @@
         self.close_and_report(id);
     }
 
-    /// Polls a connection for readability unless it is flushing, and for writability as needed.
+    /// Sets the poll interest of a connection: readability unless it is flushing, and writability as needed.
     pub(super) fn update_interest(&mut self, id: Id) {
         let Some(connection) = self.registry.connection_mut(id) else { return };
         connection.watches_writes = connection.needs_writability();
--- a/crates/reactor/src/reactor/graceful_close.rs
+++ b/crates/reactor/src/reactor/graceful_close.rs
@@ -1,4 +1,4 @@
-//! Graceful close: a connection is closed once its buffered bytes are written, then read to its end for a bounded time
+//! Graceful close: once the buffered bytes are written, the connection is half-closed and read to its end for a bounded time
 //! (lingering close), so that the peer can read everything that was sent to it.
 
 use super::Reactor;
@@ -10,24 +10,24 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// Default number of connections in lingering close at a time; beyond it, the one lingering for the longest is closed.
+/// Default limit of connections in lingering close. When it is exceeded, the longest lingering one is closed.
 pub const MAX_LINGERING: usize = 16;
 /// Longest time for which a half-closed connection is read.
 const LINGERING_TIMEOUT: Duration = Duration::from_millis(500);
-/// Number of bytes read and discarded of a half-closed connection, at most.
+/// Limit of bytes read and discarded from a half-closed connection.
 const LINGERING_BYTES_MAX: usize = 1024 * 1024;
-/// Longest time for which a closing connection's buffered bytes may take to be written: its peer may never read them.
+/// Limit of the time for writing the buffered bytes of a closing connection, whose peer may never read them.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A connection in graceful close, and since when.
 struct Closing {
     id: Id,
+    /// When it was queued.
     since: Instant,
 }
 
-/// Connections in graceful close. Both queues hold the earliest first.
+/// Connections in graceful close. Both queues are ordered by time, earliest first.
 pub(super) struct GracefulClose {
-    /// Connections whose buffered bytes are being written. Some have been written or closed already.
+    /// Connections whose buffered bytes are being written. May contain connections that have since been written or closed.
     flushing: VecDeque<Closing>,
     lingering: VecDeque<Closing>,
     max_lingering: usize,
@@ -40,7 +40,7 @@
 }
 
 impl GracefulClose {
-    /// Time until the next timeout of a closing connection.
+    /// Time until the next timeout of a connection in graceful close.
     pub(super) fn next_timeout(&self) -> Option<Duration> {
         let lingering = self.lingering.front().map(|c| LINGERING_TIMEOUT.saturating_sub(c.since.elapsed()));
         let flushing = self.flushing.front().map(|c| FLUSH_TIMEOUT.saturating_sub(c.since.elapsed()));
@@ -55,8 +55,8 @@
 impl Reactor {
     /// Closes a connection gracefully.
     ///
-    /// Its buffered bytes are written first, for at most 5 s. Then it is half-closed, the next poll reports
-    /// [`ReactorEvent::Closed`], and what the peer still sends is read and discarded, for at most 0.5 s and 1 MiB.
+    /// Its buffered bytes are written first, within at most 5 s. Then it is half-closed, the next poll reports
+    /// [`ReactorEvent::Closed`], and further bytes from the peer are read and discarded, for at most 0.5 s and 1 MiB.
     pub fn close_gracefully(&mut self, id: Id) {
         let Some(connection) = self.registry.connection_mut(id) else { return };
         if connection.close_phase != ClosePhase::Open {
@@ -70,7 +70,7 @@
         self.update_interest(id);
     }
 
-    /// Sets the number of connections in lingering close at a time; [`MAX_LINGERING`] by default.
+    /// Sets the limit of connections in lingering close; [`MAX_LINGERING`] by default.
     pub fn set_max_lingering(&mut self, max_lingering: usize) {
         self.closing.max_lingering = max_lingering;
     }
@@ -81,7 +81,7 @@
         self.closing.lingering.len()
     }
 
-    /// Reports the end of a connection to the owner, shuts down its write side and lets it linger.
+    /// Shuts down the write side of a connection, reports its end to the owner, and begins its lingering close.
     pub(super) fn half_close(&mut self, id: Id) {
         let Some(connection) = self.registry.connection_mut(id) else { return };
         if !connection.connected || connection.stream.shutdown(Shutdown::Write).is_err() {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Reads and discards what the peer of a lingering connection sends; closes it at its end or limit.
+    /// Reads and discards bytes from a lingering connection; closes it at its end, on an error or at the limit.
     pub(super) fn read_lingering(&mut self, id: Id, remaining: usize) {
         let Some(connection) = self.registry.connection_mut(id) else { return };
         match connection.stream.read(&mut self.read_buffer) {
--- a/crates/reactor/src/reactor/listeners.rs
+++ b/crates/reactor/src/reactor/listeners.rs
@@ -1,4 +1,4 @@
-//! Listening on TCP and Unix sockets, and accepting connections.
+//! Listeners on TCP and Unix sockets, and accepting of connections.
 
 use super::Reactor;
 use crate::connection::Connection;
@@ -13,19 +13,19 @@
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 
-/// Connections accepted from one listener in one poll, so that other sources are served in between.
+/// Limit of connections accepted from one listener per poll, so that other sources are not starved.
 const ACCEPTS_PER_POLL: usize = 64;
 /// Length of the kernel's accept queue.
 const LISTEN_BACKLOG: i32 = 1024;
 /// Permissions of a Unix socket: only its owner may connect.
 const UNIX_SOCKET_MODE: u32 = 0o600;
 
-/// What is left in the kernel's accept queue of a listener.
+/// State of a listener's accept queue in the kernel after accepting from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptQueue {
-    /// Nothing was.
+    /// All queued connections were accepted.
     Empty,
-    /// Accepting failed; connections may be waiting.
+    /// Accepting failed; the queue may still contain connections.
     Unknown,
 }
 
@@ -33,7 +33,7 @@
     /// Listens on a TCP address; port 0 lets the kernel choose. Returns the listener and the address that was bound.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<(Id, SocketAddr)> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
@@ -48,7 +48,7 @@
     /// process is replaced; one that a process listens on is not.
     ///
     /// # Errors
-    /// When the path cannot be bound, or a process listens there.
+    /// If the path cannot be bound, or a process listens on it.
     pub fn listen_unix(&mut self, path: &Path) -> io::Result<Id> {
         match UnixStream::connect(path) {
             Ok(_) => return Err(io::ErrorKind::AddrInUse.into()),
@@ -57,22 +57,22 @@
         }
         let socket = Socket::new(Domain::UNIX, Type::STREAM, None)?;
         socket.bind(&SockAddr::unix(path)?)?;
-        // Set before `listen`, until which no process can connect.
+        // No process can connect before `listen`, so the permissions apply from the start.
         fs::set_permissions(path, Permissions::from_mode(UNIX_SOCKET_MODE))?;
         socket.listen(LISTEN_BACKLOG)?;
         socket.set_nonblocking(true)?;
         self.registry.register(Source::Listener(socket), Event::readable)
     }
 
-    /// Lets a listener accept again after [`ReactorEvent::AcceptFailed`].
+    /// Resumes accepting after [`ReactorEvent::AcceptFailed`].
     pub fn resume_accepting(&mut self, listener: Id) {
         if self.registry.listener(listener).is_some() {
             self.registry.set_interest(listener, Event::readable(listener.0));
         }
     }
 
-    /// Accepts all connections in a listener's queue; the events are appended to `out`. Returns whether accepting failed, so
-    /// that connections may still be waiting.
+    /// Accepts all connections in a listener's queue and appends their events to `out`. The result tells whether accepting
+    /// failed, in which case the queue may still contain connections.
     pub fn accept_all(&mut self, listener: Id, out: &mut Vec<ReactorEvent>) -> AcceptQueue {
         for _ in 0..LISTEN_BACKLOG as usize / ACCEPTS_PER_POLL {
             let before = out.len();
@@ -87,7 +87,7 @@
         AcceptQueue::Empty
     }
 
-    /// Accepts the connections that are waiting, up to the limit of one poll.
+    /// Accepts queued connections, up to the limit per poll.
     pub(super) fn accept(&mut self, listener: Id, out: &mut Vec<ReactorEvent>) {
         for _ in 0..ACCEPTS_PER_POLL {
             let Some(socket) = self.registry.listener(listener) else { return };
@@ -97,7 +97,7 @@
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
-                    // Polling is level-triggered: without this the error would be reported again at every poll.
+                    // Polling is level-triggered: if the listener stayed polled, every poll would report the error again.
                     self.registry.set_interest(listener, Event::none(listener.0));
                     out.push(ReactorEvent::AcceptFailed { listener, error });
                     return;
@@ -108,7 +108,7 @@
 
     /// Registers an accepted connection. One that cannot be set up is closed without an event.
     fn register_accepted(&mut self, listener: Id, stream: Socket, peer: &SockAddr) -> Option<ReactorEvent> {
-        // Fails on Unix sockets, which do not delay small writes.
+        // Fails on Unix sockets, which have no Nagle's algorithm to disable.
         let _ = stream.set_tcp_nodelay(true);
         stream.set_nonblocking(true).ok()?;
         let source = Source::Connection(Connection::established(stream));
--- a/crates/reactor/src/reactor/mod.rs
+++ b/crates/reactor/src/reactor/mod.rs
@@ -1,4 +1,4 @@
-//! The reactor: polling for readiness, and its dispatch to the sources.
+//! The reactor: polls sources for readiness and dispatches it to them.
 
 mod connections;
 mod graceful_close;
@@ -17,27 +17,27 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Bytes read from one connection in one poll, so that a flood from one peer does not starve the others.
+/// Limit of bytes read from one connection per poll, so that one peer cannot starve the others.
 const READ_BYTES_PER_POLL: usize = 64 * 1024;
 
 /// The event loop's sockets and signals; [`Reactor::poll`] waits for their next events.
 pub struct Reactor {
     registry: Registry,
     read_buffer: Vec<u8>,
-    /// Bytes buffered for writing on one connection, at most.
+    /// Limit of bytes buffered for writing on one connection.
     max_buffered: usize,
-    /// Events noticed outside a poll, or while writing, and reported by the next poll.
+    /// Events that occurred outside a poll or while writing; reported by the next poll.
     deferred_events: Vec<ReactorEvent>,
-    /// Connections with bytes that have not been offered to the kernel yet.
+    /// Connections with bytes to be written at the beginning of the next poll.
     scheduled_writes: Vec<Id>,
     closing: GracefulClose,
 }
 
 impl Reactor {
-    /// Creates a reactor whose connections buffer at most `max_buffered` bytes each; one that would exceed it is closed.
+    /// Creates a reactor. A connection that would have more than `max_buffered` bytes buffered for writing is closed.
     ///
     /// # Errors
-    /// When no poller can be created.
+    /// If no poller can be created.
     pub fn new(max_buffered: usize) -> io::Result<Self> {
         Ok(Reactor {
             registry: Registry::new()?,
@@ -52,16 +52,17 @@
     /// Writes the buffered bytes, waits for events for at most `timeout` (`None`: without limit) and appends them to `out`.
     ///
     /// # Errors
-    /// When the poller fails.
+    /// If the poller fails.
     pub fn poll(&mut self, timeout: Option<Duration>, out: &mut Vec<ReactorEvent>) -> io::Result<()> {
         self.poll_until(timeout, None, out)
     }
 
-    /// Like [`Reactor::poll`], but stops writing once `until` has passed, and then polls without waiting: what is left can
-    /// still be discarded. The clock is read before each connection, as the process may be paused between two writes.
+    /// Same as [`Reactor::poll`], but stops writing once `until` has passed and then polls without waiting. Bytes not written
+    /// by then can still be discarded. The clock is read before each write, because the process may be paused between two
+    /// writes.
     ///
     /// # Errors
-    /// When the poller fails.
+    /// If the poller fails.
     pub fn poll_until(
         &mut self,
         timeout: Option<Duration>,
@@ -76,11 +77,11 @@
         self.poll_without_writing(timeout, out)
     }
 
-    /// Like [`Reactor::poll`], but writes nothing: buffered bytes can still be discarded because of the events. For a loop
-    /// whose process was paused between deciding and writing.
+    /// Same as [`Reactor::poll`], but writes nothing, so that buffered bytes can still be discarded in response to the events.
+    /// Used by a loop whose process was paused between making a decision and writing it.
     ///
     /// # Errors
-    /// When the poller fails.
+    /// If the poller fails.
     pub fn poll_without_writing(
         &mut self,
         timeout: Option<Duration>,
@@ -122,12 +123,12 @@
         }
     }
 
-    /// Closes a connection or listener at once, without an event.
+    /// Closes a connection or listener immediately, without an event. Unwritten bytes are discarded.
     pub fn close(&mut self, id: Id) {
         self.remove(id);
     }
 
-    /// Closes a connection at once. The next poll reports it, unless its end was reported when it began to linger.
+    /// Closes a connection immediately. The next poll reports it, unless its end was reported when lingering began.
     fn close_and_report(&mut self, id: Id) {
         if let Some(Source::Connection(connection)) = self.remove(id) {
             if !connection.is_lingering() {
--- a/crates/reactor/src/reactor/signals.rs
+++ b/crates/reactor/src/reactor/signals.rs
@@ -7,10 +7,10 @@
 use std::io;
 
 impl Reactor {
-    /// Creates a handle by which another thread wakes this reactor.
+    /// Creates a handle with which another thread can wake this reactor.
     ///
     /// # Errors
-    /// When no socket pair can be created.
+    /// If no socket pair can be created.
     pub fn waker(&mut self) -> io::Result<Waker> {
         let (waker, stream) = Waker::new()?;
         self.registry.register(Source::Waker(stream), Event::readable)?;
@@ -20,7 +20,7 @@
     /// Reports a signal (SIGTERM, SIGHUP ...) as [`ReactorEvent::Signal`](crate::ReactorEvent::Signal) from now on.
     ///
     /// # Errors
-    /// When the signal cannot be caught.
+    /// If the signal cannot be caught.
     pub fn signal(&mut self, signal: i32) -> io::Result<()> {
         let pipe = SignalPipe::register(signal)?;
         self.registry.register(Source::Signal(pipe), Event::readable)?;
--- a/crates/reactor/src/registry.rs
+++ b/crates/reactor/src/registry.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Owns all sources. Each is registered with the poller as long as it is in here.
+/// Owns all sources, each of which is registered with the poller while it is stored here.
 pub(crate) struct Registry {
     poller: Poller,
     events: Events,
@@ -56,7 +56,7 @@
 
     pub(crate) fn remove(&mut self, id: Id) -> Option<Source> {
         let source = self.sources.remove(&id.0)?;
-        // It fails only for a source that is not registered.
+        // Fails only for a source that is not registered.
         let _ = self.poller.delete(&source);
         Some(source)
     }
@@ -93,16 +93,15 @@
         }
     }
 
-    /// Changes the readiness that a source is polled for. A failure shows as missing events only; there is nothing to be
-    /// done about it here.
+    /// Changes the readiness that a source is polled for. A failure results in missing events and cannot be handled here.
     pub(crate) fn set_interest(&self, id: Id, interest: Event) {
         if let Some(source) = self.sources.get(&id.0) {
             let _ = self.poller.modify_with_mode(source, interest, PollMode::Level);
         }
     }
 
-    /// Waits for readiness, at most for `timeout` (`None`: without limit). A wait interrupted by a signal handler returns
-    /// no readiness.
+    /// Waits for readiness for at most `timeout` (`None`: without limit). Returns no events if a signal handler interrupts the
+    /// wait.
     pub(crate) fn wait(&mut self, timeout: Option<Duration>) -> io::Result<Vec<Event>> {
         self.events.clear();
         match self.poller.wait(&mut self.events, timeout) {
--- a/crates/reactor/src/signal.rs
+++ b/crates/reactor/src/signal.rs
@@ -1,4 +1,4 @@
-//! Signals and wake-ups by other threads, both as bytes on a socket pair.
+//! Signals and wake-ups from other threads, both delivered as bytes on a socket pair.
 
 use signal_hook::low_level::{pipe, unregister};
 use signal_hook::SigId;
@@ -10,16 +10,16 @@
 pub struct Waker(UnixStream);
 
 impl Waker {
-    /// Creates a waker and the stream that becomes readable when it is used.
+    /// Creates a waker, and the stream that becomes readable when it is used.
     pub(crate) fn new() -> io::Result<(Waker, UnixStream)> {
         let (read, write) = nonblocking_pair()?;
         Ok((Waker(write), read))
     }
 
-    /// Makes the reactor's next poll return [`ReactorEvent::Woken`](crate::ReactorEvent::Woken). Without effect if the
+    /// Makes the reactor's next poll return [`ReactorEvent::Woken`](crate::ReactorEvent::Woken). Has no effect if the
     /// reactor has been dropped.
     pub fn wake(&self) {
-        // A full socket buffer means that wake-ups are pending already.
+        // If the socket buffer is full, earlier wake-ups are still pending, and another byte is not needed.
         let _ = (&self.0).write(&[0]);
     }
 }
@@ -46,7 +46,7 @@
     }
 }
 
-/// Discards the bytes of all deliveries or wake-ups so far, which together make one event.
+/// Discards all bytes on the stream: all signal deliveries or wake-ups so far are reported as one event.
 pub(crate) fn read_to_empty(stream: &mut UnixStream) {
     let mut bytes = [0; 64];
     while matches!(stream.read(&mut bytes), Ok(count) if count > 0) {}
--- a/crates/reactor/src/write_buffer.rs
+++ b/crates/reactor/src/write_buffer.rs
@@ -4,16 +4,16 @@
 use std::io::{self, Write};
 use std::ops::Range;
 
-/// Written bytes at the front of the buffer are removed once there are more than this many.
+/// Number of written bytes at the front of the buffer above which they are removed.
 const COMPACTION_THRESHOLD: usize = 64 * 1024;
 
-/// Bytes that the kernel has not accepted yet, and the count of those that it has.
+/// Bytes that the kernel has not accepted yet, with the count of those that it has accepted.
 #[derive(Debug, Default)]
 pub(crate) struct WriteBuffer {
     bytes: Vec<u8>,
     /// Start of the unwritten bytes in `bytes`.
     start: usize,
-    /// Total bytes that the kernel accepted.
+    /// Total number of bytes that the kernel accepted.
     written: u64,
 }
 
@@ -23,7 +23,7 @@
         self.bytes.len() - self.start
     }
 
-    /// Total bytes that the kernel accepted.
+    /// Total number of bytes that the kernel accepted.
     pub(crate) fn written(&self) -> u64 {
         self.written
     }
@@ -32,8 +32,8 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Removes a range of bytes, counted from the first byte of the connection, if none of them has been written. Returns
-    /// whether it did; later bytes move up.
+    /// Removes a range of bytes if none of them has been written. Positions count from the first byte written on the
+    /// connection; those of later bytes decrease. Returns whether the range was removed.
     pub(crate) fn discard(&mut self, range: Range<u64>) -> bool {
         let end = self.written + self.pending() as u64;
         if range.start < self.written || range.start > range.end || range.end > end {
@@ -44,10 +44,10 @@
         true
     }
 
-    /// Writes as many bytes as the kernel accepts now.
+    /// Writes as many bytes as the kernel accepts without blocking.
     ///
     /// # Errors
-    /// When the connection is broken.
+    /// If the connection is broken.
     pub(crate) fn write_to(&mut self, stream: &mut Socket) -> io::Result<()> {
         let count = match stream.write(&self.bytes[self.start..]) {
             Err(e) if is_transient(&e) => 0,
@@ -66,8 +66,8 @@
     }
 }
 
-/// Whether an operation on a non-blocking socket is to be repeated later, rather than having failed: it was interrupted, or the
-/// kernel has no memory for it now.
+/// Whether an operation on a non-blocking socket can be retried later: it would have blocked, was interrupted, or the kernel
+/// temporarily has no memory for it.
 pub(crate) fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/reactor/tests/signals.rs
+++ b/crates/reactor/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Registration of signals.
+//! Tests of signal registration.
 
 use signal_hook::consts::SIGUSR1;
 use slatevalve_reactor::{Reactor, ReactorEvent};
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_dropped_reactor_leaves_no_descriptor_of_a_registered_signal() {
+fn dropping_a_reactor_closes_the_descriptors_of_registered_signals() {
     let before = open_descriptors();
     let mut reactor = Reactor::new(1 << 20).unwrap();
     reactor.signal(SIGUSR1).unwrap();
