--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,11 +1,13 @@
-//! Monotonic clock of the gateway, in microseconds, with conversion from Unix time for times that other processes report.
+//! Monotonic clock of the gateway, in microseconds, with conversion from Unix time for times that other
+//! processes report.
 //!
 //! Only event loops and commands read it; all other code takes the time as an argument.
 
 use slatevalve::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Reading of the clock at its start, in microseconds. One day, so that times shortly before the start are positive too.
+/// Reading of the clock at its start, in microseconds. One day, so that times shortly before the start are
+/// positive too.
 const ORIGIN_US: i64 = 86_400_000_000;
 
 /// A monotonic clock that also records the Unix time of its start.
@@ -42,8 +44,8 @@
         self.unix_start_us / 1_000
     }
 
-    /// Converts a Unix time in milliseconds to this clock, using the current reading of the Unix clock. Never returns 0,
-    /// which means an unknown time.
+    /// Converts a Unix time in milliseconds to this clock, using the current reading of the Unix clock. Never
+    /// returns 0, which means an unknown time.
     #[must_use]
     pub fn at_present_unix_ms(&self, millis: f64) -> Micros {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -51,8 +53,8 @@
         Micros(self.now().0.saturating_sub(age_us as i64).max(1))
     }
 
-    /// Converts a Unix time in milliseconds to this clock, using the offset between the clocks at the start. Never returns 0,
-    /// which means an unknown time.
+    /// Converts a Unix time in milliseconds to this clock, using the offset between the clocks at the start.
+    /// Never returns 0, which means an unknown time.
     #[must_use]
     pub fn at_unix_ms(&self, millis: f64) -> Micros {
         let since_start_us = (millis * 1_000.0) as i64 - self.unix_start_us;
--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -1,8 +1,8 @@
-//! Components shared by the event loops of the gateway server and of the platform's router: signals, the poll timeout, the
-//! public listener, client connections and the worker side.
+//! Components shared by the event loops of the gateway server and of the platform's router: signals, the poll
+//! timeout, the public listener, client connections and the worker side.
 //!
-//! Each loop defines its own order of steps; nothing here runs an iteration or makes decisions about a call. The wait itself
-//! is in [`crate::loop_timer`].
+//! Each loop defines its own order of steps; nothing here runs an iteration or makes decisions about a call.
+//! The wait itself is in [`crate::loop_timer`].
 
 mod client_connections;
 mod listener;
--- a/crates/gateway/src/event_loop/worker_side.rs
+++ b/crates/gateway/src/event_loop/worker_side.rs
@@ -1,5 +1,5 @@
-//! Worker side of an event loop: passes reactor events of worker connections to the pool, and completed requests to the
-//! engine.
+//! Worker side of an event loop: passes reactor events of worker connections to the pool, and completed
+//! requests to the engine.
 
 use crate::server::pool::{Pool, RequestEnd};
 use slatevalve::{Micros, WorkerId};
@@ -29,8 +29,8 @@
         self.report(now, ends);
     }
 
-    /// Handles a closed connection to a worker. `written` is the number of bytes that the kernel accepted on it, `connected`
-    /// whether it was ever established.
+    /// Handles a closed connection to a worker. `written` is the number of bytes that the kernel accepted on
+    /// it, `connected` whether it was ever established.
     pub(crate) fn closed(&mut self, now: Micros, connection: Id, connected: bool, written: u64) {
         let ends = self.pool.closed(now, connection, connected, written);
         self.report(now, ends);
@@ -42,8 +42,8 @@
         self.report(now, ends);
     }
 
-    /// Cancels the unsent requests to workers that accept no new ones. The engine must be informed of the workers' state
-    /// before, because it reassigns the cancelled requests.
+    /// Cancels the unsent requests to workers that accept no new ones. The engine must be informed of the
+    /// workers' state before, because it reassigns the cancelled requests.
     pub(crate) fn cancel_unsent(&mut self, now: Micros, workers: impl IntoIterator<Item = WorkerId>) {
         for worker in workers {
             let ends = self.pool.cancel_unsent(now, self.reactor, worker);
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Cancels all unsent requests. The engine must be informed of the reason before, because it reassigns them.
+    /// Cancels all unsent requests. The engine must be informed of the reason before, because it reassigns
+    /// them.
     pub(crate) fn cancel_all_unsent(&mut self, now: Micros) {
         let ends = self.pool.cancel_all_unsent(now, self.reactor);
         self.report(now, ends);
--- a/crates/gateway/src/loop_timer.rs
+++ b/crates/gateway/src/loop_timer.rs
@@ -1,10 +1,10 @@
 //! The wait of a loop iteration, with detection of process pauses.
 //!
-//! Guards against acting on stale decisions. The output of an iteration is written when the next one begins. If the process
-//! was paused in between, the next iteration reads all input before it writes, because that input may invalidate the pending
-//! output. After any pause, all available input is read before any of it is handled: one read of a connection may return a
-//! request, and the next one the disconnect of its client. Both event loops (`server`, `platform`) call it once per
-//! iteration.
+//! Guards against acting on stale decisions. The output of an iteration is written when the next one begins.
+//! If the process was paused in between, the next iteration reads all input before it writes, because that
+//! input may invalidate the pending output. After any pause, all available input is read before any of it is
+//! handled: one read of a connection may return a request, and the next one the disconnect of its client.
+//! Both event loops (`server`, `platform`) call it once per iteration.
 
 use crate::clock::Clock;
 use slatevalve::Micros;
@@ -12,8 +12,8 @@
 use std::io;
 use std::time::Duration;
 
-/// A decision is stale after the workers' drain grace period divided by this, so that a drain announced in the meantime is
-/// still read within the grace period.
+/// A decision is stale after the workers' drain grace period divided by this, so that a drain announced in
+/// the meantime is still read within the grace period.
 const DRAIN_GRACE_DIVISOR: i64 = 5;
 /// Age at which a decision is stale if the workers have no drain grace period.
 const STALE_AFTER_WITHOUT_GRACE: Micros = Micros(50_000);
@@ -24,8 +24,8 @@
 pub(crate) struct LoopIteration {
     /// The time after the wait.
     pub(crate) now: Micros,
-    /// Upper bound of the time for which bytes read in this iteration were in socket buffers: the duration of the previous
-    /// iteration's work, plus any pause of the process.
+    /// Upper bound of the time for which bytes read in this iteration were in socket buffers: the duration of
+    /// the previous iteration's work, plus any pause of the process.
     pub(crate) read_delay: Micros,
     /// The reactor's events, in the order of the poller.
     pub(crate) events: Vec<ReactorEvent>,
@@ -37,8 +37,8 @@
     decided_at: Micros,
     /// Age at which a decision is stale.
     stale_after: Micros,
-    /// Whether the previous iteration only read. The current one then writes in any case, so that writes are not withheld
-    /// forever.
+    /// Whether the previous iteration only read. The current one then writes in any case, so that writes are
+    /// not withheld forever.
     read_only: bool,
 }
 
@@ -53,8 +53,8 @@
         self.stale_after = stale_after(drain_grace);
     }
 
-    /// Writes the pending output, unless it is stale or `write_deadline` has passed, and waits for events for at most
-    /// `timeout`.
+    /// Writes the pending output, unless it is stale or `write_deadline` has passed, and waits for events for
+    /// at most `timeout`.
     ///
     /// # Errors
     /// If the poller fails.
--- a/crates/gateway/src/platform/change_log.rs
+++ b/crates/gateway/src/platform/change_log.rs
@@ -38,7 +38,8 @@
         self.drain_log_outputs(now);
     }
 
-    /// Executes the outputs of the change log client until none is left, then the outputs that the changes produced.
+    /// Executes the outputs of the change log client until none is left, then the outputs that the changes
+    /// produced.
     fn drain_log_outputs(&mut self, now: Micros) {
         while !self.log_outputs.is_empty() {
             for output in std::mem::take(&mut self.log_outputs) {
@@ -84,8 +85,9 @@
         self.engine.worker_list_confirmed(now, lease, &mut self.to_engine);
     }
 
-    /// Ends the lease on the worker list, which may be out of date. Unsent requests that were assigned by it are cancelled;
-    /// the engine assigns them again after the next answer of the log or after probing workers.
+    /// Ends the lease on the worker list, which may be out of date. Unsent requests that were assigned by it
+    /// are cancelled; the engine assigns them again after the next answer of the log or after probing
+    /// workers.
     fn expire_list(&mut self, now: Micros) {
         debug!(
             now = now.0,
@@ -131,7 +133,8 @@
         let AffectedWorkers { removed, not_accepting } = self.update_workers(&change);
         self.list_members += change.lines.len();
         debug!(now = now.0, seq = self.change_log.seq(), ?change, "change");
-        // The engine is updated first: it reassigns the cancelled requests, and must know about the drain by then.
+        // The engine is updated first: it reassigns the cancelled requests, and must know about the drain by
+        // then.
         self.engine.workers_listed(now, change.listing(), &mut self.to_engine);
         self.worker_side().cancel_unsent(now, not_accepting);
         for worker in removed {
--- a/crates/gateway/src/platform/events.rs
+++ b/crates/gateway/src/platform/events.rs
@@ -7,10 +7,11 @@
 use tracing::warn;
 
 impl Router {
-    /// Handles the events of an iteration. All outputs of an event are executed before the next event is handled.
+    /// Handles the events of an iteration. All outputs of an event are executed before the next event is
+    /// handled.
     pub(super) fn handle_events(&mut self, now: Micros, mut events: Vec<ReactorEvent>) {
-        // Events of the change log are handled first, so that a drain that has arrived applies to all other events of the
-        // iteration. The sort is stable: other events stay in the order of the poller.
+        // Events of the change log are handled first, so that a drain that has arrived applies to all other
+        // events of the iteration. The sort is stable: other events stay in the order of the poller.
         events.sort_by_key(|event| !self.is_change_log_event(event));
         for event in events {
             if self.is_change_log_event(&event) {
--- a/crates/gateway/src/platform/mod.rs
+++ b/crates/gateway/src/platform/mod.rs
@@ -1,9 +1,11 @@
-//! The platform's router: one event loop that connects clients, workers, the change log and the request engine.
+//! The platform's router: one event loop that connects clients, workers, the change log and the request
+//! engine.
 //!
-//! It meets the platform's requirements on a process: it runs in the foreground, reports ready only while some worker is
-//! ready, applies a new configuration on SIGHUP without losing a call, and after SIGTERM serves until clients have stopped
-//! connecting. The loop does I/O and measures time; all decisions about calls are the engine's. The sub-command `platform`
-//! runs it. `docs/design-platform.md` describes the guarantees for events that arrive in the same iteration.
+//! It meets the platform's requirements on a process: it runs in the foreground, reports ready only while
+//! some worker is ready, applies a new configuration on SIGHUP without losing a call, and after SIGTERM
+//! serves until clients have stopped connecting. The loop does I/O and measures time; all decisions about
+//! calls are the engine's. The sub-command `platform` runs it. `docs/design-platform.md` describes the
+//! guarantees for events that arrive in the same iteration.
 //!
 //! | module | concern |
 //! | --- | --- |
@@ -88,8 +90,8 @@
         self.listener.address()
     }
 
-    /// Sizes of all tables that grow with traffic: connections, open requests and ids of the front end; workers, connections,
-    /// attempts and timers of the pool. For the log and for tests of the bounds.
+    /// Sizes of all tables that grow with traffic: connections, open requests and ids of the front end;
+    /// workers, connections, attempts and timers of the pool. For the log and for tests of the bounds.
     pub fn sizes(&self) -> [usize; 7] {
         let (links, open, ids) = self.front.sizes();
         let [workers, connections, attempts, timers] = self.pool.sizes();
@@ -105,8 +107,8 @@
         Ok(())
     }
 
-    /// Runs one iteration of the loop, which waits for at most `max_wait`. Returns `true` once an orderly shutdown is
-    /// complete. Output is written at the beginning of the next iteration.
+    /// Runs one iteration of the loop, which waits for at most `max_wait`. Returns `true` once an orderly
+    /// shutdown is complete. Output is written at the beginning of the next iteration.
     ///
     /// # Errors
     /// When the poller fails.
--- a/crates/gateway/src/platform/outputs.rs
+++ b/crates/gateway/src/platform/outputs.rs
@@ -53,8 +53,8 @@
     }
 
     fn execute(&mut self, now: Micros, output: Output) {
-        // Of the outputs that the pool does not handle, only answers occur here: the change log sends the worker list
-        // unrequested, and this router stores neither versions nor keys.
+        // Of the outputs that the pool does not handle, only answers occur here: the change log sends the
+        // worker list unrequested, and this router stores neither versions nor keys.
         if let Some(Output::Answer(ticket, answer)) = self.worker_side().execute(now, output) {
             self.answer(now, ticket, &answer);
         }
--- a/crates/gateway/src/platform/reload.rs
+++ b/crates/gateway/src/platform/reload.rs
@@ -19,8 +19,8 @@
 }
 
 impl Router {
-    /// Reads the configuration again and applies the address of the change log. An invalid file changes nothing; reading it
-    /// is retried [`RELOAD_RETRIES`] times.
+    /// Reads the configuration again and applies the address of the change log. An invalid file changes
+    /// nothing; reading it is retried [`RELOAD_RETRIES`] times.
     pub(super) fn reload_on_signal(&mut self, now: Micros) {
         self.reload(now, RELOAD_RETRIES);
     }
--- a/crates/gateway/src/platform/shutdown.rs
+++ b/crates/gateway/src/platform/shutdown.rs
@@ -1,11 +1,13 @@
-//! Orderly shutdown after SIGTERM: every accepted call is answered, and no answer is lost by closing its connection.
+//! Orderly shutdown after SIGTERM: every accepted call is answered, and no answer is lost by closing its
+//! connection.
 //!
-//! Clients still connect for a while after the signal, so the listener stays open for [`LAME_DUCK_PERIOD`]. Before it is
-//! closed, all connections in the accept queue are accepted. The shutdown then waits until all calls are answered, no request
-//! is incomplete, and an iteration has passed without client input. Shortly before the platform may kill the process, all
-//! calls are answered and all connections closed, even if clients are still sending. Connections are half-closed and read
-//! until their peers close them, because closing a socket with unread bytes resets the connection and discards answers in
-//! transit. The loop advances the shutdown at the end of each iteration.
+//! Clients still connect for a while after the signal, so the listener stays open for [`LAME_DUCK_PERIOD`].
+//! Before it is closed, all connections in the accept queue are accepted. The shutdown then waits until all
+//! calls are answered, no request is incomplete, and an iteration has passed without client input. Shortly
+//! before the platform may kill the process, all calls are answered and all connections closed, even if
+//! clients are still sending. Connections are half-closed and read until their peers close them, because
+//! closing a socket with unread bytes resets the connection and discards answers in transit. The loop
+//! advances the shutdown at the end of each iteration.
 
 use super::Router;
 use crate::clock::{after, elapsed};
@@ -15,14 +17,15 @@
 
 /// How long new connections are accepted after the signal.
 const LAME_DUCK_PERIOD: Micros = Micros(800_000);
-/// The platform kills the process no earlier than the longest class deadline plus [`KILL_DELAY`] after the signal. Longer
-/// deadlines than this count as this one.
+/// The platform kills the process no earlier than the longest class deadline plus [`KILL_DELAY`] after the
+/// signal. Longer deadlines than this count as this one.
 const MAX_DEADLINE_COUNTED: Micros = Micros(3_000_000);
 /// Time from the longest deadline to the earliest kill; see [`MAX_DEADLINE_COUNTED`].
 const KILL_DELAY: Micros = Micros(700_000);
 /// Open calls are ended this long before the earliest kill, so that their answers can still be sent.
 const ANSWER_MARGIN: Micros = Micros(100_000);
-/// How long after the earliest kill the shutdown still waits for clients that do not read or that stopped within a request.
+/// How long after the earliest kill the shutdown still waits for clients that do not read or that stopped
+/// within a request.
 const DRAIN_EXTENSION: Micros = Micros(1_000_000);
 
 /// The stages of a shutdown.
@@ -108,8 +111,8 @@
         self.drain_outputs(now);
     }
 
-    /// Accepts all queued connections, then closes the listener. If accepting fails, for example because no descriptor is
-    /// available, it is retried in each iteration until the calls are ended.
+    /// Accepts all queued connections, then closes the listener. If accepting fails, for example because no
+    /// descriptor is available, it is retried in each iteration until the calls are ended.
     fn close_listener(&mut self, now: Micros) {
         let mut accepted = Vec::new();
         let queue = self.listener.accept_all(&mut self.reactor, &mut accepted);
--- a/crates/gateway/src/platform/startup.rs
+++ b/crates/gateway/src/platform/startup.rs
@@ -24,16 +24,16 @@
 const MAX_BUFFERED: usize = 512 * 1024;
 /// Pause of the listener after a failed accept.
 const ACCEPT_PAUSE: Micros = Micros(20_000);
-/// File descriptors reserved for other purposes than client and worker connections: standard streams, listener, poller,
-/// signals, change log, and closed client connections in lingering close.
+/// File descriptors reserved for other purposes than client and worker connections: standard streams,
+/// listener, poller, signals, change log, and closed client connections in lingering close.
 const OTHER_DESCRIPTORS: usize = 24 + MAX_LINGERING;
 /// Minimum number of connections, whatever the descriptor limit of the process.
 const MIN_CONNECTIONS: usize = 8;
-/// Percentage of the remaining descriptors for clients. Normal clients use at most a third of all descriptors; the rest of
-/// this share is for misbehaving ones.
+/// Percentage of the remaining descriptors for clients. Normal clients use at most a third of all
+/// descriptors; the rest of this share is for misbehaving ones.
 const CLIENT_PERCENT: usize = 45;
-/// Percentage of the workers' idle timeout after which the router closes an idle connection, so that it closes it before
-/// the worker does.
+/// Percentage of the workers' idle timeout after which the router closes an idle connection, so that it
+/// closes it before the worker does.
 const IDLE_PERCENT: i64 = 90;
 /// Time reserved in each call's budget for sending the answer to the client.
 const ANSWER_MARGIN: Micros = Micros(4_000);
@@ -108,7 +108,8 @@
             to_front: Vec::new(),
             log_outputs: Vec::new(),
         };
-        // Without probes, no call could be sent between the end of the short lease and the first answer of the log.
+        // Without probes, no call could be sent between the end of the short lease and the first answer of
+        // the log.
         let lease = if site.settings.limits.probes { KNOWN_LIST_LEASE } else { LIST_LEASE };
         router.apply_known(clock.now(), known, lease);
         Ok(router)
--- a/crates/gateway/src/server/pool/connections.rs
+++ b/crates/gateway/src/server/pool/connections.rs
@@ -26,8 +26,8 @@
     pub(super) bytes_submitted: u64,
     /// When the connect or idle timeout expires; `None` while an established connection has requests.
     pub(super) deadline: Option<Micros>,
-    /// The calls whose attempts completed last on this connection, latest first. A worker may send a duplicate reply with the
-    /// same id.
+    /// The calls whose attempts completed last on this connection, latest first. A worker may send a
+    /// duplicate reply with the same id.
     recent_calls: VecDeque<RequestId>,
 }
 
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Whether an attempt of the same call completed recently on this connection: a duplicate of that reply could be mistaken
-    /// for the reply to the new attempt.
+    /// Whether an attempt of the same call completed recently on this connection: a duplicate of that reply
+    /// could be mistaken for the reply to the new attempt.
     fn has_carried(&self, purpose: Purpose) -> bool {
         matches!(purpose, Purpose::Attempt(attempt) if self.recent_calls.contains(&attempt.request))
     }
@@ -73,12 +73,13 @@
 }
 
 impl Pool {
-    /// Selects a connection for a request: an idle one if available, otherwise a new one, otherwise one with requests of the
-    /// same kind.
+    /// Selects a connection for a request: an idle one if available, otherwise a new one, otherwise one with
+    /// requests of the same kind.
     ///
     /// # Errors
-    /// The outcome of the request if no connection is available: [`Outcome::NotSent`] if the worker is not listed or the pool
-    /// is full, [`Outcome::ConnectFailed`] if the worker's connection limit is reached or its address is unreachable.
+    /// The outcome of the request if no connection is available: [`Outcome::NotSent`] if the worker is not
+    /// listed or the pool is full, [`Outcome::ConnectFailed`] if the worker's connection limit is reached or
+    /// its address is unreachable.
     pub(super) fn acquire(
         &mut self,
         now: Micros,
@@ -100,7 +101,8 @@
         self.open_connection(now, reactor, worker, purpose)
     }
 
-    /// Opens a connection; shares an existing one if no descriptor is available or the address is unreachable.
+    /// Opens a connection; shares an existing one if no descriptor is available or the address is
+    /// unreachable.
     fn open_connection(
         &mut self,
         now: Micros,
@@ -121,8 +123,8 @@
 
     /// Takes the most recently used idle connection that is suitable for a request.
     ///
-    /// Closes connections whose idle timeout has expired, or that have unread bytes or an unread end of stream: the
-    /// corresponding event would be attributed to the new request.
+    /// Closes connections whose idle timeout has expired, or that have unread bytes or an unread end of
+    /// stream: the corresponding event would be attributed to the new request.
     fn take_idle(
         &mut self,
         now: Micros,
@@ -143,7 +145,8 @@
         None
     }
 
-    /// The worker's connection with the fewest requests, among those that may carry another request of this kind.
+    /// The worker's connection with the fewest requests, among those that may carry another request of this
+    /// kind.
     fn find_shareable(&self, worker: WorkerId, purpose: Purpose) -> Option<Id> {
         let max_requests = self.protocol.max_streams();
         let ids = self.peers.get(&worker)?.connections.iter();
@@ -153,7 +156,8 @@
             .map(|(id, _)| id)
     }
 
-    /// Handles an established connection. Its queued requests are written at the next poll unless they are cancelled before.
+    /// Handles an established connection. Its queued requests are written at the next poll unless they are
+    /// cancelled before.
     pub(crate) fn connected(&mut self, now: Micros, reactor: &mut Reactor, id: Id) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.connected = true;
@@ -200,7 +204,8 @@
         ends
     }
 
-    /// Makes a connection without requests idle, or closes it if it cannot be reused. Does nothing if it has requests.
+    /// Makes a connection without requests idle, or closes it if it cannot be reused. Does nothing if it has
+    /// requests.
     pub(super) fn release(&mut self, now: Micros, reactor: &mut Reactor, id: Id) {
         let Some(connection) = self.connections.get_mut(&id).filter(|c| c.requests.is_empty()) else {
             return;
@@ -223,8 +228,8 @@
         }
     }
 
-    /// Completes all requests of a connection. `written` is the number of bytes that the kernel accepted on it; it determines
-    /// for each request whether it may have run.
+    /// Completes all requests of a connection. `written` is the number of bytes that the kernel accepted on
+    /// it; it determines for each request whether it may have run.
     pub(super) fn complete_all(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/server/pool/mod.rs
+++ b/crates/gateway/src/server/pool/mod.rs
@@ -1,13 +1,15 @@
 //! Pool of connections to the workers, independent of the worker protocol.
 //!
-//! The pool determines for each failed request whether it may have run: if the connection failed before the kernel accepted
-//! enough bytes for a worker to run the request, it ends as not sent, otherwise as possibly run. A request can be cancelled
-//! without effect on the worker as long as none of its bytes has been written ([`Pool::cancel_unsent`]). Each request gets
-//! its own connection while the limits allow, so that a malformed reply or a reset affects no other request; beyond the
-//! limits, requests of the same kind share connections.
+//! The pool determines for each failed request whether it may have run: if the connection failed before the
+//! kernel accepted enough bytes for a worker to run the request, it ends as not sent, otherwise as possibly
+//! run. A request can be cancelled without effect on the worker as long as none of its bytes has been written
+//! ([`Pool::cancel_unsent`]). Each request gets its own connection while the limits allow, so that a
+//! malformed reply or a reset affects no other request; beyond the limits, requests of the same kind share
+//! connections.
 //!
-//! The event loops pass reactor events in and receive [`RequestEnd`]s. Bounds: [`PoolSettings::max_connections`]
-//! connections, [`WorkerProtocol::max_streams`] requests on each, one peer for each worker that is listed or has a connection.
+//! The event loops pass reactor events in and receive [`RequestEnd`]s. Bounds:
+//! [`PoolSettings::max_connections`] connections, [`WorkerProtocol::max_streams`] requests on each, one peer
+//! for each worker that is listed or has a connection.
 //!
 //! | module | concern |
 //! | --- | --- |
@@ -51,7 +53,8 @@
 }
 
 impl Purpose {
-    /// Whether two requests may share a connection when no further one can be opened: only requests of the same kind may.
+    /// Whether two requests may share a connection when no further one can be opened: only requests of the
+    /// same kind may.
     fn can_share_with(self, other: Purpose) -> bool {
         std::mem::discriminant(&self) == std::mem::discriminant(&other)
     }
--- a/crates/gateway/src/server/pool/outputs.rs
+++ b/crates/gateway/src/server/pool/outputs.rs
@@ -11,8 +11,8 @@
 const MICROS_PER_MILLISECOND: i64 = 1_000;
 
 impl Pool {
-    /// Executes an engine output that concerns workers; returns any other output. `classes` are the class names in the order
-    /// of their ids. Outputs that the engine produces as a result are appended to `out`.
+    /// Executes an engine output that concerns workers; returns any other output. `classes` are the class
+    /// names in the order of their ids. Outputs that the engine produces as a result are appended to `out`.
     pub(crate) fn execute(
         &mut self,
         now: Micros,
@@ -111,7 +111,8 @@
     ) {
         match self.cancel_attempt(now, reactor, attempt, outcome) {
             Some(end) => self.report_completion(now, end, engine, out),
-            // The attempt was never submitted, or it has already completed, in which case the engine ignores this.
+            // The attempt was never submitted, or it has already completed, in which case the engine ignores
+            // this.
             None => engine.attempt_completed(now, attempt, AttemptEnd::without_payload(outcome), out),
         }
     }
--- a/crates/gateway/src/server/pool/peers.rs
+++ b/crates/gateway/src/server/pool/peers.rs
@@ -24,8 +24,8 @@
 impl Pool {
     /// Adds a worker or updates its address.
     ///
-    /// Returns true if the address of a known worker changed. New requests then go to the new address, and the caller must
-    /// cancel the requests not yet sent to the old one with [`Pool::cancel_unsent`].
+    /// Returns true if the address of a known worker changed. New requests then go to the new address, and
+    /// the caller must cancel the requests not yet sent to the old one with [`Pool::cancel_unsent`].
     pub(crate) fn list(
         &mut self,
         reactor: &mut Reactor,
--- a/crates/gateway/src/server/pool/requests.rs
+++ b/crates/gateway/src/server/pool/requests.rs
@@ -1,4 +1,5 @@
-//! The requests of each connection: queueing, completion, and cancellation while nothing of them has been written.
+//! The requests of each connection: queueing, completion, and cancellation while nothing of them has been
+//! written.
 
 use super::timers::{after, Timer};
 use super::{Pool, Purpose, RequestEnd};
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Queues a request on a connection; its bytes are written at the next poll once the connection is established.
+    /// Queues a request on a connection; its bytes are written at the next poll once the connection is
+    /// established.
     fn enqueue(
         &mut self,
         now: Micros,
@@ -129,7 +131,8 @@
         Some(RequestEnd { worker: connection.worker, purpose: request.purpose, latency, reply })
     }
 
-    /// Cancels a worker's requests of which no byte has been written. Connections without further requests are closed.
+    /// Cancels a worker's requests of which no byte has been written. Connections without further requests
+    /// are closed.
     pub(crate) fn cancel_unsent(
         &mut self,
         now: Micros,
@@ -140,7 +143,8 @@
         for id in self.connections_of(worker) {
             let tags: Vec<Tag> =
                 self.connections.get(&id).into_iter().flat_map(|c| c.requests.keys().copied()).collect();
-            // In reverse order, so that discarding a request does not move the bytes of those still to be discarded.
+            // In reverse order, so that discarding a request does not move the bytes of those still to be
+            // discarded.
             for tag in tags.into_iter().rev() {
                 ends.extend(self.discard_unsent(now, reactor, RequestKey { connection: id, tag }));
             }
@@ -151,15 +155,15 @@
         ends
     }
 
-    /// Cancels the requests to all workers of which no byte has been written. Connections without further requests can be
-    /// reused.
+    /// Cancels the requests to all workers of which no byte has been written. Connections without further
+    /// requests can be reused.
     pub(crate) fn cancel_all_unsent(&mut self, now: Micros, reactor: &mut Reactor) -> Vec<RequestEnd> {
         let requests = self.connections.iter().flat_map(|(id, connection)| {
             connection.requests.keys().map(|tag| RequestKey { connection: *id, tag: *tag })
         });
         let mut requests: Vec<RequestKey> = requests.collect();
-        // In reverse order on each connection, so that discarding a request does not move the bytes of those still to be
-        // discarded.
+        // In reverse order on each connection, so that discarding a request does not move the bytes of those
+        // still to be discarded.
         requests.sort_unstable_by_key(|request| Reverse((request.connection, request.tag)));
         let mut ends = Vec::new();
         for request in requests {
@@ -184,14 +188,14 @@
             .filter(|(attempt, _)| is_selected(attempt))
             .map(|(_, request)| *request)
             .collect();
-        // In reverse order on each connection, so that discarding a request does not move the bytes of those still to be
-        // discarded.
+        // In reverse order on each connection, so that discarding a request does not move the bytes of those
+        // still to be discarded.
         found.sort_unstable_by_key(|request| Reverse(request.tag));
         found.into_iter().filter_map(|request| self.discard_unsent(now, reactor, request)).collect()
     }
 
-    /// Cancels an attempt. It ends with `outcome` if it may have run, otherwise as not sent. Returns `None` for an unknown
-    /// attempt.
+    /// Cancels an attempt. It ends with `outcome` if it may have run, otherwise as not sent. Returns `None`
+    /// for an unknown attempt.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
@@ -207,7 +211,8 @@
         }
         let connection = self.connections.get(&id)?;
         let request = connection.requests.get(&key.tag)?;
-        // A shared connection stays open for its other requests, so the rest of a partly written request is still written.
+        // A shared connection stays open for its other requests, so the rest of a partly written request is
+        // still written.
         let is_shared = connection.requests.len() > 1;
         let cancellation = self.protocol.encode_cancel(&request.message).filter(|_| is_shared);
         let has_possibly_run = is_shared || self.has_possibly_run(request, reactor.written(id));
@@ -238,8 +243,8 @@
         end
     }
 
-    /// Removes a request of which no byte has been written, as if it had never been submitted; returns `None` for any other
-    /// request. The other requests of the connection are not affected.
+    /// Removes a request of which no byte has been written, as if it had never been submitted; returns `None`
+    /// for any other request. The other requests of the connection are not affected.
     fn discard_unsent(&mut self, now: Micros, reactor: &mut Reactor, key: RequestKey) -> Option<RequestEnd> {
         let connection = self.connections.get_mut(&key.connection)?;
         let discarded = connection.requests.get(&key.tag)?.bytes.clone();
--- a/crates/gateway/src/server/pool/tests.rs
+++ b/crates/gateway/src/server/pool/tests.rs
@@ -1,5 +1,6 @@
-//! Tests of the pool with requests whose bytes were written in a loop iteration whose events it has not handled yet, and
-//! with requests that share a connection. The worker is a listener whose replies each test writes itself.
+//! Tests of the pool with requests whose bytes were written in an iteration whose events the pool has not
+//! handled yet, and with requests that share a connection. The worker is a plain listener; each test writes
+//! its replies itself.
 
 use super::requests::OutgoingRequest;
 use super::*;
@@ -21,7 +22,7 @@
 
 impl PoolFixture {
     fn new(max_connections_per_worker: usize) -> Self {
-        let worker = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let worker = TcpListener::bind("127.0.0.1:0").expect("bind a local port");
         let settings = PoolSettings {
             connect_timeout: Micros(10_000_000),
             idle_timeout: Micros(10_000_000),
@@ -31,11 +32,11 @@
         };
         let wire = LineProtocol { max_streams: 4, reports_queue_depth: false };
         let mut fixture = PoolFixture {
-            reactor: Reactor::new(1 << 20).expect("a poller"),
+            reactor: Reactor::new(1 << 20).expect("create a poller"),
             pool: Pool::new(settings, Box::new(wire), Micros(10_000_000)),
             worker,
         };
-        let address = fixture.worker.local_addr().expect("bound");
+        let address = fixture.worker.local_addr().expect("local address of the listener");
         fixture.pool.list(&mut fixture.reactor, WORKER, "w", address);
         fixture
     }
@@ -59,55 +60,59 @@
         });
         let request = OutgoingRequest { worker: WORKER, purpose: Purpose::Attempt(attempt), message };
         let end = self.pool.submit(Micros(0), &mut self.reactor, request);
-        assert!(end.is_none(), "it begins");
+        assert!(end.is_none(), "the request is accepted");
         attempt
     }
 
-    /// Polls until a connection is established. The pool does not handle the event, as when other events of the iteration
-    /// come first. Nothing has been written then.
+    /// Polls until a connection is established. The pool does not handle the event, as if other events of the
+    /// iteration were handled first. Nothing has been written yet.
     fn poll_until_connected(&mut self) -> Id {
         let mut events = Vec::new();
         for _ in 0..100 {
-            self.reactor.poll(Some(Duration::from_millis(100)), &mut events).expect("the poller works");
-            let up = events.iter().find_map(|h| match h {
+            self.reactor.poll(Some(Duration::from_millis(100)), &mut events).expect("poll");
+            let connected = events.iter().find_map(|event| match event {
                 ReactorEvent::Connected(id) => Some(*id),
                 _ => None,
             });
-            if let Some(id) = up {
+            if let Some(id) = connected {
                 return id;
             }
         }
-        panic!("no connection to a listener on this machine");
+        panic!("no connection to the local listener within 100 polls");
     }
 
-    /// The same, followed by one more poll: what was submitted has been written.
+    /// Same as [`PoolFixture::poll_until_connected`], followed by one more poll, which writes what was
+    /// submitted.
     fn poll_until_written(&mut self) -> Id {
         let id = self.poll_until_connected();
-        self.reactor.poll(Some(Duration::ZERO), &mut Vec::new()).expect("the poller works");
+        self.reactor.poll(Some(Duration::ZERO), &mut Vec::new()).expect("poll");
         assert!(self.reactor.written(id) > 0);
         id
     }
 
     /// The worker's side of the next connection.
     fn peer(&self) -> TcpStream {
-        self.worker.set_nonblocking(true).expect("a socket");
+        self.worker.set_nonblocking(true).expect("set blocking mode");
         let start = Instant::now();
         let peer = loop {
             match self.worker.accept() {
                 Ok((peer, _)) => break peer,
-                Err(e) => assert!(start.elapsed() < Duration::from_secs(5), "nobody connects: {e}"),
+                Err(e) => assert!(
+                    start.elapsed() < Duration::from_secs(5),
+                    "no connection to the worker within 5 s: {e}"
+                ),
             }
             std::thread::sleep(Duration::from_millis(1));
         };
-        peer.set_nonblocking(false).expect("a socket");
-        peer.set_read_timeout(Some(Duration::from_secs(20))).expect("a time");
+        peer.set_nonblocking(false).expect("set blocking mode");
+        peer.set_read_timeout(Some(Duration::from_secs(20))).expect("set a read timeout");
         peer
     }
 
-    /// One loop iteration in which the pool handles all events.
+    /// Runs one loop iteration in which the pool handles all events.
     fn poll(&mut self) -> Vec<Outcome> {
         let mut events = Vec::new();
-        self.reactor.poll(Some(Duration::from_millis(20)), &mut events).expect("the poller works");
+        self.reactor.poll(Some(Duration::from_millis(20)), &mut events).expect("poll");
         let mut ends = Vec::new();
         for event in events {
             match event {
@@ -133,7 +138,7 @@
                 return ends;
             }
         }
-        panic!("{ends:?}");
+        panic!("fewer than {number} requests completed within 1000 polls: {ends:?}");
     }
 
     /// Completes a call on a connection of its own; returns the worker's side of that connection.
@@ -158,82 +163,90 @@
 
     fn cancel_attempt(&mut self, attempt: AttemptRef) -> Outcome {
         let end = self.pool.cancel_attempt(Micros(1), &mut self.reactor, attempt, Outcome::Cancelled);
-        end.expect("it is out").reply.outcome
+        end.expect("the attempt is pending").reply.outcome
     }
 }
 
-/// Reads the next calls on the worker's side; returns their ids.
+/// Reads calls on the worker's side; returns their request ids.
 fn received_calls(peer: &mut TcpStream, number: usize) -> Vec<String> {
     let mut text = String::new();
     let mut byte = [0; 1];
     while text.matches("charge\r\n").count() < number {
-        assert_eq!(peer.read(&mut byte).expect("a call within the time"), 1, "it closed: {text}");
+        assert_eq!(
+            peer.read(&mut byte).expect("read a call within the timeout"),
+            1,
+            "connection closed: {text}"
+        );
         text.push(char::from(byte[0]));
     }
     let lines = text.split("\r\n").filter_map(|l| l.strip_prefix("exec "));
     lines.map(|l| l[..16].to_string()).collect()
 }
 
-fn send_reply(peer: &mut TcpStream, request: u64, word: &str) {
-    peer.write_all(format!("{request:016x} {word} - 0\r\n\r\n").as_bytes()).expect("it stands");
+fn send_reply(peer: &mut TcpStream, request: u64, status: &str) {
+    peer.write_all(format!("{request:016x} {status} - 0\r\n\r\n").as_bytes())
+        .expect("the connection is open");
 }
 
 #[test]
-fn a_drain_told_after_a_call_left_does_not_take_it_back_and_one_told_as_its_connection_stands_does() {
-    // The pool handles the connection's event in neither case.
-    for (leaves, taken) in [(true, vec![]), (false, vec![Outcome::NotSent])] {
+fn cancel_unsent_spares_a_written_call_and_cancels_one_whose_connection_was_just_established() {
+    // In neither case has the pool handled the event of the connection.
+    for (is_written, cancelled) in [(true, vec![]), (false, vec![Outcome::NotSent])] {
         let mut fixture = PoolFixture::new(8);
         fixture.call(1);
         let mut peer = fixture.peer();
-        let id = if leaves { fixture.poll_until_written() } else { fixture.poll_until_connected() };
-        assert_eq!(fixture.cancel_unsent(), taken, "left: {leaves}");
-        let left = fixture.reactor.written(id) > 0;
-        assert_eq!(left, leaves);
-        if !left {
-            assert_eq!(peer.read(&mut [0; 9]).expect("a clean end"), 0, "not a byte came");
+        let id = if is_written { fixture.poll_until_written() } else { fixture.poll_until_connected() };
+        assert_eq!(fixture.cancel_unsent(), cancelled, "written: {is_written}");
+        assert_eq!(fixture.reactor.written(id) > 0, is_written);
+        if !is_written {
+            assert_eq!(peer.read(&mut [0; 9]).expect("end of stream without a reset"), 0, "no byte was sent");
         }
     }
 }
 
 #[test]
-fn a_drain_takes_back_what_waits_for_its_connection() {
+fn cancel_unsent_cancels_a_call_that_waits_for_its_connection() {
     let mut fixture = PoolFixture::new(8);
     fixture.call(1);
     assert_eq!(fixture.cancel_unsent(), [Outcome::NotSent]);
-    assert_eq!(fixture.pool.sizes()[1], 0, "its connection goes with it");
+    assert_eq!(fixture.pool.sizes()[1], 0, "its connection is closed");
 }
 
 #[test]
-fn a_drain_takes_back_what_waits_behind_a_call_and_leaves_the_call_to_its_end() {
+fn cancel_unsent_cancels_calls_queued_behind_a_written_call_which_completes() {
     let mut fixture = PoolFixture::new(1);
     fixture.call(1);
     let mut peer = fixture.peer();
     fixture.poll_until_written();
     fixture.call(2);
     fixture.call(3);
-    assert_eq!(fixture.cancel_unsent(), [Outcome::NotSent, Outcome::NotSent], "the first is at work");
+    assert_eq!(fixture.cancel_unsent(), [Outcome::NotSent, Outcome::NotSent], "only the unwritten calls");
     assert_eq!(received_calls(&mut peer, 1), [format!("{:016x}", 1)]);
     send_reply(&mut peer, 1, "ACK");
     assert_eq!(fixture.poll_until_completed(1), [Outcome::Ok]);
-    peer.set_nonblocking(true).expect("a socket");
-    assert!(!matches!(peer.read(&mut [0; 9]), Ok(n) if n > 0), "nothing of the others came");
+    peer.set_nonblocking(true).expect("set blocking mode");
+    assert!(!matches!(peer.read(&mut [0; 9]), Ok(n) if n > 0), "no byte of the cancelled calls was sent");
 }
 
 #[test]
-fn a_call_given_up_after_it_left_may_have_run() {
+fn a_call_cancelled_after_it_was_written_may_have_run() {
     let mut fixture = PoolFixture::new(8);
-    let left = fixture.call(1);
+    let written = fixture.call(1);
     fixture.poll_until_written();
-    let waits = fixture.call(2);
-    assert_eq!(fixture.cancel_attempt(left), Outcome::Cancelled);
-    assert_eq!(fixture.cancel_attempt(waits), Outcome::NotSent, "its own connection does not stand yet");
+    let unwritten = fixture.call(2);
+    assert_eq!(fixture.cancel_attempt(written), Outcome::Cancelled);
+    assert_eq!(
+        fixture.cancel_attempt(unwritten),
+        Outcome::NotSent,
+        "its own connection is not established yet"
+    );
 }
 
 #[test]
-fn a_call_given_up_before_it_left_never_reaches_the_worker_and_harms_no_other_on_its_connection() {
+fn a_call_cancelled_before_it_was_written_is_not_sent_and_others_on_its_connection_are_unaffected() {
     let mut fixture = PoolFixture::new(1);
     let (_first, second, _third) = (fixture.call(1), fixture.call(2), fixture.call(3));
-    assert_eq!(fixture.pool.sizes()[1], 1, "they share one");
+    assert_eq!(fixture.pool.sizes()[1], 1, "the calls share a connection");
     assert_eq!(fixture.cancel_attempt(second), Outcome::NotSent);
     let mut peer = fixture.peer();
     fixture.poll();
@@ -245,7 +258,7 @@
 }
 
 #[test]
-fn an_idle_connection_whose_close_has_come_is_not_used() {
+fn an_idle_connection_with_an_unread_end_of_stream_is_not_used() {
     let mut fixture = PoolFixture::new(8);
     drop(fixture.serve_call(1));
     // The end of stream has reached the kernel, and no iteration has handled it.
@@ -253,28 +266,29 @@
     let mut peer = fixture.peer();
     fixture.poll();
     fixture.poll();
-    assert_eq!(received_calls(&mut peer, 1), [format!("{:016x}", 2)], "on a new one");
+    assert_eq!(received_calls(&mut peer, 1), [format!("{:016x}", 2)], "sent on a new connection");
 }
 
 #[test]
-fn an_idle_connection_whose_time_is_up_is_not_used_though_its_timer_has_not_been_looked_at() {
+fn an_idle_connection_past_its_timeout_is_not_used_even_before_its_timer_is_handled() {
     let mut fixture = PoolFixture::new(8);
     let _old = fixture.serve_call(1);
-    // As after a process pause: a request is submitted first in the iteration in which the idle timeout expires.
+    // As after a process pause: a request is submitted first in the iteration in which the idle timeout
+    // expires.
     let attempt = fixture.call(2);
     fixture.cancel_attempt(attempt);
     let probe = OutgoingRequest { worker: WORKER, purpose: Purpose::Probe, message: WorkerRequest::Ready };
     let end = fixture.pool.submit(Micros(20_000_000), &mut fixture.reactor, probe);
     assert!(end.is_none());
-    assert_eq!(fixture.pool.sizes()[1], 1, "the old one is closed, a new one comes up");
+    assert_eq!(fixture.pool.sizes()[1], 1, "the old connection is closed and a new one opened");
     let mut new = fixture.peer();
     fixture.poll();
     fixture.poll();
-    assert!(new.read(&mut [0; 64]).expect("a probe") > 0);
+    assert!(new.read(&mut [0; 64]).expect("read a probe") > 0);
 }
 
 #[test]
-fn a_call_does_not_go_again_where_it_ended_so_that_a_second_copy_is_not_taken_for_its_answer() {
+fn a_retry_uses_another_connection_so_that_a_duplicate_reply_is_not_taken_for_its_reply() {
     let mut fixture = PoolFixture::new(8);
     fixture.call(1);
     let mut first = fixture.peer();
@@ -294,7 +308,7 @@
 }
 
 #[test]
-fn an_answer_that_came_before_the_worker_closed_counts_though_the_next_call_meets_the_close() {
+fn a_reply_received_before_a_reset_counts_even_if_writing_the_next_call_detects_the_reset() {
     let mut fixture = PoolFixture::new(1);
     fixture.call(1);
     let mut peer = fixture.peer();
--- a/crates/platform/src/changes.rs
+++ b/crates/platform/src/changes.rs
@@ -1,12 +1,13 @@
 //! Client of the change log: numbered membership events over HTTP long polling, read without a gap.
 //!
-//! The log is polled with a short timeout. If no answer arrives within it, the connection is closed and the log is polled
-//! on a new one, starting after the last complete event. The first retry after a failure is immediate, further ones are
-//! delayed by random backoff ([`slatevalve_pacing`]). A truncated answer has no effect. An answer that omits sequence
-//! numbers is applied, but the events after the last one before the gap are requested again. The same holds for an answer
-//! with a malformed member: its other members are applied.
+//! The log is polled with a short timeout. If no answer arrives within it, the connection is closed and the
+//! log is polled on a new one, starting after the last complete event. The first retry after a failure is
+//! immediate, further ones are delayed by random backoff ([`slatevalve_pacing`]). A truncated answer has no
+//! effect. An answer that omits sequence numbers is applied, but the events after the last one before the gap
+//! are requested again. The same holds for an answer with a malformed member: its other members are applied.
 //!
-//! The client does no I/O: the gateway's event loop owns the connection and executes the outputs ([`ChangeLogOutput`]).
+//! The client does no I/O: the gateway's event loop owns the connection and executes the outputs
+//! ([`ChangeLogOutput`]).
 
 mod contact;
 mod event;
@@ -28,25 +29,28 @@
 use std::net::SocketAddr;
 use timeouts::Timeouts;
 
-/// How long the worker list may be used after the poll that brought a complete answer. The platform's protocol treats an
-/// event as delivered this long after the log became unreachable, so an older list must not be relied on.
+/// How long the worker list may be used after the poll that brought a complete answer. The platform's
+/// protocol treats an event as delivered this long after the log became unreachable, so an older list must
+/// not be relied on.
 pub const LIST_LEASE: Micros = Micros(7_000_000);
-/// How long the list in the configuration may be used without an answer from the log: the timeout of a first poll plus its
-/// grace period. The log may have been unreachable long before the router started.
+/// How long the list in the configuration may be used without an answer from the log: the timeout of a first
+/// poll plus its grace period. The log may have been unreachable long before the router started.
 pub const KNOWN_LIST_LEASE: Micros = Micros(500_000);
-/// `timeout` parameter of a poll, in milliseconds: how long the log may hold it open before it answers without events.
+/// `timeout` parameter of a poll, in milliseconds: how long the log may hold it open before it answers
+/// without events.
 const LONG_POLL_TIMEOUT_MS: i64 = 1_000;
 /// `timeout` of a poll after the start or a failure: short, because the list has to be confirmed soon.
 const FIRST_POLL_TIMEOUT_MS: i64 = 200;
-/// `timeout` of a poll after an answer that was read too late: requests the current state without waiting for an event.
+/// `timeout` of a poll after an answer that was read too late: requests the current state without waiting for
+/// an event.
 const IMMEDIATE_POLL_TIMEOUT_MS: i64 = 1;
-/// An answer that may have been in the socket buffer for longer does not confirm the list. Shorter than the platform's
-/// shortest drain grace period.
+/// An answer that may have been in the socket buffer for longer does not confirm the list. Shorter than the
+/// platform's shortest drain grace period.
 const ANSWER_READ_DELAY_MAX: Micros = Micros(100_000);
 const MICROS_PER_MILLISECOND: i64 = 1_000;
-/// Backoff: one immediate retry, then random delays, so that routers that lose the log at the same time do not retry in
-/// step. With the shortest connect timeout, an event is requested at most 0.65 s after it becomes available; the platform
-/// allows 2 s after a broken connection.
+/// Backoff: one immediate retry, then random delays, so that routers that lose the log at the same time do
+/// not retry in step. With the shortest connect timeout, an event is requested at most 0.65 s after it
+/// becomes available; the platform allows 2 s after a broken connection.
 const RETRY_LIMITS: PaceLimits = PaceLimits {
     per_second: 500.0,
     requests: 1.0,
@@ -55,8 +59,9 @@
     max_delay_us: 400_000,
     immediate_retries: 1,
 };
-/// Consecutive answers with a gap or a malformed member after which the client stops requesting the same events again:
-/// the missing numbers are then assumed to be unused, or the member to be malformed in the log itself.
+/// Consecutive answers with a gap or a malformed member after which the client stops requesting the same
+/// events again: the missing numbers are then assumed to be unused, or the member to be malformed in the log
+/// itself.
 const MAX_INCOMPLETE_ANSWERS: u32 = 3;
 /// Limit of an answer's HTTP head, in bytes.
 const MAX_HEAD: usize = 8 * 1024;
@@ -134,8 +139,9 @@
 }
 
 impl ChangeLogClient {
-    /// Creates a client that continues after the events in `known`, and returns it with those events. `at_unix_ms` converts
-    /// a Unix time in milliseconds to the router's clock. `seed` randomizes the backoff and must differ between routers.
+    /// Creates a client that continues after the events in `known`, and returns it with those events.
+    /// `at_unix_ms` converts a Unix time in milliseconds to the router's clock. `seed` randomizes the backoff
+    /// and must differ between routers.
     ///
     /// # Errors
     /// If `known` is malformed.
@@ -308,10 +314,10 @@
 
     /// Parses `{"seq":N,"results":[...]}`: returns all events after `self.seq` or, on an error, none.
     ///
-    /// Events after a gap are returned too, because it is better to apply a drain out of order than not at all, but
-    /// `self.seq` stays before the gap, so that they are requested again together with the missing ones. A complete list
-    /// closes any gap before it. An event with a malformed member counts as a gap, and its other members are applied: one
-    /// malformed member must not hide the drain of another worker.
+    /// Events after a gap are returned too, because it is better to apply a drain out of order than not at
+    /// all, but `self.seq` stays before the gap, so that they are requested again together with the missing
+    /// ones. A complete list closes any gap before it. An event with a malformed member counts as a gap, and
+    /// its other members are applied: one malformed member must not hide the drain of another worker.
     fn read_events(&mut self, now: Option<Micros>, answer: &JsonObject) -> Result<EventBatch, FieldError> {
         let last_seq = unsigned(answer, "seq")?;
         let mut contiguous_seq = self.seq;
--- a/crates/platform/src/changes/contact.rs
+++ b/crates/platform/src/changes/contact.rs
@@ -2,7 +2,8 @@
 
 use slatevalve::Micros;
 
-/// Consecutive failures after which an outage is reported. Single failures are common, and are retried immediately.
+/// Consecutive failures after which an outage is reported. Single failures are common, and are retried
+/// immediately.
 const FAILURES_OF_OUTAGE: u32 = 2;
 
 /// Why a poll of the log failed. Variant names appear in the log field `failure`.
@@ -28,7 +29,8 @@
         /// Time since the poll was written.
         age: Micros,
     },
-    /// A complete answer was read late, because the process was paused or busy: the log may have had further events since.
+    /// A complete answer was read late, because the process was paused or busy: the log may have had further
+    /// events since.
     Outdated,
     /// The log is unreachable.
     Lost {
--- a/crates/platform/src/changes/event.rs
+++ b/crates/platform/src/changes/event.rs
@@ -59,8 +59,8 @@
         EventReader { names, starts: StartTimes::new(at_unix_ms) }
     }
 
-    /// Parses an event; `None` if its sequence number is not above `after`. `now` is when the event was received; `None` for
-    /// events from the configuration.
+    /// Parses an event; `None` if its sequence number is not above `after`. `now` is when the event was
+    /// received; `None` for events from the configuration.
     ///
     /// # Errors
     /// If the event itself is malformed. Errors of its members are collected in [`Event::malformed`].
@@ -141,8 +141,8 @@
     address.parse().map_or_else(|_| unknown_value("host_port", address), |parsed| Ok(Some(parsed)))
 }
 
-/// The index of a zone or kind; 0 if the field is absent. A name that the settings do not list gets an index above the
-/// listed ones that is derived from the name, so that all routers use the same index.
+/// The index of a zone or kind; 0 if the field is absent. A name that the settings do not list gets an index
+/// above the listed ones that is derived from the name, so that all routers use the same index.
 fn index_of_name(names: &[String], member: &JsonObject, field: &str) -> Result<usize, FieldError> {
     if optional(member, field).is_none() {
         return Ok(0);
--- a/crates/platform/src/changes/timeouts.rs
+++ b/crates/platform/src/changes/timeouts.rs
@@ -1,7 +1,8 @@
 //! Timeouts of a poll of the change log, which adapt to a slow log.
 //!
-//! A poll that is aborted too soon is queued again behind all others in the log, and may never be answered. The timeouts are
-//! doubled whenever one expires, and halved again when an answer arrives well before its timeout.
+//! A poll that is aborted too soon is queued again behind all others in the log, and may never be answered.
+//! The timeouts are doubled whenever one expires, and halved again when an answer arrives well before its
+//! timeout.
 
 use slatevalve::Micros;
 
@@ -9,8 +10,8 @@
 const CONNECT_TIMEOUT: Micros = Micros(250_000);
 /// Shortest time allowed for an answer in addition to the `timeout` parameter of the poll.
 const RESPONSE_GRACE: Micros = Micros(300_000);
-/// Limit of the doublings. Four timeouts in a row, with the polls' own wait and the backoff in between, take less than the
-/// 7 s after which the platform treats the log's events as delivered.
+/// Limit of the doublings. Four timeouts in a row, with the polls' own wait and the backoff in between, take
+/// less than the 7 s after which the platform treats the log's events as delivered.
 const DOUBLINGS_MAX: u32 = 3;
 
 #[derive(Debug, Default)]
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,5 +1,5 @@
-//! Configuration of a router: a JSON file whose path is in the environment variable `EDGE_CONFIG`, read at startup and on
-//! SIGHUP. It is applied completely or not at all; an error names the invalid field.
+//! Configuration of a router: a JSON file whose path is in the environment variable `EDGE_CONFIG`, read at
+//! startup and on SIGHUP. It is applied completely or not at all; an error names the invalid field.
 
 use serde_json::Value;
 use slatevalve_site_config::object::{field, number, object, text, unknown_value, unsigned, JsonObject};
--- a/crates/platform/src/frame.rs
+++ b/crates/platform/src/frame.rs
@@ -1,7 +1,8 @@
 //! Framing of MessagePack-RPC: incremental detection of message ends, with bounds on size and nesting depth.
 //!
-//! A length beyond the bound or a nesting that is too deep is rejected as soon as its header is received, before memory is
-//! allocated for it. The front end scans all bytes from clients; [`crate::message`] parses complete frames.
+//! A length beyond the bound or a nesting that is too deep is rejected as soon as its header is received,
+//! before memory is allocated for it. The front end scans all bytes from clients; [`crate::message`] parses
+//! complete frames.
 
 use rmp::Marker;
 use std::fmt;
@@ -39,7 +40,8 @@
 pub struct Scanner {
     /// Number of bytes scanned.
     position: usize,
-    /// Number of values still missing on each level of nesting, outermost first; empty at the start of a message.
+    /// Number of values still missing on each level of nesting, outermost first; empty at the start of a
+    /// message.
     missing: Vec<usize>,
 }
 
@@ -54,8 +56,9 @@
 }
 
 impl Scanner {
-    /// Returns the length of the message at the start of `bytes`, or `None` while it is incomplete. In that case the next call
-    /// must pass the same bytes followed by further ones; after a complete message it must pass the bytes that follow it.
+    /// Returns the length of the message at the start of `bytes`, or `None` while it is incomplete. In that
+    /// case the next call must pass the same bytes followed by further ones; after a complete message it must
+    /// pass the bytes that follow it.
     ///
     /// # Errors
     /// As soon as the bytes are known not to be a valid frame.
@@ -115,7 +118,8 @@
     let container = |size: usize, values: usize| Some(Header { size, data: 0, values: Some(values) });
     match Marker::from_u8(*bytes.first()?) {
         Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => scalar(1, 0),
-        // Not used by MessagePack. It is treated as a value without data here and rejected when the message is parsed.
+        // Not used by MessagePack. It is treated as a value without data here and rejected when the message
+        // is parsed.
         Marker::Reserved => scalar(1, 0),
         Marker::U8 | Marker::I8 => scalar(2, 0),
         Marker::U16 | Marker::I16 => scalar(3, 0),
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -1,13 +1,15 @@
 //! Front end for the platform's clients: their connections, their requests and one response to each request.
 //!
-//! An invalid request is rejected with an error response and is not passed to the engine. A client that violates the
-//! protocol is disconnected. When a connection ends, its open requests are abandoned. Connections that send nothing, stop
-//! within a message or are idle for too long are closed; when the connection limit is reached, they are evicted earlier.
+//! An invalid request is rejected with an error response and is not passed to the engine. A client that
+//! violates the protocol is disconnected. When a connection ends, its open requests are abandoned.
+//! Connections that send nothing, stop within a message or are idle for too long are closed; when the
+//! connection limit is reached, they are evicted earlier.
 //!
-//! The front end does no I/O: the gateway's event loop executes the outputs ([`FrontOutput`]) and passes calls to the
-//! engine.
+//! The front end does no I/O: the gateway's event loop executes the outputs ([`FrontOutput`]) and passes
+//! calls to the engine.
 //!
-//! Bounds: [`FrontSettings::connections`], with 32 open requests and one message of 20 KiB on each connection.
+//! Bounds: [`FrontSettings::connections`], with 32 open requests and one message of 20 KiB on each
+//! connection.
 
 mod connection;
 
@@ -69,8 +71,8 @@
     Call(InvalidRequest),
     /// A request's number is not above the previous one of its connection; the connection is closed.
     Number,
-    /// A request with the same id is open. On the same connection, the connection is closed; on another, the request gets an
-    /// error response.
+    /// A request with the same id is open. On the same connection, the connection is closed; on another, the
+    /// request gets an error response.
     OpenId,
     /// The connection has more open requests than the protocol allows; it is closed.
     TooManyOpen,
@@ -129,7 +131,8 @@
         self.connections.values().filter(|connection| connection.incomplete_since.is_some()).count()
     }
 
-    /// Adds a client connection. If the limit is then exceeded, an idle connection is evicted, possibly the new one.
+    /// Adds a client connection. If the limit is then exceeded, an idle connection is evicted, possibly the
+    /// new one.
     pub fn opened(&mut self, now: Micros, id: LinkId, out: &mut Vec<FrontOutput>) {
         self.connections.insert(id, Connection::new(now));
         self.next_sweep.get_or_insert(after(now, SWEEP_INTERVAL));
@@ -158,7 +161,8 @@
         }
     }
 
-    /// Removes the open requests of a connection that has ended, and reports them as abandoned by their client.
+    /// Removes the open requests of a connection that has ended, and reports them as abandoned by their
+    /// client.
     fn abandon_open(&mut self, connection: Connection, out: &mut Vec<FrontOutput>) {
         for ticket in connection.open.into_values() {
             self.remove_request(ticket);
@@ -231,8 +235,8 @@
         }
     }
 
-    /// Returns whether `number` is above all earlier ones; otherwise closes the connection, because the client could not tell
-    /// which of two requests with the same number a response belongs to.
+    /// Returns whether `number` is above all earlier ones; otherwise closes the connection, because the
+    /// client could not tell which of two requests with the same number a response belongs to.
     fn accept_number(&mut self, id: LinkId, number: u32, out: &mut Vec<FrontOutput>) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         if number <= connection.last_number {
@@ -256,7 +260,8 @@
             Err(e) => return self.reject(id, number, RejectReason::Call(e), out),
         };
         match self.ids.get(&request.id) {
-            // With the same id for two requests, the client could not tell which of them a response belongs to.
+            // With the same id for two requests, the client could not tell which of them a response belongs
+            // to.
             Some(other) if *other == id => return self.close(id, RejectReason::OpenId, out),
             Some(_) => return self.reject(id, number, RejectReason::OpenId, out),
             None => {}
--- a/crates/platform/src/front/connection.rs
+++ b/crates/platform/src/front/connection.rs
@@ -5,15 +5,18 @@
 use slatevalve_engine::Ticket;
 use std::collections::BTreeMap;
 
-/// Time within which the first message must arrive on a new connection, and within which a message must be complete after
-/// its first byte.
+/// Time within which the first message must arrive on a new connection, and within which a message must be
+/// complete after its first byte.
 const MESSAGE_TIMEOUT: Micros = Micros(2_000_000);
-/// Time after which a connection is closed that only sent requests and interrupted them, without any response: it consumes
-/// resources without a result. It is not closed immediately, because its next request may already be in transit.
+/// Time after which a connection is closed that only sent requests and interrupted them, without any
+/// response: it consumes resources without a result. It is not closed immediately, because its next request
+/// may already be in transit.
 const INTERRUPTED_TIMEOUT: Micros = Micros(1_500_000);
-/// Time after which a connection without an open request is closed. Normal clients close idle connections after 4 s.
+/// Time after which a connection without an open request is closed. Normal clients close idle connections
+/// after 4 s.
 const IDLE_TIMEOUT: Micros = Micros(5_500_000);
-/// Connections younger than this are evicted after all older ones, because their first request may still be in transit.
+/// Connections younger than this are evicted after all older ones, because their first request may still be
+/// in transit.
 const NEW_CONNECTION_AGE: Micros = Micros(100_000);
 
 #[derive(Default)]
@@ -26,7 +29,8 @@
     /// Highest request number so far.
     pub last_number: u32,
     opened_at: Micros,
-    /// When the last message was completed or the last call answered; initially when the connection was opened.
+    /// When the last message was completed or the last call answered; initially when the connection was
+    /// opened.
     pub last_active: Micros,
     /// When the first bytes of the incomplete message arrived; `None` without one.
     pub incomplete_since: Option<Micros>,
@@ -38,9 +42,9 @@
     pub interrupted_since: Option<Micros>,
 }
 
-/// The order in which idle connections are evicted, lowest first. Connections that never sent a message come before the
-/// others, and among these the longest idle one. Connections younger than [`NEW_CONNECTION_AGE`] come after all older ones,
-/// and the connection that exceeded the limit comes last.
+/// The order in which idle connections are evicted, lowest first. Connections that never sent a message come
+/// before the others, and among these the longest idle one. Connections younger than [`NEW_CONNECTION_AGE`]
+/// come after all older ones, and the connection that exceeded the limit comes last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     exceeds_limit: bool,
@@ -81,8 +85,8 @@
         }
     }
 
-    /// Whether the connection is to be closed: it sent nothing, stopped within a message, was idle for too long, or only sent
-    /// requests that it then interrupted.
+    /// Whether the connection is to be closed: it sent nothing, stopped within a message, was idle for too
+    /// long, or only sent requests that it then interrupted.
     pub(super) fn is_expired(&self, now: Micros) -> bool {
         let is_stalled = self.incomplete_since.is_some_and(|since| elapsed(since, now) > MESSAGE_TIMEOUT);
         let is_unused = !self.received_message && elapsed(self.opened_at, now) > MESSAGE_TIMEOUT;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,9 @@
-//! The protocols of the platform kyyti-central, without I/O: MessagePack-RPC clients, line-speaking workers, the change log.
+//! The protocols of the platform kyyti-central, without I/O: MessagePack-RPC clients, line-speaking workers,
+//! the change log.
 //!
-//! The modules take received bytes and the current time, and return calls, bytes to send and other outputs; the gateway owns
-//! the sockets. Input from peers is handled within fixed bounds of size, number and time, and a request that never ran is
-//! distinguished from one that may have run.
+//! The modules take received bytes and the current time, and return calls, bytes to send and other outputs;
+//! the gateway owns the sockets. Input from peers is handled within fixed bounds of size, number and time,
+//! and a request that never ran is distinguished from one that may have run.
 //!
 //! - [`front::Front`] serves clients; [`frame`] and [`message`] parse their input.
 //! - [`workers`] implements the workers' protocol.
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -1,7 +1,7 @@
 //! MessagePack-RPC messages: parsing of clients' requests and notifications, and encoding of the responses.
 //!
-//! A request is accepted only if every required field is present and every field has the right type and range, so that no
-//! malformed value reaches the load balancer or a worker.
+//! A request is accepted only if every required field is present and every field has the right type and
+//! range, so that no malformed value reaches the load balancer or a worker.
 
 mod request;
 mod response;
@@ -53,7 +53,8 @@
 /// Parses a complete frame.
 ///
 /// # Errors
-/// If the message type, number or method is invalid. Invalid parameters of a call are reported in [`Message::Call`].
+/// If the message type, number or method is invalid. Invalid parameters of a call are reported in
+/// [`Message::Call`].
 pub fn read(frame: &[u8]) -> Result<Message, MalformedMessage> {
     let mut rest = frame;
     let length = decode::read_array_len(&mut rest).map_err(|_| MalformedMessage)?;
--- a/crates/platform/src/message/request.rs
+++ b/crates/platform/src/message/request.rs
@@ -77,8 +77,8 @@
 }
 
 impl<'a> RawFields<'a> {
-    /// Reads the map at the start of `rest` and advances `rest` past it. Unknown fields are ignored, so that the protocol
-    /// can be extended.
+    /// Reads the map at the start of `rest` and advances `rest` past it. Unknown fields are ignored, so that
+    /// the protocol can be extended.
     fn read(rest: &mut &'a [u8]) -> Result<Self, InvalidRequest> {
         let count = decode::read_map_len(rest).map_err(|_| InvalidRequest::Shape)?;
         if count > MAX_FIELDS {
@@ -155,7 +155,8 @@
     length.contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// Parses a decimal number. Signs and exponents are rejected, so that a worker cannot interpret the value differently.
+/// Parses a decimal number. Signs and exponents are rejected, so that a worker cannot interpret the value
+/// differently.
 fn parse_number(text: &str, range: RangeInclusive<f64>) -> Option<f64> {
     let is_decimal =
         text.len() <= MAX_DIGITS && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
@@ -166,8 +167,8 @@
     Micros((milliseconds * 1000.0) as i64)
 }
 
-/// Parses `memory_mb:512;lanes:2;load_ms:640`. Both the platform's and the simulator's names are accepted. `None` if a known
-/// entry is malformed.
+/// Parses `memory_mb:512;lanes:2;load_ms:640`. Both the platform's and the simulator's names are accepted.
+/// `None` if a known entry is malformed.
 fn parse_traits(info: &str) -> Option<FunctionTraits> {
     let mut traits = FunctionTraits::default();
     for entry in info.split(';').filter(|entry| !entry.is_empty()) {
--- a/crates/platform/src/message/response.rs
+++ b/crates/platform/src/message/response.rs
@@ -7,8 +7,8 @@
 /// Upper bound of the encoded size of a response without its value, in bytes; only used to reserve memory.
 const OVERHEAD: usize = 16;
 
-/// Encodes the start of a response, before its error. `value_size` is the approximate number of bytes that follow. Writing to
-/// a vector cannot fail.
+/// Encodes the start of a response, before its error. `value_size` is the approximate number of bytes that
+/// follow. Writing to a vector cannot fail.
 fn response(number: u32, value_size: usize) -> Vec<u8> {
     let mut out = Vec::with_capacity(value_size + OVERHEAD);
     let _ = encode::write_array_len(&mut out, 4);
@@ -17,8 +17,8 @@
     out
 }
 
-/// Encodes the start of a response without error. The result that follows is a value and a map of fields, which is always
-/// empty.
+/// Encodes the start of a response without error. The result that follows is a value and a map of fields,
+/// which is always empty.
 fn success(number: u32, value_size: usize) -> Vec<u8> {
     let mut out = response(number, value_size);
     let _ = encode::write_nil(&mut out);
@@ -44,8 +44,8 @@
     out
 }
 
-/// Encodes an error response. `code` tells clients what happened: `Throttled` for a refused call, `Broken` for a failed one,
-/// `Unusable` for an invalid request.
+/// Encodes an error response. `code` tells clients what happened: `Throttled` for a refused call, `Broken`
+/// for a failed one, `Unusable` for an invalid request.
 #[must_use]
 pub fn error(number: u32, code: &str) -> Vec<u8> {
     let mut out = response(number, code.len());
--- a/crates/platform/src/workers.rs
+++ b/crates/platform/src/workers.rs
@@ -1,9 +1,10 @@
 //! Client side of the platform's line protocol for workers: encoding of requests, bounded parsing of replies.
 //!
-//! A reply of `NOENT`, `AGAIN` or `STALE` means that the request never ran; after any other reply or failure it may have run.
-//! An unterminated line, or a body length that exceeds the bound or does not match the body, is an error that closes the
-//! connection. Replies with an unknown id and duplicate replies are ignored, but the connection is not reused after them. The
-//! gateway's connection pool uses this module through [`WorkerProtocol`].
+//! A reply of `NOENT`, `AGAIN` or `STALE` means that the request never ran; after any other reply or failure
+//! it may have run. An unterminated line, or a body length that exceeds the bound or does not match the body,
+//! is an error that closes the connection. Replies with an unknown id and duplicate replies are ignored, but
+//! the connection is not reused after them. The gateway's connection pool uses this module through
+//! [`WorkerProtocol`].
 
 mod reply;
 
@@ -17,7 +18,8 @@
 pub struct LineProtocol {
     /// Limit of concurrent requests on one connection.
     pub max_streams: usize,
-    /// Whether workers report the queue depth of a function in their replies; a reply without one then means depth 0.
+    /// Whether workers report the queue depth of a function in their replies; a reply without one then means
+    /// depth 0.
     pub reports_queue_depth: bool,
 }
 
@@ -120,7 +122,8 @@
         }
     }
 
-    /// Parses replies from the buffer until one is incomplete or malformed; adds the bytes of complete ones to `consumed`.
+    /// Parses replies from the buffer until one is incomplete or malformed; adds the bytes of complete ones
+    /// to `consumed`.
     fn parse_buffer(
         &mut self,
         consumed: &mut usize,
--- a/crates/platform/src/workers/reply.rs
+++ b/crates/platform/src/workers/reply.rs
@@ -57,8 +57,8 @@
         Ok(Some(RawReply { id, status, fields, body, length }))
     }
 
-    /// Converts the reply to the load balancer's terms; `None` for an unknown status. If `reports_queue_depth` is set, a
-    /// missing queue depth counts as 0.
+    /// Converts the reply to the load balancer's terms; `None` for an unknown status. If
+    /// `reports_queue_depth` is set, a missing queue depth counts as 0.
     pub(super) fn interpret(&self, kind: RequestKind, reports_queue_depth: bool) -> Option<ParsedReply> {
         let outcome = match self.status {
             "ACK" | "READY" => Outcome::Ok,
@@ -103,7 +103,8 @@
     digits.parse().ok().filter(|length| *length <= MAX_BODY).ok_or(MalformedReply)
 }
 
-/// Parses a load report such as `inflight:7;util:0.61`. Both the platform's and the simulator's names are accepted.
+/// Parses a load report such as `inflight:7;util:0.61`. Both the platform's and the simulator's names are
+/// accepted.
 fn parse_report(text: &str) -> Report {
     let mut report = Report::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
--- a/crates/platform/src/workers/tests.rs
+++ b/crates/platform/src/workers/tests.rs
@@ -1,4 +1,4 @@
-//! Requests as lines, and replies from arbitrary bytes.
+//! Tests of request encoding, and of reply parsing from arbitrary bytes.
 
 use super::reply::MAX_LINE;
 use super::*;
@@ -18,35 +18,37 @@
     })
 }
 
-fn heard(
-    orders: &[WorkerRequest],
+/// Feeds `bytes` to a reader that expects replies to `requests`; returns the completed requests, the result,
+/// and whether the connection is reusable.
+fn feed(
+    requests: &[WorkerRequest],
     bytes: &[u8],
 ) -> (Vec<CompletedRequest>, Result<(), MalformedReply>, bool) {
     let mut reader = WIRE.reader();
-    orders.iter().enumerate().for_each(|(n, o)| reader.expect(Tag(n as u64), o));
+    requests.iter().enumerate().for_each(|(n, request)| reader.expect(Tag(n as u64), request));
     let mut out = Vec::new();
-    let fed = reader.feed(bytes, &mut out);
-    (out, fed, reader.is_reusable())
+    let result = reader.feed(bytes, &mut out);
+    (out, result, reader.is_reusable())
 }
 
 #[test]
-fn requests_are_lines_with_the_clients_own_id_and_key() {
-    let mut order = exec("9b1f03aa5c7e2d41");
-    if let WorkerRequest::Infer(call) = &mut order {
+fn requests_are_encoded_with_the_clients_id_and_key() {
+    let mut request = exec("9b1f03aa5c7e2d41");
+    if let WorkerRequest::Infer(call) = &mut request {
         call.key = Some(b"5c0f".to_vec());
     }
-    let bytes = WIRE.encode("", Tag(3), &order);
-    let wanted: &[u8] = b"exec 9b1f03aa5c7e2d41 \
+    let bytes = WIRE.encode("", Tag(3), &request);
+    let expected: &[u8] = b"exec 9b1f03aa5c7e2d41 \
         profile=fare-quote,thing=7f3a9c21e0b4d655,max=1500,replay=5c0f 4\r\na\r\nb\r\n";
-    assert_eq!(bytes, wanted);
+    assert_eq!(bytes, expected);
     let load = WorkerRequest::Load { function: "7f".into(), copies: 2 };
     assert_eq!(WIRE.encode("", Tag(4), &load), b"ensure t4 thing=7f,copies=2\r\n");
     assert_eq!(WIRE.encode("", Tag(5), &WorkerRequest::Ready), b"load t5\r\n");
-    assert_eq!(WIRE.encode_cancel(&order).unwrap(), b"drop 9b1f03aa5c7e2d41\r\n");
+    assert_eq!(WIRE.encode_cancel(&request).unwrap(), b"drop 9b1f03aa5c7e2d41\r\n");
 }
 
 #[test]
-fn each_word_has_its_outcome_and_only_three_prove_that_nothing_ran() {
+fn each_status_maps_to_its_outcome() {
     let cases = [
         ("ACK", Outcome::Ok),
         ("NOENT", Outcome::Miss),
@@ -54,31 +56,31 @@
         ("EIO", Outcome::Error),
         ("STALE", Outcome::NotSent),
     ];
-    for (word, outcome) in cases {
-        let bytes = format!("aa {word} queue_fn=3 2\r\nhi\r\n");
-        let (out, fed, clean) = heard(&[exec("aa")], bytes.as_bytes());
-        assert_eq!((fed, clean, out.len()), (Ok(()), true, 1), "{word}");
+    for (status, outcome) in cases {
+        let bytes = format!("aa {status} queue_fn=3 2\r\nhi\r\n");
+        let (out, result, reusable) = feed(&[exec("aa")], bytes.as_bytes());
+        assert_eq!((result, reusable, out.len()), (Ok(()), true, 1), "{status}");
         assert_eq!(out[0].reply.outcome, outcome);
-        let told = matches!(word, "ACK" | "AGAIN").then_some(3);
-        assert_eq!(out[0].reply.queue_depth, told);
-        assert_eq!(out[0].reply.payload, if word == "ACK" { b"hi".to_vec() } else { vec![] });
+        let queue_depth = matches!(status, "ACK" | "AGAIN").then_some(3);
+        assert_eq!(out[0].reply.queue_depth, queue_depth);
+        assert_eq!(out[0].reply.payload, if status == "ACK" { b"hi".to_vec() } else { vec![] });
     }
-    let (out, _, _) = heard(&[exec("aa")], b"aa ACK - 0\r\n\r\n");
-    assert_eq!(out[0].reply.queue_depth, Some(0), "absent is none");
+    let (out, _, _) = feed(&[exec("aa")], b"aa ACK - 0\r\n\r\n");
+    assert_eq!(out[0].reply.queue_depth, Some(0), "a missing queue depth counts as 0");
 }
 
 #[test]
-fn answers_come_in_any_order_and_pieces() {
+fn replies_are_parsed_in_any_order_and_from_any_fragments() {
     let bytes = b"bb ACK - 4\r\n\r\n\r\n\r\nt2 READY report=backlog:2.5;util:0.5 0\r\n\r\naa EIO - 0\r\n\r\n";
-    let orders = [exec("aa"), exec("bb"), WorkerRequest::Ready];
+    let requests = [exec("aa"), exec("bb"), WorkerRequest::Ready];
     for step in 1..bytes.len() {
         let mut reader = WIRE.reader();
-        orders.iter().enumerate().for_each(|(n, o)| reader.expect(Tag(n as u64), o));
+        requests.iter().enumerate().for_each(|(n, request)| reader.expect(Tag(n as u64), request));
         let mut out = Vec::new();
-        for piece in bytes.chunks(step) {
-            reader.feed(piece, &mut out).unwrap();
+        for fragment in bytes.chunks(step) {
+            reader.feed(fragment, &mut out).unwrap();
         }
-        let order: Vec<u64> = out.iter().map(|h| h.tag.0).collect();
+        let order: Vec<u64> = out.iter().map(|completed| completed.tag.0).collect();
         assert_eq!(order, [1, 2, 0]);
         assert_eq!(out[0].reply.payload, b"\r\n\r\n");
         assert_eq!(out[1].reply.report.unwrap().queue, Some(2.5));
@@ -87,19 +89,19 @@
 }
 
 #[test]
-fn surplus_leaves_the_answer_good_and_the_connection_unused() {
+fn an_unsolicited_reply_leaves_the_awaited_one_valid_and_prevents_reuse() {
     let unknown = b"zz ACK - 1\r\nx\r\naa ACK - 2\r\nhi\r\n";
-    let copy = b"aa ACK - 2\r\nhi\r\naa ACK - 2\r\nhi\r\n";
-    let begun = b"aa ACK - 2\r\nhi\r\naa AC";
-    for bytes in [&unknown[..], copy, begun] {
-        let (out, fed, clean) = heard(&[exec("aa")], bytes);
-        assert_eq!((fed, clean, out.len()), (Ok(()), false, 1));
+    let duplicate = b"aa ACK - 2\r\nhi\r\naa ACK - 2\r\nhi\r\n";
+    let incomplete = b"aa ACK - 2\r\nhi\r\naa AC";
+    for bytes in [&unknown[..], duplicate, incomplete] {
+        let (out, result, reusable) = feed(&[exec("aa")], bytes);
+        assert_eq!((result, reusable, out.len()), (Ok(()), false, 1));
         assert_eq!(out[0].reply.payload, b"hi");
     }
 }
 
 #[test]
-fn spoilt_answers_end_the_connection_within_bounds() {
+fn malformed_replies_are_rejected_within_bounds() {
     let long = vec![b'x'; MAX_LINE];
     let cases: [&[u8]; 7] = [
         b"\xff\xfe\r\n",
@@ -111,12 +113,12 @@
         &long,
     ];
     for bytes in cases {
-        let (out, fed, _) = heard(&[exec("aa")], bytes);
-        assert_eq!((out.len(), fed), (0, Err(MalformedReply)), "{bytes:?}");
+        let (out, result, _) = feed(&[exec("aa")], bytes);
+        assert_eq!((out.len(), result), (0, Err(MalformedReply)), "{bytes:?}");
     }
-    // Cut off, it only is not whole yet.
-    let (out, fed, clean) = heard(&[exec("aa")], b"aa ACK - 5\r\nhi");
-    assert_eq!((out.len(), fed, clean), (0, Ok(()), false));
+    // A truncated reply is only incomplete.
+    let (out, result, reusable) = feed(&[exec("aa")], b"aa ACK - 5\r\nhi");
+    assert_eq!((out.len(), result, reusable), (0, Ok(()), false));
 }
 
 proptest::proptest! {
@@ -127,17 +129,17 @@
     })]
 
     #[test]
-    fn no_bytes_make_the_reader_panic_or_hold_more_than_its_bounds(
-        pieces in proptest::collection::vec(proptest::collection::vec(0u8..=255, 0..90), 0..8),
+    fn arbitrary_bytes_neither_panic_the_reader_nor_complete_more_than_one_request(
+        fragments in proptest::collection::vec(proptest::collection::vec(0u8..=255, 0..90), 0..8),
         start in proptest::sample::select(vec![&b""[..], b"aa ACK ", b"aa ACK - 40\r\n", b"aa ACK - 0\r\n\r\n"]),
     ) {
         let mut reader = WIRE.reader();
         reader.expect(Tag(0), &exec("aa"));
         let mut out = Vec::new();
         let mut input = vec![start.to_vec()];
-        input.extend(pieces);
-        for piece in &input {
-            if reader.feed(piece, &mut out).is_err() {
+        input.extend(fragments);
+        for fragment in &input {
+            if reader.feed(fragment, &mut out).is_err() {
                 break;
             }
         }
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -1,10 +1,11 @@
-//! A configuration that is wrong is named with its field.
+//! Tests of the configuration parser: a valid file is accepted, an invalid one is rejected with the name of
+//! the field.
 
 use serde_json::{json, Value};
 use slatevalve::{Effect, Micros};
 use slatevalve_platform::config::Config;
 
-fn good() -> Value {
+fn valid() -> Value {
     json!({"name": "n3", "listen": "127.0.0.1:8443", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": 4096},
         "changelog": "127.0.0.1:4222", "known": {"seq": 0, "results": []},
@@ -13,8 +14,8 @@
 }
 
 #[test]
-fn a_whole_configuration_is_read() {
-    let config = Config::read(&good().to_string()).unwrap();
+fn a_valid_configuration_is_parsed() {
+    let config = Config::read(&valid().to_string()).unwrap();
     assert_eq!((config.seed, config.limits.sockets), (0x8c1f_30d2_7a5b_e964, 4096));
     let site = config.site;
     assert_eq!((site.settings.classes.len(), site.settings.classes[0].effect), (1, Effect::Idempotent));
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn an_error_names_the_invalid_field() {
     let cases: [(&str, Value, &str); 8] = [
         ("/listen", json!("nowhere"), "field 'listen' has the unknown value 'nowhere'"),
         ("/changelog", Value::Null, "field 'changelog' is missing"),
@@ -37,10 +38,10 @@
         ("/settings/categories/0/aim", json!("soon"), "settings: field 'aim' is not a number"),
         ("/settings/zones", json!("a"), "settings: field 'zones' is not a list"),
     ];
-    for (place, value, words) in cases {
-        let mut config = good();
-        *config.pointer_mut(place).unwrap() = value;
-        assert_eq!(Config::read(&config.to_string()).unwrap_err().to_string(), words);
+    for (pointer, value, message) in cases {
+        let mut config = valid();
+        *config.pointer_mut(pointer).unwrap() = value;
+        assert_eq!(Config::read(&config.to_string()).unwrap_err().to_string(), message);
     }
     assert!(Config::read("{").unwrap_err().to_string().starts_with("not a JSON object"));
 }
--- a/crates/platform/tests/stored_forms.rs
+++ b/crates/platform/tests/stored_forms.rs
@@ -1,9 +1,10 @@
-//! The bytes that go between the platform's clients, its routers and its workers, as fixed literals.
+//! Wire formats between the platform's clients, its routers and its workers, as fixed literals.
 //!
-//! Neither the clients nor the workers are ours. Each literal of a request to a worker and of an answer to a client was
-//! written by the program and must stay as it is, whatever the identifiers in the code are called; each literal of a
-//! client's request and of a worker's answer must be read to the fields that stand here. A test that fails says that
-//! the protocol changed; the literal is not to be adapted to the code.
+//! Clients and workers are not part of this project. Requests to workers and answers to clients must be
+//! encoded exactly as the literals, which an earlier version of the program produced, whatever the
+//! identifiers in the code are called. Requests from clients and answers from workers must be parsed to
+//! exactly the fields given here. A failing test means that the protocol has changed; do not adapt the
+//! literal to the code.
 
 use slatevalve::{ClassId, Effect, Group, Micros, Outcome, Report};
 use slatevalve_engine::{Answer, FunctionTraits, Reason, Ticket, Verdict};
@@ -13,7 +14,7 @@
 use slatevalve_worker_protocol::reply::ParsedReply;
 use slatevalve_worker_protocol::{Call, CompletedRequest, Tag, WorkerProtocol, WorkerRequest};
 
-const LINES: LineProtocol = LineProtocol { max_streams: 4, reports_queue_depth: true };
+const PROTOCOL: LineProtocol = LineProtocol { max_streams: 4, reports_queue_depth: true };
 
 fn call(key: Option<&[u8]>) -> WorkerRequest {
     WorkerRequest::Infer(Call {
@@ -33,14 +34,14 @@
     WorkerRequest::Load { function: "7f3a9c21e0b4d655".into(), copies: 2 }
 }
 
-fn line(order: &WorkerRequest) -> String {
-    LINES.encode("10.0.0.7:9000", Tag(12), order).escape_ascii().to_string()
+fn encoded(request: &WorkerRequest) -> String {
+    PROTOCOL.encode("10.0.0.7:9000", Tag(12), request).escape_ascii().to_string()
 }
 
-/// What the gateway understands of a worker's bytes, the only answer to an order.
-fn heard(order: &WorkerRequest, literal: &[u8]) -> ParsedReply {
-    let (mut reader, mut out) = (LINES.reader(), Vec::new());
-    reader.expect(Tag(12), order);
+/// Parses a worker's bytes, which must be the only answer to `request`.
+fn parsed(request: &WorkerRequest, literal: &[u8]) -> ParsedReply {
+    let (mut reader, mut out) = (PROTOCOL.reader(), Vec::new());
+    reader.expect(Tag(12), request);
     reader.feed(literal, &mut out).unwrap();
     assert!(reader.is_reusable());
     let CompletedRequest { tag, reply } = out.remove(0);
@@ -63,45 +64,45 @@
 #[test]
 fn the_line_of_a_call_keeps_its_bytes() {
     let literal = r"exec 9b1f03aa5c7e2d41 profile=fare-quote,thing=7f3a9c21e0b4d655,max=1500 4\r\na\r\nb\r\n";
-    assert_eq!(line(&call(None)), literal);
+    assert_eq!(encoded(&call(None)), literal);
 }
 
 #[test]
 fn the_line_of_a_call_with_a_key_keeps_its_bytes() {
     let literal = r"exec 9b1f03aa5c7e2d41 profile=fare-quote,thing=7f3a9c21e0b4d655,max=1500,replay=5c0f 4\r\na\r\nb\r\n";
-    assert_eq!(line(&call(Some(b"5c0f"))), literal);
+    assert_eq!(encoded(&call(Some(b"5c0f"))), literal);
 }
 
 #[test]
-fn the_line_that_drops_a_call_keeps_its_bytes() {
-    assert_eq!(LINES.encode_cancel(&call(None)).unwrap(), b"drop 9b1f03aa5c7e2d41\r\n");
-    assert_eq!(LINES.encode_cancel(&load()), None);
+fn the_line_that_cancels_a_call_keeps_its_bytes() {
+    assert_eq!(PROTOCOL.encode_cancel(&call(None)).unwrap(), b"drop 9b1f03aa5c7e2d41\r\n");
+    assert_eq!(PROTOCOL.encode_cancel(&load()), None);
 }
 
 #[test]
-fn the_line_of_a_load_order_keeps_its_bytes() {
-    assert_eq!(line(&load()), r"ensure t12 thing=7f3a9c21e0b4d655,copies=2\r\n");
+fn the_line_of_a_load_request_keeps_its_bytes() {
+    assert_eq!(encoded(&load()), r"ensure t12 thing=7f3a9c21e0b4d655,copies=2\r\n");
 }
 
 #[test]
-fn the_line_that_asks_for_the_count_of_copies_keeps_its_bytes() {
+fn the_line_of_a_count_request_keeps_its_bytes() {
     let count = WorkerRequest::Count { function: "7f3a9c21e0b4d655".into() };
-    assert_eq!(line(&count), r"ensure t12 thing=7f3a9c21e0b4d655,copies=0\r\n");
+    assert_eq!(encoded(&count), r"ensure t12 thing=7f3a9c21e0b4d655,copies=0\r\n");
 }
 
 #[test]
 fn the_line_of_an_unload_keeps_its_bytes() {
     let unload = WorkerRequest::Unload { function: "7f3a9c21e0b4d655".into() };
-    assert_eq!(line(&unload), r"release 7f3a9c21e0b4d655\r\n");
+    assert_eq!(encoded(&unload), r"release 7f3a9c21e0b4d655\r\n");
 }
 
 #[test]
 fn the_line_of_a_probe_keeps_its_bytes() {
-    assert_eq!(line(&WorkerRequest::Ready), r"load t12\r\n");
+    assert_eq!(encoded(&WorkerRequest::Ready), r"load t12\r\n");
 }
 
 #[test]
-fn each_word_of_a_workers_answer_to_a_call_is_read() {
+fn each_status_of_a_workers_answer_to_a_call_is_parsed() {
     let cases: [(&[u8], Outcome); 7] = [
         (b"9b1f03aa5c7e2d41 ACK - 2\r\nhi\r\n", Outcome::Ok),
         (b"9b1f03aa5c7e2d41 READY - 2\r\nhi\r\n", Outcome::Ok),
@@ -112,30 +113,31 @@
         (b"9b1f03aa5c7e2d41 STALE - 0\r\n\r\n", Outcome::NotSent),
     ];
     for (literal, outcome) in cases {
-        assert_eq!(heard(&call(None), literal).outcome, outcome, "{}", literal.escape_ascii());
+        assert_eq!(parsed(&call(None), literal).outcome, outcome, "{}", literal.escape_ascii());
     }
 }
 
 #[test]
-fn the_fields_of_a_workers_answer_to_a_call_are_read() {
+fn the_fields_of_a_workers_answer_to_a_call_are_parsed() {
     let ran = b"9b1f03aa5c7e2d41 ACK queue_fn=3,report=queue:2.5;inflight:7;util:0.61 2\r\nhi\r\n";
     let report = Some(Report { queue: Some(2.5), inflight: Some(7.0), util: Some(0.61) });
-    let wanted = ParsedReply { payload: b"hi".to_vec(), queue_depth: Some(3), report, ..reply(Outcome::Ok) };
-    assert_eq!(heard(&call(None), ran), wanted);
+    let expected =
+        ParsedReply { payload: b"hi".to_vec(), queue_depth: Some(3), report, ..reply(Outcome::Ok) };
+    assert_eq!(parsed(&call(None), ran), expected);
     let failed = b"9b1f03aa5c7e2d41 EIO remark=f 0\r\n\r\n";
-    assert_eq!(heard(&call(None), failed), ParsedReply { load_failed: true, ..reply(Outcome::Error) });
+    assert_eq!(parsed(&call(None), failed), ParsedReply { load_failed: true, ..reply(Outcome::Error) });
 }
 
 #[test]
-fn the_answers_to_a_load_order_and_a_probe_are_read() {
-    let wanted = ParsedReply { copies: 2, ..reply(Outcome::Ok) };
-    assert_eq!(heard(&load(), b"t12 READY copies=2 0\r\n\r\n"), wanted);
+fn the_answers_to_a_load_request_and_a_probe_are_parsed() {
+    let expected = ParsedReply { copies: 2, ..reply(Outcome::Ok) };
+    assert_eq!(parsed(&load(), b"t12 READY copies=2 0\r\n\r\n"), expected);
     let probe = b"t12 READY report=backlog:2.5;outstanding:7;utilization:0.5 0\r\n\r\n";
     let report = Some(Report { queue: Some(2.5), inflight: Some(7.0), util: Some(0.5) });
-    assert_eq!(heard(&WorkerRequest::Ready, probe), ParsedReply { report, ..reply(Outcome::Ok) });
+    assert_eq!(parsed(&WorkerRequest::Ready, probe), ParsedReply { report, ..reply(Outcome::Ok) });
 }
 
-/// `[0, 7, "booking", [{...}, body]]` with every field that is known.
+/// `[0, 7, "booking", [{...}, body]]` with every known field.
 const REQUEST: &[u8] = b"\x94\x00\x07\xa7booking\x92\x86\
     \xa3req\xb09b1f03aa5c7e2d41\
     \xa7timeout\xa41500\
@@ -150,7 +152,7 @@
 const INTERRUPT: &[u8] = b"\x93\x02\xa9interrupt\x92\x07\xcd\x01\x2c";
 
 #[test]
-fn a_clients_request_is_read_with_every_field() {
+fn a_clients_request_is_parsed_with_every_field() {
     let request = ClientRequest {
         id: "9b1f03aa5c7e2d41".into(),
         class: "booking".into(),
@@ -170,13 +172,13 @@
 }
 
 #[test]
-fn a_clients_check_and_its_interrupt_are_read() {
+fn a_clients_check_and_interrupt_are_parsed() {
     assert_eq!(message::read(CHECK), Ok(Message::Check { number: 8 }));
     assert_eq!(message::read(INTERRUPT), Ok(Message::Interrupt(vec![7, 300])));
 }
 
-/// What a client is written after its request, as the front answers it with this verdict.
-fn answered(verdict: Verdict) -> Vec<u8> {
+/// The bytes that the front end writes for a call that ends with `verdict`.
+fn answer_bytes(verdict: Verdict) -> Vec<u8> {
     let keyed = Effect::IdempotentWithKey { group: Group::Cell, memory: Micros(6_000_000) };
     let classes = vec![("quote".to_string(), Effect::Idempotent), ("booking".to_string(), keyed)];
     let mut front = Front::new(FrontSettings { classes, connections: 4 });
@@ -185,7 +187,7 @@
     front.received(Micros(0), LinkId(1), REQUEST, true, &mut out);
     let ticket: Vec<Ticket> = out
         .drain(..)
-        .map(|o| match o {
+        .map(|output| match output {
             FrontOutput::Call(call) => {
                 assert_eq!(call.class, ClassId(1));
                 call.ticket
@@ -202,23 +204,23 @@
 }
 
 #[test]
-fn the_answer_served_keeps_its_bytes() {
+fn the_answer_to_a_served_call_keeps_its_bytes() {
     let verdict = Verdict::Served { payload: b"\x00hi".as_slice().into(), ran: Some("1.0".into()) };
-    assert_eq!(answered(verdict), b"\x94\x01\x07\xc0\x92\xc4\x03\x00hi\x80");
+    assert_eq!(answer_bytes(verdict), b"\x94\x01\x07\xc0\x92\xc4\x03\x00hi\x80");
 }
 
 #[test]
-fn the_answer_throttled_keeps_its_bytes() {
-    assert_eq!(answered(Verdict::Refused(Reason::NoCapacity)), b"\x94\x01\x07\x92\xa9Throttled\x80\xc0");
+fn the_answer_to_a_refused_call_keeps_its_bytes() {
+    assert_eq!(answer_bytes(Verdict::Refused(Reason::NoCapacity)), b"\x94\x01\x07\x92\xa9Throttled\x80\xc0");
 }
 
 #[test]
-fn the_answer_failed_keeps_its_bytes() {
-    assert_eq!(answered(Verdict::Failed(Reason::NoCapacity)), b"\x94\x01\x07\x92\xa6Broken\x80\xc0");
+fn the_answer_to_a_failed_call_keeps_its_bytes() {
+    assert_eq!(answer_bytes(Verdict::Failed(Reason::NoCapacity)), b"\x94\x01\x07\x92\xa6Broken\x80\xc0");
 }
 
 #[test]
-fn the_answer_to_what_cannot_be_used_keeps_its_bytes() {
+fn the_answer_to_an_invalid_request_keeps_its_bytes() {
     let mut front = Front::new(FrontSettings { classes: Vec::new(), connections: 4 });
     let mut out = Vec::new();
     front.opened(Micros(0), LinkId(1), &mut out);
--- a/crates/reactor/src/event.rs
+++ b/crates/reactor/src/event.rs
@@ -38,8 +38,8 @@
     Woken,
     /// A signal registered with [`Reactor::signal`](crate::Reactor::signal) was delivered.
     Signal(i32),
-    /// Accepting failed, most likely because no file descriptor was available. The listener is suspended until
-    /// [`crate::Reactor::resume_accepting`].
+    /// Accepting failed, most likely because no file descriptor was available. The listener is suspended
+    /// until [`crate::Reactor::resume_accepting`].
     AcceptFailed {
         /// The suspended listener.
         listener: Id,
--- a/crates/reactor/src/reactor/connections.rs
+++ b/crates/reactor/src/reactor/connections.rs
@@ -42,9 +42,9 @@
         self.registry.register(Source::Connection(Connection::opening(socket)), Event::all)
     }
 
-    /// Buffers bytes, which are written at the beginning of the next poll; all messages buffered by then take one system call.
-    /// A connection whose buffer would exceed the limit or whose write fails is closed, and that poll reports it. Unknown
-    /// ids are ignored.
+    /// Buffers bytes, which are written at the beginning of the next poll; all messages buffered by then take
+    /// one system call. A connection whose buffer would exceed the limit or whose write fails is closed, and
+    /// that poll reports it. Unknown ids are ignored.
     pub fn write(&mut self, id: Id, bytes: &[u8]) {
         let max_buffered = self.max_buffered;
         let Some(connection) = self.registry.connection_mut(id) else { return };
@@ -60,16 +60,17 @@
         }
     }
 
-    /// Discards the buffered bytes from position `from` up to but excluding `to`, if none of them has been written. Positions
-    /// count from the first byte written on the connection, like [`Reactor::written`]; those of later bytes decrease. Returns
-    /// whether the bytes were discarded; a range is never discarded in part.
+    /// Discards the buffered bytes from position `from` up to but excluding `to`, if none of them has been
+    /// written. Positions count from the first byte written on the connection, like [`Reactor::written`];
+    /// those of later bytes decrease. Returns whether the bytes were discarded; a range is never discarded in
+    /// part.
     #[must_use]
     pub fn discard_unsent(&mut self, id: Id, from: u64, to: u64) -> bool {
         self.registry.connection_mut(id).is_some_and(|c| c.output.discard(from..to))
     }
 
-    /// Whether a connection is established and has neither unread bytes nor an unread end of stream. Only such a connection
-    /// can safely be reused for another request.
+    /// Whether a connection is established and has neither unread bytes nor an unread end of stream. Only
+    /// such a connection can safely be reused for another request.
     #[must_use]
     pub fn is_reusable(&self, id: Id) -> bool {
         let Some(connection) = self.registry.connection(id) else { return false };
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Writes the scheduled connections in the order in which they were scheduled. Once `until` has passed, the remaining ones
-    /// stay scheduled.
+    /// Writes the scheduled connections in the order in which they were scheduled. Once `until` has passed,
+    /// the remaining ones stay scheduled.
     pub(super) fn flush(&mut self, until: Option<Instant>, out: &mut Vec<ReactorEvent>) -> Flush {
         let scheduled = std::mem::take(&mut self.scheduled_writes);
         for (index, id) in scheduled.iter().copied().enumerate() {
--- a/crates/reactor/src/reactor/graceful_close.rs
+++ b/crates/reactor/src/reactor/graceful_close.rs
@@ -1,5 +1,5 @@
-//! Graceful close: once the buffered bytes are written, the connection is half-closed and read to its end for a bounded time
-//! (lingering close), so that the peer can read everything that was sent to it.
+//! Graceful close: once the buffered bytes are written, the connection is half-closed and read to its end for
+//! a bounded time (lingering close), so that the peer can read everything that was sent to it.
 
 use super::Reactor;
 use crate::connection::ClosePhase;
@@ -27,7 +27,8 @@
 
 /// Connections in graceful close. Both queues are ordered by time, earliest first.
 pub(super) struct GracefulClose {
-    /// Connections whose buffered bytes are being written. May contain connections that have since been written or closed.
+    /// Connections whose buffered bytes are being written. May contain connections that have since been
+    /// written or closed.
     flushing: VecDeque<Closing>,
     lingering: VecDeque<Closing>,
     max_lingering: usize,
@@ -55,8 +56,9 @@
 impl Reactor {
     /// Closes a connection gracefully.
     ///
-    /// Its buffered bytes are written first, within at most 5 s. Then it is half-closed, the next poll reports
-    /// [`ReactorEvent::Closed`], and further bytes from the peer are read and discarded, for at most 0.5 s and 1 MiB.
+    /// Its buffered bytes are written first, within at most 5 s. Then it is half-closed, the next poll
+    /// reports [`ReactorEvent::Closed`], and further bytes from the peer are read and discarded, for at most
+    /// 0.5 s and 1 MiB.
     pub fn close_gracefully(&mut self, id: Id) {
         let Some(connection) = self.registry.connection_mut(id) else { return };
         if connection.close_phase != ClosePhase::Open {
@@ -81,7 +83,8 @@
         self.closing.lingering.len()
     }
 
-    /// Shuts down the write side of a connection, reports its end to the owner, and begins its lingering close.
+    /// Shuts down the write side of a connection, reports its end to the owner, and begins its lingering
+    /// close.
     pub(super) fn half_close(&mut self, id: Id) {
         let Some(connection) = self.registry.connection_mut(id) else { return };
         if !connection.connected || connection.stream.shutdown(Shutdown::Write).is_err() {
@@ -97,7 +100,8 @@
         }
     }
 
-    /// Reads and discards bytes from a lingering connection; closes it at its end, on an error or at the limit.
+    /// Reads and discards bytes from a lingering connection; closes it at its end, on an error or at the
+    /// limit.
     pub(super) fn read_lingering(&mut self, id: Id, remaining: usize) {
         let Some(connection) = self.registry.connection_mut(id) else { return };
         match connection.stream.read(&mut self.read_buffer) {
--- a/crates/reactor/src/reactor/listeners.rs
+++ b/crates/reactor/src/reactor/listeners.rs
@@ -30,7 +30,8 @@
 }
 
 impl Reactor {
-    /// Listens on a TCP address; port 0 lets the kernel choose. Returns the listener and the address that was bound.
+    /// Listens on a TCP address; port 0 lets the kernel choose. Returns the listener and the address that was
+    /// bound.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -44,8 +45,8 @@
         Ok((self.registry.register(Source::Listener(socket), Event::readable)?, bound))
     }
 
-    /// Listens on a Unix socket to which only its owner may connect (mode 0600). A socket file left behind by an earlier
-    /// process is replaced; one that a process listens on is not.
+    /// Listens on a Unix socket to which only its owner may connect (mode 0600). A socket file left behind by
+    /// an earlier process is replaced; one that a process listens on is not.
     ///
     /// # Errors
     /// If the path cannot be bound, or a process listens on it.
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Accepts all connections in a listener's queue and appends their events to `out`. The result tells whether accepting
-    /// failed, in which case the queue may still contain connections.
+    /// Accepts all connections in a listener's queue and appends their events to `out`. The result tells
+    /// whether accepting failed, in which case the queue may still contain connections.
     pub fn accept_all(&mut self, listener: Id, out: &mut Vec<ReactorEvent>) -> AcceptQueue {
         for _ in 0..LISTEN_BACKLOG as usize / ACCEPTS_PER_POLL {
             let before = out.len();
@@ -97,7 +98,8 @@
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
-                    // Polling is level-triggered: if the listener stayed polled, every poll would report the error again.
+                    // Polling is level-triggered: if the listener stayed polled, every poll would report the
+                    // error again.
                     self.registry.set_interest(listener, Event::none(listener.0));
                     out.push(ReactorEvent::AcceptFailed { listener, error });
                     return;
--- a/crates/reactor/src/reactor/mod.rs
+++ b/crates/reactor/src/reactor/mod.rs
@@ -34,7 +34,8 @@
 }
 
 impl Reactor {
-    /// Creates a reactor. A connection that would have more than `max_buffered` bytes buffered for writing is closed.
+    /// Creates a reactor. A connection that would have more than `max_buffered` bytes buffered for writing is
+    /// closed.
     ///
     /// # Errors
     /// If no poller can be created.
@@ -49,7 +50,8 @@
         })
     }
 
-    /// Writes the buffered bytes, waits for events for at most `timeout` (`None`: without limit) and appends them to `out`.
+    /// Writes the buffered bytes, waits for events for at most `timeout` (`None`: without limit) and appends
+    /// them to `out`.
     ///
     /// # Errors
     /// If the poller fails.
@@ -57,9 +59,9 @@
         self.poll_until(timeout, None, out)
     }
 
-    /// Same as [`Reactor::poll`], but stops writing once `until` has passed and then polls without waiting. Bytes not written
-    /// by then can still be discarded. The clock is read before each write, because the process may be paused between two
-    /// writes.
+    /// Same as [`Reactor::poll`], but stops writing once `until` has passed and then polls without waiting.
+    /// Bytes not written by then can still be discarded. The clock is read before each write, because the
+    /// process may be paused between two writes.
     ///
     /// # Errors
     /// If the poller fails.
@@ -77,8 +79,9 @@
         self.poll_without_writing(timeout, out)
     }
 
-    /// Same as [`Reactor::poll`], but writes nothing, so that buffered bytes can still be discarded in response to the events.
-    /// Used by a loop whose process was paused between making a decision and writing it.
+    /// Same as [`Reactor::poll`], but writes nothing, so that buffered bytes can still be discarded in
+    /// response to the events. Used by a loop whose process was paused between making a decision and writing
+    /// it.
     ///
     /// # Errors
     /// If the poller fails.
@@ -128,7 +131,8 @@
         self.remove(id);
     }
 
-    /// Closes a connection immediately. The next poll reports it, unless its end was reported when lingering began.
+    /// Closes a connection immediately. The next poll reports it, unless its end was reported when lingering
+    /// began.
     fn close_and_report(&mut self, id: Id) {
         if let Some(Source::Connection(connection)) = self.remove(id) {
             if !connection.is_lingering() {
--- a/crates/reactor/src/reactor/signals.rs
+++ b/crates/reactor/src/reactor/signals.rs
@@ -17,7 +17,8 @@
         Ok(waker)
     }
 
-    /// Reports a signal (SIGTERM, SIGHUP ...) as [`ReactorEvent::Signal`](crate::ReactorEvent::Signal) from now on.
+    /// Reports a signal (SIGTERM, SIGHUP ...) as [`ReactorEvent::Signal`](crate::ReactorEvent::Signal) from
+    /// now on.
     ///
     /// # Errors
     /// If the signal cannot be caught.
--- a/crates/reactor/src/registry.rs
+++ b/crates/reactor/src/registry.rs
@@ -47,8 +47,8 @@
     pub(crate) fn register(&mut self, source: Source, interest: fn(usize) -> Event) -> io::Result<Id> {
         let id = self.next_id;
         self.next_id += 1;
-        // SAFETY: `remove` takes every source out of the poller before it is dropped, and `drop` removes all of them
-        // before the poller is dropped.
+        // SAFETY: `remove` takes every source out of the poller before it is dropped, and `drop` removes all
+        // of them before the poller is dropped.
         unsafe { self.poller.add_with_mode(&source.as_fd(), interest(id), PollMode::Level)? };
         self.sources.insert(id, source);
         Ok(Id(id))
@@ -93,15 +93,16 @@
         }
     }
 
-    /// Changes the readiness that a source is polled for. A failure results in missing events and cannot be handled here.
+    /// Changes the readiness that a source is polled for. A failure results in missing events and cannot be
+    /// handled here.
     pub(crate) fn set_interest(&self, id: Id, interest: Event) {
         if let Some(source) = self.sources.get(&id.0) {
             let _ = self.poller.modify_with_mode(source, interest, PollMode::Level);
         }
     }
 
-    /// Waits for readiness for at most `timeout` (`None`: without limit). Returns no events if a signal handler interrupts the
-    /// wait.
+    /// Waits for readiness for at most `timeout` (`None`: without limit). Returns no events if a signal
+    /// handler interrupts the wait.
     pub(crate) fn wait(&mut self, timeout: Option<Duration>) -> io::Result<Vec<Event>> {
         self.events.clear();
         match self.poller.wait(&mut self.events, timeout) {
--- a/crates/reactor/src/signal.rs
+++ b/crates/reactor/src/signal.rs
@@ -16,8 +16,8 @@
         Ok((Waker(write), read))
     }
 
-    /// Makes the reactor's next poll return [`ReactorEvent::Woken`](crate::ReactorEvent::Woken). Has no effect if the
-    /// reactor has been dropped.
+    /// Makes the reactor's next poll return [`ReactorEvent::Woken`](crate::ReactorEvent::Woken). Has no
+    /// effect if the reactor has been dropped.
     pub fn wake(&self) {
         // If the socket buffer is full, earlier wake-ups are still pending, and another byte is not needed.
         let _ = (&self.0).write(&[0]);
--- a/crates/reactor/src/write_buffer.rs
+++ b/crates/reactor/src/write_buffer.rs
@@ -32,8 +32,8 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Removes a range of bytes if none of them has been written. Positions count from the first byte written on the
-    /// connection; those of later bytes decrease. Returns whether the range was removed.
+    /// Removes a range of bytes if none of them has been written. Positions count from the first byte written
+    /// on the connection; those of later bytes decrease. Returns whether the range was removed.
     pub(crate) fn discard(&mut self, range: Range<u64>) -> bool {
         let end = self.written + self.pending() as u64;
         if range.start < self.written || range.start > range.end || range.end > end {
@@ -66,8 +66,8 @@
     }
 }
 
-/// Whether an operation on a non-blocking socket can be retried later: it would have blocked, was interrupted, or the kernel
-/// temporarily has no memory for it.
+/// Whether an operation on a non-blocking socket can be retried later: it would have blocked, was
+/// interrupted, or the kernel temporarily has no memory for it.
 pub(crate) fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/reactor/src/write_buffer/tests.rs
+++ b/crates/reactor/src/write_buffer/tests.rs
@@ -3,7 +3,8 @@
 use super::is_transient;
 use std::io;
 
-/// Guards against closing a client's connection, and losing its answers, because the kernel temporarily had no memory.
+/// Guards against closing a client's connection, and losing its answers, because the kernel temporarily had
+/// no memory.
 #[test]
 fn only_interruption_would_block_and_lack_of_memory_are_transient() {
     let is_transient = |code: i32| is_transient(&io::Error::from_raw_os_error(code));
--- a/crates/reactor/tests/crossings.rs
+++ b/crates/reactor/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Invariants of the reactor when a peer's bytes, close or reset arrive between two polls. Peers are plain sockets whose
-//! action is complete before each poll: the write has returned, or the close has been received.
+//! Invariants of the reactor when a peer's bytes, close or reset arrive between two polls. Peers are plain
+//! sockets whose action is complete before each poll: the write has returned, or the close has been received.
 
 use slatevalve_reactor::{AcceptQueue, Id, Reactor, ReactorEvent, MAX_LINGERING};
 use std::io::{Read, Write};
@@ -134,7 +134,8 @@
     fixture.poll();
     fixture.reactor.write(first, b"pending");
     fixture.reactor.write(second, b"pending");
-    // As after a process pause: the deadline has passed before the first write. Such a poll does not wait for events.
+    // As after a process pause: the deadline has passed before the first write. Such a poll does not wait for
+    // events.
     let start = Instant::now();
     fixture.reactor.poll_until(Some(Duration::from_secs(60)), Some(start), &mut fixture.events).unwrap();
     assert_eq!((fixture.reactor.written(first), fixture.reactor.written(second)), (0, 0));
