--- a/crates/gateway/src/server/pool/requests.rs
+++ b/crates/gateway/src/server/pool/requests.rs
@@ -1,5 +1,4 @@
-//! The requests of each connection: queueing, completion, and cancellation while nothing of them has been
-//! written.
+//! Requests on connections: queueing, completion, and cancellation while no byte has been written.
 
 use super::timers::{after, Timer};
 use super::{Pool, Purpose, RequestEnd};
@@ -262,8 +261,8 @@
 
     /// Whether the kernel accepted enough of a request for a worker to run it.
     ///
-    /// Uses only the reactor's byte count, not `Connection::connected`: a
-    /// connection established in this iteration may have been written to before the pool handles its event.
+    /// Uses only the reactor's byte count, not `Connection::connected`: a connection established in this
+    /// iteration may have been written to before the pool handles its event.
     pub(super) fn has_possibly_run(&self, request: &PendingRequest, written: u64) -> bool {
         if self.protocol.can_run_partial_request() {
             written > request.bytes.start
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,5 +1,5 @@
-//! The protocols of the platform kyyti-central, without I/O: MessagePack-RPC clients, line-speaking workers,
-//! the change log.
+//! The protocols of the platform kyyti-central, without I/O: MessagePack-RPC for clients, the workers' line
+//! protocol, the change log.
 //!
 //! The modules take received bytes and the current time, and return calls, bytes to send and other outputs;
 //! the gateway owns the sockets. Input from peers is handled within fixed bounds of size, number and time,
