--- a/crates/gateway/src/commands/relay.rs
+++ b/crates/gateway/src/commands/relay.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use slatevalve_pacing::seed_of;
 use slatevalve_registry::{ClientSettings, Login, RegistrationSettings, WatchScope, WatchSettings};
-use slatevalve_relay::{run_relay, Limits, RelayPlan};
+use slatevalve_relay::{run_relay, Limits, RelaySettings};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
@@ -91,7 +91,7 @@
         seed: seed_of(1, &name),
     };
     let limits = Limits { peers: connections, ..Limits::default() };
-    run_relay(RelayPlan { name, listen, client, addresses, limits }, |address| {
+    run_relay(RelaySettings { name, listen, client, addresses, limits }, |address| {
         // The reader of the output may have exited; the relay runs nevertheless.
         let _ = print_ready(address);
     })?;
--- a/crates/gateway/src/members/replay.rs
+++ b/crates/gateway/src/members/replay.rs
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// When the file cannot be written.
-    pub fn note(&mut self, now: Micros, event: &MembershipEvent) -> io::Result<()> {
+    pub fn record(&mut self, now: Micros, event: &MembershipEvent) -> io::Result<()> {
         let started = *self.started.get_or_insert(now);
         let line = RecordedEvent { at_us: now.0 - started.0, event: event.clone() };
         writeln!(self.file, "{}", serde_json::to_string(&line).map_err(io::Error::other)?)
--- a/crates/gateway/src/server/members.rs
+++ b/crates/gateway/src/server/members.rs
@@ -64,7 +64,7 @@
 
     fn record_event(&mut self, now: Micros, event: &MembershipEvent) {
         let Some(recorder) = &mut self.recorder else { return };
-        if let Err(error) = recorder.note(now, event) {
+        if let Err(error) = recorder.record(now, event) {
             warn!(%error, "the list of workers is not recorded any more");
             self.recorder = None;
         }
--- a/crates/gateway/tests/stored_forms.rs
+++ b/crates/gateway/tests/stored_forms.rs
@@ -458,7 +458,7 @@
     let path = files.0.path().join("record.jsonl");
     let mut recorder = Recorder::open(&path).unwrap();
     for (n, news) in news().iter().enumerate() {
-        recorder.note(Micros(7 + 250 * n as i64), news).unwrap();
+        recorder.record(Micros(7 + 250 * n as i64), news).unwrap();
     }
     assert_eq!(std::fs::read_to_string(path).unwrap(), RECORDED);
 }
--- a/crates/registry/src/client/request.rs
+++ b/crates/registry/src/client/request.rs
@@ -162,7 +162,7 @@
                 let (limit, revision) = (list.limit, list.revision);
                 (RANGE, to_json(&RangeRequest { key, range_end, limit, revision, ..Default::default() }))
             }
-            Request::LivenessCheck => (RANGE, to_json(&RangeRequest::changed_last(key, range_end))),
+            Request::LivenessCheck => (RANGE, to_json(&RangeRequest::last_modified(key, range_end))),
             Request::CountRouters => {
                 let KeyRange { key, range_end } = self.range_of(ROUTERS);
                 (RANGE, to_json(&RangeRequest { key, range_end, count_only: true, ..Default::default() }))
--- a/crates/registry/src/wire/kv.rs
+++ b/crates/registry/src/wire/kv.rs
@@ -55,7 +55,7 @@
 
 impl RangeRequest {
     /// Creates a read of the last changed key of a range, and of the number of keys in the range.
-    pub fn changed_last(key: Bytes, range_end: Bytes) -> Self {
+    pub fn last_modified(key: Bytes, range_end: Bytes) -> Self {
         let (sort_order, sort_target) = ("DESCEND".into(), "MOD".into());
         RangeRequest { key, range_end, limit: 1, sort_order, sort_target, ..RangeRequest::default() }
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -17,5 +17,5 @@
 
 pub use entries::{Entries, GrantedLease};
 pub use relay::{Limits, Peer, Relay, RelayAction};
-pub use run::{run_relay, RelayError, RelayPlan};
+pub use run::{run_relay, RelayError, RelaySettings};
 pub use watch_cache::{CacheUpdate, RangeError, WatchCache};
--- a/crates/relay/src/run/mod.rs
+++ b/crates/relay/src/run/mod.rs
@@ -11,7 +11,7 @@
 
 /// The settings of [`run_relay`].
 #[derive(Clone, Debug)]
-pub struct RelayPlan {
+pub struct RelaySettings {
     /// The name, different from other relays'.
     pub name: String,
     /// The address to listen on; port 0 lets the kernel choose.
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// When a socket cannot be opened, or the event loop fails.
-pub fn run_relay(plan: RelayPlan, ready: impl FnOnce(SocketAddr)) -> Result<(), RelayError> {
+pub fn run_relay(plan: RelaySettings, ready: impl FnOnce(SocketAddr)) -> Result<(), RelayError> {
     let (mut server, address) = RelayServer::start(plan)?;
     ready(address);
     server.run().map_err(RelayError::Loop)
--- a/crates/relay/src/run/server.rs
+++ b/crates/relay/src/run/server.rs
@@ -1,6 +1,6 @@
 //! The state of the event loop, and its steps: socket events, the client's events, the relay's actions.
 
-use super::{RelayError, RelayPlan};
+use super::{RelayError, RelaySettings};
 use crate::relay::{Peer, Relay, RelayAction};
 use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use slatevalve_registry::{ClientEvent, RelayRecord, RELAYS};
@@ -95,7 +95,7 @@
 
 impl RelayServer {
     /// Opens the sockets; returns the server and the address that it listens on.
-    pub(super) fn start(plan: RelayPlan) -> Result<(Self, SocketAddr), RelayError> {
+    pub(super) fn start(plan: RelaySettings) -> Result<(Self, SocketAddr), RelayError> {
         let mut reactor = Reactor::new(BUFFERED_BYTES_MAX).map_err(RelayError::Loop)?;
         for signal in [SIGTERM, SIGINT] {
             reactor.signal(signal).map_err(RelayError::Loop)?;
