--- a/crates/gateway/src/members/registry.rs
+++ b/crates/gateway/src/members/registry.rs
@@ -1,5 +1,5 @@
-//! The registry as a source of members: the client on the event loop's sockets, its changes as events, the number of routers,
-//! and the snapshot for the next process.
+//! The registry as a source of members. Runs the registry's client on the event loop's sockets, converts its changes into
+//! membership events, derives the number of routers, and saves a snapshot for the next process.
 
 use super::{MembershipEvent, Source};
 use crate::remembered_file::RememberedFile;
@@ -16,35 +16,36 @@
 use std::path::{Path, PathBuf};
 use tracing::{error, info, warn};
 
-/// The `members` form of the settings.
+/// The parsed `members` form of the settings file.
 #[derive(Clone, Debug)]
 pub struct MemberSettings {
-    /// Settings of the client; its own entry is filled in by the source.
+    /// Settings of the client; [`RegistrySource::new`] sets `own` to this router's entry.
     pub client: ClientSettings,
-    /// Addresses of the endpoints, in the client's order.
+    /// Addresses of the endpoints, in the order of `client.endpoints`.
     pub addresses: Vec<SocketAddr>,
-    /// Settings of the router count.
+    /// How fast the assumed number of routers follows the listed one.
     pub router_count: RouterCountSettings,
-    /// The file of the snapshot for the next process.
+    /// The file in which the snapshot for the next process is saved; `None` saves none.
     pub remember: Option<PathBuf>,
-    /// The file in which events are recorded.
+    /// The file in which events are recorded; `None` records none.
     pub record: Option<PathBuf>,
 }
 
-/// Whether the balancer follows the registry's list.
+/// What the balancer was last informed of.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Reported {
-    /// Neither a complete list nor a stale one was reported yet.
+    /// Nothing yet, except perhaps the list of a snapshot.
     Nothing,
-    /// A complete list was reported, and changes since.
+    /// A complete list, and all changes since then.
     Current,
-    /// The list was reported as stale.
+    /// That the list is stale.
     Stale,
 }
 
-/// An orderly stop.
+/// The progress of an orderly stop.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Departure {
+    /// No stop was requested.
     Running,
     /// The revocation of the lease is in flight; holds its ticket.
     Revoking(u64),
@@ -56,7 +57,7 @@
     link: Link,
     members: Members,
     router_count: RouterCount,
-    /// The number of routers that the registry lists, once it was read.
+    /// The number of routers that the registry lists; none before the first count.
     listed_routers: Option<usize>,
     events: Vec<MembershipEvent>,
     reported: Reported,
@@ -65,7 +66,8 @@
 }
 
 impl RegistrySource {
-    /// Creates a source that registers this router under a name, and assumes `routers` until the registry is read.
+    /// Creates a source that registers this router as `name` with the given record, and assumes `routers` routers until the
+    /// registry was read.
     pub fn new(settings: MemberSettings, name: &str, record: &RouterRecord, routers: usize) -> Self {
         let mut client = settings.client;
         let value = serde_json::to_vec(record).unwrap_or_default();
@@ -88,30 +90,35 @@
         source
     }
 
-    /// Loads the snapshot of an earlier process, to be used until the registry answers.
+    /// Loads the snapshot of an earlier process, which is used until the registry answers.
     fn load_snapshot(&mut self, path: &Path, settings: RouterCountSettings) {
         let bytes = match fs::read(path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return,
             Err(error) => {
-                return warn!(path = %path.display(), %error, "the last list of workers is not read")
+                return warn!(path = %path.display(), %error, "the snapshot of the list of workers cannot be read")
             }
         };
-        let LoadedSnapshot { changes, clients: routers } =
-            match self.link.client_mut().watch_state_mut().load_snapshot(&bytes) {
-                Ok(snapshot) => snapshot,
-                Err(error) => {
-                    return warn!(path = %path.display(), %error, "the last list of workers is not read")
-                }
-            };
-        // The number before the restart is a better guess than the settings', above all where all restart together.
+        let LoadedSnapshot { changes, clients: routers } = match self
+            .link
+            .client_mut()
+            .watch_state_mut()
+            .load_snapshot(&bytes)
+        {
+            Ok(snapshot) => snapshot,
+            Err(error) => {
+                return warn!(path = %path.display(), %error, "the snapshot of the list of workers cannot be read")
+            }
+        };
+        // The number before the restart is a better estimate than the configured one, in particular if all routers restart at
+        // the same time.
         if routers > self.router_count.routers() {
             self.router_count = RouterCount::new(settings, routers);
             self.report_routers(routers);
         }
         let AppliedChanges { errors, .. } = self.members.apply(changes);
         errors.iter().for_each(|error| warn!(%error, "a record is not taken"));
-        info!(workers = self.members.workers().len(), "the last list of workers, from the disk");
+        info!(workers = self.members.workers().len(), "loaded the snapshot of the list of workers");
         self.events.push(MembershipEvent::Remembered(self.members.workers().clone()));
     }
 
@@ -120,7 +127,7 @@
         self.events.push(MembershipEvent::Routers(routers));
     }
 
-    /// Turns the client's events into events of the source, and saves a snapshot after a change.
+    /// Converts the client's events into membership events, and saves a snapshot after a change.
     fn process_client_events(&mut self, now: Micros) {
         let mut members_changed = false;
         for event in self.link.take_events() {
@@ -130,12 +137,12 @@
                     members_changed = true;
                 }
                 ClientEvent::WatchFault(fault) => {
-                    warn!(?fault, "registry: the list is compared anew, or the watch begun again")
+                    warn!(?fault, "registry: the list is compared anew, or the watch restarted")
                 }
                 ClientEvent::Failed(reason) => warn!(%reason, "registry: request failed"),
                 ClientEvent::Registered => info!("registered"),
                 ClientEvent::Routers(count) => self.listed_routers = Some(count),
-                ClientEvent::LeaseLost => warn!("registry: our lease was lost; it is had anew"),
+                ClientEvent::LeaseLost => warn!("registry: our lease was lost; registering again"),
                 ClientEvent::Answered(ticket, _) => {
                     if self.departure == Departure::Revoking(ticket) {
                         self.departure = Departure::Done;
@@ -153,9 +160,11 @@
 
     fn apply_changes(&mut self, changes: Vec<Change>) {
         let AppliedChanges { changes, errors } = self.members.apply(changes);
-        errors.iter().for_each(|error| warn!(%error, "a record is not taken; what was known stays"));
+        errors.iter().for_each(
+            |error| warn!(%error, "a record is not taken; the previous record of this member remains in use"),
+        );
         if self.reported != Reported::Current {
-            // The complete list follows.
+            // The complete list, which contains these changes, is reported once the client is current.
             return;
         }
         let workers = changes.into_iter().filter_map(|change| match change {
@@ -169,6 +178,7 @@
         }
     }
 
+    /// Reports the complete list when the client becomes current, and a loss of the registry when it becomes stale.
     fn report_freshness(&mut self, freshness: Freshness) {
         match freshness {
             Freshness::Current if self.reported != Reported::Current => {
@@ -177,14 +187,14 @@
             }
             Freshness::Stale if self.reported != Reported::Stale => {
                 self.reported = Reported::Stale;
-                error!("nothing is heard of the registry; the workers that were known are used on");
+                error!("nothing is heard of the registry; the last known workers remain in use");
                 self.events.push(MembershipEvent::Refused);
             }
             _ => {}
         }
     }
 
-    /// Returns whether the assumed number of routers changed.
+    /// Updates the assumed number of routers; returns whether it changed.
     fn update_router_count(&mut self, now: Micros, freshness: Freshness) -> bool {
         let Some(listed) = self.listed_routers else { return false };
         let Some(routers) = self.router_count.listed(now.0, listed, freshness) else { return false };
--- a/crates/gateway/src/members/replay.rs
+++ b/crates/gateway/src/members/replay.rs
@@ -1,4 +1,5 @@
-//! A recorded source: each event as a line of JSON with its time, written by a running gateway and replayed by another one.
+//! Recording and replay of membership events. Each line of the file is a JSON object with an event and its time; one gateway
+//! writes the file and another one replays it.
 
 use super::{MembershipEvent, Source};
 use serde::{Deserialize, Serialize};
@@ -12,21 +13,21 @@
 /// A line of a recorded file.
 #[derive(Serialize, Deserialize)]
 struct RecordedEvent {
-    /// Microseconds since the first line.
+    /// Microseconds since the first event.
     at_us: i64,
     #[serde(rename = "news")]
     event: MembershipEvent,
 }
 
-/// Writes events to a file.
+/// Records membership events to a file.
 pub struct Recorder {
     file: File,
-    /// The time of the first event.
+    /// The time of the first event; none before it.
     started: Option<Micros>,
 }
 
 impl Recorder {
-    /// Creates a recorder to a file, which is truncated.
+    /// Creates a recorder that writes to `path`; an existing file is truncated.
     ///
     /// # Errors
     /// When the file cannot be opened for writing.
@@ -35,10 +36,10 @@
         Ok(Recorder { file, started: None })
     }
 
-    /// Writes an event.
+    /// Writes an event as a line of the file.
     ///
     /// # Errors
-    /// When the file cannot be written.
+    /// When the event cannot be written.
     pub fn record(&mut self, now: Micros, event: &MembershipEvent) -> io::Result<()> {
         let started = *self.started.get_or_insert(now);
         let line = RecordedEvent { at_us: now.0 - started.0, event: event.clone() };
@@ -46,16 +47,18 @@
     }
 }
 
-/// Replays a recorded file.
+/// A source that replays the events of a recorded file at their recorded times.
 pub struct ReplaySource {
-    /// When the replay started.
+    /// When the replay started, which is the first call of [`Source::advance`].
     started: Option<Micros>,
+    /// The events that are not due yet.
     recorded: VecDeque<RecordedEvent>,
+    /// The due events that were not taken yet.
     due: Vec<MembershipEvent>,
 }
 
 impl ReplaySource {
-    /// Reads a recorded file.
+    /// Reads a recorded file completely.
     ///
     /// # Errors
     /// When the file cannot be read or a line is malformed; the error names the line.
--- a/crates/gateway/src/members/start_times.rs
+++ b/crates/gateway/src/members/start_times.rs
@@ -1,28 +1,30 @@
-//! Start times of workers by this process's clock, derived from those that workers report by theirs.
+//! Start times of workers on this process's clock, derived from the start times that workers report by their own clocks.
 //!
-//! The clocks may differ. A worker whose clock is an hour ahead must not be in slow start for an hour, and a worker that
-//! restarted with its clock set back must still be recognized as a new process.
+//! The clocks may differ. A worker whose clock is an hour ahead must not stay in slow start for an hour, and a worker that
+//! restarted after its clock was set back must still be recognized as a new process.
 
 use slatevalve::{Micros, WorkerId};
 use std::collections::HashMap;
 
 #[derive(Debug)]
 struct KnownStart {
-    /// As reported by the worker, in milliseconds of the Unix clock.
+    /// The start time that the worker reported, in milliseconds of its Unix clock.
     reported_unix_ms: f64,
+    /// The same start on this process's clock.
     start: Micros,
 }
 
-/// The last start time of each worker; see the module's documentation.
+/// The last known start time of each worker; see the module's documentation.
 #[derive(Debug, Default)]
 pub struct WorkerStartTimes {
     known: HashMap<WorkerId, KnownStart>,
 }
 
 impl WorkerStartTimes {
-    /// Returns the start time of a worker that reports a Unix time in milliseconds, which is `converted` by this process's
-    /// clock. The same report gives the same time again; another one is a new process, which started later than the one
-    /// before and not later than now.
+    /// Returns a worker's start time on this process's clock. `reported_unix_ms` is the time that the worker reports, and
+    /// `converted` is that time converted to this process's clock. The same reported time always gives the same result. A
+    /// different one shows a new process, which started after the previous one and not after `now`; if `converted` is not
+    /// between the two, the result is `now`.
     pub fn resolve(
         &mut self,
         now: Micros,
@@ -40,7 +42,7 @@
         start
     }
 
-    /// Removes workers that are not listed any more.
+    /// Removes the workers for which `is_listed` returns false.
     pub fn retain(&mut self, is_listed: impl Fn(&WorkerId) -> bool) {
         self.known.retain(|worker, _| is_listed(worker));
     }
--- a/crates/gateway/src/server/members.rs
+++ b/crates/gateway/src/server/members.rs
@@ -1,5 +1,5 @@
-//! Membership in the event loop: opens the source that the settings name, and applies its events to the pool and the engine in
-//! their order, so that the balancer handles a drain before anything else of its batch.
+//! Membership in the event loop: opens the source that the settings name, and applies its events to the pool and the engine.
+//! The order of events is kept, so that the balancer handles the drains of a batch before its other changes.
 
 use super::{GatewayError, GatewayServer};
 use crate::members::{MemberSettings, MembershipEvent, Recorder, RegistrySource, ReplaySource, Source};
@@ -11,10 +11,10 @@
 use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
-/// The source of members and the recorder of its events, where the settings name them.
+/// The source of members and the recorder of its events, as far as the settings name them.
 type Opened = (Option<Box<dyn Source>>, Option<Recorder>);
 
-/// Opens the source that the settings name. `up_since_unix_ms` is this process's start.
+/// Opens the source that the settings name. `up_since_unix_ms` is the start of this process in milliseconds of the Unix clock.
 pub(super) fn open(site: &Site, up_since_unix_ms: i64) -> Result<Opened, GatewayError> {
     match &site.members {
         None => Ok((None, None)),
@@ -37,13 +37,13 @@
     settings.record.as_ref().map(open).transpose()
 }
 
-/// Converts an error of the file of recorded events.
+/// Converts an I/O error of the file of recorded events.
 fn record_error(path: &Path) -> impl FnOnce(std::io::Error) -> GatewayError + use<'_> {
     |error| GatewayError::Record(path.to_path_buf(), error)
 }
 
 impl GatewayServer {
-    /// Takes the events of the source, and records and applies them.
+    /// Takes, records and applies the pending events of the source.
     pub(super) fn take_membership_events(&mut self, now: Micros) {
         let events = self.source.as_mut().map(|source| source.take_membership_events()).unwrap_or_default();
         for event in events {
@@ -65,18 +65,22 @@
     fn record_event(&mut self, now: Micros, event: &MembershipEvent) {
         let Some(recorder) = &mut self.recorder else { return };
         if let Err(error) = recorder.record(now, event) {
-            warn!(%error, "the list of workers is not recorded any more");
+            warn!(%error, "recording of membership events failed and has stopped");
             self.recorder = None;
         }
     }
 
-    /// Converts a worker's record; returns none where another worker has the same id.
+    /// Converts a worker's record; returns `None` if another worker has the same id, which is derived from the name.
     fn worker_line(&mut self, name: &str, record: &WorkerRecord) -> Option<WorkerLine> {
         let mut line = WorkerLine::of(name, record, &mut self.site.named, &self.clock);
         let worker = line.entry.id;
         let known = self.names.entry(worker).or_insert_with(|| name.into());
         if known != name {
-            warn!(name, other = known.as_str(), "a worker has the same id as another one; it is not used");
+            warn!(
+                name,
+                other = known.as_str(),
+                "this worker is not used because its id is the same as that of another worker"
+            );
             return None;
         }
         if let (Some(reported), Some(converted)) = (record.up_since_unix_ms, line.entry.up_since) {
@@ -96,7 +100,7 @@
         self.apply_worker_list(scope, &lines);
     }
 
-    /// Applies changed workers, and cancels the unsent requests to those that drain, moved or were removed.
+    /// Applies changed workers, and cancels the unsent requests to workers that drain, were removed or have a new address.
     fn apply_changes(&mut self, now: Micros, changes: Vec<(String, Option<WorkerRecord>)>) {
         let (mut entries, mut to_cancel) = (Vec::new(), Vec::new());
         for (name, record) in changes {
@@ -120,7 +124,7 @@
         self.cancel_unsent(now, to_cancel);
     }
 
-    /// Updates a worker in the pool; returns whether it drains or has another address.
+    /// Adds or updates a worker in the pool; returns whether it drains or has a new address.
     fn list_worker(&mut self, name: &str, line: &WorkerLine) -> bool {
         let worker = line.entry.id;
         info!(worker = name, state = ?line.entry.state, "worker");
@@ -129,7 +133,7 @@
         moved || line.entry.state == WorkerState::Draining
     }
 
-    /// Removes a worker from the pool; returns its entry for the engine, or none for an unknown worker.
+    /// Removes a worker from the pool; returns the entry that reports it to the engine as gone, or `None` for an unknown worker.
     fn unlist_worker(&mut self, name: &str) -> Option<WorkerEntry> {
         let id: WorkerId = worker_id(name);
         if self.names.get(&id).is_none_or(|known| known != name) {
--- a/crates/registry-transport/src/lib.rs
+++ b/crates/registry-transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! The registry's [`Client`] on sockets of a [`Reactor`], for the event loops of gateways, test workers and commands. It
-//! transfers bytes between the two and takes no decisions.
+//! Runs the registry's [`Client`] on sockets of a [`Reactor`], for the event loops of gateways, relays, test workers and
+//! commands. It only transfers bytes and events between the two; all decisions are made by the client.
 #![forbid(unsafe_code)]
 
 use slatevalve_reactor::{Id, Reactor, ReactorEvent};
@@ -16,29 +16,29 @@
 }
 
 impl Link {
-    /// Creates a link to members at these addresses, in the order of the settings' endpoints.
+    /// Creates a link to the given addresses, which are in the order of [`ClientSettings::endpoints`].
     pub fn new(settings: ClientSettings, endpoints: Vec<SocketAddr>) -> Self {
         Link { client: Client::new(settings), endpoints, sockets: BTreeMap::new(), events: Vec::new() }
     }
 
-    /// Returns the client.
+    /// Returns the client, to read its state.
     #[must_use]
     pub fn client(&self) -> &Client {
         &self.client
     }
 
-    /// Returns the client, to send requests or change its entry.
+    /// Returns the client, to send requests or change this process's entry.
     pub fn client_mut(&mut self) -> &mut Client {
         &mut self.client
     }
 
-    /// Returns when [`Link::advance`] is due if nothing happens before.
+    /// Returns when [`Link::advance`] is due if no event occurs earlier.
     #[must_use]
     pub fn next_wake(&self, now_us: i64) -> i64 {
         self.client.next_wake(now_us)
     }
 
-    /// Handles the passing of time.
+    /// Handles the passage of time, such as timeouts and due requests.
     pub fn advance(&mut self, now_us: i64, reactor: &mut Reactor) {
         let mut actions = Vec::new();
         self.client.advance(now_us, &mut actions, &mut self.events);
@@ -50,7 +50,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Handles an event of one of the link's sockets; returns `false` for an event of any other source.
+    /// Handles an event of one of the link's sockets; returns `false` if the event is not from one of them.
     pub fn handle_event(&mut self, now_us: i64, reactor: &mut Reactor, event: &ReactorEvent) -> bool {
         let (ReactorEvent::Connected(id) | ReactorEvent::Received(id, _) | ReactorEvent::Closed { id, .. }) =
             event
@@ -69,7 +69,7 @@
                 self.client.closed(now_us, channel, &mut actions, &mut self.events);
             }
         }
-        // A response may be followed by the next request at once.
+        // After a response the next request may already be due.
         self.client.advance(now_us, &mut actions, &mut self.events);
         self.execute(now_us, reactor, actions);
         true
@@ -97,6 +97,7 @@
         }
     }
 
+    /// Connects to an endpoint; a failure is reported to the client as a closed connection.
     fn open(&mut self, now_us: i64, reactor: &mut Reactor, channel: Channel, endpoint: usize) {
         let address = self.endpoints.get(endpoint);
         if let Some(id) = address.and_then(|address| reactor.connect(*address).ok()) {
--- a/crates/registry/benches/catch_up.rs
+++ b/crates/registry/benches/catch_up.rs
@@ -1,5 +1,6 @@
-//! What catching up after a break longer than the history costs: bytes of the list, memory of the follower, and the time to
-//! read and compare it, beside reading the JSON alone. `cargo bench -p slatevalve-registry`
+//! The cost of a full resync, which is required after an interruption longer than the registry's history: size of the list,
+//! memory of the cache, and the time to parse and compare the list, compared with the time to parse the JSON alone.
+//! Run with `cargo bench -p slatevalve-registry`.
 
 use criterion::{BenchmarkId, Criterion};
 use slatevalve_registry::wire::{Bytes, Header, KeyValue, RangeResponse};
@@ -7,12 +8,12 @@
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Counts bytes that are in use.
+/// An allocator that counts the bytes in use.
 struct Counting;
 
 static IN_USE: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call goes on to the system's allocator with what it was given.
+// SAFETY: every call is forwarded to the system's allocator with unchanged arguments.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
@@ -28,7 +29,7 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
-/// The answer to a list of so many workers, of which each tenth drains where `later`.
+/// Returns the response to a list of `workers` workers; if `later`, every tenth one drains.
 fn list(workers: usize, later: bool) -> Vec<u8> {
     let kvs = (0..workers).map(|n| {
         let drains = later && n % 10 == 0;
@@ -45,12 +46,12 @@
         KeyValue { key, value: Bytes::of(&value), create_revision: n as i64 + 2, mod_revision: changed, version: 1, lease: 7 }
     });
     let header = Header { cluster_id: 1, member_id: 1, revision: 200_000 + i64::from(later) };
-    let answer = RangeResponse { header, kvs: kvs.collect(), more: false, count: workers as i64 };
-    serde_json::to_vec(&answer).unwrap()
+    let response = RangeResponse { header, kvs: kvs.collect(), more: false, count: workers as i64 };
+    serde_json::to_vec(&response).unwrap()
 }
 
 fn catch_up(c: &mut Criterion) {
-    let mut group = c.benchmark_group("a list after a break");
+    let mut group = c.benchmark_group("a list after an interruption");
     group.sample_size(30);
     for workers in [85, 1_000] {
         let (before, after) = (list(workers, false), list(workers, true));
@@ -60,9 +61,9 @@
         let mut watch_state = WatchState::new(settings);
         assert_eq!(watch_state.handle_list(0, read(&before)).len(), workers);
         let memory = IN_USE.load(Ordering::Relaxed) - empty;
-        println!("{workers} workers: a list of {} bytes, {memory} bytes held by the follower", after.len());
+        println!("{workers} workers: a list of {} bytes, {memory} bytes used by the cache", after.len());
         drop(watch_state);
-        group.bench_function(BenchmarkId::new("read and compared", workers), |b| {
+        group.bench_function(BenchmarkId::new("parse and compare", workers), |b| {
             b.iter_batched(
                 || {
                     let mut watch_state = WatchState::new(settings);
@@ -78,7 +79,7 @@
                 criterion::BatchSize::SmallInput,
             );
         });
-        group.bench_function(BenchmarkId::new("read alone", workers), |b| b.iter(|| read(&after).kvs.len()));
+        group.bench_function(BenchmarkId::new("parse only", workers), |b| b.iter(|| read(&after).kvs.len()));
     }
     group.finish();
 }
--- a/crates/registry/src/client/connection.rs
+++ b/crates/registry/src/client/connection.rs
@@ -1,31 +1,34 @@
-//! One of the client's two connections: its state, the request in flight and the response received so far.
+//! A connection of the client: its state, the request in flight and the response received so far.
 
 use super::request::Request;
 use slatevalve_http::{Limits, MessageDecoder, Side};
 
-/// Whether a connection is open, and the request that it carries.
+/// The state of a connection, with the request that it carries or is being opened for.
 #[derive(Debug)]
 pub(super) enum ConnectionState {
     Closed,
-    /// Not connected yet; the request is sent once it is.
+    /// The connection is being opened; the request is sent once it is established.
     Connecting(Request),
+    /// Open, without a request in flight.
     Idle,
+    /// Open, with this request in flight.
     Busy(Request),
 }
 
-/// One of the two connections.
+/// A connection and the response that it is receiving.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) state: ConnectionState,
     pub(super) reader: MessageDecoder,
-    /// The status and the body of the response in progress.
+    /// Status of the response in progress, once its head is received.
     pub(super) status: u16,
+    /// Body of the response in progress, as far as it is received and not yet processed.
     pub(super) body: Vec<u8>,
-    /// When the connection was opened, or the request was sent.
+    /// When opening the connection started, or the last request was sent; request timeouts count from here.
     pub(super) started_us: i64,
-    /// Whether the peer closes the connection after this response.
+    /// Whether the server announced that it closes the connection after this response.
     pub(super) closes_after_response: bool,
-    /// The `Retry-After` of a response 429 or 503.
+    /// The `Retry-After` header of a 429 or 503 response.
     pub(super) retry_after_us: Option<i64>,
 }
 
@@ -43,7 +46,7 @@
         }
     }
 
-    /// Returns the request that is in flight, or that the connection is being opened for.
+    /// Returns the request in flight, or the one that the connection is being opened for.
     pub(super) fn request(&self) -> Option<&Request> {
         match &self.state {
             ConnectionState::Connecting(request) | ConnectionState::Busy(request) => Some(request),
@@ -51,7 +54,7 @@
         }
     }
 
-    /// Returns whether a request can be sent, after opening the connection if need be.
+    /// Returns whether a request can be sent now, or after opening the connection.
     pub(super) fn is_available(&self) -> bool {
         matches!(self.state, ConnectionState::Closed | ConnectionState::Idle)
     }
--- a/crates/registry/src/client/endpoints/tests.rs
+++ b/crates/registry/src/client/endpoints/tests.rs
@@ -4,17 +4,17 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn relays_come_first_and_the_registry_is_left_again_after_a_while() {
+fn relays_are_tried_before_the_registry_and_retried_after_a_fallback() {
     let mut endpoints = Endpoints::new(5, 3, 7);
     let tried: Vec<usize> = (0..5)
         .map(|_| {
-            let now = endpoints.current();
+            let current = endpoints.current();
             endpoints.failed(1_000);
-            now
+            current
         })
         .collect();
     assert!(tried[..3].iter().all(|n| *n < 3) && tried[3..].iter().all(|n| *n >= 3), "{tried:?}");
-    assert_eq!(endpoints.relay_retry_us(), None, "the round is over: relays again");
+    assert_eq!(endpoints.relay_retry_us(), None, "after the last endpoint the first relay is current again");
     (0..3).for_each(|_| endpoints.failed(1_000));
     assert!(endpoints.relay_retry_us().is_some_and(|at| at > 1_000 + RELAY_RETRY_AFTER_US - 1));
     endpoints.return_to_relays();
@@ -22,15 +22,17 @@
 }
 
 #[test]
-fn whoever_loses_one_relay_is_spread_over_all_others() {
-    let mut next: BTreeMap<usize, usize> = BTreeMap::new();
+fn clients_of_a_failed_relay_spread_over_all_other_relays() {
+    let mut clients_by_next_endpoint: BTreeMap<usize, usize> = BTreeMap::new();
     for seed in 0..400 {
         let mut endpoints = Endpoints::new(5, 4, seed);
         if endpoints.current() == 0 {
             endpoints.failed(0);
-            *next.entry(endpoints.current()).or_default() += 1;
+            *clients_by_next_endpoint.entry(endpoints.current()).or_default() += 1;
         }
     }
-    let all: usize = next.values().sum();
-    assert!(next.len() == 3 && next.values().all(|n| *n * 5 > all), "{next:?}");
+    let all: usize = clients_by_next_endpoint.values().sum();
+    let spread =
+        clients_by_next_endpoint.len() == 3 && clients_by_next_endpoint.values().all(|n| *n * 5 > all);
+    assert!(spread, "{clients_by_next_endpoint:?}");
 }
--- a/crates/registry/src/client/error.rs
+++ b/crates/registry/src/client/error.rs
@@ -1,27 +1,27 @@
-//! Errors of requests that the client's owner sends.
+//! Errors of the requests that the client's owner sends.
 
 use std::fmt;
 
-/// Why a request of [`Client::send_request`](super::Client::send_request) has no response.
+/// Why a request sent with [`Client::send_request`](super::Client::send_request) has no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The registry rejected the request.
+    /// The registry responded with an error.
     Rejected {
-        /// The HTTP status.
+        /// The HTTP status; not 200.
         status: u16,
-        /// The registry's message.
+        /// The message of the error body; empty if the body could not be parsed.
         message: String,
     },
-    /// The member is overloaded and did not execute the request.
+    /// The endpoint is overloaded and did not execute the request.
     Overloaded {
-        /// The HTTP status.
+        /// The HTTP status, 429 or 503.
         status: u16,
     },
-    /// The connection or the response was lost, so that the request may have been executed.
+    /// The connection was lost before a response arrived; the request may have been executed.
     OutcomeUnknown {
-        /// The member, `HOST:PORT`.
+        /// The endpoint, `HOST:PORT`.
         endpoint: String,
-        /// What was lost.
+        /// What failed.
         reason: String,
     },
 }
@@ -29,10 +29,12 @@
 impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RequestError::Rejected { status, message } => write!(f, "{status}: {message}"),
-            RequestError::Overloaded { status } => write!(f, "{status}: it has too much to do"),
+            RequestError::Rejected { status, message } => write!(f, "HTTP status {status}: {message}"),
+            RequestError::Overloaded { status } => {
+                write!(f, "HTTP status {status}: it has too much to do")
+            }
             RequestError::OutcomeUnknown { endpoint, reason } => {
-                write!(f, "{endpoint}: {reason}; it may have been done")
+                write!(f, "{endpoint}: {reason}; the request may have been executed")
             }
         }
     }
--- a/crates/registry/src/client/mod.rs
+++ b/crates/registry/src/client/mod.rs
@@ -1,11 +1,17 @@
-//! The registry's client without I/O: the requests of the watch, the registration and the caller, as HTTP messages on two
-//! connections, and their responses. One connection carries the watch, whose response never ends; the other carries one short
-//! request at a time. The owner (gateway, relay, test worker, commands) opens the sockets, see [`SocketAction`].
+//! The registry's client, without I/O. It encodes the requests of the watch, the registration and the caller as HTTP messages
+//! on two connections, and handles the responses. One connection carries the watch, whose response never ends; the other one
+//! carries short requests, one at a time. The owner (gateway, relay, test worker, commands) opens the sockets as requested by
+//! [`SocketAction`]s.
 //!
-//! Members that accept and never answer are given up after a timeout, and the next one is tried (see [`Endpoints`]); a stalled
-//! watch is detected by liveness checks; an expired token leads to a login and a repeated request. To protect the registry
-//! from hundreds of clients, [`PollSchedule`] spreads requests, a keep-alive replaces a liveness check where nothing changed,
-//! and routers are counted instead of watched.
+//! Failures are handled as follows:
+//!
+//! - An endpoint that accepts connections but does not answer is abandoned after a timeout, and the next one is tried (see
+//!   [`Endpoints`]).
+//! - A stalled watch is detected by liveness checks.
+//! - An expired token leads to a new login, after which the request is sent again.
+//!
+//! Three measures limit the load that hundreds of clients put on the registry: [`PollSchedule`] spreads requests over time, a
+//! keep-alive replaces a liveness check if nothing changed, and routers are counted rather than watched.
 
 mod connection;
 mod endpoints;
@@ -30,13 +36,13 @@
 use slatevalve_pacing::PollSchedule;
 use std::collections::VecDeque;
 
-/// Share of the registry's request rate for the liveness checks of all clients together.
+/// Fraction of the registry's request rate that the liveness checks of all clients together may use.
 const LIVENESS_CHECK_RATE_SHARE: f64 = 0.045;
-/// Share of the registry's request rate for the full resyncs of all clients together.
+/// Fraction of the registry's request rate that the full resyncs of all clients together may use.
 const FULL_RESYNC_RATE_SHARE: f64 = 0.002;
-/// The longest interval of full resyncs, whatever the number of clients.
+/// Upper bound on the interval of full resyncs, however many clients there are.
 const FULL_RESYNC_INTERVAL_MAX_US: i64 = 600_000_000;
-/// [`Client::next_wake`] is at most this far ahead.
+/// Upper bound on the delay that [`Client::next_wake`] returns.
 const WAKE_INTERVAL_MAX_US: i64 = 1_000_000;
 
 /// A client of the registry; see the module's documentation. Times are in microseconds of a monotonic clock.
@@ -46,24 +52,24 @@
     registration: Option<Registration>,
     endpoints: Endpoints,
     poll_schedule: PollSchedule,
-    /// Whether the first delays were drawn, on the first call of [`Client::advance`].
+    /// Whether the initial random delays are set, which the first call of [`Client::advance`] does.
     is_started: bool,
-    /// No request is sent before.
+    /// No request is sent before this time.
     not_before_us: i64,
-    /// No short request is sent before.
+    /// No short request is sent before this time.
     short_not_before_us: i64,
-    /// The registration, and the count of routers, come after the first lists of all clients.
+    /// Registration and router counts start at this time, so that the first lists of all clients are served before them.
     register_from_us: i64,
     router_poll: RouterPoll,
-    /// A keep-alive did not serve as the due liveness check.
-    liveness_check_owed: bool,
-    /// The number of consecutive lists older than the reported revision.
+    /// Whether a keep-alive was sent in place of a due liveness check but could not replace it.
+    liveness_check_pending: bool,
+    /// The number of consecutive lists that were older than the reported revision.
     outdated_lists: usize,
-    /// The token of the login.
+    /// The token of the last login; none before the first one and once the registry rejected it.
     token: Option<String>,
     watch: Connection,
     short: Connection,
-    /// Whether the registry confirmed the start of the watch.
+    /// Whether the registry confirmed that the watch is created.
     is_watching: bool,
     caller_requests: VecDeque<CallerRequest>,
     last_ticket: u64,
@@ -72,7 +78,7 @@
 }
 
 impl Client {
-    /// Creates a client that is not connected.
+    /// Creates a client without connections; the first call of [`Client::advance`] starts it.
     pub fn new(settings: ClientSettings) -> Self {
         let endpoints = Endpoints::new(settings.endpoints.len(), settings.relays, settings.seed);
         Client {
@@ -85,7 +91,7 @@
             short_not_before_us: 0,
             register_from_us: 0,
             router_poll: RouterPoll::new(),
-            liveness_check_owed: false,
+            liveness_check_pending: false,
             outdated_lists: 0,
             settings,
             token: None,
@@ -99,31 +105,32 @@
         }
     }
 
-    /// Returns the followed keys.
+    /// Returns the cache of the followed keys.
     #[must_use]
     pub fn watch_state(&self) -> &WatchState {
         &self.watch_state
     }
 
-    /// Returns the followed keys, to load a snapshot of an earlier process.
+    /// Returns the cache of the followed keys, to load a snapshot of an earlier process into it.
     pub fn watch_state_mut(&mut self) -> &mut WatchState {
         &mut self.watch_state
     }
 
-    /// Sets the number of the registry's clients, this one included.
+    /// Sets the number of the registry's clients, including this one. It determines the intervals of requests.
     pub fn set_clients(&mut self, clients: usize) {
         self.poll_schedule.set_clients(clients);
     }
 
-    /// Returns the bound on the time until a change is received from a registry that answers, where the watch stalled with
-    /// its connection open: the interval of liveness checks, the response time, and one more check for events in flight.
+    /// Returns the upper bound on the delay of a change while the registry answers but the watch has stalled on an open
+    /// connection. It covers the interval of liveness checks, the response time, and a second check that allows for events
+    /// in flight.
     #[must_use]
     pub fn drain_bound_us(&self) -> i64 {
         self.settings.drain_within_us
     }
 
-    /// Sends a request of the caller's once and returns its ticket. It is not repeated where its outcome is unknown. The
-    /// response is a [`ClientEvent::Answered`].
+    /// Queues a request of the caller and returns its ticket. [`ClientEvent::Answered`] reports the outcome. The request is
+    /// not sent again if its outcome is unknown.
     pub fn send_request(&mut self, path: &'static str, body: &impl Serialize) -> u64 {
         self.last_ticket += 1;
         let body = serde_json::to_vec(body).unwrap_or_default();
@@ -131,7 +138,7 @@
         self.last_ticket
     }
 
-    /// Changes the value of this process's entry, such as to drain; it is written at once under the present lease.
+    /// Changes the value of this process's entry, for example to drain. It is written under the current lease right away.
     pub fn announce(&mut self, value: Vec<u8>) {
         if let Some((_, current)) = &mut self.settings.own {
             *current = value;
@@ -143,7 +150,8 @@
         }
     }
 
-    /// Revokes the lease, and with it the entry, for an orderly stop. Returns the ticket of the request, if there is a lease.
+    /// Revokes the lease for an orderly stop, which also deletes the entry. Returns the ticket of the request, or none if there
+    /// is no lease.
     pub fn leave(&mut self) -> Option<u64> {
         let lease = self.registration.take()?.lease()?;
         self.is_leaving = true;
@@ -164,7 +172,7 @@
         }
     }
 
-    /// Returns when a request on the channel times out; none where no response is due, as of an active watch.
+    /// Returns when the request on the channel times out; `None` if no response is awaited, as on an active watch.
     fn times_out_at_us(&self, channel: Channel) -> Option<i64> {
         let connection = self.connection(channel);
         let request = connection.request()?;
@@ -172,7 +180,7 @@
         awaits_response.then(|| connection.started_us.saturating_add(self.settings.timeout_us))
     }
 
-    /// Returns when to call [`Client::advance`] if nothing happens before.
+    /// Returns when [`Client::advance`] is due if no event occurs earlier.
     #[must_use]
     pub fn next_wake(&self, now_us: i64) -> i64 {
         let timeouts = [Channel::Watch, Channel::Short].map(|channel| self.times_out_at_us(channel));
@@ -201,7 +209,7 @@
         timers.into_iter().flatten().fold(due_us, i64::min).max(now_us)
     }
 
-    /// Handles the passing of time: gives up requests that timed out, and sends those that are due.
+    /// Handles the passage of time: fails requests that timed out and sends requests that are due.
     pub fn advance(&mut self, now_us: i64, actions: &mut Vec<SocketAction>, events: &mut Vec<ClientEvent>) {
         let out = &mut Outputs { now_us, actions, events };
         if !self.is_started {
@@ -209,7 +217,7 @@
         }
         for channel in [Channel::Watch, Channel::Short] {
             if self.times_out_at_us(channel).is_some_and(|at_us| now_us >= at_us) {
-                self.request_failed(channel, "it does not answer", out);
+                self.request_failed(channel, "the endpoint does not answer", out);
             }
         }
         if now_us < self.not_before_us {
@@ -233,7 +241,7 @@
         }
     }
 
-    /// Draws the delay of the first request, and of the registration and the count of routers.
+    /// Sets random delays for the first request, and for the registration and the first router count.
     fn start(&mut self, now_us: i64) {
         self.is_started = true;
         self.not_before_us = now_us.saturating_add(self.poll_schedule.first_delay_us());
@@ -245,7 +253,7 @@
         self.update_intervals();
     }
 
-    /// Draws the intervals of liveness checks and full resyncs for the present number of clients.
+    /// Sets random intervals of liveness checks and full resyncs, which depend on the current number of clients.
     fn update_intervals(&mut self) {
         let WatchSettings { liveness_interval_us, lag_tolerance_us, full_resync_interval_us, .. } =
             self.settings.watch_state;
@@ -257,12 +265,13 @@
             FULL_RESYNC_INTERVAL_MAX_US,
             FULL_RESYNC_RATE_SHARE,
         );
-        // Few clients check at the configured interval, and detect silence as soon.
+        // With few clients the configured interval is used, and the configured staleness limit needs no allowance for the
+        // response time.
         let response_time_us = if liveness_us > liveness_interval_us { self.settings.timeout_us } else { 0 };
         self.watch_state.set_intervals(liveness_us, full_resync_us, response_time_us);
     }
 
-    /// Sends a request, or opens the connection for it.
+    /// Sends a request, or opens the connection first if it is closed.
     fn send(&mut self, now_us: i64, channel: Channel, request: Request, actions: &mut Vec<SocketAction>) {
         let endpoint = self.endpoints.current();
         let connection = self.connection_mut(channel);
@@ -274,14 +283,15 @@
             return;
         }
         let bytes = self.encode(&request);
-        self.note_sent(now_us, &request);
+        self.handle_sent(now_us, &request);
         let connection = self.connection_mut(channel);
         connection.body.clear();
         connection.state = ConnectionState::Busy(request);
         actions.push(SocketAction::Write(channel, bytes));
     }
 
-    fn note_sent(&mut self, now_us: i64, request: &Request) {
+    /// Updates the timers that depend on when a request was sent.
+    fn handle_sent(&mut self, now_us: i64, request: &Request) {
         match request {
             Request::LivenessCheck => {
                 self.update_intervals();
@@ -315,7 +325,7 @@
         self.watch_state.connection_lost();
     }
 
-    /// Gives up the endpoint: both connections are closed, and the next endpoint is tried.
+    /// Handles a failure of the endpoint: closes both connections and tries the next endpoint after a delay.
     fn endpoint_failed(&mut self, reason: &str, out: &mut Outputs<'_>) {
         let endpoint = self.settings.endpoints.get(self.endpoints.current()).cloned().unwrap_or_default();
         out.events.push(ClientEvent::Failed(format!("{endpoint}: {reason}")));
@@ -330,8 +340,8 @@
         self.disconnect(out);
     }
 
-    /// Handles the loss of a connection or of a response. A request that has nothing to do with the watched keys does not
-    /// end an active watch: at an overloaded member, the requests to restart it would add to the load.
+    /// Handles a lost connection or a response timeout. If the request is independent of the followed keys, an active watch
+    /// is kept: the requests that restart a watch would add to the load of an overloaded endpoint.
     fn request_failed(&mut self, channel: Channel, reason: &str, out: &mut Outputs<'_>) {
         let independent = self.connection(channel).request().is_some_and(Request::is_independent_of_watch);
         if !independent || !self.is_watching {
@@ -342,6 +352,7 @@
         self.short_not_before_us = out.now_us.saturating_add(self.poll_schedule.failed(None));
     }
 
+    /// Starts the registration again, and reports the lost lease if the entry was registered under it.
     fn lease_lost(&mut self, events: &mut Vec<ClientEvent>) {
         self.reset_registration();
         if std::mem::take(&mut self.is_registered) {
--- a/crates/registry/src/client/request.rs
+++ b/crates/registry/src/client/request.rs
@@ -1,4 +1,4 @@
-//! The client's requests: which one is next, and its encoding as an HTTP/1.1 message.
+//! The client's requests: the choice of the next one, and their encoding as HTTP/1.1 messages.
 
 use super::settings::WatchScope;
 use super::Client;
@@ -15,9 +15,10 @@
     Login,
     List(ListRequest),
     LivenessCheck,
-    /// Counts the routers that are registered at the registry itself.
+    /// Counts the routers that are registered directly at the registry.
     CountRouters,
-    /// Lists the relays with the number of routers registered at each; carries the number from `CountRouters`.
+    /// Lists the relays, whose records hold the number of routers registered at each. Carries the result of the preceding
+    /// `CountRouters`.
     ListRelays {
         direct_routers: usize,
     },
@@ -26,7 +27,7 @@
 }
 
 impl Request {
-    /// Returns whether the request has nothing to do with the watched keys, so that its failure need not end the watch.
+    /// Returns whether the request is independent of the followed keys, so that its failure need not end the watch.
     pub(super) fn is_independent_of_watch(&self) -> bool {
         matches!(
             self,
@@ -37,7 +38,7 @@
     }
 }
 
-/// A request of the client's owner, see [`Client::send_request`].
+/// A request that the client's owner sent with [`Client::send_request`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct CallerRequest {
     pub(super) ticket: u64,
@@ -45,7 +46,7 @@
     pub(super) body: Vec<u8>,
 }
 
-/// A range of keys: from the first one to before the end.
+/// A range of keys from `key` (inclusive) to `range_end` (exclusive).
 struct KeyRange {
     key: Bytes,
     range_end: Bytes,
@@ -64,7 +65,7 @@
         self.settings.follow != WatchScope::Nothing
     }
 
-    /// Returns whether a watch is to be started and its connection is available.
+    /// Returns whether a watch should be started now: one is required, and its connection is available.
     pub(super) fn should_watch(&self) -> bool {
         self.watch.is_available()
             && self.follows_keys()
@@ -76,7 +77,8 @@
         self.short.is_available() && now_us >= self.short_not_before_us
     }
 
-    /// Returns the due step of the registration; the first ones wait until the first lists of all clients are through.
+    /// Returns the step of the registration that is due. The first ones are delayed until all clients have had time for
+    /// their first lists.
     fn lease_step(&self, now_us: i64) -> Option<LeaseStep> {
         self.registration.as_ref()?.next_step(now_us).filter(|_| now_us >= self.register_from_us)
     }
@@ -96,8 +98,8 @@
             || self.router_poll.should_list_relays()
     }
 
-    /// Returns the next short request. A list comes before the registration: routing to a draining worker is worse than
-    /// being counted late.
+    /// Returns the next short request. Lists take precedence over the registration, because routing calls to a draining
+    /// worker is worse than being counted late.
     pub(super) fn next_short_request(&mut self, now_us: i64) -> Option<Request> {
         if self.needs_login() {
             return Some(Request::Login);
@@ -110,7 +112,7 @@
                 return Some(Request::List(list));
             }
         }
-        // The number of clients determines the intervals of everything else.
+        // Counts precede the rest because the number of clients determines the intervals of the other requests.
         if let Some(direct_routers) = self.router_poll.take_direct_routers() {
             return Some(Request::ListRelays { direct_routers });
         }
@@ -126,19 +128,19 @@
         Some(self.liveness_request())
     }
 
-    /// Returns a keep-alive where it can replace a liveness check: its response holds the registry's revision, which shows
-    /// whether anything changed.
+    /// Returns the request that serves as the due liveness check. A keep-alive is used if possible: the revision in its
+    /// response shows whether anything changed in the registry.
     fn liveness_request(&mut self) -> Request {
         let lease = self.registration.as_ref().and_then(Registration::announced_lease);
         let check_required =
-            std::mem::take(&mut self.liveness_check_owed) || self.watch_state.requires_liveness_check();
+            std::mem::take(&mut self.liveness_check_pending) || self.watch_state.requires_liveness_check();
         match lease {
             Some(lease) if !check_required => Request::Lease(LeaseStep::KeepAlive(lease)),
             _ => Request::LivenessCheck,
         }
     }
 
-    /// Encodes a request with its HTTP head.
+    /// Encodes a request as an HTTP message.
     pub(super) fn encode(&self, request: &Request) -> Vec<u8> {
         let (path, body) = self.encode_body(request);
         let host = self.settings.endpoints.get(self.endpoints.current()).map_or("", String::as_str);
@@ -203,12 +205,12 @@
         }
     }
 
-    /// Returns the range of the followed keys.
+    /// Returns the range of keys that the watch and the lists cover.
     fn followed_range(&self) -> KeyRange {
         self.range_of(if self.settings.follow == WatchScope::Workers { WORKERS } else { "" })
     }
 
-    /// Returns the range of the keys of a kind, such as [`WORKERS`]; of all keys below the prefix where it is empty.
+    /// Returns the range of the keys of a kind, such as [`WORKERS`]; an empty `kind` covers all keys below the prefix.
     fn range_of(&self, kind: &str) -> KeyRange {
         let prefix = format!("{}{kind}", self.settings.prefix).into_bytes();
         let range_end = Bytes(prefix_end(&prefix));
--- a/crates/registry/src/client/response.rs
+++ b/crates/registry/src/client/response.rs
@@ -1,4 +1,4 @@
-//! The registry's responses and errors, and what they change.
+//! Handling of the registry's responses and errors.
 
 use super::error::RequestError;
 use super::request::{CallerRequest, Request};
@@ -11,7 +11,7 @@
 use crate::wire::*;
 use serde::de::DeserializeOwned;
 
-/// A response that cannot be parsed, or lacks a required field.
+/// The response could not be parsed, or lacks a required field.
 struct MalformedResponse;
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, MalformedResponse> {
@@ -19,7 +19,7 @@
 }
 
 impl Client {
-    /// Handles a complete response to a request, other than the lines of a watch.
+    /// Handles a complete response. The lines of an active watch are handled separately, as they arrive.
     pub(super) fn handle_response(
         &mut self,
         request: Request,
@@ -35,7 +35,7 @@
         }
         self.poll_schedule.succeeded();
         if self.handle_success(&request, body, out).is_err() {
-            self.endpoint_failed("its answer makes no sense", out);
+            self.endpoint_failed("its response is malformed", out);
         }
     }
 
@@ -44,7 +44,7 @@
         let error = RequestError::Rejected { status, message };
         match (request, code) {
             (Request::Login, _) => self.endpoint_failed(&error.to_string(), out),
-            // The token expired: after a login the request is repeated.
+            // The token expired: the request is repeated after a new login. A caller's request is queued again for that.
             (request, code::UNAUTHENTICATED) => {
                 self.token = None;
                 if let Request::Caller(request) = request {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Handles an error in place of a line of the watch.
+    /// Handles an error that the registry sent instead of a response of the watch.
     pub(super) fn handle_watch_error(&mut self, error: &ErrorBody, out: &mut Outputs<'_>) {
         match error.code {
             code::UNAUTHENTICATED => self.token = None,
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Returns whether a list is older than the reported revision while another member may hold a newer one. Where none
-    /// does, the registry was restored, and the list is taken.
+    /// Returns whether the first page of a list is older than the reported revision while an endpoint that was not tried yet
+    /// may be more recent. Once all endpoints returned older lists, the registry was restored, and the list is accepted.
     fn is_outdated_list(&mut self, request: &Request, body: &[u8]) -> bool {
         let Request::List(list) = request else { return false };
         if !list.start_key.is_empty() {
@@ -124,13 +124,13 @@
 
     fn handle_login(&mut self, body: &[u8]) -> Result<(), MalformedResponse> {
         let token = parse::<AuthResponse>(body)?.token;
-        // The token is sent as a header value.
+        // The token is sent as a header value, so it must not contain spaces or control characters.
         let is_valid = !token.is_empty() && token.bytes().all(|b| b.is_ascii_graphic());
         self.token = is_valid.then_some(token);
         self.token.is_some().then_some(()).ok_or(MalformedResponse)
     }
 
-    /// Adds the relays' routers to those registered at the registry.
+    /// Adds the routers registered at relays to those registered directly, and reports the sum if it changed.
     fn handle_relays(
         &mut self,
         direct_routers: usize,
@@ -177,7 +177,7 @@
     fn handle_keep_alive(&mut self, response: &LeaseResponse, out: &mut Outputs<'_>) {
         if self.follows_keys() {
             let served_as_check = self.watch_state.handle_header(out.now_us, &response.header);
-            self.liveness_check_owed = !served_as_check && self.watch_state.liveness_check_due(out.now_us);
+            self.liveness_check_pending = !served_as_check && self.watch_state.liveness_check_due(out.now_us);
             if served_as_check {
                 self.update_intervals();
             }
@@ -202,7 +202,7 @@
     fn report_faults(&mut self, events: &mut Vec<ClientEvent>) {
         for fault in self.watch_state.take_faults() {
             if fault == WatchFault::Restored {
-                // Leases of the earlier history do not exist any more.
+                // Leases granted before the restore do not exist any more.
                 self.reset_registration();
             }
             events.push(ClientEvent::WatchFault(fault));
--- a/crates/registry/src/client/stream.rs
+++ b/crates/registry/src/client/stream.rs
@@ -1,4 +1,4 @@
-//! The byte streams of the client's connections: connecting, closing, and reading responses and lines of the watch.
+//! The byte streams of the client's connections: connecting, closing, and decoding responses and lines of the watch.
 
 use super::connection::ConnectionState;
 use super::error::RequestError;
@@ -8,11 +8,11 @@
 use crate::wire::{Streamed, WatchResponse};
 use slatevalve_http::{Head, MessageEvent};
 
-/// The largest response, or line of a watch, in bytes.
+/// Maximum size of a response, or of a line of a watch, in bytes.
 const RESPONSE_BYTES_MAX: usize = 16 * 1024 * 1024;
 /// The HTTP status of a successful request.
 pub(super) const STATUS_OK: u16 = 200;
-/// HTTP statuses of a member that is overloaded (RFC 6585, "Too Many Requests", and RFC 9110, "Service Unavailable").
+/// HTTP statuses of an overloaded endpoint (RFC 6585, "Too Many Requests", and RFC 9110, "Service Unavailable").
 const STATUS_TOO_MANY_REQUESTS: u16 = 429;
 const STATUS_UNAVAILABLE: u16 = 503;
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Handles a connection that was closed, or could not be established.
+    /// Handles a connection that was closed or could not be established.
     pub fn closed(
         &mut self,
         now_us: i64,
@@ -38,11 +38,11 @@
         match std::mem::replace(&mut connection.state, ConnectionState::Closed) {
             ConnectionState::Closed | ConnectionState::Idle => {}
             ConnectionState::Connecting(request) | ConnectionState::Busy(request) => {
-                // Restored, so that its failure is reported.
+                // `request_failed` reads the request from the connection.
                 connection.state = ConnectionState::Busy(request);
                 self.request_failed(
                     channel,
-                    "the connection ended",
+                    "the connection was closed",
                     &mut Outputs { now_us, actions, events },
                 );
             }
@@ -61,7 +61,7 @@
         let out = &mut Outputs { now_us, actions, events };
         let connection = self.connection_mut(channel);
         if connection.request().is_none() {
-            // Unsolicited bytes: no request is in flight.
+            // No request is in flight, so the bytes belong to no response.
             return self.close(channel, out.actions);
         }
         let mut parts = Vec::new();
@@ -73,7 +73,7 @@
             self.handle_part(channel, part, out);
         }
         if fed.is_err() && self.connection(channel).request().is_some() {
-            self.endpoint_failed("it does not answer in HTTP", out);
+            self.endpoint_failed("its response is not valid HTTP", out);
         }
     }
 
@@ -99,7 +99,7 @@
         let connection = self.connection_mut(channel);
         connection.body.extend_from_slice(piece);
         if connection.body.len() > RESPONSE_BYTES_MAX {
-            return self.endpoint_failed("its answer is too long", out);
+            return self.endpoint_failed("its response exceeds 16 MiB", out);
         }
         if channel == Channel::Watch && connection.status == STATUS_OK {
             self.handle_watch_lines(out);
@@ -120,7 +120,7 @@
             return self.handle_overload(&request, status, retry_after_us, out);
         }
         if request == Request::Watch && status == STATUS_OK {
-            // The watch ended without a cancellation.
+            // The response ended without a cancellation of the watch.
             self.is_watching = false;
             self.watch_state.connection_lost();
             return;
@@ -128,8 +128,8 @@
         self.handle_response(request, status, &body, out);
     }
 
-    /// Delays the next request as long as an overloaded member demands. The other connection is kept, as a new one would add
-    /// to the load.
+    /// Delays the next request by the time that an overloaded endpoint requested. The other connection is kept, because
+    /// opening a new one would add to the load.
     fn handle_overload(
         &mut self,
         request: &Request,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Handles the complete lines of the watch's response.
+    /// Handles the complete lines of the watch's response; an incomplete one stays in the buffer.
     fn handle_watch_lines(&mut self, out: &mut Outputs<'_>) {
         while let Some(end) = self.watch.body.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = self.watch.body.drain(..=end).collect();
@@ -170,7 +170,7 @@
                     self.watch_state.connection_lost();
                     return self.handle_watch_error(&error, out);
                 }
-                Ok(_) | Err(_) => return self.endpoint_failed("a line of its watch makes no sense", out),
+                Ok(_) | Err(_) => return self.endpoint_failed("a line of its watch is malformed", out),
             }
         }
     }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,10 +1,14 @@
-//! Membership from a key-value registry by the etcd v3 protocol in its JSON mapping, without I/O.
+//! Membership from a key-value registry that speaks the etcd v3 protocol in its JSON mapping. This crate does no I/O.
 //!
-//! The main invariant is that no drain is missed, however long an interruption lasts and whatever the registry compacted
-//! meanwhile. [`WatchState`] caches the keys below a prefix and reports every change, those during an interruption included;
-//! [`Members`] turns them into workers and routers, departures and drains first; [`RouterCount`] keeps a partition of the
-//! registry from making every router take the whole load; [`Registration`] keeps this process's entry. [`Client`] joins them
-//! to HTTP messages; its owner holds the sockets.
+//! Main invariant: no drain is missed, however long a connection is interrupted and whatever history the registry compacts
+//! in the meantime.
+//!
+//! - [`WatchState`] caches the keys below a prefix and reports every change, including those made during an interruption.
+//! - [`Members`] converts the changes into changes of workers and routers, with removals and drains first.
+//! - [`RouterCount`] smooths the number of routers, so that a partition of the registry does not make each router send as
+//!   much load as if it were alone.
+//! - [`Registration`] maintains this process's own entry.
+//! - [`Client`] encodes their requests as HTTP messages and decodes the responses; its owner holds the sockets.
 #![forbid(unsafe_code)]
 
 mod client;
--- a/crates/registry/src/members.rs
+++ b/crates/registry/src/members.rs
@@ -1,5 +1,5 @@
-//! Workers and routers as listed in the registry: the records stored as values, and the changes of members in a batch of
-//! changed keys, departures and drains first. The gateway and the test worker write and read these records.
+//! Workers, routers and relays as stored in the registry: the records that are the values of their keys, and the conversion of
+//! changed keys into changes of members, removals and drains first. Gateways, relays and test workers write these records.
 
 use crate::watch_state::Change;
 use serde::de::DeserializeOwned;
@@ -14,19 +14,19 @@
 pub const ROUTERS: &str = "routers/";
 /// Prefix of relays' keys, below the site's prefix.
 pub const RELAYS: &str = "relays/";
-/// The longest name, in bytes.
+/// Maximum length of a member's name in bytes.
 const NAME_BYTES_MAX: usize = 256;
-/// The largest weight of a worker.
+/// Maximum weight of a worker.
 const WEIGHT_MAX: f64 = 1e6;
 
-/// The state that a worker declares of itself.
+/// The state that a worker writes into its record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// It accepts calls.
+    /// The worker accepts calls.
     #[default]
     Ready,
-    /// It accepts no new calls and completes those in flight.
+    /// The worker accepts no new calls and completes those in flight.
     Draining,
 }
 
@@ -34,24 +34,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct WorkerRecord {
-    /// The address of its server.
+    /// The address on which the worker accepts calls.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the worker; `default` if absent.
     #[serde(default = "default_name")]
     pub zone: String,
-    /// The kind of machine.
+    /// The kind of machine; `default` if absent.
     #[serde(default = "default_name")]
     pub kind: String,
-    /// Its cell.
+    /// The cell of the worker; 0 if absent.
     #[serde(default)]
     pub cell: u64,
-    /// The capacity relative to other workers, above 0.
+    /// The capacity relative to other workers: above 0, at most 1,000,000; 1 if absent.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Whether it accepts calls.
+    /// Whether the worker accepts calls; `ready` if absent.
     #[serde(default)]
     pub state: MemberState,
-    /// The start of its process, in milliseconds of its machine's Unix clock; a different one is a new process.
+    /// The start of the worker's process in milliseconds of its machine's Unix clock. A different value shows that the
+    /// process was restarted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub up_since_unix_ms: Option<f64>,
 }
@@ -68,10 +69,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RouterRecord {
-    /// Its zone.
+    /// The zone of the router; empty if absent.
     #[serde(default)]
     pub zone: String,
-    /// The start of its process, in milliseconds of its machine's Unix clock.
+    /// The start of the router's process in milliseconds of its machine's Unix clock; 0 if absent.
     #[serde(default)]
     pub up_since_unix_ms: i64,
 }
@@ -80,23 +81,23 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RelayRecord {
-    /// The number of routers that are registered at the relay.
+    /// The number of routers whose entries the relay holds.
     pub routers: usize,
 }
 
-/// A record that is rejected; the member's last valid record remains in force.
+/// A rejected record. The member's last valid record remains in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordError {
-    /// The key.
+    /// The full key of the record; invalid UTF-8 is replaced.
     pub key: String,
-    /// Why the record is rejected.
+    /// Why the record was rejected.
     pub reason: RecordFault,
 }
 
-/// Why a record is rejected.
+/// Why a record was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordFault {
-    /// The value does not parse as a record; holds the parser's message.
+    /// The value cannot be parsed as a record; holds the parser's message.
     Malformed(String),
     /// The weight is outside of 0 (exclusive) to 1,000,000.
     Weight,
@@ -108,8 +109,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             RecordFault::Malformed(message) => f.write_str(message),
-            RecordFault::Weight => f.write_str("a weight lies between 0 and 1,000,000"),
-            RecordFault::StartTime => f.write_str("up-since-unix-ms is no time"),
+            RecordFault::Weight => f.write_str("weight must be greater than 0 and at most 1,000,000"),
+            RecordFault::StartTime => f.write_str("up-since-unix-ms must be a finite number"),
         }
     }
 }
@@ -131,13 +132,13 @@
     Router(String, RouterRecord),
 }
 
-/// Returns the key of a worker.
+/// Returns the key of the worker `name`; the prefix ends with `/`.
 #[must_use]
 pub fn worker_key(prefix: &str, name: &str) -> String {
     format!("{prefix}{WORKERS}{name}")
 }
 
-/// Returns the key of a router.
+/// Returns the key of the router `name`; the prefix ends with `/`.
 #[must_use]
 pub fn router_key(prefix: &str, name: &str) -> String {
     format!("{prefix}{ROUTERS}{name}")
@@ -150,7 +151,7 @@
 }
 
 impl MemberKey {
-    /// Parses a key; returns none for a key that names no worker or router.
+    /// Parses a key; returns `None` if it is not the key of a worker or router, or the name is invalid.
     fn parse(prefix: &str, key: &[u8]) -> Option<Self> {
         let relative = std::str::from_utf8(key).ok()?.strip_prefix(prefix)?;
         let (kind, name): (fn(String) -> MemberKey, &str) = match relative.strip_prefix(WORKERS) {
@@ -164,7 +165,7 @@
 }
 
 impl WorkerRecord {
-    /// Checks the fields whose type allows invalid values.
+    /// Checks the fields whose types allow invalid values.
     fn validate(&self) -> Result<(), RecordFault> {
         if !(self.weight > 0.0 && self.weight <= WEIGHT_MAX) {
             return Err(RecordFault::Weight);
@@ -180,10 +181,10 @@
     serde_json::from_slice(value).map_err(|error| RecordFault::Malformed(error.to_string()))
 }
 
-/// Reads a member's key and value; returns none for a key that names no worker or router.
+/// Parses a member's key and value; returns `None` if the key is not that of a worker or router.
 ///
 /// # Errors
-/// When the value is no valid record.
+/// When the value is not a valid record.
 pub fn read_member(prefix: &str, key: &[u8], value: &[u8]) -> Result<Option<Member>, RecordError> {
     let member = match MemberKey::parse(prefix, key) {
         None => return Ok(None),
@@ -200,24 +201,24 @@
 /// A change of the members.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberChange {
-    /// A worker's present record.
+    /// A worker was added or its record changed; holds the current record.
     Worker(String, WorkerRecord),
     /// A worker was removed.
     WorkerRemoved(String),
-    /// The number of routers changed to this.
+    /// The number of routers changed to this value.
     Routers(usize),
 }
 
 /// The outcome of [`Members::apply`].
 #[derive(Debug)]
 pub struct AppliedChanges {
-    /// The changes of members, in the order in which to apply them.
+    /// The changes of members, in the order in which they are to be applied.
     pub changes: Vec<MemberChange>,
-    /// The rejected records.
+    /// The rejected records, which caused no changes.
     pub errors: Vec<RecordError>,
 }
 
-/// The known members.
+/// The workers and routers below a prefix, with their last valid records.
 #[derive(Debug)]
 pub struct Members {
     prefix: String,
@@ -225,16 +226,16 @@
     routers: BTreeMap<String, RouterRecord>,
 }
 
-/// The changes of workers in a batch of changed keys.
+/// The changes of workers that a batch of changed keys causes.
 #[derive(Default)]
 struct WorkerChanges {
     removed: Vec<String>,
-    /// The last record of each worker that was not removed afterwards.
+    /// The last record of each worker that was not removed later in the batch.
     updated: BTreeMap<String, WorkerRecord>,
 }
 
 impl WorkerChanges {
-    /// Returns the changes in the order in which they are to be applied.
+    /// Returns the changes in the order in which they are to be applied: removals, drains, then the rest.
     fn in_order(self) -> Vec<MemberChange> {
         let (draining, ready): (Vec<_>, Vec<_>) =
             self.updated.into_iter().partition(|(_, record)| record.state == MemberState::Draining);
@@ -245,26 +246,26 @@
 }
 
 impl Members {
-    /// Creates an empty set of the members below a prefix, which ends with `/`.
+    /// Creates an empty set for the members below `prefix`, which ends with `/`.
     pub fn new(prefix: &str) -> Self {
         Members { prefix: prefix.into(), workers: BTreeMap::new(), routers: BTreeMap::new() }
     }
 
-    /// Returns the workers by name.
+    /// Returns the workers' records by name.
     #[must_use]
     pub fn workers(&self) -> &BTreeMap<String, WorkerRecord> {
         &self.workers
     }
 
-    /// Returns the routers by name.
+    /// Returns the routers' records by name.
     #[must_use]
     pub fn routers(&self) -> &BTreeMap<String, RouterRecord> {
         &self.routers
     }
 
-    /// Applies a batch of changed keys, and returns the changes of members and the rejected records. Removals come first, then
-    /// drains, then the rest, so that applying them in order stops calls to those workers before anything else. Of several
-    /// changes of one worker the last counts, except that a worker removed and added again is reported as removed as well.
+    /// Applies a batch of changed keys. The resulting changes are ordered so that calls to removed and draining workers stop
+    /// before anything else happens: removals, then drains, then the rest. Of several changes of a worker only the last one is
+    /// returned, except that a worker that was removed and added again is also returned as removed.
     pub fn apply(&mut self, changes: Vec<Change>) -> AppliedChanges {
         let routers_before = self.routers.len();
         let (mut worker_changes, mut errors) = (WorkerChanges::default(), Vec::new());
--- a/crates/registry/src/registration/tests.rs
+++ b/crates/registry/src/registration/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_lease_is_kept_alive_in_thirds_and_had_anew_when_it_is_lost() {
+fn a_lease_is_renewed_after_a_third_of_its_ttl_and_replaced_when_lost() {
     let mut registration = Registration::new(RegistrationSettings { ttl_s: 9 });
     assert_eq!(registration.next_step(0), Some(LeaseStep::Grant(9)));
     registration.granted(5);
@@ -14,7 +14,7 @@
     assert_eq!(registration.next_step(4_000_000), Some(LeaseStep::KeepAlive(5)));
     registration.step_sent(4_000_000);
     assert!(registration.keep_alive_answered(9) && registration.due_us() == Some(7_000_000));
-    assert!(!registration.is_registered(13_000_000), "it ended without an answer");
+    assert!(!registration.is_registered(13_000_000), "the lease expires without a further response");
     assert!(!registration.keep_alive_answered(0));
     assert_eq!((registration.next_step(8_000_000), registration.lease()), (Some(LeaseStep::Grant(9)), None));
 }
--- a/crates/registry/src/router_count.rs
+++ b/crates/registry/src/router_count.rs
@@ -1,19 +1,20 @@
-//! The number of routers, derived from the number that the registry lists. No I/O; called by the gateway.
+//! The assumed number of routers, derived from the number that the registry lists. No I/O; called by the gateway.
 //!
-//! The number divides the load that one router may place on a cold worker. Too large a number warms cold workers a little more
-//! slowly; too small a one lets all routers together overload them. So a rise applies at once and a fall slowly: a registry
-//! that is partitioned from half of the routers, or loses their leases at once, must not make the other half take all.
+//! The load that one router may send to a cold worker is divided by this number. If it is too large, cold workers warm up a
+//! little more slowly; if it is too small, all routers together overload them. Therefore an increase applies at once and a
+//! decrease in slow steps: when the registry is partitioned from half of the routers, or loses their leases at once, the other
+//! half must not assume to be alone.
 
 use crate::watch_state::Freshness;
 
 /// Settings of a [`RouterCount`]. Times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterCountSettings {
-    /// The least number of routers, whatever the registry lists.
+    /// Lower bound on the assumed number, whatever the registry lists.
     pub min_routers: usize,
-    /// A fall must last this long without a break, before each step down.
+    /// How long fewer routers must be listed without interruption before each step down.
     pub hold_us: i64,
-    /// Divisor of a step down: the number falls by at most this fraction, and by at least one router.
+    /// Divisor of a step down: each step removes at most one `step`-th of the routers, but at least one router.
     pub step: usize,
 }
 
@@ -28,35 +29,35 @@
 pub struct RouterCount {
     settings: RouterCountSettings,
     routers: usize,
-    /// Since when fewer routers are listed than assumed.
+    /// Since when fewer routers are listed than assumed; reset by each step down.
     fewer_since_us: Option<i64>,
 }
 
 impl RouterCount {
-    /// Creates a count that assumes this many routers until the registry is read.
+    /// Creates a count that assumes `routers` until the registry was read.
     pub fn new(settings: RouterCountSettings, routers: usize) -> Self {
         let routers = routers.max(settings.min_routers).max(1);
         RouterCount { settings, routers, fewer_since_us: None }
     }
 
-    /// Returns the number of routers.
+    /// Returns the assumed number of routers, this one included; at least one.
     #[must_use]
     pub fn routers(&self) -> usize {
         self.routers
     }
 
-    /// Handles the number of routers listed, from a view of this freshness. Returns the assumed number where it changed. To be
-    /// called at each change and from time to time.
+    /// Handles the number of listed routers, read at the given freshness. Returns the assumed number if it changed. To be
+    /// called after each change and when [`RouterCount::due_us`] is reached.
     pub fn listed(&mut self, now_us: i64, count: usize, freshness: Freshness) -> Option<usize> {
         let count = count.max(self.settings.min_routers).max(1);
         if count >= self.routers {
             self.fewer_since_us = None;
-            let rose = count > self.routers;
+            let increased = count > self.routers;
             self.routers = count;
-            return rose.then_some(count);
+            return increased.then_some(count);
         }
         if freshness != Freshness::Current {
-            // A stale view is no evidence of fewer routers.
+            // Stale data does not show that there are fewer routers.
             self.fewer_since_us = None;
             return None;
         }
@@ -70,7 +71,7 @@
         Some(self.routers)
     }
 
-    /// Returns when the next step down may be due.
+    /// Returns when the next step down is due if fewer routers are listed until then; `None` while none is pending.
     #[must_use]
     pub fn due_us(&self) -> Option<i64> {
         self.fewer_since_us.map(|since_us| since_us.saturating_add(self.settings.hold_us))
--- a/crates/registry/src/watch_state/liveness.rs
+++ b/crates/registry/src/watch_state/liveness.rs
@@ -1,48 +1,50 @@
-//! Liveness checks: small reads that show whether the registry answers and whether the watch is complete.
+//! Liveness checks: small reads that show whether the registry answers and whether the watch delivered all changes.
 
 use super::{Confirmation, Phase, WatchFault, WatchState};
 use crate::wire::{Header, KeyValue, RangeResponse};
 
-/// A watch that liveness checks found behind.
+/// A watch that is behind the registry, as liveness checks found.
 pub(super) struct Lag {
+    /// When it was first found behind at `revision`.
     since_us: i64,
-    /// The watch's revision meanwhile: if it moves, events are only in flight.
+    /// The watch's revision at that time. If the watch advances, the missing events were only in flight.
     revision: i64,
 }
 
 impl WatchState {
-    /// Returns whether a liveness check is to be sent beside the active watch.
+    /// Returns whether a liveness check of the active watch is due.
     #[must_use]
     pub fn liveness_check_due(&self, now_us: i64) -> bool {
         matches!(self.phase, Phase::Watching) && now_us >= self.liveness_check_due_us
     }
 
-    /// Returns when the next liveness check is due.
+    /// Returns when the next liveness check is due; `None` while no watch is active.
     #[must_use]
     pub fn liveness_check_due_us(&self) -> Option<i64> {
         matches!(self.phase, Phase::Watching).then_some(self.liveness_check_due_us)
     }
 
-    /// Sets the intervals of liveness checks and full resyncs. No response need arrive between two checks, so the view is
-    /// stale only after the next check and its response time.
+    /// Sets the intervals of liveness checks and full resyncs. Possibly no response arrives between two checks, so the keys
+    /// count as stale only after the next check and its response time.
     pub fn set_intervals(&mut self, liveness_us: i64, full_resync_us: i64, response_time_us: i64) {
         (self.settings.liveness_interval_us, self.settings.full_resync_interval_us) =
             (liveness_us, full_resync_us);
         self.stale_after_us = self.settings.stale_after_us.max(liveness_us + 2 * response_time_us);
     }
 
-    /// Returns whether only a liveness check suffices, not a response that could serve as one.
+    /// Returns whether a liveness check is required that no other response can replace: the watch was found behind, or the
+    /// revisions of a snapshot are not confirmed.
     #[must_use]
     pub fn requires_liveness_check(&self) -> bool {
         self.lag.is_some() || self.confirmation == Confirmation::Pending
     }
 
-    /// Notes that a liveness check was sent; the next is due one interval later, whatever its outcome.
+    /// Handles the sending of a liveness check; the next one is due one interval later, whatever the outcome.
     pub fn liveness_check_sent(&mut self, now_us: i64) {
         self.liveness_check_due_us = now_us.saturating_add(self.settings.liveness_interval_us);
     }
 
-    /// Handles the response to a liveness check: the number of keys, and the key that changed last.
+    /// Handles the response to a liveness check, which holds the number of keys and the last modified key.
     pub fn handle_liveness_check(&mut self, now_us: i64, response: &RangeResponse) {
         self.last_response_us = Some(now_us);
         let header = &response.header;
@@ -61,11 +63,11 @@
             self.checked_revision = header.revision;
             return self.liveness_confirmed(now_us);
         }
-        self.found_behind(now_us);
+        self.handle_lag(now_us);
     }
 
-    /// Returns whether the cache holds what the registry's response shows. In another history of the registry the same key
-    /// would hardly have changed last at the same revision.
+    /// Returns whether the cache agrees with the response: the number of keys, and the revision of the last modified key. A
+    /// registry with another history is very unlikely to have the same key modified last at the same revision.
     fn is_complete(&self, response: &RangeResponse) -> bool {
         let is_cached = |kv: &KeyValue| {
             self.entries.get(&kv.key.0).is_some_and(|entry| entry.mod_revision == kv.mod_revision)
@@ -75,9 +77,9 @@
             && response.header.revision >= self.revision
     }
 
-    /// Events in flight make the watch look behind for a moment, and under a flood of events at every check. Only a watch
-    /// whose revision does not move has lost something.
-    fn found_behind(&mut self, now_us: i64) {
+    /// Handles a check that found the watch behind. Events in flight cause this for a moment, and at every check while many
+    /// keys change. Only a watch whose revision does not advance within the tolerance has lost events.
+    fn handle_lag(&mut self, now_us: i64) {
         let since_us = match &self.lag {
             Some(lag) if lag.revision == self.revision => lag.since_us,
             _ => now_us,
@@ -91,7 +93,7 @@
         }
     }
 
-    /// The watch is complete; a full resync starts where it is due.
+    /// Handles the confirmation that the watch is complete; starts a full resync if one is due.
     fn liveness_confirmed(&mut self, now_us: i64) {
         self.lag = None;
         if now_us.saturating_sub(self.listed_us) >= self.settings.full_resync_interval_us {
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Handles the header of another response, such as of a keep-alive. Returns whether it serves as a liveness check: nothing
-    /// changed in the registry since the last event or check.
+    /// Handles the header of any other response, such as that of a keep-alive. Returns whether it replaces a liveness check,
+    /// which it does if nothing changed in the registry since the last event or check.
     pub fn handle_header(&mut self, now_us: i64, header: &Header) -> bool {
         self.last_response_us = Some(now_us);
         if !matches!(self.phase, Phase::Watching) || header.revision == 0 || !self.verify_cluster(header) {
--- a/crates/registry/src/watch_state/mod.rs
+++ b/crates/registry/src/watch_state/mod.rs
@@ -1,8 +1,10 @@
-//! Follows the keys below a prefix through lost connections, compaction and restored backups.
+//! Client-side cache of the keys below a prefix, kept correct through lost connections, compaction and restored backups.
 //!
-//! Invariant: the cached keys are the registry's keys at some revision, and the reported changes lead there from the keys
-//! cached before, without omission: a key deleted in a gap is reported as deleted, one deleted and created again as created.
-//! No I/O: responses and times in, requests and changes out. [`crate::Client`] drives it.
+//! Invariant: the cached keys are the registry's keys at some revision, and the reported changes transform the previously
+//! cached keys into them without omissions. A key deleted during a gap in the watch is reported as deleted; one deleted and
+//! created again is reported as created.
+//!
+//! No I/O: the inputs are responses and times, the outputs requests and changes. [`crate::Client`] drives it.
 
 mod liveness;
 mod resync;
@@ -21,7 +23,8 @@
 type Entries = BTreeMap<Vec<u8>, CachedEntry>;
 
 enum Phase {
-    /// A list is required, or partly received.
+    /// A list is required or partly received. `revision` is 0 before its first page, `start_key` is the first key of the next
+    /// page, and `found` holds the keys of the pages received.
     Listing { revision: i64, start_key: Vec<u8>, found: Entries },
     /// A watch is required.
     Resuming,
@@ -30,17 +33,17 @@
 }
 
 impl Phase {
-    /// A list from the first key on, at a revision that the first page tells.
+    /// A list that starts at the first key, at the revision of its first page.
     fn new_list() -> Self {
         Phase::Listing { revision: 0, start_key: Vec::new(), found: Entries::new() }
     }
 }
 
-/// Whether the cached revisions are known to belong to the registry's present history.
+/// Whether the cached revisions were verified to belong to the registry's current history.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Confirmation {
     Confirmed,
-    /// They come from a snapshot, and no liveness check has succeeded since.
+    /// They were loaded from a snapshot, and no liveness check has confirmed them yet.
     Pending,
 }
 
@@ -48,30 +51,34 @@
 pub struct WatchState {
     settings: WatchSettings,
     entries: Entries,
-    /// All changes up to this revision are reported.
+    /// All changes up to this revision were reported.
     revision: i64,
     confirmation: Confirmation,
-    /// A liveness check showed that no followed key changed after `revision` and up to this one.
+    /// The last liveness check showed that no followed key changed between `revision` and this revision.
     checked_revision: i64,
-    /// Keys whose change at exactly `revision` is reported, to skip events that arrive twice.
+    /// Keys whose change at exactly `revision` was reported; duplicates of those events are skipped.
     keys_at_revision: BTreeSet<Vec<u8>>,
+    /// Id of the followed cluster; 0 before the first response.
     cluster: i64,
     phase: Phase,
-    /// Events of a response whose fragments have not all arrived.
+    /// Events of a response of which further fragments are to come.
     fragments: Vec<WatchEvent>,
+    /// Whether the keys were listed, or those of a snapshot confirmed.
     listed_once: bool,
     last_response_us: Option<i64>,
-    /// The effective [`WatchSettings::stale_after_us`].
+    /// [`WatchSettings::stale_after_us`], raised if liveness checks are further apart.
     stale_after_us: i64,
     liveness_check_due_us: i64,
-    /// When the last full list was completed.
+    /// When the last full list was completed, or a snapshot was confirmed; full resyncs count from here.
     listed_us: i64,
+    /// Set while the watch is behind the registry.
     lag: Option<Lag>,
+    /// Faults not yet taken by [`WatchState::take_faults`].
     faults: Vec<WatchFault>,
 }
 
 impl WatchState {
-    /// Creates an empty cache.
+    /// Creates an empty cache, whose first request is a list.
     pub fn new(settings: WatchSettings) -> Self {
         WatchState {
             settings,
@@ -110,7 +117,7 @@
         self.last_response_us.map(|at| at.saturating_add(self.stale_after_us))
     }
 
-    /// Returns the number of cached keys.
+    /// Returns the number of cached keys, which may be stale; see [`WatchState::freshness`].
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
@@ -122,13 +129,14 @@
         self.entries.is_empty()
     }
 
-    /// Returns the revision up to which all changes are reported; 0 while it is not confirmed.
+    /// Returns the revision up to which all changes were reported; 0 while it comes from an unconfirmed snapshot.
     #[must_use]
     pub fn revision(&self) -> i64 {
         self.if_confirmed(self.revision)
     }
 
-    /// Returns the revision up to which the cached keys are complete, liveness checks included; 0 while nothing is confirmed.
+    /// Returns the revision up to which the cached keys are known to be complete, by events, lists or liveness checks; 0
+    /// while nothing is confirmed.
     #[must_use]
     pub fn confirmed_revision(&self) -> i64 {
         self.revision().max(self.if_confirmed(self.checked_revision))
@@ -147,7 +155,7 @@
         self.cluster
     }
 
-    /// Returns the cached keys.
+    /// Returns the cached keys with their values and revisions.
     #[must_use]
     pub fn entries(&self) -> &BTreeMap<Vec<u8>, CachedEntry> {
         &self.entries
@@ -172,7 +180,8 @@
         }
     }
 
-    /// Handles the loss of the connection that carried the watch or a list. A partial list is continued.
+    /// Handles the loss of the connection that carried the watch or a list. A partly received list continues at its next
+    /// page.
     pub fn connection_lost(&mut self) {
         self.fragments.clear();
         if matches!(self.phase, Phase::Watching) {
@@ -180,7 +189,7 @@
         }
     }
 
-    /// Checks that a response comes from the followed cluster; otherwise everything is listed again.
+    /// Returns whether a response comes from the followed cluster; otherwise starts a full resync.
     fn verify_cluster(&mut self, header: &Header) -> bool {
         let differs = self.cluster != 0 && header.cluster_id != 0 && header.cluster_id != self.cluster;
         if differs {
@@ -193,7 +202,8 @@
         !differs
     }
 
-    /// Keeps the cached values to be compared with a list, but not their revisions, which belong to another history.
+    /// Resets the revisions of the cached keys, which belong to another history. The values are kept for the comparison with
+    /// the next list.
     fn forget_entry_revisions(&mut self) {
         self.entries.values_mut().for_each(|entry| entry.mod_revision = 0);
     }
--- a/crates/registry/src/watch_state/resync.rs
+++ b/crates/registry/src/watch_state/resync.rs
@@ -1,10 +1,10 @@
-//! Full resync: a list in pages at one revision, and the difference to the cached keys.
+//! Full resync: reads all keys in pages at one revision and computes the difference to the cached keys.
 
 use super::{CachedEntry, Change, Confirmation, Entries, Phase, WatchFault, WatchState};
 use crate::wire::{KeyValue, RangeResponse};
 
 impl WatchState {
-    /// Starts a full resync. The cached keys stay until the list is complete.
+    /// Starts a full resync. The cached keys remain unchanged until the list is complete.
     pub(super) fn start_resync(&mut self) {
         self.phase = Phase::new_list();
         self.fragments.clear();
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Handles a page of a list; returns the changes after the last page.
+    /// Handles a page of a list. Returns the changes once the last page is received, before that none.
     pub fn handle_list(&mut self, now_us: i64, page: RangeResponse) -> Vec<Change> {
         self.last_response_us = Some(now_us);
         if !matches!(self.phase, Phase::Listing { .. }) || !self.verify_cluster(&page.header) {
@@ -29,7 +29,7 @@
         let last_key = page.kvs.last().map(|kv| kv.key.0.clone());
         found.extend(page.kvs.into_iter().map(cached_entry));
         if let (true, Some(mut next)) = (page.more, last_key) {
-            // The smallest key after the last one.
+            // Appending a zero byte gives the smallest key after the last one.
             next.push(0);
             *start_key = next;
             return Vec::new();
@@ -39,7 +39,8 @@
     }
 
     fn complete_list(&mut self, now_us: i64, revision: i64, found: Entries) -> Vec<Change> {
-        // An earlier state of the same cluster: its later revisions are other changes than those reported.
+        // The cluster was restored to an earlier state. Its revisions from there on stand for other changes than those
+        // reported, so the cached revisions are void.
         if revision < self.revision {
             self.faults.push(WatchFault::Restored);
             self.forget_entry_revisions();
@@ -55,7 +56,7 @@
         changes
     }
 
-    /// Returns the changes from the cached keys to those found, deletions first.
+    /// Returns the changes that transform the cached keys into `found`, deletions first.
     fn difference(&self, found: &Entries) -> Vec<Change> {
         let deleted = self.entries.keys().filter(|key| !found.contains_key(*key));
         let mut changes: Vec<Change> = deleted.map(|key| Change::Deleted { key: key.clone() }).collect();
@@ -73,7 +74,7 @@
         changes
     }
 
-    /// Handles the rejection of a page because its revision was compacted: the list starts again.
+    /// Handles the rejection of a page because its revision was compacted: the list starts again from the first page.
     pub fn list_compacted(&mut self, now_us: i64) {
         self.last_response_us = Some(now_us);
         self.faults.push(WatchFault::Compacted { oldest: 0 });
--- a/crates/registry/src/watch_state/watch.rs
+++ b/crates/registry/src/watch_state/watch.rs
@@ -1,13 +1,13 @@
-//! The watch: its responses become changes.
+//! Conversion of the watch's responses into changes.
 
 use super::{CachedEntry, Change, Confirmation, Phase, WatchFault, WatchState};
 use crate::wire::{EventType, KeyValue, WatchEvent, WatchResponse};
 
 impl WatchState {
-    /// Handles a response of the watch; changes of one revision are returned together.
+    /// Handles a response of the watch and returns its changes. All changes of one revision are returned together.
     pub fn handle_watch(&mut self, now_us: i64, response: WatchResponse) -> Vec<Change> {
         self.last_response_us = Some(now_us);
-        // While listing, bytes of a watch that was given up may still arrive.
+        // During a list, responses of an abandoned watch may still arrive.
         if matches!(self.phase, Phase::Listing { .. }) || !self.verify_cluster(&response.header) {
             return Vec::new();
         }
@@ -24,7 +24,7 @@
         }
         let events = std::mem::take(&mut self.fragments);
         if events.is_empty() {
-            // A progress notification: all events up to its revision were delivered. `created` promises no such thing.
+            // A progress notification guarantees that all events up to its revision were delivered; `created` does not.
             if !response.created && response.header.revision > self.revision {
                 self.advance_to(response.header.revision);
             }
@@ -33,6 +33,7 @@
         events.into_iter().filter_map(|event| self.apply_event(event)).collect()
     }
 
+    /// Handles the cancellation of the watch.
     fn watch_ended(&mut self, response: WatchResponse) {
         self.fragments.clear();
         if response.compact_revision > 0 {
@@ -44,17 +45,17 @@
         }
     }
 
-    /// Returns whether the watch is active; otherwise a resync starts.
+    /// Handles the confirmation that the watch was created. Returns whether it is active; otherwise a resync starts.
     fn watch_created(&mut self, now_us: i64, revision: i64) -> bool {
         self.phase = Phase::Watching;
-        // The member lags, or its history is another one: a list decides.
+        // The member lags behind, or its history is a different one; a list shows which.
         if revision != 0 && revision < self.revision {
             self.faults.push(WatchFault::Behind);
             self.start_resync();
             return false;
         }
-        // The response shows that the registry is alive. Deferring the next check spares it the checks of all clients that
-        // reconnect at the same time.
+        // The response shows that the registry answers, so the next check can wait. This spares it the checks of all clients
+        // that reconnect at the same time.
         match self.confirmation {
             Confirmation::Pending => self.liveness_check_due_us = now_us,
             Confirmation::Confirmed => self.liveness_check_sent(now_us),
@@ -67,13 +68,13 @@
         self.keys_at_revision.clear();
     }
 
-    /// Applies an event to the cache; returns no change where the event was applied before.
+    /// Applies an event to the cache; returns `None` if it was already applied.
     fn apply_event(&mut self, event: WatchEvent) -> Option<Change> {
         let WatchEvent { kind, kv } = event;
         let KeyValue { key, value, create_revision, mod_revision, .. } = kv;
         let (key, value) = (key.0, value.0);
-        let known_at_revision = mod_revision == self.revision && self.keys_at_revision.contains(&key);
-        if mod_revision < self.revision || known_at_revision {
+        let is_duplicate = mod_revision == self.revision && self.keys_at_revision.contains(&key);
+        if mod_revision < self.revision || is_duplicate {
             return None;
         }
         if mod_revision > self.revision {
@@ -87,7 +88,7 @@
                 Some(Change::Deleted { key })
             }
             EventType::Put => {
-                // The list contained it already.
+                // The list already contained this change.
                 if old.is_some_and(|old| old.mod_revision >= mod_revision) {
                     return None;
                 }
--- a/crates/registry/src/wire/encoding.rs
+++ b/crates/registry/src/wire/encoding.rs
@@ -1,10 +1,10 @@
-//! Encoding of bytes, 64-bit numbers and zero values.
+//! JSON encoding of bytes and 64-bit numbers, and the predicates for omitted zero values.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Bytes, encoded in base64.
+/// Bytes, encoded in JSON as a base64 string.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Bytes(pub Vec<u8>);
 
@@ -50,7 +50,7 @@
         }
         match Either::deserialize(deserializer)? {
             Either::Text(text) => {
-                // Ids are unsigned 64-bit numbers; they are only compared here, so the bits suffice.
+                // Cluster and member ids are unsigned. They are only compared, so reinterpreting their bits as signed is safe.
                 let number =
                     text.parse::<i64>().or_else(|_| text.parse::<u64>().map(|unsigned| unsigned as i64));
                 number.map_err(serde::de::Error::custom)
--- a/crates/registry/src/wire/mod.rs
+++ b/crates/registry/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! Messages of the etcd v3 protocol in the JSON mapping of etcd's gRPC gateway: 64-bit numbers as strings, bytes in base64,
-//! zero values omitted (etcd documentation, "gRPC gateway"; proto3 JSON mapping). Used by clients and by servers.
+//! Messages of the etcd v3 protocol in the JSON mapping of etcd's gRPC gateway: 64-bit numbers are strings, bytes are base64,
+//! zero values are omitted (etcd documentation, "gRPC gateway"; proto3 JSON mapping). Used by clients and servers.
 //!
-//! The types have the names and fields of etcd's `rpc.proto`, as far as they are used here.
+//! Types and fields are named as in etcd's `rpc.proto`; fields that are not used here are left out.
 
 mod encoding;
 mod kv;
@@ -42,14 +42,14 @@
 /// Path of a login.
 pub const AUTHENTICATE: &str = "/v3/auth/authenticate";
 
-/// The header of each response.
+/// The header that every response contains.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Header {
-    /// The cluster; a restored backup has another id.
+    /// The id of the cluster; a restored backup has a different id.
     #[serde(with = "number", skip_serializing_if = "is_zero")]
     pub cluster_id: i64,
-    /// The member that responded.
+    /// The id of the member that responded.
     #[serde(with = "number", skip_serializing_if = "is_zero")]
     pub member_id: i64,
     /// The revision of the store at the time of the response.
@@ -57,13 +57,13 @@
     pub revision: i64,
 }
 
-/// A login.
+/// Request of a login.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct AuthRequest {
-    /// The user.
+    /// The user name.
     pub name: String,
-    /// The password.
+    /// The password, in plain text.
     pub password: String,
 }
 
@@ -73,16 +73,16 @@
 pub struct AuthResponse {
     /// See [`Header`].
     pub header: Header,
-    /// The token, the value of the `Authorization` header of further requests.
+    /// The token, which is the value of the `Authorization` header of further requests.
     pub token: String,
 }
 
-/// One line of a streamed response: a result or an error.
+/// One line of a streamed response, which holds either a result or an error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Streamed<T> {
-    /// The result.
+    /// The result; `None` if the line holds an error.
     pub result: Option<T>,
-    /// The error.
+    /// The error; `None` if the line holds a result.
     pub error: Option<ErrorBody>,
 }
 
@@ -90,11 +90,11 @@
 pub mod code {
     /// The key, lease or revision does not exist.
     pub const NOT_FOUND: i64 = 5;
-    /// The revision is compacted, or in the future.
+    /// The requested revision was compacted or is in the future.
     pub const OUT_OF_RANGE: i64 = 11;
-    /// The member is unavailable at present.
+    /// The member is temporarily unavailable.
     pub const UNAVAILABLE: i64 = 14;
-    /// The token is invalid.
+    /// The token is invalid or expired.
     pub const UNAUTHENTICATED: i64 = 16;
 }
 
@@ -102,7 +102,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ErrorBody {
-    /// The message.
+    /// The message, for people; decisions depend on `code` only.
     #[serde(alias = "error")]
     pub message: String,
     /// The gRPC status code, see [`code`].
--- a/crates/registry/src/wire/watch.rs
+++ b/crates/registry/src/wire/watch.rs
@@ -1,4 +1,4 @@
-//! Watches and their events.
+//! Messages of watches, and their events.
 
 use super::encoding::{is_false, is_zero, number};
 use super::{Bytes, Header, KeyValue};
@@ -8,18 +8,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchCreate {
-    /// The first key.
+    /// The first key to watch.
     pub key: Bytes,
-    /// The end of the range, exclusive.
+    /// The end of the range, exclusive; empty to watch only `key`.
     #[serde(skip_serializing_if = "Bytes::is_empty")]
     pub range_end: Bytes,
-    /// The first revision whose changes are delivered.
+    /// The first revision whose changes are delivered; 0 for those after the current revision.
     #[serde(with = "number", skip_serializing_if = "is_zero")]
     pub start_revision: i64,
     /// Whether progress notifications are sent while nothing changes.
     #[serde(skip_serializing_if = "is_false")]
     pub progress_notify: bool,
-    /// Whether large responses may be split into fragments.
+    /// Whether large responses may be split into several.
     #[serde(skip_serializing_if = "is_false")]
     pub fragment: bool,
 }
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchRequest {
-    /// Creates the watch.
+    /// Creates a watch; the only request supported here.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub create_request: Option<WatchCreate>,
 }
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EventType {
-    /// The key was put.
+    /// The key was created or its value was replaced.
     #[default]
     Put,
     /// The key was deleted.
@@ -51,7 +51,7 @@
     /// The kind of change.
     #[serde(rename = "type")]
     pub kind: EventType,
-    /// The key; a deleted one has only `key` and `mod_revision`.
+    /// The key; for a deletion only `key` and `mod_revision` are set.
     pub kv: KeyValue,
 }
 
@@ -61,22 +61,22 @@
 pub struct WatchResponse {
     /// See [`Header`].
     pub header: Header,
-    /// Whether this response confirms the creation.
+    /// Whether this response confirms that the watch was created.
     #[serde(skip_serializing_if = "is_false")]
     pub created: bool,
     /// Whether the watch was canceled.
     #[serde(skip_serializing_if = "is_false")]
     pub canceled: bool,
-    /// The oldest available revision, where the watch was canceled because its start is compacted; else 0.
+    /// The oldest available revision, if the watch was canceled because its start revision is compacted; otherwise 0.
     #[serde(with = "number", skip_serializing_if = "is_zero")]
     pub compact_revision: i64,
-    /// The reason of the cancellation.
+    /// Why the watch was canceled; may be empty.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub cancel_reason: String,
-    /// Whether more events of the same revision follow.
+    /// Whether the next response continues the events of this one.
     #[serde(skip_serializing_if = "is_false")]
     pub fragment: bool,
-    /// The events.
+    /// The events in the order of their revisions; empty in a progress notification.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub events: Vec<WatchEvent>,
 }
--- a/crates/relay/src/entries.rs
+++ b/crates/relay/src/entries.rs
@@ -1,18 +1,18 @@
-//! The routers' own entries at a relay: leases and the keys under them, kept and counted here, so that a router costs the
-//! registry nothing. No I/O; bounded.
+//! The entries that routers register at a relay: leases and the keys under them. They are held and counted by the relay, so
+//! that its routers cause no requests to the registry. No I/O; the number of leases is bounded.
 
 use std::collections::BTreeMap;
 
-/// The longest time to live of a lease, in seconds.
+/// Maximum time to live of a lease in seconds.
 const LEASE_TTL_MAX_S: i64 = 600;
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// A lease that was granted.
+/// A newly granted lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantedLease {
-    /// The id.
+    /// The id, unique among all relays with different names.
     pub id: i64,
-    /// The time to live in seconds.
+    /// The granted time to live in seconds, which may differ from the requested one.
     pub ttl_s: i64,
 }
 
@@ -20,11 +20,11 @@
 struct Lease {
     ttl_us: i64,
     expires_at_us: i64,
-    /// The key that expires with the lease.
+    /// The key that expires with the lease; none before the first put.
     key: Option<Vec<u8>>,
 }
 
-/// Leases by id; see the module's documentation. Times in microseconds.
+/// The leases by id; see the module's documentation. Times in microseconds.
 #[derive(Debug)]
 pub struct Entries {
     leases: BTreeMap<i64, Lease>,
@@ -33,14 +33,14 @@
 }
 
 impl Entries {
-    /// Creates an empty set for at most `capacity` leases. Relays of different names grant different ids, so that the lease
-    /// of another relay is unknown here.
+    /// Creates an empty set for at most `capacity` leases. Relays with different names grant different ids, so that a lease
+    /// of another relay is recognized as unknown.
     pub fn new(name: &str, capacity: usize) -> Self {
         let id_prefix = (slatevalve_pacing::seed_of(0, name) >> 24) as i64;
         Entries { leases: BTreeMap::new(), next_id: (id_prefix << 20) | 1, capacity }
     }
 
-    /// Grants a lease of `ttl_s` seconds, within bounds; none where the capacity is reached.
+    /// Grants a lease of `ttl_s` seconds, limited to 1..=600; `None` if the capacity is reached.
     pub fn grant(&mut self, now_us: i64, ttl_s: i64) -> Option<GrantedLease> {
         if self.leases.len() >= self.capacity {
             return None;
@@ -52,7 +52,7 @@
         Some(GrantedLease { id, ttl_s })
     }
 
-    /// Puts a key under a lease, and removes it from any other. Returns whether the lease is known.
+    /// Puts a key under a lease and removes it from any other lease. Returns whether the lease exists.
     pub fn put(&mut self, id: i64, key: &[u8]) -> bool {
         if !self.leases.contains_key(&id) {
             return false;
@@ -67,7 +67,7 @@
         true
     }
 
-    /// Keeps a lease alive. Returns its time to live in seconds, 0 for an unknown lease.
+    /// Renews a lease. Returns its time to live in seconds, 0 for an unknown lease.
     pub fn keep_alive(&mut self, now_us: i64, id: i64) -> i64 {
         self.leases.get_mut(&id).map_or(0, |lease| {
             lease.expires_at_us = now_us.saturating_add(lease.ttl_us);
@@ -75,17 +75,17 @@
         })
     }
 
-    /// Revokes a lease. Returns whether it was known.
+    /// Revokes a lease and removes its key. Returns whether the lease existed.
     pub fn revoke(&mut self, id: i64) -> bool {
         self.leases.remove(&id).is_some()
     }
 
-    /// Removes the expired leases.
+    /// Removes the expired leases with their keys.
     pub fn expire(&mut self, now_us: i64) {
         self.leases.retain(|_, lease| lease.expires_at_us > now_us);
     }
 
-    /// Returns the number of keys.
+    /// Returns the number of keys, which is the number of registered routers.
     #[must_use]
     pub fn count(&self) -> usize {
         self.leases.values().filter(|lease| lease.key.is_some()).count()
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,13 +1,16 @@
-//! A relay: a watch cache between the registry and many routers. It follows the registry's workers once, and serves their
-//! list and watch by the protocol that routers speak with the registry.
+//! A relay: a watch cache between the registry and many routers. It lists and watches the registry's workers once, and serves
+//! lists and watches to routers with the same protocol and the same revisions as the registry.
 //!
-//! Three invariants hold. A response never has an earlier state than its router knows, from whichever relay: a router that
-//! knows more waits a moment and is then rejected. A stale cache is not served: a relay without its registry rejects all
-//! requests and ends its watches, so that routers leave it. No drain is lost: a change that cannot be sent as an event in
-//! order ends the watches, and routers list again. Revisions are the registry's own.
+//! Invariants:
 //!
-//! [`WatchCache`] holds the keys and their history, [`Relay`] serves routers; both are without I/O. [`run_relay`] is their
-//! event loop, run by the command `slatevalve relay`.
+//! - A router never receives an earlier state than it already received, even from another relay. A watch from a revision that
+//!   the relay has not reached waits briefly and is then rejected.
+//! - A stale cache is not served. A relay that has lost the registry rejects all requests and ends its watches, so that its
+//!   routers change to another endpoint.
+//! - No drain is lost. A change that cannot be sent as an event in order ends all watches, and the routers list again.
+//!
+//! [`WatchCache`] holds the keys and their history, and [`Relay`] serves routers; neither does I/O. [`run_relay`] is their
+//! event loop, which the command `slatevalve relay` runs.
 #![forbid(unsafe_code)]
 
 mod entries;
--- a/crates/relay/src/relay/mod.rs
+++ b/crates/relay/src/relay/mod.rs
@@ -1,5 +1,5 @@
-//! Serves routers from the watch cache: list, watch and their own entries. No I/O: bytes by connection and times in, bytes
-//! out.
+//! Serves routers: lists and watches of workers from the watch cache, and the routers' own entries. No I/O: the inputs are
+//! times and the bytes received on each connection, the outputs [`RelayAction`]s.
 
 mod requests;
 mod watches;
@@ -19,11 +19,11 @@
 /// Limits of a [`Relay`]. Times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest number of connections.
+    /// Maximum number of connections, and of leases.
     pub peers: usize,
-    /// The number of events kept for routers that were disconnected.
+    /// Maximum number of events kept for routers that were disconnected.
     pub events: usize,
-    /// How long a watch from a revision beyond the cache waits for it, before it is rejected.
+    /// How long a watch from a revision that the cache has not reached waits before it is rejected.
     pub hold_us: i64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The id of a router's connection, assigned by the owner of the sockets.
+/// The id of a router's connection. The owner of the sockets assigns it and does not reuse it.
 pub type Peer = u64;
 
 /// An action for the owner of the sockets.
@@ -41,36 +41,39 @@
 pub enum RelayAction {
     /// Write these bytes.
     Write(Peer, Vec<u8>),
-    /// Close the connection after everything is written.
+    /// Close the connection once all bytes are written.
     Finish(Peer),
-    /// Write the number of this relay's routers to the registry.
+    /// Write this number of routers into the relay's record in the registry.
     Announce(usize),
 }
 
+/// A router's connection.
 struct Connection {
     reader: MessageReader,
+    /// The watch that was requested on it; no other request may follow.
     watch: Option<Watch>,
 }
 
-/// The routers' connections, entries and watches; see the module's documentation.
+/// The watch cache with the routers' connections, watches and entries; see the module's documentation.
 pub struct Relay {
     limits: Limits,
     prefix: String,
     cache: WatchCache,
     entries: Entries,
     connections: BTreeMap<Peer, Connection>,
-    /// Whether the cache is current, so that it may be served.
+    /// Whether the cache was current at the last update, so that requests are served.
     is_serving: bool,
-    /// All routers as counted by the registry, those at relays included.
+    /// The total number of routers by the registry's last count, those at relays included.
     counted_routers: usize,
-    /// This relay's routers as written to the registry.
+    /// The number of this relay's routers that was last written to the registry.
     announced_routers: usize,
-    /// The last list that was served: hundreds of routers request the same.
+    /// The last encoded list, because hundreds of routers request the same one.
     cached_list: Option<CachedList>,
 }
 
 impl Relay {
-    /// Creates a relay of this name for the keys below a prefix. It serves nothing until it is updated.
+    /// Creates a relay for the keys below a prefix; the name determines the ids of its leases. It rejects all requests until
+    /// the first [`Relay::update`] with a current state.
     pub fn new(limits: Limits, name: &str, prefix: &str) -> Self {
         Relay {
             prefix: prefix.into(),
@@ -85,18 +88,18 @@
         }
     }
 
-    /// Returns whether requests are served.
+    /// Returns whether requests are served, which is the case while the cache is current.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.is_serving
     }
 
-    /// Sets the number of routers as counted by the registry, those at relays included.
+    /// Sets the total number of routers that the registry's client counted, those at relays included.
     pub fn set_counted_routers(&mut self, routers: usize) {
         self.counted_routers = routers;
     }
 
-    /// Handles a new connection; returns whether it is accepted.
+    /// Handles a new connection. Returns `false` if there are too many; it is then to be closed.
     pub fn opened(&mut self, peer: Peer) -> bool {
         if self.connections.len() >= self.limits.peers {
             return false;
@@ -111,12 +114,12 @@
         self.connections.remove(&peer);
     }
 
-    /// Handles received bytes.
+    /// Handles bytes received on a connection.
     pub fn received(&mut self, now_us: i64, peer: Peer, bytes: &[u8], actions: &mut Vec<RelayAction>) {
         let Some(connection) = self.connections.get_mut(&peer) else { return };
         match connection.reader.feed(bytes) {
             Ok(None) => {}
-            // The response to a watch does not end, so a further request cannot be answered.
+            // The response to a watch does not end, so another request on the same connection cannot be answered.
             Ok(Some(_)) if connection.watch.is_some() => actions.push(RelayAction::Finish(peer)),
             Ok(Some(request)) => self.handle_request(now_us, peer, &request, actions),
             Err(_) => actions.push(RelayAction::Finish(peer)),
@@ -138,7 +141,8 @@
         });
     }
 
-    /// Updates the cache from the registry's client. To be called after each event of the client, and from time to time.
+    /// Updates the cache from the registry's client. To be called after each event of the client, and periodically to detect
+    /// that its state has become stale.
     pub fn update(&mut self, now_us: i64, watch_state: &WatchState, actions: &mut Vec<RelayAction>) {
         let is_current = watch_state.freshness(now_us) == Freshness::Current;
         if is_current {
@@ -154,7 +158,7 @@
         self.is_serving = is_current;
     }
 
-    /// Handles the passing of time: expired entries, and watches that wait for the cache to catch up.
+    /// Handles the passage of time: removes expired entries, and starts or rejects watches that wait for the cache.
     pub fn advance(&mut self, now_us: i64, actions: &mut Vec<RelayAction>) {
         self.entries.expire(now_us);
         let routers = self.entries.count();
--- a/crates/relay/src/relay/requests.rs
+++ b/crates/relay/src/relay/requests.rs
@@ -1,4 +1,4 @@
-//! Requests other than watches: lists, counts, leases and entries of routers.
+//! Requests other than watches: lists of workers, counts of routers, and the leases and entries of routers.
 
 use super::{Peer, Relay, RelayAction};
 use crate::watch_cache::RangeError;
@@ -12,12 +12,13 @@
 const STATUS_TOO_MANY_REQUESTS: u16 = 429;
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// gRPC status codes of rejections, beside those of the protocol's client (grpc.io, "Status Codes").
+/// gRPC status codes of rejections that [`code`] does not define (grpc.io, "Status Codes").
 const CODE_INVALID_ARGUMENT: i64 = 3;
 const CODE_RESOURCE_EXHAUSTED: i64 = 8;
 const CODE_UNIMPLEMENTED: i64 = 12;
 
-/// The token of a login. A relay authenticates nobody; the registry authenticated the relay.
+/// The token that every login returns. A relay does not authenticate routers; only the relay itself authenticates, to the
+/// registry.
 const TOKEN: &str = "relay";
 
 /// A rejected request.
@@ -26,6 +27,7 @@
     status: u16,
     /// The gRPC status code.
     code: i64,
+    /// The message sent to the router.
     message: &'static str,
 }
 
@@ -53,7 +55,7 @@
         Rejection { status: STATUS_TOO_MANY_REQUESTS, code: CODE_RESOURCE_EXHAUSTED, message }
     }
 
-    /// Encodes the rejection as a response.
+    /// Returns the action that sends the rejection as a response.
     pub(super) fn to_action(&self, peer: Peer) -> RelayAction {
         let body = to_json(&ErrorBody { message: self.message.into(), code: self.code });
         RelayAction::Write(peer, answer(self.status, "", &body))
@@ -66,10 +68,10 @@
     }
 }
 
-/// The body of a response, or why there is none.
+/// The JSON body of a successful response, or the rejection.
 type Response = Result<Vec<u8>, Rejection>;
 
-/// A list with the revision that it was read at.
+/// An encoded list, with its request and the revision at which it was read.
 pub(super) struct CachedList {
     request: RangeRequest,
     revision: i64,
@@ -85,7 +87,7 @@
 }
 
 impl Relay {
-    /// Executes a request; returns the JSON body of its response.
+    /// Executes a request other than a watch; returns the JSON body of its response.
     pub(super) fn serve(&mut self, now_us: i64, path: &str, body: &[u8]) -> Response {
         let header = self.cache.header();
         match path {
@@ -138,19 +140,19 @@
             }
         }
         let body = to_json(&self.cache.range(&request)?);
-        // A limit of one key is a liveness check, not a list.
+        // A limit of one key indicates a liveness check. It must not replace the cached list.
         if request.limit != 1 {
             self.cached_list = Some(CachedList { request, revision, body: body.clone() });
         }
         Ok(body)
     }
 
-    /// Returns the number of routers, without their entries, which only their relay holds. Routers that registered here since
-    /// the registry's count are added.
+    /// Returns the number of all routers, without their entries, which only the relay of each router holds. To the registry's
+    /// count it adds the routers that registered here and are not yet in this relay's record.
     fn count_routers(&self) -> Vec<u8> {
-        let here = self.entries.count();
-        let unannounced = here.saturating_sub(self.announced_routers);
-        let count = (self.counted_routers + unannounced).max(here) as i64;
+        let own_routers = self.entries.count();
+        let unannounced = own_routers.saturating_sub(self.announced_routers);
+        let count = (self.counted_routers + unannounced).max(own_routers) as i64;
         to_json(&RangeResponse { header: self.cache.header(), count, ..RangeResponse::default() })
     }
 }
--- a/crates/relay/src/relay/watches.rs
+++ b/crates/relay/src/relay/watches.rs
@@ -1,4 +1,4 @@
-//! Watches of routers: their start, the events sent on them and their end.
+//! The routers' watches: their start, the events sent on them, and their end.
 
 use super::requests::{parse, Rejection};
 use super::{Peer, Relay, RelayAction};
@@ -7,14 +7,14 @@
 use slatevalve_registry::WORKERS;
 use std::collections::BTreeMap;
 
-/// The largest number of events in one line of a watch's response.
+/// Maximum number of events in one line of the response to a watch.
 const EVENTS_PER_LINE_MAX: usize = 100;
 
 /// A watch of a range of keys.
 pub(super) struct Watch {
     key: Vec<u8>,
     end: Vec<u8>,
-    /// Set while the cache has not reached the start of the watch.
+    /// Set while the cache has not reached the revision from which the watch starts.
     pending: Option<PendingStart>,
 }
 
@@ -29,19 +29,21 @@
 struct PendingStart {
     /// The revision after which events are requested.
     after_revision: i64,
+    /// When the watch is rejected.
     deadline_us: i64,
 }
 
 /// Why all watches end.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum WatchEnd {
-    /// Events in order are not available any more: routers list again.
+    /// Events can no longer be sent in order; routers list again.
     Compacted,
-    /// The relay has lost its registry: routers go to another endpoint.
+    /// The relay has lost its registry; routers change to another endpoint.
     Unavailable,
 }
 
 impl Relay {
+    /// Starts a watch, or lets it wait if the cache has not reached its revision. Rejects watches of keys other than workers.
     pub(super) fn handle_watch_request(
         &mut self,
         now_us: i64,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Starts the watches whose revision the cache has reached, and rejects those that waited too long.
+    /// Starts the waiting watches whose revision the cache has reached, and rejects those past their deadline.
     pub(super) fn advance_pending_watches(&mut self, now_us: i64, actions: &mut Vec<RelayAction>) {
         let pending_of = |(peer, connection): (&Peer, &super::Connection)| {
             Some((*peer, connection.watch.as_ref()?.pending?))
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Starts a watch after a revision that the cache has reached.
+    /// Starts a watch after a revision that the cache has reached, or cancels it if the history since then was discarded.
     fn start_watch(&mut self, peer: Peer, after_revision: i64, actions: &mut Vec<RelayAction>) {
         let Some(watch) = self.connections.get_mut(&peer).and_then(|connection| connection.watch.as_mut())
         else {
@@ -116,7 +118,7 @@
         actions.push(RelayAction::Write(peer, bytes));
     }
 
-    /// Sends events on all active watches; those of each range are encoded once.
+    /// Sends events on all active watches. Watches of the same range share one encoding.
     pub(super) fn send_events(&mut self, events: &[WatchEvent], actions: &mut Vec<RelayAction>) {
         let header = self.cache.header();
         let mut encoded: BTreeMap<(&[u8], &[u8]), Vec<u8>> = BTreeMap::new();
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Ends all watches and closes their connections.
+    /// Ends all watches and closes their connections; active ones are told the compacted revision if that is the reason.
     pub(super) fn end_watches(&mut self, end: WatchEnd, actions: &mut Vec<RelayAction>) {
         let (header, oldest) = (self.cache.header(), self.cache.oldest());
         for (peer, connection) in &mut self.connections {
@@ -150,14 +152,14 @@
     chunk(&watch_line(response))
 }
 
-/// Encodes the cancellation of a watch from a revision whose history is not kept, and the end of its response.
+/// Encodes the cancellation of a watch whose history was discarded, and the end of its response.
 fn encode_compacted(header: Header, oldest: i64) -> Vec<u8> {
     let compact_revision = oldest + 1;
     let response = WatchResponse { header, canceled: true, compact_revision, ..WatchResponse::default() };
     [&encode(response), WATCH_END].concat()
 }
 
-/// Encodes events as lines: those of one revision together, in fragments where they are many.
+/// Encodes events as lines, one for each revision; a line of too many events is split into fragments.
 fn encode_events(header: &Header, events: &[WatchEvent]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for of_revision in events.chunk_by(|one, next| one.kv.mod_revision == next.kv.mod_revision) {
--- a/crates/relay/src/run/mod.rs
+++ b/crates/relay/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! The relay's event loop: the registry's client and the routers' connections on one reactor.
+//! The relay's event loop, which runs the registry's client and the routers' connections on one reactor.
 
 mod server;
 
@@ -9,35 +9,35 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The settings of [`run_relay`].
+/// Settings of [`run_relay`].
 #[derive(Clone, Debug)]
 pub struct RelaySettings {
-    /// The name, different from other relays'.
+    /// The relay's name, unique among the relays of a site; part of its key in the registry.
     pub name: String,
     /// The address to listen on; port 0 lets the kernel choose.
     pub listen: SocketAddr,
-    /// Settings of the registry's client; its own entry is filled in.
+    /// Settings of the registry's client; [`run_relay`] sets `own` to the relay's entry.
     pub client: ClientSettings,
-    /// Addresses of the registry's members, in the order of the client's endpoints.
+    /// Addresses of the registry's members, in the order of `client.endpoints`.
     pub addresses: Vec<SocketAddr>,
-    /// Limits of the relay.
+    /// Limits on connections, history and waiting watches.
     pub limits: Limits,
 }
 
-/// Why a relay ended.
+/// Why a relay failed.
 #[derive(Debug)]
 pub enum RelayError {
-    /// Listening on the address failed.
+    /// Listening on this address failed.
     Listen(SocketAddr, io::Error),
-    /// The event loop failed.
+    /// The event loop could not be set up, or failed.
     Loop(io::Error),
 }
 
 impl fmt::Display for RelayError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RelayError::Listen(address, error) => write!(f, "{address}: {error}"),
-            RelayError::Loop(error) => error.fmt(f),
+            RelayError::Listen(address, error) => write!(f, "cannot listen on {address}: {error}"),
+            RelayError::Loop(error) => write!(f, "the event loop failed: {error}"),
         }
     }
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Runs a relay until SIGTERM or SIGINT; calls `ready` with the address that it listens on.
+/// Runs a relay until SIGTERM or SIGINT. Once it listens, calls `ready` with its address.
 ///
 /// # Errors
 /// When a socket cannot be opened, or the event loop fails.
--- a/crates/relay/src/run/server.rs
+++ b/crates/relay/src/run/server.rs
@@ -1,4 +1,4 @@
-//! The state of the event loop, and its steps: socket events, the client's events, the relay's actions.
+//! The state of the event loop and its steps: socket events, the client's events, and the relay's actions.
 
 use super::{RelayError, RelaySettings};
 use crate::relay::{Peer, Relay, RelayAction};
@@ -11,27 +11,27 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// The largest number of bytes buffered for one router; a slower one is disconnected.
+/// Maximum number of bytes buffered for one router; a router that reads too slowly is disconnected.
 const BUFFERED_BYTES_MAX: usize = 16 * 1024 * 1024;
 const SIGTERM: i32 = 15;
 const SIGINT: i32 = 2;
-/// Interval of checks for expired entries and a stale cache.
+/// Interval of the checks for expired entries and for a stale cache.
 const TICK_US: i64 = 100_000;
-/// The least interval of writes of the number of routers to the registry.
+/// Minimum interval between writes of the number of routers to the registry.
 const ANNOUNCE_INTERVAL_US: i64 = 1_000_000;
-/// How long a stop waits for the revocation of the relay's own lease.
+/// How long an orderly stop waits for the response to the revocation of the relay's own lease.
 const REVOKE_TIMEOUT_US: i64 = 1_000_000;
-/// The time of the start, later than 0, so that earlier times can be represented.
+/// The relay's clock at its start. It is above 0 so that times before the start can be represented.
 const START_US: i64 = 1_000_000_000;
 
-/// Whether the event loop goes on.
+/// Whether the event loop continues.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Flow {
     Continue,
     Stop,
 }
 
-/// The connections of routers, by the id of the relay and by that of the reactor.
+/// The routers' connections: the relay's ids and the reactor's ids, mapped in both directions.
 #[derive(Default)]
 struct Peers {
     last_peer: Peer,
@@ -65,15 +65,16 @@
     deadline_us: i64,
 }
 
-/// The number of routers that is to be written to the registry.
+/// The pending write of the number of routers to the registry.
 #[derive(Default)]
 struct Announcement {
+    /// The number to write; none if the registry has the current one.
     routers: Option<usize>,
-    /// Not written before.
+    /// No write happens before this time.
     not_before_us: i64,
 }
 
-/// See the module's documentation.
+/// The event loop's state; see the module's documentation.
 pub(super) struct RelayServer {
     reactor: Reactor,
     link: Link,
@@ -82,19 +83,21 @@
     started: Instant,
     actions: Vec<RelayAction>,
     announcement: Announcement,
+    /// Set once a signal was received.
     stopping: Option<Stopping>,
+    /// Whether the relay served requests when this was last logged.
     was_serving: bool,
-    /// When the relay is to be updated from the client.
+    /// When the relay is next updated from the client.
     update_due_us: i64,
 }
 
-/// Returns the relay's own record.
+/// Encodes the relay's own record.
 fn record(routers: usize) -> Vec<u8> {
     serde_json::to_vec(&RelayRecord { routers }).unwrap_or_default()
 }
 
 impl RelayServer {
-    /// Opens the sockets; returns the server and the address that it listens on.
+    /// Opens the sockets. Returns the server and the address on which it listens.
     pub(super) fn start(plan: RelaySettings) -> Result<(Self, SocketAddr), RelayError> {
         let mut reactor = Reactor::new(BUFFERED_BYTES_MAX).map_err(RelayError::Loop)?;
         for signal in [SIGTERM, SIGINT] {
@@ -106,7 +109,7 @@
         client.own = Some((format!("{}{RELAYS}{}", client.prefix, plan.name), record(0)));
         let relay = Relay::new(plan.limits, &plan.name, &client.prefix);
         let mut link = Link::new(client, plan.addresses);
-        // Relays are few, so their delays are short.
+        // Relays are few, so their delays can be short.
         link.client_mut().set_clients(1);
         let server = RelayServer {
             reactor,
@@ -123,11 +126,12 @@
         Ok((server, address))
     }
 
+    /// Returns the present time of the relay's monotonic clock.
     fn now_us(&self) -> i64 {
         START_US + i64::try_from(self.started.elapsed().as_micros()).unwrap_or(i64::MAX / 2)
     }
 
-    /// Runs the event loop until a signal stops it.
+    /// Runs the event loop until a signal ends it.
     pub(super) fn run(&mut self) -> io::Result<()> {
         let mut events = Vec::new();
         loop {
@@ -166,7 +170,8 @@
         Flow::Continue
     }
 
-    /// Handles an event of a signal, the listener or a router's connection.
+    /// Handles a signal, or an event of the listener or of a router's connection. The first signal starts an orderly stop, a
+    /// second one stops at once.
     fn handle_event(&mut self, now_us: i64, event: ReactorEvent) -> Flow {
         match event {
             ReactorEvent::Signal(_) if self.stopping.is_some() => return Flow::Stop,
@@ -205,9 +210,9 @@
             ClientEvent::Routers(count) => self.relay.set_counted_routers(count),
             ClientEvent::Failed(reason) => warn!(%reason, "registry: request failed"),
             ClientEvent::WatchFault(fault) => {
-                warn!(?fault, "registry: the list is compared anew, or the watch begun again")
+                warn!(?fault, "registry: the list is compared anew, or the watch restarted")
             }
-            ClientEvent::LeaseLost => warn!("registry: our lease was lost; it is had anew"),
+            ClientEvent::LeaseLost => warn!("registry: our lease was lost; registering again"),
             ClientEvent::Registered => info!("registered"),
             ClientEvent::Answered(ticket, _) => {
                 if self.stopping.is_some_and(|stopping| stopping.revocation == Some(ticket)) {
@@ -219,8 +224,8 @@
         Flow::Continue
     }
 
-    /// Updates the relay. As an update compares all keys, it is done after events of the client and once a tick, not for
-    /// each request of a router.
+    /// Updates the relay and advances its timers. An update compares all keys, so it happens only after events of the client
+    /// and once per tick, not for each request of a router.
     fn advance_relay(&mut self, now_us: i64) {
         if now_us >= self.update_due_us {
             self.update_due_us = now_us + TICK_US;
@@ -251,6 +256,7 @@
         }
     }
 
+    /// Writes the number of routers to the registry, if it changed and the minimum interval has passed.
     fn announce(&mut self, now_us: i64) {
         if now_us < self.announcement.not_before_us {
             return;
--- a/crates/relay/src/watch_cache.rs
+++ b/crates/relay/src/watch_cache.rs
@@ -1,8 +1,7 @@
-//! The keys that a relay follows, with enough of their history for routers that were disconnected for a moment or list in
-//! pages.
+//! The keys that a relay follows, with enough history for routers that were disconnected briefly or that list in pages.
 //!
-//! Invariant: the events since any revision not older than [`WatchCache::oldest`] lead from the keys at that revision to the
-//! present ones. A change that breaks it is returned as [`CacheUpdate::Reset`], after which all routers have to list.
+//! Invariant: applying the events since any revision not older than [`WatchCache::oldest`] to the keys at that revision gives
+//! the current keys. An update that cannot keep the invariant returns [`CacheUpdate::Reset`]; all routers must then list again.
 
 use slatevalve_registry::serve::is_in_range;
 use slatevalve_registry::wire::{
@@ -15,7 +14,7 @@
 use std::fmt;
 
 type Keys = BTreeMap<Vec<u8>, KeyValue>;
-/// The keys as the registry's client caches them.
+/// The entries of the registry's client, see [`slatevalve_registry::WatchState::entries`].
 type ClientEntries = BTreeMap<Vec<u8>, CachedEntry>;
 
 /// The outcome of [`WatchCache::update`].
@@ -23,23 +22,23 @@
 pub enum CacheUpdate {
     /// No key changed.
     Unchanged,
-    /// These changes, in the order of their revisions.
+    /// Keys changed; holds the events in the order of their revisions.
     Events(Vec<WatchEvent>),
-    /// The present keys do not follow from the earlier ones by events in order.
+    /// The current keys cannot be reached from the earlier ones by events in order; the history is discarded.
     Reset,
 }
 
 /// Why a range cannot be read at a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RangeError {
-    /// The history of the revision is not kept any more.
+    /// The history of the revision was discarded.
     Compacted,
-    /// The revision is newer than the cache.
+    /// The cache has not reached the revision.
     Future,
 }
 
 impl RangeError {
-    /// Returns the gRPC status code.
+    /// Returns the gRPC status code of the error, the same as etcd's.
     #[must_use]
     pub fn code(self) -> i64 {
         match self {
@@ -47,7 +46,7 @@
         }
     }
 
-    /// Returns the message, as etcd words it.
+    /// Returns etcd's message for the error.
     #[must_use]
     pub fn message(self) -> &'static str {
         match self {
@@ -73,19 +72,21 @@
     keys: Keys,
     /// The keys before the first of `events`.
     base: Keys,
+    /// The kept history, in the order of revisions.
     events: VecDeque<WatchEvent>,
-    /// The earliest revision since which all events are kept.
+    /// All events after this revision are in `events`.
     oldest: i64,
+    /// Maximum number of `events`.
     capacity: usize,
 }
 
 impl WatchCache {
-    /// Creates an empty cache that keeps at most `capacity` events.
+    /// Creates an empty cache that keeps at most `capacity` events (at least one).
     pub fn new(capacity: usize) -> Self {
         WatchCache { capacity: capacity.max(1), ..WatchCache::default() }
     }
 
-    /// Returns the header of a response.
+    /// Returns the header of responses: the registry's cluster id and the revision of the cache.
     #[must_use]
     pub fn header(&self) -> Header {
         Header { cluster_id: self.cluster, member_id: 0, revision: self.revision }
@@ -103,7 +104,7 @@
         self.oldest
     }
 
-    /// Updates the cache from the registry's client: the cluster, the confirmed revision and the entries.
+    /// Updates the cache to the state of the registry's client: its cluster id, confirmed revision and entries.
     pub fn update(&mut self, cluster: i64, revision: i64, entries: &ClientEntries) -> CacheUpdate {
         if cluster != self.cluster || revision < self.revision {
             return self.replace(cluster, revision, entries);
@@ -113,7 +114,8 @@
         events.iter().for_each(|event| apply(&mut self.keys, event));
         match events.first() {
             None => CacheUpdate::Unchanged,
-            // A lost change that a resync found: routers that already received later events would skip it.
+            // A full resync found a change that the watch had lost. Routers that already received later events would skip
+            // it as a duplicate.
             Some(first) if first.kv.mod_revision <= previous_revision => {
                 self.discard_history();
                 CacheUpdate::Reset
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Takes the entries of another cluster, or of an earlier state of the same one.
+    /// Replaces the keys by the entries of another cluster, or of an earlier state of the same one.
     fn replace(&mut self, cluster: i64, revision: i64, entries: &ClientEntries) -> CacheUpdate {
         let is_first = self.revision == 0;
         self.keys = entries.iter().map(|(key, entry)| (key.clone(), key_value(key, entry))).collect();
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Returns the events from the cached keys to the entries, in the order of their revisions.
+    /// Returns the events that transform the cached keys into `entries`, in the order of their revisions.
     fn events_to(&self, revision: i64, entries: &ClientEntries) -> Vec<WatchEvent> {
         let is_cached = |key: &Vec<u8>, entry: &CachedEntry| {
             self.keys
@@ -149,7 +151,7 @@
         let put = entries.iter().filter(|(key, entry)| !is_cached(key, entry));
         let mut events: Vec<WatchEvent> =
             put.map(|(key, entry)| WatchEvent { kind: EventType::Put, kv: key_value(key, entry) }).collect();
-        // The exact revision of a deletion is unknown; the key is absent at this one.
+        // The client does not report the revision of a deletion. The key is absent at `revision`, so that is used.
         let deleted = self.keys.keys().filter(|key| !entries.contains_key(*key));
         events.extend(deleted.map(|key| WatchEvent {
             kind: EventType::Delete,
@@ -159,26 +161,27 @@
         events
     }
 
+    /// Discards all events; only the current revision can be continued from.
     fn discard_history(&mut self) {
         self.base.clone_from(&self.keys);
         self.events.clear();
         self.oldest = self.revision;
     }
 
-    /// Drops the oldest events beyond the capacity.
+    /// Discards the oldest events beyond the capacity.
     fn trim_history(&mut self) {
         while self.events.len() > self.capacity {
             let Some(event) = self.events.pop_front() else { return };
             self.oldest = self.oldest.max(event.kv.mod_revision);
             apply(&mut self.base, &event);
         }
-        // A revision may have changed several keys: its events are dropped together.
+        // One revision may change several keys; its events are discarded together.
         while let Some(event) = self.events.pop_front_if(|event| event.kv.mod_revision <= self.oldest) {
             apply(&mut self.base, &event);
         }
     }
 
-    /// Returns the events of a range after a revision; none where they are not kept any more.
+    /// Returns the events of a range of keys after a revision; `None` if some of them were discarded.
     #[must_use]
     pub fn events_after(&self, revision: i64, key: &[u8], end: &[u8]) -> Option<Vec<WatchEvent>> {
         let later = self.events.iter().filter(|event| event.kv.mod_revision > revision);
@@ -186,10 +189,10 @@
         (revision >= self.oldest).then(|| in_range.cloned().collect())
     }
 
-    /// Reads a range.
+    /// Reads a range of keys at the requested revision.
     ///
     /// # Errors
-    /// When the requested revision is not kept any more, or not reached yet.
+    /// When the history of the requested revision was discarded, or the cache has not reached it.
     pub fn range(&self, request: &RangeRequest) -> Result<RangeResponse, RangeError> {
         let keys = self.keys_at(request.revision)?;
         let in_range = |kv: &&KeyValue| is_in_range(&kv.key.0, &request.key.0, &request.range_end.0);
@@ -204,7 +207,7 @@
         Ok(RangeResponse { header: self.header(), more, count, kvs: kvs.into_iter().cloned().collect() })
     }
 
-    /// Returns the keys at a revision, the present ones for 0.
+    /// Returns the keys at a revision, or the current keys for revision 0.
     fn keys_at(&self, revision: i64) -> Result<Cow<'_, Keys>, RangeError> {
         if revision == 0 || revision == self.revision {
             return Ok(Cow::Borrowed(&self.keys));
