--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Thousands of routers' clients and one registry of limited capacity in simulated time, without sockets. The bounds are
-//! counts and simulated times, so that the result is the same on any machine.
+//! Simulates the clients of up to thousands of routers with one registry of limited capacity, without sockets. All bounds are
+//! counts and simulated times, so the results do not depend on the machine.
 
 use slatevalve_http::{Limits, MessageReader, Side};
 use slatevalve_pacing::{seed_of, Limits as PollSchedule};
@@ -12,10 +12,10 @@
 use std::ops::Range;
 
 const PREFIX: &str = "/s/";
-/// Delay of the network, one way.
+/// One-way delay of the network.
 const NETWORK_DELAY_US: i64 = 1_000;
 
-/// A connection: the client, the channel, and a number that tells it from closed ones.
+/// A connection: the client, the channel, and a number that distinguishes it from earlier ones.
 type Connection = (usize, Channel, u64);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -23,10 +23,12 @@
     Wake(usize),
     Connected(Connection),
     Closed(Connection),
-    Asked(Connection, Vec<u8>),
-    /// The service's core is free.
-    Free,
-    Answered(Connection, Vec<u8>),
+    /// A request arrives at the registry.
+    RequestReceived(Connection, Vec<u8>),
+    /// The registry's only core becomes free.
+    CoreFree,
+    /// A response arrives at the client.
+    ResponseReceived(Connection, Vec<u8>),
 }
 
 struct World {
@@ -39,23 +41,32 @@
     connections: BTreeMap<(usize, Channel), u64>,
     last_connection: u64,
     store: KvStore,
-    /// Queued requests, and when the service's core is free.
+    /// Requests that wait for the registry's core.
     waiting: VecDeque<(Connection, Vec<u8>)>,
+    /// When the registry's core is free.
     free_us: i64,
+    /// Requests that the registry serves per second.
     per_second: f64,
+    /// Maximum length of `waiting`; further requests are dropped.
     queue: usize,
+    /// When the registry is unavailable.
     outage: Range<i64>,
     watchers: Vec<Connection>,
+    /// Changes up to this revision were sent on all watches.
     notified_revision: i64,
-    /// When each request arrived, and each client received its first list and the drain.
+    /// When each request arrived at the registry.
     requests_us: Vec<i64>,
+    /// Bytes that the clients received.
     bytes: u64,
+    /// When each client received its first list.
     listed_us: BTreeMap<usize, i64>,
+    /// When each client received the drain.
     drained_us: BTreeMap<usize, i64>,
 }
 
 impl World {
-    /// Creates so many routers, each of which assumes `assumed` routers, and a service of so many requests a second.
+    /// Creates `routers` clients, each of which assumes `assumed` clients, and a registry that serves `per_second` requests per
+    /// second.
     fn new(routers: usize, assumed: usize, per_second: f64) -> Self {
         let client = |n: usize| {
             Client::new(ClientSettings {
@@ -71,7 +82,7 @@
                 clients: assumed,
                 drain_within_us: 12_000_000,
                 timeout_us: 2_000_000,
-                // All were given the same seed.
+                // The configured seed is the same for all.
                 seed: seed_of(1, &format!("r-{n}")),
             })
         };
@@ -97,7 +108,7 @@
             drained_us: BTreeMap::new(),
         };
         (0..20).for_each(|n| world.put(n, r#"{"address":"127.0.0.1:1"}"#));
-        (0..routers).for_each(|n| world.at(0, Event::Wake(n)));
+        (0..routers).for_each(|n| world.schedule(0, Event::Wake(n)));
         world
     }
 
@@ -107,7 +118,7 @@
         self.store.put(self.now_us, &put).unwrap();
     }
 
-    fn at(&mut self, at_us: i64, event: Event) {
+    fn schedule(&mut self, at_us: i64, event: Event) {
         self.order += 1;
         self.events.push(Reverse((at_us, self.order, event)));
     }
@@ -116,7 +127,7 @@
         self.outage.contains(&self.now_us)
     }
 
-    /// Runs the simulation; a worker drains at the given time.
+    /// Runs the simulation until `until_us`; a worker drains at `drain_us`.
     fn run(&mut self, until_us: i64, mut drain_us: Option<i64>) {
         while let Some(Reverse((at_us, _, event))) = self.events.pop() {
             if at_us > until_us {
@@ -139,7 +150,7 @@
         let is_current = |connections: &BTreeMap<_, _>, connection: &Connection| {
             connections.get(&(connection.0, connection.1)) == Some(&connection.2)
         };
-        let of = match event {
+        let client = match event {
             Event::Wake(n) if self.wakes[n] == now => {
                 self.clients[n].advance(now, &mut actions, &mut client_events);
                 n
@@ -156,7 +167,7 @@
                 self.clients[connection.0].closed(now, connection.1, &mut actions, &mut client_events);
                 connection.0
             }
-            Event::Answered(connection, bytes) if is_current(&self.connections, &connection) => {
+            Event::ResponseReceived(connection, bytes) if is_current(&self.connections, &connection) => {
                 self.bytes += bytes.len() as u64;
                 self.clients[connection.0].received(
                     now,
@@ -167,61 +178,61 @@
                 );
                 connection.0
             }
-            // A request costs the service its time even if the client has closed the connection.
-            Event::Asked(connection, bytes) => {
+            // A request takes time of the registry's core even if the client has closed the connection.
+            Event::RequestReceived(connection, bytes) => {
                 if !self.is_in_outage() && self.waiting.len() < self.queue {
                     self.waiting.push_back((connection, bytes));
                     let at = self.free_us.max(now);
-                    self.at(at, Event::Free);
+                    self.schedule(at, Event::CoreFree);
                 }
                 return self.requests_us.push(now);
             }
             _ => return,
         };
-        self.clients[of].advance(now, &mut actions, &mut client_events);
-        for what in &client_events {
-            // As the gateway does, the counted number replaces the assumed one.
-            if let ClientEvent::Routers(count) = what {
-                self.clients[of].set_clients(*count);
+        self.clients[client].advance(now, &mut actions, &mut client_events);
+        for event in &client_events {
+            // As in the gateway, the counted number replaces the assumed one.
+            if let ClientEvent::Routers(count) = event {
+                self.clients[client].set_clients(*count);
             }
-            let ClientEvent::Changes(changes) = what else { continue };
-            self.listed_us.entry(of).or_insert(now);
+            let ClientEvent::Changes(changes) = event else { continue };
+            self.listed_us.entry(client).or_insert(now);
             let drains =
                 |c: &Change| matches!(c, Change::Put { value, .. } if value.ends_with(b"\"draining\"}"));
             if changes.iter().any(drains) {
-                self.drained_us.entry(of).or_insert(now);
+                self.drained_us.entry(client).or_insert(now);
             }
         }
-        for what in actions {
-            match what {
+        for action in actions {
+            match action {
                 SocketAction::Open(channel, _) => {
                     self.last_connection += 1;
-                    let connection = (of, channel, self.last_connection);
-                    self.connections.insert((of, channel), self.last_connection);
-                    self.at(now + 2 * NETWORK_DELAY_US, Event::Connected(connection));
+                    let connection = (client, channel, self.last_connection);
+                    self.connections.insert((client, channel), self.last_connection);
+                    self.schedule(now + 2 * NETWORK_DELAY_US, Event::Connected(connection));
                 }
-                SocketAction::Close(channel) => drop(self.connections.remove(&(of, channel))),
+                SocketAction::Close(channel) => drop(self.connections.remove(&(client, channel))),
                 SocketAction::Write(channel, bytes) => {
-                    if let Some(number) = self.connections.get(&(of, channel)) {
-                        let connection = (of, channel, *number);
-                        self.at(now + NETWORK_DELAY_US, Event::Asked(connection, bytes));
+                    if let Some(number) = self.connections.get(&(client, channel)) {
+                        let connection = (client, channel, *number);
+                        self.schedule(now + NETWORK_DELAY_US, Event::RequestReceived(connection, bytes));
                     }
                 }
             }
         }
-        let wake = self.clients[of].next_wake(now).max(now + 1_000);
-        if self.wakes[of] <= now || wake < self.wakes[of] {
-            self.wakes[of] = wake;
-            self.at(wake, Event::Wake(of));
+        let wake = self.clients[client].next_wake(now).max(now + 1_000);
+        if self.wakes[client] <= now || wake < self.wakes[client] {
+            self.wakes[client] = wake;
+            self.schedule(wake, Event::Wake(client));
         }
     }
 
-    /// Serves the queued requests for which the core has had time.
+    /// Serves queued requests while the registry's core is free.
     fn serve_queue(&mut self) {
         if self.is_in_outage() {
             self.waiting.clear();
             for connection in std::mem::take(&mut self.watchers) {
-                self.at(self.now_us + NETWORK_DELAY_US, Event::Closed(connection));
+                self.schedule(self.now_us + NETWORK_DELAY_US, Event::Closed(connection));
             }
             return;
         }
@@ -229,25 +240,25 @@
             let Some((connection, bytes)) = self.waiting.pop_front() else { return };
             self.free_us = self.free_us.max(self.now_us) + (1e6 / self.per_second) as i64;
             let bytes = self.serve(connection, &bytes);
-            self.at(self.now_us + NETWORK_DELAY_US, Event::Answered(connection, bytes));
+            self.schedule(self.now_us + NETWORK_DELAY_US, Event::ResponseReceived(connection, bytes));
             let at = self.free_us;
-            self.at(at, Event::Free);
+            self.schedule(at, Event::CoreFree);
         }
     }
 
     fn serve(&mut self, connection: Connection, bytes: &[u8]) -> Vec<u8> {
         let request = MessageReader::new(Side::Request, Limits::default()).feed(bytes).unwrap().unwrap();
         let (body, now) = (request.body.as_slice(), self.now_us);
-        fn json<T: serde::Serialize>(a: &T) -> Vec<u8> {
-            answer(200, "", &serde_json::to_vec(a).unwrap())
+        fn json<T: serde::Serialize>(response: &T) -> Vec<u8> {
+            answer(200, "", &serde_json::to_vec(response).unwrap())
         }
-        fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> T {
+        fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> T {
             serde_json::from_slice(body).unwrap()
         }
         match request.head.target.as_str() {
             WATCH => {
                 self.watchers.push(connection);
-                let create = read::<WatchRequest>(body).create_request.unwrap();
+                let create = parse::<WatchRequest>(body).create_request.unwrap();
                 let header = self.store.header();
                 let created = WatchResponse { header: header.clone(), created: true, ..Default::default() };
                 let missed = self.store.changes(create.start_revision, &create.key.0, &create.range_end.0);
@@ -258,18 +269,18 @@
                 }
                 bytes
             }
-            RANGE => json(&self.store.range(&read(body)).unwrap()),
-            GRANT => json(&self.store.grant(now, read::<LeaseRequest>(body).ttl)),
-            PUT => json(&self.store.put(now, &read(body)).unwrap()),
+            RANGE => json(&self.store.range(&parse(body)).unwrap()),
+            GRANT => json(&self.store.grant(now, parse::<LeaseRequest>(body).ttl)),
+            PUT => json(&self.store.put(now, &parse(body)).unwrap()),
             KEEP_ALIVE => {
-                let result = Some(self.store.renew_lease(now, read::<LeaseRequest>(body).id));
+                let result = Some(self.store.renew_lease(now, parse::<LeaseRequest>(body).id));
                 json(&Streamed { result, error: None })
             }
             other => panic!("{other}"),
         }
     }
 
-    /// Sends changes of workers on all watches.
+    /// Sends the latest changes of workers on all watches.
     fn notify_watches(&mut self) {
         let from = std::mem::replace(&mut self.notified_revision, self.store.revision()) + 1;
         if from > self.notified_revision || self.is_in_outage() {
@@ -281,47 +292,53 @@
             let header = header.clone();
             let bytes = chunk(&watch_line(WatchResponse { header, events, ..Default::default() }));
             for connection in self.watchers.clone() {
-                self.at(self.now_us + NETWORK_DELAY_US, Event::Answered(connection, bytes.clone()));
+                self.schedule(
+                    self.now_us + NETWORK_DELAY_US,
+                    Event::ResponseReceived(connection, bytes.clone()),
+                );
             }
         }
     }
 
     /// Returns the largest number of requests in any 200 ms of a time span.
     fn peak_requests(&self, within: Range<i64>) -> usize {
-        let asked: Vec<i64> = self.requests_us.iter().copied().filter(|t| within.contains(t)).collect();
-        let upto = |from: i64| asked.partition_point(|t| *t < from);
-        asked.iter().map(|t| upto(t + 200_000) - upto(*t)).max().unwrap_or(0)
+        let requests_us: Vec<i64> = self.requests_us.iter().copied().filter(|t| within.contains(t)).collect();
+        let count_before = |until: i64| requests_us.partition_point(|t| *t < until);
+        requests_us.iter().map(|t| count_before(t + 200_000) - count_before(*t)).max().unwrap_or(0)
     }
 
+    /// Returns when the last client received its first list.
     fn last_listed(&self) -> i64 {
-        assert_eq!(self.listed_us.len(), self.clients.len(), "some hold no list");
+        assert_eq!(self.listed_us.len(), self.clients.len(), "some clients received no list");
         self.listed_us.values().copied().max().unwrap()
     }
 }
 
 #[test]
-fn three_hundred_and_three_thousand_cost_the_same_each_and_never_overrun_the_service() {
-    let mut each = Vec::new();
-    // As many requests a second as a fleet of that size needs to be listed within 8 s.
+fn cost_per_router_is_the_same_for_300_and_3000_and_the_registry_is_never_overloaded() {
+    let mut per_router = Vec::new();
+    // The request rate at which a fleet of that size is listed within 8 s.
     for (routers, per_second) in [(300, 100.0), (3_000, 1_000.0)] {
         let mut world = World::new(routers, routers, per_second);
         world.run(16_000_000, None);
         assert!(world.last_listed() <= 8_000_000, "{}", world.last_listed());
-        // Twice what it takes, and a little more for moments that are drawn.
+        // Twice the capacity, and 10 % more because the delays are random.
         let peak_requests = world.peak_requests(0..16_000_000);
         assert!(peak_requests as f64 <= per_second * 0.2 * 2.2, "{routers}: {peak_requests} in 200 ms");
-        each.push((world.bytes as f64 / routers as f64, world.requests_us.len() as f64 / routers as f64));
+        per_router
+            .push((world.bytes as f64 / routers as f64, world.requests_us.len() as f64 / routers as f64));
     }
-    assert!(each[1].0 / each[0].0 < 1.3 && each[1].1 / each[0].1 < 1.3, "{each:?}");
+    let (bytes, requests) = (per_router[1].0 / per_router[0].0, per_router[1].1 / per_router[0].1);
+    assert!(bytes < 1.3 && requests < 1.3, "{per_router:?}");
 }
 
 #[test]
-fn a_thousand_that_believe_themselves_ten_overrun_the_service_and_still_all_list() {
+fn a_thousand_routers_that_assume_10_overload_the_registry_but_all_are_listed() {
     let mut world = World::new(1_000, 10, 400.0);
     world.run(60_000_000, None);
-    // All that 1,000 ask at first takes it 15 s if none of it is in vain.
+    // The first requests of 1,000 routers take the registry 15 s if none has to be repeated.
     assert!(world.last_listed() <= 40_000_000, "{}", world.last_listed());
-    // At first all come at once; later they make room.
+    // At first all requests arrive at once; later they are spread.
     assert!(world.peak_requests(0..1_000_000) > 400);
     assert!(
         world.peak_requests(40_000_000..60_000_000) <= 200,
@@ -331,32 +348,32 @@
 }
 
 #[test]
-fn ten_that_believe_themselves_a_thousand_only_wait_longer() {
+fn ten_routers_that_assume_1000_only_wait_longer() {
     let mut world = World::new(10, 1_000, 200.0);
     world.run(20_000_000, None);
     assert!(world.last_listed() <= PollSchedule::default().longest_us + 1_000_000, "{}", world.last_listed());
 }
 
 #[test]
-fn a_thousand_whose_service_went_away_together_come_back_spread_and_hear_the_drain_of_the_gap() {
+fn after_an_outage_the_requests_of_1000_routers_are_spread_and_all_receive_the_drain() {
     let mut world = World::new(1_000, 1_000, 500.0);
     world.outage = 20_000_000..25_000_000;
     world.run(60_000_000, Some(22_000_000));
-    assert_eq!(world.drained_us.len(), 1_000, "some never heard of it");
+    assert_eq!(world.drained_us.len(), 1_000, "some routers did not receive the drain");
     let last = world.drained_us.values().max().unwrap() - 25_000_000;
-    // The longest wait, twice where a question was lost: all that a thousand ask is what the service can just take.
+    // The longest delay, twice if a request was lost: the registry can just serve all requests of 1,000 routers.
     assert!(last <= 2 * PollSchedule::default().longest_us, "{last}");
     assert!(
         world.peak_requests(25_000_000..60_000_000) <= 250,
         "{}",
         world.peak_requests(25_000_000..60_000_000)
     );
-    // A drain at a healthy service afterwards is heard at once.
+    // After the recovery a drain is received at once.
     world.drained_us.clear();
     world.run(61_000_000, None);
     world.put(5, r#"{"address":"127.0.0.1:1","state":"draining"}"#);
-    let told = world.now_us;
+    let changed_us = world.now_us;
     world.run(62_000_000, None);
     assert_eq!(world.drained_us.len(), 1_000);
-    assert!(world.drained_us.values().all(|at| at - told <= 250_000));
+    assert!(world.drained_us.values().all(|at| at - changed_us <= 250_000));
 }
--- a/crates/registry/tests/follow.rs
+++ b/crates/registry/tests/follow.rs
@@ -1,5 +1,6 @@
-//! The client and the test registry's store in simulated time: random walks over changes, lost connections, compaction, lost
-//! and duplicated responses, restored backups and revoked tokens, with an oracle that knows the store at every revision.
+//! Runs the client against the test registry's store in simulated time. Random walks combine changes, lost connections,
+//! compaction, lost and duplicated responses, restored backups and revoked tokens; the keys reported by the client are compared
+//! with the recorded state of the store at the client's revision.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -20,8 +21,8 @@
     open: bool,
     /// Responses in flight to the client.
     inbox: VecDeque<Vec<u8>>,
-    /// The next revision to be sent on its watch.
-    next: Option<i64>,
+    /// The next revision to be sent on its watch; none without a watch.
+    next_revision: Option<i64>,
 }
 
 struct World {
@@ -30,14 +31,15 @@
     client: Client,
     pipes: BTreeMap<Channel, Pipe>,
     now_us: i64,
-    /// The keys by the client's reported changes.
+    /// The keys that result from the changes that the client reported.
     reported: Keys,
     /// The store's keys at each revision of each incarnation of the registry.
     states: BTreeMap<(i64, i64), Keys>,
     incarnation: i64,
     events: Vec<ClientEvent>,
-    lists: usize,
-    /// The watch has lost an event: until that is detected the client may hold keys of no revision.
+    /// The number of range requests, liveness checks included.
+    range_requests: usize,
+    /// Whether the watch has lost an event. Until the client detects that, its keys may match no revision.
     lossy: bool,
 }
 
@@ -69,9 +71,9 @@
     }
 
     fn with(settings: ClientSettings, login: bool) -> Self {
-        let of_store = login.then(|| ("u".to_string(), "p".to_string()));
+        let credentials = login.then(|| ("u".to_string(), "p".to_string()));
         let mut world = World {
-            store: KvStore::new(7, of_store),
+            store: KvStore::new(7, credentials),
             client: Client::new(settings.clone()),
             settings,
             pipes: [(Channel::Watch, Pipe::default()), (Channel::Short, Pipe::default())].into(),
@@ -80,7 +82,7 @@
             states: BTreeMap::new(),
             incarnation: 0,
             events: Vec::new(),
-            lists: 0,
+            range_requests: 0,
             lossy: false,
         };
         world.note_store_state();
@@ -97,8 +99,8 @@
     fn note_store_state(&mut self) {
         let key = self.followed();
         let range_end = Bytes(prefix_end(key.as_bytes()));
-        let ask = RangeRequest { key: Bytes::of(&key), range_end, ..Default::default() };
-        let kvs = self.store.range(&ask).unwrap().kvs;
+        let request = RangeRequest { key: Bytes::of(&key), range_end, ..Default::default() };
+        let kvs = self.store.range(&request).unwrap().kvs;
         let keys = kvs.into_iter().map(|kv| (kv.key.0, kv.value.0)).collect();
         self.states.insert((self.incarnation, self.store.revision()), keys);
     }
@@ -116,8 +118,8 @@
     }
 
     fn execute(&mut self, actions: Vec<SocketAction>) {
-        for what in actions {
-            match what {
+        for action in actions {
+            match action {
                 SocketAction::Open(channel, _) => {
                     *self.pipes.get_mut(&channel).unwrap() = Pipe { open: true, ..Pipe::default() };
                     let mut more = Vec::new();
@@ -125,21 +127,22 @@
                     self.execute(more);
                 }
                 SocketAction::Close(channel) => *self.pipes.get_mut(&channel).unwrap() = Pipe::default(),
-                SocketAction::Write(channel, bytes) => self.asked(channel, &bytes),
+                SocketAction::Write(channel, bytes) => self.handle_request(channel, &bytes),
             }
         }
     }
 
-    fn asked(&mut self, channel: Channel, bytes: &[u8]) {
+    /// Executes a request of the client and queues the response.
+    fn handle_request(&mut self, channel: Channel, bytes: &[u8]) {
         let request = MessageReader::new(Side::Request, Limits::default()).feed(bytes).unwrap().unwrap();
         let (path, body, now) = (request.head.target.as_str(), request.body.as_slice(), self.now_us);
         let store = &mut self.store;
         fn json<T: serde::Serialize>(
-            a: Result<T, (i64, &'static str)>,
+            response: Result<T, (i64, &'static str)>,
         ) -> Result<Vec<u8>, (i64, &'static str)> {
-            a.map(|a| serde_json::to_vec(&a).unwrap())
+            response.map(|response| serde_json::to_vec(&response).unwrap())
         }
-        let answer = if path == AUTHENTICATE {
+        let response = if path == AUTHENTICATE {
             json(store.authenticate(&serde_json::from_slice(body).unwrap()))
         } else if !store.admits(request.head.header("Authorization")) {
             Err((code::UNAUTHENTICATED, "etcdserver: invalid auth token"))
@@ -151,13 +154,13 @@
                     let created =
                         WatchResponse { header: store.header(), created: true, ..Default::default() };
                     let pipe = self.pipes.get_mut(&channel).unwrap();
-                    pipe.next = Some(create.start_revision);
+                    pipe.next_revision = Some(create.start_revision);
                     pipe.inbox.push_back(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec());
                     pipe.inbox.push_back(chunk(&created));
                     return;
                 }
                 RANGE => {
-                    self.lists += 1;
+                    self.range_requests += 1;
                     json(store.range(&serde_json::from_slice(body).unwrap()))
                 }
                 GRANT => {
@@ -174,17 +177,17 @@
             }
         };
         self.note_store_state();
-        let (status, body) = match answer {
+        let (status, body) = match response {
             Ok(body) => (200, body),
-            Err((code, words)) => {
-                (400, serde_json::to_vec(&ErrorBody { message: words.into(), code }).unwrap())
+            Err((code, message)) => {
+                (400, serde_json::to_vec(&ErrorBody { message: message.into(), code }).unwrap())
             }
         };
         let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
         self.pipes.get_mut(&channel).unwrap().inbox.push_back([head.into_bytes(), body].concat());
     }
 
-    /// Delivers the next response of a connection to the client, in pieces.
+    /// Delivers the next response on a connection to the client, in pieces.
     fn deliver(&mut self, channel: Channel) {
         let Some(bytes) = self.pipes.get_mut(&channel).unwrap().inbox.pop_front() else { return };
         for piece in bytes.chunks(61) {
@@ -199,13 +202,13 @@
         self.check();
     }
 
-    /// Sends the outstanding events of the watch; `doubled` sends them twice, `lost` not at all.
-    fn poll_watch(&mut self, doubled: bool, lost: bool) {
-        let Some(next) = self.pipes[&Channel::Watch].next else { return };
+    /// Sends the pending events of the watch: twice if `duplicate`, and not at all if `lose`.
+    fn poll_watch(&mut self, duplicate: bool, lose: bool) {
+        let Some(next_revision) = self.pipes[&Channel::Watch].next_revision else { return };
         let header = self.store.header();
         let key = self.followed().into_bytes();
         let mut lines = Vec::new();
-        match self.store.changes(next, &key, &prefix_end(&key)) {
+        match self.store.changes(next_revision, &key, &prefix_end(&key)) {
             Err(compact_revision) => {
                 lines.push(chunk(&WatchResponse {
                     header,
@@ -213,10 +216,10 @@
                     compact_revision,
                     ..Default::default()
                 }));
-                self.pipes.get_mut(&Channel::Watch).unwrap().next = None;
+                self.pipes.get_mut(&Channel::Watch).unwrap().next_revision = None;
             }
             Ok(changes) => {
-                for (_, events) in changes.into_iter().filter(|_| !lost) {
+                for (_, events) in changes.into_iter().filter(|_| !lose) {
                     let count = events.len();
                     let fragments = events.into_iter().enumerate().map(|(n, event)| WatchResponse {
                         header: header.clone(),
@@ -224,11 +227,11 @@
                         fragment: n + 1 < count,
                         ..Default::default()
                     });
-                    let one: Vec<Vec<u8>> = fragments.map(|f| chunk(&f)).collect();
-                    lines.extend(one.clone());
-                    lines.extend(one.into_iter().filter(|_| doubled));
+                    let encoded: Vec<Vec<u8>> = fragments.map(|f| chunk(&f)).collect();
+                    lines.extend(encoded.clone());
+                    lines.extend(encoded.into_iter().filter(|_| duplicate));
                 }
-                self.pipes.get_mut(&Channel::Watch).unwrap().next = Some(self.store.revision() + 1);
+                self.pipes.get_mut(&Channel::Watch).unwrap().next_revision = Some(self.store.revision() + 1);
             }
         }
         self.pipes.get_mut(&Channel::Watch).unwrap().inbox.extend(lines);
@@ -243,9 +246,10 @@
         }
     }
 
-    fn restore(&mut self, by: i64, other_cluster: bool) {
-        let to = self.store.revision() - by;
-        self.store.restore(to, other_cluster);
+    /// Restores the store to the state of `revisions_back` revisions ago, and closes both connections.
+    fn restore(&mut self, revisions_back: i64, other_cluster: bool) {
+        let revision = self.store.revision() - revisions_back;
+        self.store.restore(revision, other_cluster);
         self.incarnation += 1;
         self.note_store_state();
         self.break_off(Channel::Watch);
@@ -254,15 +258,16 @@
 
     /// Replaces the client by one that loads its snapshot.
     fn restart(&mut self) {
-        let kept = self.client.watch_state().to_snapshot(1);
+        let snapshot = self.client.watch_state().to_snapshot(1);
         self.pipes.values_mut().for_each(|pipe| *pipe = Pipe::default());
         self.client = Client::new(self.settings.clone());
         self.reported.clear();
-        let changes = self.client.watch_state_mut().load_snapshot(&kept).unwrap().changes;
+        let changes = self.client.watch_state_mut().load_snapshot(&snapshot).unwrap().changes;
         self.record_events(vec![ClientEvent::Changes(changes)]);
     }
 
-    fn pass(&mut self, us: i64) {
+    /// Advances the simulated time.
+    fn advance(&mut self, us: i64) {
         self.now_us += us;
         self.store.expire(self.now_us);
         self.note_store_state();
@@ -273,20 +278,23 @@
     }
 
     fn record_events(&mut self, events: Vec<ClientEvent>) {
-        for what in events {
-            if let ClientEvent::Changes(changes) = &what {
+        for event in events {
+            if let ClientEvent::Changes(changes) = &event {
                 for change in changes {
                     match change {
                         Change::Put { key, value, .. } => self.reported.insert(key.clone(), value.clone()),
                         Change::Deleted { key } => {
                             let old = self.reported.remove(key);
-                            assert!(old.is_some(), "told as gone what was not there");
+                            assert!(
+                                old.is_some(),
+                                "a key was reported as deleted that was not reported before"
+                            );
                             old
                         }
                     };
                 }
             }
-            self.events.push(what);
+            self.events.push(event);
         }
     }
 
@@ -299,20 +307,24 @@
         let incarnations =
             (0..=self.incarnation).filter_map(|incarnation| self.states.get(&(incarnation, revision)));
         let found = incarnations.into_iter().any(|state| *state == self.reported);
-        assert!(found, "at revision {revision}: told {:?}", names(&self.reported));
+        assert!(
+            found,
+            "no state of the store at revision {revision} equals the reported keys {:?}",
+            names(&self.reported)
+        );
     }
 
-    /// Runs until the client is up to date, and checks its keys.
+    /// Runs 20 s, after which the client must be up to date, and checks its keys.
     fn deliver_all(&mut self) {
         for _ in 0..400 {
             self.poll_watch(false, false);
             self.deliver(Channel::Watch);
             self.deliver(Channel::Short);
-            self.pass(50_000);
+            self.advance(50_000);
         }
         let now = &self.states[&(self.incarnation, self.store.revision())];
         assert_eq!(names(&self.reported), names(now), "revision {}", self.store.revision());
-        assert!(now.contains_key(OWN.as_bytes()), "our own entry is not there");
+        assert!(now.contains_key(OWN.as_bytes()), "the client's own entry is missing");
         assert_eq!(self.client.watch_state().freshness(self.now_us), Freshness::Current);
     }
 }
@@ -322,8 +334,8 @@
     keys.iter().map(|(k, v)| (text(k), text(v))).collect()
 }
 
-fn chunk(answer: &WatchResponse) -> Vec<u8> {
-    let mut line = serde_json::to_vec(&Streamed { result: Some(answer.clone()), error: None }).unwrap();
+fn chunk(response: &WatchResponse) -> Vec<u8> {
+    let mut line = serde_json::to_vec(&Streamed { result: Some(response.clone()), error: None }).unwrap();
     line.push(b'\n');
     [format!("{:x}\r\n", line.len()).as_bytes(), &line, b"\r\n"].concat()
 }
@@ -331,6 +343,8 @@
 const READY: &str = r#"{"address":"127.0.0.1:1"}"#;
 const DRAINING: &str = r#"{"address":"127.0.0.1:1","state":"draining"}"#;
 
+/// Executes random steps, then lets the client catch up. Returns the number of states of the store, and how often each fault
+/// was reported.
 fn random_walk(seed: u64, steps: usize, with_loss: bool) -> (usize, BTreeMap<String, usize>) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut world = World::new(seed.is_multiple_of(3));
@@ -348,13 +362,14 @@
             85..88 => drop(world.store.compact(world.store.revision())),
             88 => world.restore(random.random_range(0..4), true),
             89 => world.store.forget_tokens(),
+            // The watch loses events.
             90 if with_loss => {
                 world.poll_watch(false, true);
                 world.lossy = true;
             }
             91 => world.store.expire_half(world.now_us),
             92 => world.restart(),
-            _ => world.pass(random.random_range(1_000..400_000)),
+            _ => world.advance(random.random_range(1_000..400_000)),
         }
         world.note_store_state();
         world.check();
@@ -362,33 +377,33 @@
     world.deliver_all();
     let mut faults = BTreeMap::new();
     for events in &world.events {
-        if let ClientEvent::WatchFault(t) = events {
-            let word = format!("{t:?}").split([' ', '(', '{']).next().unwrap_or_default().to_string();
-            *faults.entry(word).or_default() += 1;
+        if let ClientEvent::WatchFault(fault) = events {
+            let name = format!("{fault:?}").split([' ', '(', '{']).next().unwrap_or_default().to_string();
+            *faults.entry(name).or_default() += 1;
         }
     }
     (world.states.len(), faults)
 }
 
 #[test]
-fn no_interleaving_of_changes_breaks_and_compaction_loses_one() {
+fn no_change_is_lost_in_any_interleaving_with_disconnects_and_compaction() {
     let (mut states, mut faults) = (0, BTreeMap::new());
     for seed in 0..150 {
-        let (seen, met) = random_walk(seed, 400, false);
-        states += seen;
-        met.into_iter().for_each(|(t, n)| *faults.entry(t).or_insert(0) += n);
+        let (states_of_walk, faults_of_walk) = random_walk(seed, 400, false);
+        states += states_of_walk;
+        faults_of_walk.into_iter().for_each(|(fault, n)| *faults.entry(fault).or_insert(0) += n);
     }
-    println!("{states} states of the store, faults met: {faults:?}");
+    println!("{states} states of the store, reported faults: {faults:?}");
     assert!(states > 10_000);
     assert!(["Compacted", "Restored"].iter().all(|t| faults.get(*t).is_some_and(|n| *n > 20)), "{faults:?}");
 }
 
 #[test]
-fn a_watch_that_loses_changes_without_a_word_is_found_out() {
-    // By liveness checks or, where a later change hid the loss from them, by a full resync: `random_walk` ends with the same
-    // keys on both sides.
+fn silently_lost_changes_of_a_watch_are_detected() {
+    // Liveness checks detect the loss or, if a later change hides it from them, a full resync does. `random_walk` checks that
+    // the client's keys equal the store's at the end.
     (1_000..1_040).for_each(|seed| drop(random_walk(seed, 300, true)));
-    let mut world = standing();
+    let mut world = up_to_date_world();
     world.lossy = true;
     world.put(1, DRAINING);
     world.poll_watch(false, true);
@@ -396,14 +411,14 @@
         world.poll_watch(false, false);
         world.deliver(Channel::Watch);
         world.deliver(Channel::Short);
-        world.pass(50_000);
+        world.advance(50_000);
     }
     assert!(world.events.contains(&ClientEvent::WatchFault(WatchFault::Behind)), "{:?}", world.events);
     assert_eq!(world.reported[&worker_key(PREFIX, "w1").into_bytes()], DRAINING.as_bytes());
 }
 
-/// Creates a world with five workers and a client that is up to date; its events so far are removed.
-fn standing() -> World {
+/// Creates a world with five workers and a client that is up to date; the events until then are discarded.
+fn up_to_date_world() -> World {
     let mut world = World::new(false);
     (0..5).for_each(|n| world.put(n, READY));
     world.deliver_all();
@@ -412,9 +427,9 @@
 }
 
 #[test]
-fn a_drain_within_a_break_is_told_after_it_whether_history_is_left_or_not() {
+fn a_drain_during_a_disconnect_is_reported_with_or_without_compaction() {
     for compaction in [None, Some(false), Some(true)] {
-        let mut world = standing();
+        let mut world = up_to_date_world();
         world.break_off(Channel::Watch);
         let before = world.store.revision();
         world.put(2, DRAINING);
@@ -423,7 +438,7 @@
         world.put(3, READY);
         match compaction {
             None => {}
-            // Just up to what was told, and beyond it.
+            // Compaction up to the reported revision, and beyond it.
             Some(false) => drop(world.store.compact(before)),
             Some(true) => drop(world.store.compact(world.store.revision())),
         }
@@ -434,12 +449,12 @@
             .filter_map(|h| if let ClientEvent::Changes(c) = h { Some(c) } else { None })
             .flatten()
             .collect();
-        let of = |n: u32| worker_key(PREFIX, &format!("w{n}")).into_bytes();
-        let drained = |c: &&&Change| matches!(c, Change::Put { key, value, .. } if *key == of(2) && value == DRAINING.as_bytes());
+        let key_of = |n: u32| worker_key(PREFIX, &format!("w{n}")).into_bytes();
+        let drained = |c: &&&Change| matches!(c, Change::Put { key, value, .. } if *key == key_of(2) && value == DRAINING.as_bytes());
         assert_eq!(changes.iter().filter(drained).count(), 1, "{compaction:?}: {changes:?}");
-        // One that went and came back within the gap is told as made anew.
-        let anew = |c: &&Change| matches!(c, Change::Put { key, created: true, .. } if *key == of(3));
-        assert!(changes.iter().any(anew), "{compaction:?}: {changes:?}");
+        // A key deleted and created again during the disconnect is reported as created.
+        let created = |c: &&Change| matches!(c, Change::Put { key, created: true, .. } if *key == key_of(3));
+        assert!(changes.iter().any(created), "{compaction:?}: {changes:?}");
         let listed_again =
             world.events.iter().any(|h| matches!(h, ClientEvent::WatchFault(WatchFault::Compacted { .. })));
         assert_eq!(listed_again, compaction == Some(true));
@@ -447,13 +462,13 @@
 }
 
 #[test]
-fn compaction_within_a_list_of_several_pages_begins_it_anew() {
+fn compaction_between_two_pages_of_a_list_restarts_the_list() {
     let mut world = World::new(false);
     (0..8).for_each(|n| world.put(n, READY));
-    world.pass(0);
+    world.advance(0);
     world.deliver(Channel::Short);
-    world.pass(1);
-    // The second page is asked for as of the first one's revision, which is gone when it arrives.
+    world.advance(1);
+    // The second page is requested at the revision of the first one, which is compacted before the request arrives.
     world.put(0, DRAINING);
     world.pipes.get_mut(&Channel::Short).unwrap().inbox.clear();
     world.break_off(Channel::Short);
@@ -464,8 +479,8 @@
 }
 
 #[test]
-fn a_registry_that_goes_back_and_calls_itself_the_same_is_followed_from_there() {
-    let mut world = standing();
+fn a_registry_restored_under_the_same_cluster_id_is_followed_from_its_earlier_state() {
+    let mut world = up_to_date_world();
     world.put(1, DRAINING);
     world.deliver_all();
     world.restore(1, false);
@@ -474,16 +489,16 @@
 }
 
 #[test]
-fn a_registry_that_accepts_and_never_answers_is_left_and_its_view_grows_old() {
-    let mut world = standing();
-    let mut views = Vec::new();
+fn a_registry_that_accepts_but_never_answers_is_abandoned_and_its_keys_become_stale() {
+    let mut world = up_to_date_world();
+    let mut freshness = Vec::new();
     for _ in 0..200 {
         world.pipes.values_mut().for_each(|p| p.inbox.clear());
-        world.pass(50_000);
-        views.push(world.client.watch_state().freshness(world.now_us));
+        world.advance(50_000);
+        freshness.push(world.client.watch_state().freshness(world.now_us));
     }
-    views.dedup();
-    assert_eq!(views, [Freshness::Current, Freshness::Stale]);
+    freshness.dedup();
+    assert_eq!(freshness, [Freshness::Current, Freshness::Stale]);
     assert!(world
         .events
         .iter()
@@ -492,8 +507,8 @@
 }
 
 #[test]
-fn a_lost_lease_is_noticed_and_had_anew() {
-    let mut world = standing();
+fn a_lost_lease_is_detected_and_the_client_registers_again() {
+    let mut world = up_to_date_world();
     world.store.expire(i64::MAX);
     world.note_store_state();
     world.deliver_all();
@@ -503,19 +518,19 @@
 }
 
 #[test]
-fn what_was_kept_is_remembered_until_the_registry_is_heard() {
-    let world = standing();
-    let kept = world.client.watch_state().to_snapshot(3);
+fn the_keys_of_a_snapshot_are_used_until_the_registry_answers() {
+    let world = up_to_date_world();
+    let snapshot = world.client.watch_state().to_snapshot(3);
     let mut client = Client::new(settings(false));
     let LoadedSnapshot { changes: reported, clients } =
-        client.watch_state_mut().load_snapshot(&kept).unwrap();
+        client.watch_state_mut().load_snapshot(&snapshot).unwrap();
     assert_eq!(clients, 3);
     assert_eq!(
         (reported.len(), client.watch_state().freshness(0)),
         (world.reported.len(), Freshness::Remembered)
     );
     assert!(client.watch_state_mut().load_snapshot(b"{").is_err());
-    // Heard at last: only differences are told.
+    // Once the registry answers, only differences are reported.
     let mut again = World::new(false);
     (0..5).filter(|n| *n != 2).for_each(|n| again.put(n, READY));
     again.put(4, DRAINING);
@@ -527,17 +542,17 @@
             .events
             .iter()
             .filter_map(|h| if let ClientEvent::Changes(c) = h { Some(c.len()) } else { None });
-    // Ours and w2 are gone, w4 drains, and ours is there again.
+    // The client's own entry and w2 are deleted, w4 drains, and the own entry is created again.
     assert!(changes.sum::<usize>() <= 4, "{:?}", again.events);
 }
 
 #[test]
-fn a_restart_lists_nothing_where_the_history_is_left_and_only_looks() {
-    let mut world = standing();
+fn a_restart_with_available_history_causes_liveness_checks_but_no_list() {
+    let mut world = up_to_date_world();
     world.restart();
     assert_eq!(world.client.watch_state().freshness(world.now_us), Freshness::Remembered);
     world.put(3, DRAINING);
-    let lists = world.lists;
+    let range_requests = world.range_requests;
     world.events.clear();
     world.deliver_all();
     let reported =
@@ -545,83 +560,85 @@
             .events
             .iter()
             .filter_map(|h| if let ClientEvent::Changes(c) = h { Some(c.len()) } else { None });
-    // The drain, and our own entry that was written again.
+    // The drain, and the client's own entry, which was written again.
     assert_eq!(reported.sum::<usize>(), 2, "{:?}", world.events);
     assert!(world.events.iter().all(|h| !matches!(h, ClientEvent::WatchFault(_))), "{:?}", world.events);
-    // One look after the start; then one in a second at most.
-    assert!(world.lists - lists <= 22, "{}", world.lists - lists);
+    // One liveness check after the start, then at most one per second.
+    let sent = world.range_requests - range_requests;
+    assert!(sent <= 22, "{sent} range requests");
 }
 
 #[test]
-fn many_askers_look_seldom_and_a_keep_alive_serves_where_nothing_changed() {
+fn many_clients_check_seldom_and_a_keep_alive_replaces_a_check_if_nothing_changed() {
     let settings = ClientSettings { clients: 300, follow: WatchScope::Workers, ..settings(false) };
     let mut world = World::with(settings, false);
     (0..5).for_each(|n| world.put(n, READY));
     (0..200).for_each(|_| {
-        world.pass(50_000);
+        world.advance(50_000);
         world.deliver(Channel::Short);
         world.poll_watch(false, false);
         world.deliver(Channel::Watch);
     });
-    let (lists, from) = (world.lists, world.now_us);
+    let (range_requests, from) = (world.range_requests, world.now_us);
     for _ in 0..1_200 {
-        world.pass(50_000);
+        world.advance(50_000);
         world.deliver(Channel::Short);
         world.poll_watch(false, false);
         world.deliver(Channel::Watch);
     }
-    // A minute: two or three counts of the routers, of two questions each, and the look that follows the change of our own
-    // entry.
+    // In one minute: two or three counts of routers with two requests each, and the liveness check after the change of the
+    // client's own entry.
     assert_eq!(world.now_us - from, 60_000_000);
-    assert!(world.lists - lists <= 8, "{}", world.lists - lists);
-    // A watch that goes silent is found out within the stated time.
+    let sent = world.range_requests - range_requests;
+    assert!(sent <= 8, "{sent} range requests");
+    // A stalled watch is detected within the bound.
     let (drained, within) = (world.now_us, world.client.drain_bound_us());
     world.put(1, DRAINING);
     world.poll_watch(false, true);
     while world.reported.values().all(|v| v != DRAINING.as_bytes()) {
-        world.pass(50_000);
+        world.advance(50_000);
         world.deliver(Channel::Short);
         assert!(world.now_us - drained <= within, "{:?}", world.events);
     }
-    assert!(world.now_us - drained > 1_000_000, "it was looked at too often for 300");
+    assert!(world.now_us - drained > 1_000_000, "liveness checks are too frequent for 300 clients");
 }
 
 #[test]
-fn a_registry_with_too_much_to_do_is_left_alone_as_long_as_it_says_and_the_watch_stays() {
-    let mut world = standing();
-    let away = b"HTTP/1.1 503 X\r\nRetry-After: 3\r\nContent-Length: 2\r\n\r\n{}".to_vec();
+fn retry_after_of_an_overloaded_registry_is_obeyed_and_the_watch_is_kept() {
+    let mut world = up_to_date_world();
+    let overloaded = b"HTTP/1.1 503 X\r\nRetry-After: 3\r\nContent-Length: 2\r\n\r\n{}".to_vec();
     while world.pipes[&Channel::Short].inbox.is_empty() {
-        world.pass(50_000);
+        world.advance(50_000);
     }
-    *world.pipes.get_mut(&Channel::Short).unwrap().inbox.front_mut().unwrap() = away;
+    *world.pipes.get_mut(&Channel::Short).unwrap().inbox.front_mut().unwrap() = overloaded;
     world.deliver(Channel::Short);
     let at = world.now_us;
-    assert!(world.pipes[&Channel::Watch].open && world.pipes[&Channel::Watch].next.is_some());
+    assert!(world.pipes[&Channel::Watch].open && world.pipes[&Channel::Watch].next_revision.is_some());
     world.put(2, DRAINING);
     world.poll_watch(false, false);
     world.deliver(Channel::Watch);
     assert_eq!(world.reported[&worker_key(PREFIX, "w2").into_bytes()], DRAINING.as_bytes());
     while world.pipes[&Channel::Short].inbox.is_empty() {
-        world.pass(50_000);
+        world.advance(50_000);
     }
     assert!((3_000_000..3_300_000).contains(&(world.now_us - at)), "{}", world.now_us - at);
 }
 
 #[test]
 fn a_rolling_deploy_of_most_workers_is_followed_change_by_change() {
-    // 81 of 85 workers drain, go and are succeeded within 5 s, among changes of others: 5,000 in all.
+    // 81 of 85 workers drain, are removed and replaced within 5 s, among changes of other workers: 5,000 changes in all.
     let watch_state = WatchSettings::default();
     let mut world = World::with(ClientSettings { watch_state, ..settings(false) }, false);
     (0..85).for_each(|n| world.put(n, READY));
     world.deliver_all();
-    let (lists, before) = (world.lists, world.store.revision());
+    let (range_requests, before) = (world.range_requests, world.store.revision());
     world.events.clear();
-    let mut asked = BTreeMap::new();
+    let mut drained_us = BTreeMap::new();
     for step in 0..500u32 {
         let deployed = step / 6;
         if step % 6 == 0 && deployed < 81 {
             world.put(deployed, DRAINING);
-            asked.insert(deployed, world.now_us);
+            drained_us.insert(deployed, world.now_us);
         } else if step % 6 == 3 && deployed < 81 {
             world.delete(deployed);
             world.put(200 + deployed, READY);
@@ -634,18 +651,19 @@
             world.deliver(Channel::Watch);
         }
         world.deliver(Channel::Short);
-        // What was asked for in this step was told in it.
+        // A drain is reported in the step in which it was written.
         let reported = |n: &u32| world.reported.get(&worker_key(PREFIX, &format!("w{n}")).into_bytes());
-        assert!(asked.keys().all(|n| reported(n).is_none_or(|v| v == DRAINING.as_bytes())));
-        world.pass(10_000);
+        assert!(drained_us.keys().all(|n| reported(n).is_none_or(|v| v == DRAINING.as_bytes())));
+        world.advance(10_000);
     }
     assert!(world.store.revision() - before >= 4_700, "{}", world.store.revision() - before);
     let drained = |h: &ClientEvent| {
         matches!(h, ClientEvent::Changes(c) if c.iter().any(|c| matches!(c, Change::Put { key, value, .. }
-        if asked.keys().any(|n| *key == worker_key(PREFIX, &format!("w{n}")).into_bytes()) && value == DRAINING.as_bytes())))
+        if drained_us.keys().any(|n| *key == worker_key(PREFIX, &format!("w{n}")).into_bytes()) && value == DRAINING.as_bytes())))
     };
     assert_eq!(world.events.iter().filter(|h| drained(h)).count(), 81);
-    // Looks are lists of one key; the whole list was not asked for again.
-    assert!(world.lists - lists < 20, "{} lists", world.lists - lists);
+    // Liveness checks read one key each; the whole list was not requested again.
+    let sent = world.range_requests - range_requests;
+    assert!(sent < 20, "{sent} range requests");
     world.deliver_all();
 }
