--- a/crates/gateway/src/members/mod.rs
+++ b/crates/gateway/src/members/mod.rs
@@ -1,6 +1,7 @@
-//! Sources of the list of workers while a gateway runs: the registry, or a file of recorded events. Without a source the
-//! workers are those of the settings file. Each source implements [`Source`], so that the event loop handles the events of all
-//! sources alike. The events of the registry can be recorded, to be replayed later.
+//! Sources of the list of workers while a gateway runs: the registry, or a file of recorded events. Without a
+//! source the workers are those of the settings file. Each source implements [`Source`], so that the event
+//! loop handles the events of all sources alike. The events of the registry can be recorded, to be replayed
+//! later.
 
 mod registry;
 mod replay;
--- a/crates/gateway/src/members/registry.rs
+++ b/crates/gateway/src/members/registry.rs
@@ -1,5 +1,5 @@
-//! The registry as a source of members. Runs the registry's client on the event loop's sockets, converts its changes into
-//! membership events, derives the number of routers, and saves a snapshot for the next process.
+//! The registry as a source of members. Runs the registry's client on the event loop's sockets, converts its
+//! changes into membership events, derives the number of routers, and saves a snapshot for the next process.
 
 use super::{MembershipEvent, Source};
 use crate::remembered_file::RememberedFile;
@@ -66,8 +66,8 @@
 }
 
 impl RegistrySource {
-    /// Creates a source that registers this router as `name` with the given record, and assumes `routers` routers until the
-    /// registry was read.
+    /// Creates a source that registers this router as `name` with the given record, and assumes `routers`
+    /// routers until the registry was read.
     pub fn new(settings: MemberSettings, name: &str, record: &RouterRecord, routers: usize) -> Self {
         let mut client = settings.client;
         let value = serde_json::to_vec(record).unwrap_or_default();
@@ -95,30 +95,22 @@
         let bytes = match fs::read(path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return,
-            Err(error) => {
-                return warn!(path = %path.display(), %error, "the snapshot of the list of workers cannot be read")
-            }
-        };
-        let LoadedSnapshot { changes, clients: routers } = match self
-            .link
-            .client_mut()
-            .watch_state_mut()
-            .load_snapshot(&bytes)
-        {
-            Ok(snapshot) => snapshot,
-            Err(error) => {
-                return warn!(path = %path.display(), %error, "the snapshot of the list of workers cannot be read")
-            }
+            Err(error) => return warn!(path = %path.display(), %error, "cannot read the worker snapshot"),
         };
-        // The number before the restart is a better estimate than the configured one, in particular if all routers restart at
-        // the same time.
+        let LoadedSnapshot { changes, clients: routers } =
+            match self.link.client_mut().watch_state_mut().load_snapshot(&bytes) {
+                Ok(snapshot) => snapshot,
+                Err(error) => return warn!(path = %path.display(), %error, "cannot read the worker snapshot"),
+            };
+        // The number before the restart is a better estimate than the configured one, in particular if all
+        // routers restart at the same time.
         if routers > self.router_count.routers() {
             self.router_count = RouterCount::new(settings, routers);
             self.report_routers(routers);
         }
         let AppliedChanges { errors, .. } = self.members.apply(changes);
         errors.iter().for_each(|error| warn!(%error, "a record is not taken"));
-        info!(workers = self.members.workers().len(), "loaded the snapshot of the list of workers");
+        info!(workers = self.members.workers().len(), "loaded the worker snapshot");
         self.events.push(MembershipEvent::Remembered(self.members.workers().clone()));
     }
 
@@ -178,7 +170,8 @@
         }
     }
 
-    /// Reports the complete list when the client becomes current, and a loss of the registry when it becomes stale.
+    /// Reports the complete list when the client becomes current, and a loss of the registry when it becomes
+    /// stale.
     fn report_freshness(&mut self, freshness: Freshness) {
         match freshness {
             Freshness::Current if self.reported != Reported::Current => {
--- a/crates/gateway/src/members/replay.rs
+++ b/crates/gateway/src/members/replay.rs
@@ -1,5 +1,5 @@
-//! Recording and replay of membership events. Each line of the file is a JSON object with an event and its time; one gateway
-//! writes the file and another one replays it.
+//! Recording and replay of membership events. Each line of the file is a JSON object with an event and its
+//! time; one gateway writes the file and another one replays it.
 
 use super::{MembershipEvent, Source};
 use serde::{Deserialize, Serialize};
--- a/crates/gateway/src/members/start_times.rs
+++ b/crates/gateway/src/members/start_times.rs
@@ -1,7 +1,8 @@
-//! Start times of workers on this process's clock, derived from the start times that workers report by their own clocks.
+//! Start times of workers on this process's clock, derived from the start times that workers report by their
+//! own clocks.
 //!
-//! The clocks may differ. A worker whose clock is an hour ahead must not stay in slow start for an hour, and a worker that
-//! restarted after its clock was set back must still be recognized as a new process.
+//! The clocks may differ. A worker whose clock is an hour ahead must not stay in slow start for an hour, and
+//! a worker that restarted after its clock was set back must still be recognized as a new process.
 
 use slatevalve::{Micros, WorkerId};
 use std::collections::HashMap;
@@ -21,10 +22,10 @@
 }
 
 impl WorkerStartTimes {
-    /// Returns a worker's start time on this process's clock. `reported_unix_ms` is the time that the worker reports, and
-    /// `converted` is that time converted to this process's clock. The same reported time always gives the same result. A
-    /// different one shows a new process, which started after the previous one and not after `now`; if `converted` is not
-    /// between the two, the result is `now`.
+    /// Returns a worker's start time on this process's clock. `reported_unix_ms` is the time that the worker
+    /// reports, and `converted` is that time converted to this process's clock. The same reported time always
+    /// gives the same result. A different one shows a new process, which started after the previous one and
+    /// not after `now`; if `converted` is not between the two, the result is `now`.
     pub fn resolve(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/server/members.rs
+++ b/crates/gateway/src/server/members.rs
@@ -1,5 +1,6 @@
-//! Membership in the event loop: opens the source that the settings name, and applies its events to the pool and the engine.
-//! The order of events is kept, so that the balancer handles the drains of a batch before its other changes.
+//! Membership in the event loop: opens the source that the settings name, and applies its events to the pool
+//! and the engine. The order of events is kept, so that the balancer handles the drains of a batch before its
+//! other changes.
 
 use super::{GatewayError, GatewayServer};
 use crate::members::{MemberSettings, MembershipEvent, Recorder, RegistrySource, ReplaySource, Source};
@@ -14,7 +15,8 @@
 /// The source of members and the recorder of its events, as far as the settings name them.
 type Opened = (Option<Box<dyn Source>>, Option<Recorder>);
 
-/// Opens the source that the settings name. `up_since_unix_ms` is the start of this process in milliseconds of the Unix clock.
+/// Opens the source that the settings name. `up_since_unix_ms` is the start of this process in milliseconds
+/// of the Unix clock.
 pub(super) fn open(site: &Site, up_since_unix_ms: i64) -> Result<Opened, GatewayError> {
     match &site.members {
         None => Ok((None, None)),
@@ -70,7 +72,8 @@
         }
     }
 
-    /// Converts a worker's record; returns `None` if another worker has the same id, which is derived from the name.
+    /// Converts a worker's record; returns `None` if another worker has the same id, which is derived from
+    /// the name.
     fn worker_line(&mut self, name: &str, record: &WorkerRecord) -> Option<WorkerLine> {
         let mut line = WorkerLine::of(name, record, &mut self.site.named, &self.clock);
         let worker = line.entry.id;
@@ -100,7 +103,8 @@
         self.apply_worker_list(scope, &lines);
     }
 
-    /// Applies changed workers, and cancels the unsent requests to workers that drain, were removed or have a new address.
+    /// Applies changed workers, and cancels the unsent requests to workers that drain, were removed or have a
+    /// new address.
     fn apply_changes(&mut self, now: Micros, changes: Vec<(String, Option<WorkerRecord>)>) {
         let (mut entries, mut to_cancel) = (Vec::new(), Vec::new());
         for (name, record) in changes {
@@ -133,7 +137,8 @@
         moved || line.entry.state == WorkerState::Draining
     }
 
-    /// Removes a worker from the pool; returns the entry that reports it to the engine as gone, or `None` for an unknown worker.
+    /// Removes a worker from the pool; returns the entry that reports it to the engine as gone, or `None` for
+    /// an unknown worker.
     fn unlist_worker(&mut self, name: &str) -> Option<WorkerEntry> {
         let id: WorkerId = worker_id(name);
         if self.names.get(&id).is_none_or(|known| known != name) {
--- a/crates/registry-transport/src/lib.rs
+++ b/crates/registry-transport/src/lib.rs
@@ -1,5 +1,6 @@
-//! Runs the registry's [`Client`] on sockets of a [`Reactor`], for the event loops of gateways, relays, test workers and
-//! commands. It only transfers bytes and events between the two; all decisions are made by the client.
+//! Runs the registry's [`Client`] on sockets of a [`Reactor`], for the event loops of gateways, relays, test
+//! workers and commands. It only transfers bytes and events between the two; all decisions are made by the
+//! client.
 #![forbid(unsafe_code)]
 
 use slatevalve_reactor::{Id, Reactor, ReactorEvent};
--- a/crates/registry/benches/catch_up.rs
+++ b/crates/registry/benches/catch_up.rs
@@ -1,6 +1,6 @@
-//! The cost of a full resync, which is required after an interruption longer than the registry's history: size of the list,
-//! memory of the cache, and the time to parse and compare the list, compared with the time to parse the JSON alone.
-//! Run with `cargo bench -p slatevalve-registry`.
+//! The cost of a full resync, which is required after an interruption longer than the registry's history:
+//! size of the list, memory of the cache, and the time to parse and compare the list, compared with the time
+//! to parse the JSON alone. Run with `cargo bench -p slatevalve-registry`.
 
 use criterion::{BenchmarkId, Criterion};
 use slatevalve_registry::wire::{Bytes, Header, KeyValue, RangeResponse};
--- a/crates/registry/src/client/endpoints.rs
+++ b/crates/registry/src/client/endpoints.rs
@@ -1,15 +1,16 @@
-//! The order in which endpoints are tried: relays first, then the registry's own members as a fallback. No I/O; the delay
-//! before the next attempt comes from [`slatevalve_pacing::PollSchedule`].
+//! The order in which endpoints are tried: relays first, then the registry's own members as a fallback. No
+//! I/O; the delay before the next attempt comes from [`slatevalve_pacing::PollSchedule`].
 //!
-//! Each client shuffles both groups by its own seed, so that the clients of a failed relay spread over all other relays. A
-//! client that fell back to the registry returns to the relays after a while; otherwise it would use the registry until the
-//! next failure.
+//! Each client shuffles both groups by its own seed, so that the clients of a failed relay spread over all
+//! other relays. A client that fell back to the registry returns to the relays after a while; otherwise it
+//! would use the registry until the next failure.
 
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Delay before a client that fell back to the registry tries the relays again; a random amount of up to half is added.
+/// Delay before a client that fell back to the registry tries the relays again; a random amount of up to half
+/// is added.
 const RELAY_RETRY_AFTER_US: i64 = 20_000_000;
 
 /// The order of endpoints and the current one; see the module's documentation.
@@ -26,8 +27,8 @@
 }
 
 impl Endpoints {
-    /// Creates the order of `count` endpoints (at least one), of which the first `relays` are relays. The seed determines the
-    /// order and must differ between clients.
+    /// Creates the order of `count` endpoints (at least one), of which the first `relays` are relays. The
+    /// seed determines the order and must differ between clients.
     pub fn new(count: usize, relays: usize, seed: u64) -> Self {
         let (count, mut random) = (count.max(1), Pcg64Mcg::seed_from_u64(seed));
         let relays = relays.min(count);
--- a/crates/registry/src/client/mod.rs
+++ b/crates/registry/src/client/mod.rs
@@ -1,17 +1,18 @@
-//! The registry's client, without I/O. It encodes the requests of the watch, the registration and the caller as HTTP messages
-//! on two connections, and handles the responses. One connection carries the watch, whose response never ends; the other one
-//! carries short requests, one at a time. The owner (gateway, relay, test worker, commands) opens the sockets as requested by
-//! [`SocketAction`]s.
+//! The registry's client, without I/O. It encodes the requests of the watch, the registration and the caller
+//! as HTTP messages on two connections, and handles the responses. One connection carries the watch, whose
+//! response never ends; the other one carries short requests, one at a time. The owner (gateway, relay, test
+//! worker, commands) opens the sockets as requested by [`SocketAction`]s.
 //!
 //! Failures are handled as follows:
 //!
-//! - An endpoint that accepts connections but does not answer is abandoned after a timeout, and the next one is tried (see
-//!   [`Endpoints`]).
+//! - An endpoint that accepts connections but does not answer is abandoned after a timeout, and the next one
+//!   is tried (see [`Endpoints`]).
 //! - A stalled watch is detected by liveness checks.
 //! - An expired token leads to a new login, after which the request is sent again.
 //!
-//! Three measures limit the load that hundreds of clients put on the registry: [`PollSchedule`] spreads requests over time, a
-//! keep-alive replaces a liveness check if nothing changed, and routers are counted rather than watched.
+//! Three measures limit the load that hundreds of clients put on the registry: [`PollSchedule`] spreads
+//! requests over time, a keep-alive replaces a liveness check if nothing changed, and routers are counted
+//! rather than watched.
 
 mod connection;
 mod endpoints;
@@ -58,7 +59,8 @@
     not_before_us: i64,
     /// No short request is sent before this time.
     short_not_before_us: i64,
-    /// Registration and router counts start at this time, so that the first lists of all clients are served before them.
+    /// Registration and router counts start at this time, so that the first lists of all clients are served
+    /// before them.
     register_from_us: i64,
     router_poll: RouterPoll,
     /// Whether a keep-alive was sent in place of a due liveness check but could not replace it.
@@ -116,21 +118,22 @@
         &mut self.watch_state
     }
 
-    /// Sets the number of the registry's clients, including this one. It determines the intervals of requests.
+    /// Sets the number of the registry's clients, including this one. It determines the intervals of
+    /// requests.
     pub fn set_clients(&mut self, clients: usize) {
         self.poll_schedule.set_clients(clients);
     }
 
-    /// Returns the upper bound on the delay of a change while the registry answers but the watch has stalled on an open
-    /// connection. It covers the interval of liveness checks, the response time, and a second check that allows for events
-    /// in flight.
+    /// Returns the upper bound on the delay of a change while the registry answers but the watch has stalled
+    /// on an open connection. It covers the interval of liveness checks, the response time, and a second
+    /// check that allows for events in flight.
     #[must_use]
     pub fn drain_bound_us(&self) -> i64 {
         self.settings.drain_within_us
     }
 
-    /// Queues a request of the caller and returns its ticket. [`ClientEvent::Answered`] reports the outcome. The request is
-    /// not sent again if its outcome is unknown.
+    /// Queues a request of the caller and returns its ticket. [`ClientEvent::Answered`] reports the outcome.
+    /// The request is not sent again if its outcome is unknown.
     pub fn send_request(&mut self, path: &'static str, body: &impl Serialize) -> u64 {
         self.last_ticket += 1;
         let body = serde_json::to_vec(body).unwrap_or_default();
@@ -138,7 +141,8 @@
         self.last_ticket
     }
 
-    /// Changes the value of this process's entry, for example to drain. It is written under the current lease right away.
+    /// Changes the value of this process's entry, for example to drain. It is written under the current lease
+    /// right away.
     pub fn announce(&mut self, value: Vec<u8>) {
         if let Some((_, current)) = &mut self.settings.own {
             *current = value;
@@ -150,8 +154,8 @@
         }
     }
 
-    /// Revokes the lease for an orderly stop, which also deletes the entry. Returns the ticket of the request, or none if there
-    /// is no lease.
+    /// Revokes the lease for an orderly stop, which also deletes the entry. Returns the ticket of the
+    /// request, or none if there is no lease.
     pub fn leave(&mut self) -> Option<u64> {
         let lease = self.registration.take()?.lease()?;
         self.is_leaving = true;
@@ -172,7 +176,8 @@
         }
     }
 
-    /// Returns when the request on the channel times out; `None` if no response is awaited, as on an active watch.
+    /// Returns when the request on the channel times out; `None` if no response is awaited, as on an active
+    /// watch.
     fn times_out_at_us(&self, channel: Channel) -> Option<i64> {
         let connection = self.connection(channel);
         let request = connection.request()?;
@@ -253,7 +258,8 @@
         self.update_intervals();
     }
 
-    /// Sets random intervals of liveness checks and full resyncs, which depend on the current number of clients.
+    /// Sets random intervals of liveness checks and full resyncs, which depend on the current number of
+    /// clients.
     fn update_intervals(&mut self) {
         let WatchSettings { liveness_interval_us, lag_tolerance_us, full_resync_interval_us, .. } =
             self.settings.watch_state;
@@ -265,8 +271,8 @@
             FULL_RESYNC_INTERVAL_MAX_US,
             FULL_RESYNC_RATE_SHARE,
         );
-        // With few clients the configured interval is used, and the configured staleness limit needs no allowance for the
-        // response time.
+        // With few clients the configured interval is used, and the configured staleness limit needs no
+        // allowance for the response time.
         let response_time_us = if liveness_us > liveness_interval_us { self.settings.timeout_us } else { 0 };
         self.watch_state.set_intervals(liveness_us, full_resync_us, response_time_us);
     }
@@ -340,8 +346,9 @@
         self.disconnect(out);
     }
 
-    /// Handles a lost connection or a response timeout. If the request is independent of the followed keys, an active watch
-    /// is kept: the requests that restart a watch would add to the load of an overloaded endpoint.
+    /// Handles a lost connection or a response timeout. If the request is independent of the followed keys,
+    /// an active watch is kept: the requests that restart a watch would add to the load of an overloaded
+    /// endpoint.
     fn request_failed(&mut self, channel: Channel, reason: &str, out: &mut Outputs<'_>) {
         let independent = self.connection(channel).request().is_some_and(Request::is_independent_of_watch);
         if !independent || !self.is_watching {
--- a/crates/registry/src/client/request.rs
+++ b/crates/registry/src/client/request.rs
@@ -17,8 +17,8 @@
     LivenessCheck,
     /// Counts the routers that are registered directly at the registry.
     CountRouters,
-    /// Lists the relays, whose records hold the number of routers registered at each. Carries the result of the preceding
-    /// `CountRouters`.
+    /// Lists the relays, whose records hold the number of routers registered at each. Carries the result of
+    /// the preceding `CountRouters`.
     ListRelays {
         direct_routers: usize,
     },
@@ -27,7 +27,8 @@
 }
 
 impl Request {
-    /// Returns whether the request is independent of the followed keys, so that its failure need not end the watch.
+    /// Returns whether the request is independent of the followed keys, so that its failure need not end the
+    /// watch.
     pub(super) fn is_independent_of_watch(&self) -> bool {
         matches!(
             self,
@@ -77,8 +78,8 @@
         self.short.is_available() && now_us >= self.short_not_before_us
     }
 
-    /// Returns the step of the registration that is due. The first ones are delayed until all clients have had time for
-    /// their first lists.
+    /// Returns the step of the registration that is due. The first ones are delayed until all clients have
+    /// had time for their first lists.
     fn lease_step(&self, now_us: i64) -> Option<LeaseStep> {
         self.registration.as_ref()?.next_step(now_us).filter(|_| now_us >= self.register_from_us)
     }
@@ -98,8 +99,8 @@
             || self.router_poll.should_list_relays()
     }
 
-    /// Returns the next short request. Lists take precedence over the registration, because routing calls to a draining
-    /// worker is worse than being counted late.
+    /// Returns the next short request. Lists take precedence over the registration, because routing calls to
+    /// a draining worker is worse than being counted late.
     pub(super) fn next_short_request(&mut self, now_us: i64) -> Option<Request> {
         if self.needs_login() {
             return Some(Request::Login);
@@ -112,7 +113,8 @@
                 return Some(Request::List(list));
             }
         }
-        // Counts precede the rest because the number of clients determines the intervals of the other requests.
+        // Counts precede the rest because the number of clients determines the intervals of the other
+        // requests.
         if let Some(direct_routers) = self.router_poll.take_direct_routers() {
             return Some(Request::ListRelays { direct_routers });
         }
@@ -128,8 +130,8 @@
         Some(self.liveness_request())
     }
 
-    /// Returns the request that serves as the due liveness check. A keep-alive is used if possible: the revision in its
-    /// response shows whether anything changed in the registry.
+    /// Returns the request that serves as the due liveness check. A keep-alive is used if possible: the
+    /// revision in its response shows whether anything changed in the registry.
     fn liveness_request(&mut self) -> Request {
         let lease = self.registration.as_ref().and_then(Registration::announced_lease);
         let check_required =
@@ -210,7 +212,8 @@
         self.range_of(if self.settings.follow == WatchScope::Workers { WORKERS } else { "" })
     }
 
-    /// Returns the range of the keys of a kind, such as [`WORKERS`]; an empty `kind` covers all keys below the prefix.
+    /// Returns the range of the keys of a kind, such as [`WORKERS`]; an empty `kind` covers all keys below
+    /// the prefix.
     fn range_of(&self, kind: &str) -> KeyRange {
         let prefix = format!("{}{kind}", self.settings.prefix).into_bytes();
         let range_end = Bytes(prefix_end(&prefix));
--- a/crates/registry/src/client/response.rs
+++ b/crates/registry/src/client/response.rs
@@ -44,7 +44,8 @@
         let error = RequestError::Rejected { status, message };
         match (request, code) {
             (Request::Login, _) => self.endpoint_failed(&error.to_string(), out),
-            // The token expired: the request is repeated after a new login. A caller's request is queued again for that.
+            // The token expired: the request is repeated after a new login. A caller's request is queued
+            // again for that.
             (request, code::UNAUTHENTICATED) => {
                 self.token = None;
                 if let Request::Caller(request) = request {
@@ -71,8 +72,9 @@
         }
     }
 
-    /// Returns whether the first page of a list is older than the reported revision while an endpoint that was not tried yet
-    /// may be more recent. Once all endpoints returned older lists, the registry was restored, and the list is accepted.
+    /// Returns whether the first page of a list is older than the reported revision while an endpoint that
+    /// was not tried yet may be more recent. Once all endpoints returned older lists, the registry was
+    /// restored, and the list is accepted.
     fn is_outdated_list(&mut self, request: &Request, body: &[u8]) -> bool {
         let Request::List(list) = request else { return false };
         if !list.start_key.is_empty() {
--- a/crates/registry/src/client/settings.rs
+++ b/crates/registry/src/client/settings.rs
@@ -10,8 +10,8 @@
 pub enum WatchScope {
     /// No keys; the client only registers its entry and sends the caller's requests.
     Nothing,
-    /// Workers, by list and watch. Routers are only counted: if each router watched all others, the total cost would grow
-    /// quadratically with their number.
+    /// Workers, by list and watch. Routers are only counted: if each router watched all others, the total
+    /// cost would grow quadratically with their number.
     Workers,
     /// Every key below the prefix.
     All,
@@ -45,14 +45,15 @@
     pub watch_state: WatchSettings,
     /// Lease of this process's entry; unused if `own` is `None`.
     pub registration: RegistrationSettings,
-    /// The registry's request rate and the longest delay of a request; the schedule sets its `immediate_retries`.
+    /// The registry's request rate and the longest delay of a request; the schedule sets its
+    /// `immediate_retries`.
     pub pace: PollLimits,
     /// The expected number of the registry's clients, including this one, until [`set_clients`] changes it.
     ///
     /// [`set_clients`]: super::Client::set_clients
     pub clients: usize,
-    /// Upper bound on the delay of a change while the registry answers, even if the watch has stalled on an open
-    /// connection. It limits the interval of liveness checks.
+    /// Upper bound on the delay of a change while the registry answers, even if the watch has stalled on an
+    /// open connection. It limits the interval of liveness checks.
     pub drain_within_us: i64,
     /// Timeout of connecting, of the response to a short request, and of the confirmation of a watch.
     pub timeout_us: i64,
@@ -103,7 +104,8 @@
     LeaseLost,
     /// The number of registered routers, those at relays included, changed to this value.
     Routers(usize),
-    /// The outcome of [`Client::send_request`](super::Client::send_request): the ticket, and the response's body or the error.
+    /// The outcome of [`Client::send_request`](super::Client::send_request): the ticket, and the response's
+    /// body or the error.
     Answered(u64, Result<Vec<u8>, RequestError>),
 }
 
--- a/crates/registry/src/client/stream.rs
+++ b/crates/registry/src/client/stream.rs
@@ -1,4 +1,5 @@
-//! The byte streams of the client's connections: connecting, closing, and decoding responses and lines of the watch.
+//! The byte streams of the client's connections: connecting, closing, and decoding responses and lines of the
+//! watch.
 
 use super::connection::ConnectionState;
 use super::error::RequestError;
@@ -12,7 +13,8 @@
 const RESPONSE_BYTES_MAX: usize = 16 * 1024 * 1024;
 /// The HTTP status of a successful request.
 pub(super) const STATUS_OK: u16 = 200;
-/// HTTP statuses of an overloaded endpoint (RFC 6585, "Too Many Requests", and RFC 9110, "Service Unavailable").
+/// HTTP statuses of an overloaded endpoint (RFC 6585, "Too Many Requests", and RFC 9110, "Service
+/// Unavailable").
 const STATUS_TOO_MANY_REQUESTS: u16 = 429;
 const STATUS_UNAVAILABLE: u16 = 503;
 
@@ -128,8 +130,8 @@
         self.handle_response(request, status, &body, out);
     }
 
-    /// Delays the next request by the time that an overloaded endpoint requested. The other connection is kept, because
-    /// opening a new one would add to the load.
+    /// Delays the next request by the time that an overloaded endpoint requested. The other connection is
+    /// kept, because opening a new one would add to the load.
     fn handle_overload(
         &mut self,
         request: &Request,
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,14 +1,17 @@
-//! Membership from a key-value registry that speaks the etcd v3 protocol in its JSON mapping. This crate does no I/O.
+//! Membership from a key-value registry that speaks the etcd v3 protocol in its JSON mapping. This crate does
+//! no I/O.
 //!
-//! Main invariant: no drain is missed, however long a connection is interrupted and whatever history the registry compacts
-//! in the meantime.
+//! Main invariant: no drain is missed, however long a connection is interrupted and whatever history the
+//! registry compacts in the meantime.
 //!
-//! - [`WatchState`] caches the keys below a prefix and reports every change, including those made during an interruption.
+//! - [`WatchState`] caches the keys below a prefix and reports every change, including those made during an
+//!   interruption.
 //! - [`Members`] converts the changes into changes of workers and routers, with removals and drains first.
-//! - [`RouterCount`] smooths the number of routers, so that a partition of the registry does not make each router send as
-//!   much load as if it were alone.
+//! - [`RouterCount`] smooths the number of routers, so that a partition of the registry does not make each
+//!   router send as much load as if it were alone.
 //! - [`Registration`] maintains this process's own entry.
-//! - [`Client`] encodes their requests as HTTP messages and decodes the responses; its owner holds the sockets.
+//! - [`Client`] encodes their requests as HTTP messages and decodes the responses; its owner holds the
+//!   sockets.
 #![forbid(unsafe_code)]
 
 mod client;
--- a/crates/registry/src/members.rs
+++ b/crates/registry/src/members.rs
@@ -1,5 +1,6 @@
-//! Workers, routers and relays as stored in the registry: the records that are the values of their keys, and the conversion of
-//! changed keys into changes of members, removals and drains first. Gateways, relays and test workers write these records.
+//! Workers, routers and relays as stored in the registry: the records that are the values of their keys, and
+//! the conversion of changed keys into changes of members, removals and drains first. Gateways, relays and
+//! test workers write these records.
 
 use crate::watch_state::Change;
 use serde::de::DeserializeOwned;
@@ -51,8 +52,8 @@
     /// Whether the worker accepts calls; `ready` if absent.
     #[serde(default)]
     pub state: MemberState,
-    /// The start of the worker's process in milliseconds of its machine's Unix clock. A different value shows that the
-    /// process was restarted.
+    /// The start of the worker's process in milliseconds of its machine's Unix clock. A different value shows
+    /// that the process was restarted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub up_since_unix_ms: Option<f64>,
 }
@@ -263,9 +264,10 @@
         &self.routers
     }
 
-    /// Applies a batch of changed keys. The resulting changes are ordered so that calls to removed and draining workers stop
-    /// before anything else happens: removals, then drains, then the rest. Of several changes of a worker only the last one is
-    /// returned, except that a worker that was removed and added again is also returned as removed.
+    /// Applies a batch of changed keys. The resulting changes are ordered so that calls to removed and
+    /// draining workers stop before anything else happens: removals, then drains, then the rest. Of several
+    /// changes of a worker only the last one is returned, except that a worker that was removed and added
+    /// again is also returned as removed.
     pub fn apply(&mut self, changes: Vec<Change>) -> AppliedChanges {
         let routers_before = self.routers.len();
         let (mut worker_changes, mut errors) = (WorkerChanges::default(), Vec::new());
--- a/crates/registry/src/registration.rs
+++ b/crates/registry/src/registration.rs
@@ -1,5 +1,5 @@
-//! Maintains this process's entry in the registry: grants a lease, writes the key under it, keeps the lease alive, and starts
-//! again if the lease is lost. No I/O; [`crate::Client`] sends the requests.
+//! Maintains this process's entry in the registry: grants a lease, writes the key under it, keeps the lease
+//! alive, and starts again if the lease is lost. No I/O; [`crate::Client`] sends the requests.
 
 /// Settings of a [`Registration`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,8 @@
 pub struct Registration {
     settings: RegistrationSettings,
     state: State,
-    /// When the last request was sent. The time to live counts from here, because the response may arrive late.
+    /// When the last request was sent. The time to live counts from here, because the response may arrive
+    /// late.
     sent_us: i64,
 }
 
@@ -104,8 +105,8 @@
         self.sent_us = now_us;
     }
 
-    /// Handles the grant of a lease: the entry is to be written under it. Also called with the current lease, to write a
-    /// changed entry.
+    /// Handles the grant of a lease: the entry is to be written under it. Also called with the current lease,
+    /// to write a changed entry.
     pub fn granted(&mut self, lease: i64) {
         self.state = State::Granted { lease };
     }
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Handles the response to a keep-alive, whose time to live is 0 for an expired lease. Returns whether the lease is valid.
+    /// Handles the response to a keep-alive, whose time to live is 0 for an expired lease. Returns whether
+    /// the lease is valid.
     pub fn keep_alive_answered(&mut self, ttl_s: i64) -> bool {
         match self.state {
             State::Announced { lease, .. } if ttl_s > 0 => {
--- a/crates/registry/src/router_count.rs
+++ b/crates/registry/src/router_count.rs
@@ -1,9 +1,10 @@
-//! The assumed number of routers, derived from the number that the registry lists. No I/O; called by the gateway.
+//! The assumed number of routers, derived from the number that the registry lists. No I/O; called by the
+//! gateway.
 //!
-//! The load that one router may send to a cold worker is divided by this number. If it is too large, cold workers warm up a
-//! little more slowly; if it is too small, all routers together overload them. Therefore an increase applies at once and a
-//! decrease in slow steps: when the registry is partitioned from half of the routers, or loses their leases at once, the other
-//! half must not assume to be alone.
+//! The load that one router may send to a cold worker is divided by this number. If it is too large, cold
+//! workers warm up a little more slowly; if it is too small, all routers together overload them. Therefore an
+//! increase applies at once and a decrease in slow steps: when the registry is partitioned from half of the
+//! routers, or loses their leases at once, the other half must not assume to be alone.
 
 use crate::watch_state::Freshness;
 
@@ -14,7 +15,8 @@
     pub min_routers: usize,
     /// How long fewer routers must be listed without interruption before each step down.
     pub hold_us: i64,
-    /// Divisor of a step down: each step removes at most one `step`-th of the routers, but at least one router.
+    /// Divisor of a step down: each step removes at most one `step`-th of the routers, but at least one
+    /// router.
     pub step: usize,
 }
 
@@ -46,8 +48,8 @@
         self.routers
     }
 
-    /// Handles the number of listed routers, read at the given freshness. Returns the assumed number if it changed. To be
-    /// called after each change and when [`RouterCount::due_us`] is reached.
+    /// Handles the number of listed routers, read at the given freshness. Returns the assumed number if it
+    /// changed. To be called after each change and when [`RouterCount::due_us`] is reached.
     pub fn listed(&mut self, now_us: i64, count: usize, freshness: Freshness) -> Option<usize> {
         let count = count.max(self.settings.min_routers).max(1);
         if count >= self.routers {
@@ -71,7 +73,8 @@
         Some(self.routers)
     }
 
-    /// Returns when the next step down is due if fewer routers are listed until then; `None` while none is pending.
+    /// Returns when the next step down is due if fewer routers are listed until then; `None` while none is
+    /// pending.
     #[must_use]
     pub fn due_us(&self) -> Option<i64> {
         self.fewer_since_us.map(|since_us| since_us.saturating_add(self.settings.hold_us))
--- a/crates/registry/src/serve.rs
+++ b/crates/registry/src/serve.rs
@@ -2,8 +2,8 @@
 
 use crate::wire::{Streamed, WatchResponse};
 
-/// Returns whether a key is in the range from `from` (inclusive) to `end` (exclusive). An empty `end` selects only the key
-/// `from`, a single zero byte all keys from there on.
+/// Returns whether a key is in the range from `from` (inclusive) to `end` (exclusive). An empty `end` selects
+/// only the key `from`, a single zero byte all keys from there on.
 #[must_use]
 pub fn is_in_range(key: &[u8], from: &[u8], end: &[u8]) -> bool {
     match end {
@@ -13,7 +13,8 @@
     }
 }
 
-/// Encodes a complete HTTP response with a JSON body. `headers` holds additional header lines, each terminated by CRLF.
+/// Encodes a complete HTTP response with a JSON body. `headers` holds additional header lines, each
+/// terminated by CRLF.
 #[must_use]
 pub fn answer(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let head = format!(
@@ -39,8 +40,8 @@
     line
 }
 
-/// Encodes a chunk of a body (RFC 9112, "Chunked Transfer Coding"). `piece` must not be empty, because an empty chunk ends
-/// the body.
+/// Encodes a chunk of a body (RFC 9112, "Chunked Transfer Coding"). `piece` must not be empty, because an
+/// empty chunk ends the body.
 #[must_use]
 pub fn chunk(piece: &[u8]) -> Vec<u8> {
     [format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat()
--- a/crates/registry/src/watch_state/liveness.rs
+++ b/crates/registry/src/watch_state/liveness.rs
@@ -1,4 +1,5 @@
-//! Liveness checks: small reads that show whether the registry answers and whether the watch delivered all changes.
+//! Liveness checks: small reads that show whether the registry answers and whether the watch delivered all
+//! changes.
 
 use super::{Confirmation, Phase, WatchFault, WatchState};
 use crate::wire::{Header, KeyValue, RangeResponse};
@@ -24,16 +25,16 @@
         matches!(self.phase, Phase::Watching).then_some(self.liveness_check_due_us)
     }
 
-    /// Sets the intervals of liveness checks and full resyncs. Possibly no response arrives between two checks, so the keys
-    /// count as stale only after the next check and its response time.
+    /// Sets the intervals of liveness checks and full resyncs. Possibly no response arrives between two
+    /// checks, so the keys count as stale only after the next check and its response time.
     pub fn set_intervals(&mut self, liveness_us: i64, full_resync_us: i64, response_time_us: i64) {
         (self.settings.liveness_interval_us, self.settings.full_resync_interval_us) =
             (liveness_us, full_resync_us);
         self.stale_after_us = self.settings.stale_after_us.max(liveness_us + 2 * response_time_us);
     }
 
-    /// Returns whether a liveness check is required that no other response can replace: the watch was found behind, or the
-    /// revisions of a snapshot are not confirmed.
+    /// Returns whether a liveness check is required that no other response can replace: the watch was found
+    /// behind, or the revisions of a snapshot are not confirmed.
     #[must_use]
     pub fn requires_liveness_check(&self) -> bool {
         self.lag.is_some() || self.confirmation == Confirmation::Pending
@@ -66,8 +67,9 @@
         self.handle_lag(now_us);
     }
 
-    /// Returns whether the cache agrees with the response: the number of keys, and the revision of the last modified key. A
-    /// registry with another history is very unlikely to have the same key modified last at the same revision.
+    /// Returns whether the cache agrees with the response: the number of keys, and the revision of the last
+    /// modified key. A registry with another history is very unlikely to have the same key modified last at
+    /// the same revision.
     fn is_complete(&self, response: &RangeResponse) -> bool {
         let is_cached = |kv: &KeyValue| {
             self.entries.get(&kv.key.0).is_some_and(|entry| entry.mod_revision == kv.mod_revision)
@@ -77,8 +79,9 @@
             && response.header.revision >= self.revision
     }
 
-    /// Handles a check that found the watch behind. Events in flight cause this for a moment, and at every check while many
-    /// keys change. Only a watch whose revision does not advance within the tolerance has lost events.
+    /// Handles a check that found the watch behind. Events in flight cause this for a moment, and at every
+    /// check while many keys change. Only a watch whose revision does not advance within the tolerance has
+    /// lost events.
     fn handle_lag(&mut self, now_us: i64) {
         let since_us = match &self.lag {
             Some(lag) if lag.revision == self.revision => lag.since_us,
@@ -101,8 +104,8 @@
         }
     }
 
-    /// Handles the header of any other response, such as that of a keep-alive. Returns whether it replaces a liveness check,
-    /// which it does if nothing changed in the registry since the last event or check.
+    /// Handles the header of any other response, such as that of a keep-alive. Returns whether it replaces a
+    /// liveness check, which it does if nothing changed in the registry since the last event or check.
     pub fn handle_header(&mut self, now_us: i64, header: &Header) -> bool {
         self.last_response_us = Some(now_us);
         if !matches!(self.phase, Phase::Watching) || header.revision == 0 || !self.verify_cluster(header) {
--- a/crates/registry/src/watch_state/mod.rs
+++ b/crates/registry/src/watch_state/mod.rs
@@ -1,8 +1,9 @@
-//! Client-side cache of the keys below a prefix, kept correct through lost connections, compaction and restored backups.
+//! Client-side cache of the keys below a prefix, kept correct through lost connections, compaction and
+//! restored backups.
 //!
-//! Invariant: the cached keys are the registry's keys at some revision, and the reported changes transform the previously
-//! cached keys into them without omissions. A key deleted during a gap in the watch is reported as deleted; one deleted and
-//! created again is reported as created.
+//! Invariant: the cached keys are the registry's keys at some revision, and the reported changes transform
+//! the previously cached keys into them without omissions. A key deleted during a gap in the watch is
+//! reported as deleted; one deleted and created again is reported as created.
 //!
 //! No I/O: the inputs are responses and times, the outputs requests and changes. [`crate::Client`] drives it.
 
@@ -23,8 +24,8 @@
 type Entries = BTreeMap<Vec<u8>, CachedEntry>;
 
 enum Phase {
-    /// A list is required or partly received. `revision` is 0 before its first page, `start_key` is the first key of the next
-    /// page, and `found` holds the keys of the pages received.
+    /// A list is required or partly received. `revision` is 0 before its first page, `start_key` is the first
+    /// key of the next page, and `found` holds the keys of the pages received.
     Listing { revision: i64, start_key: Vec<u8>, found: Entries },
     /// A watch is required.
     Resuming,
@@ -129,14 +130,15 @@
         self.entries.is_empty()
     }
 
-    /// Returns the revision up to which all changes were reported; 0 while it comes from an unconfirmed snapshot.
+    /// Returns the revision up to which all changes were reported; 0 while it comes from an unconfirmed
+    /// snapshot.
     #[must_use]
     pub fn revision(&self) -> i64 {
         self.if_confirmed(self.revision)
     }
 
-    /// Returns the revision up to which the cached keys are known to be complete, by events, lists or liveness checks; 0
-    /// while nothing is confirmed.
+    /// Returns the revision up to which the cached keys are known to be complete, by events, lists or
+    /// liveness checks; 0 while nothing is confirmed.
     #[must_use]
     pub fn confirmed_revision(&self) -> i64 {
         self.revision().max(self.if_confirmed(self.checked_revision))
@@ -180,8 +182,8 @@
         }
     }
 
-    /// Handles the loss of the connection that carried the watch or a list. A partly received list continues at its next
-    /// page.
+    /// Handles the loss of the connection that carried the watch or a list. A partly received list continues
+    /// at its next page.
     pub fn connection_lost(&mut self) {
         self.fragments.clear();
         if matches!(self.phase, Phase::Watching) {
@@ -202,8 +204,8 @@
         !differs
     }
 
-    /// Resets the revisions of the cached keys, which belong to another history. The values are kept for the comparison with
-    /// the next list.
+    /// Resets the revisions of the cached keys, which belong to another history. The values are kept for the
+    /// comparison with the next list.
     fn forget_entry_revisions(&mut self) {
         self.entries.values_mut().for_each(|entry| entry.mod_revision = 0);
     }
--- a/crates/registry/src/watch_state/resync.rs
+++ b/crates/registry/src/watch_state/resync.rs
@@ -39,8 +39,8 @@
     }
 
     fn complete_list(&mut self, now_us: i64, revision: i64, found: Entries) -> Vec<Change> {
-        // The cluster was restored to an earlier state. Its revisions from there on stand for other changes than those
-        // reported, so the cached revisions are void.
+        // The cluster was restored to an earlier state. From there on its revisions denote other changes than
+        // those reported, so the cached revisions are void.
         if revision < self.revision {
             self.faults.push(WatchFault::Restored);
             self.forget_entry_revisions();
@@ -74,7 +74,8 @@
         changes
     }
 
-    /// Handles the rejection of a page because its revision was compacted: the list starts again from the first page.
+    /// Handles the rejection of a page because its revision was compacted: the list starts again from the
+    /// first page.
     pub fn list_compacted(&mut self, now_us: i64) {
         self.last_response_us = Some(now_us);
         self.faults.push(WatchFault::Compacted { oldest: 0 });
--- a/crates/registry/src/watch_state/snapshot.rs
+++ b/crates/registry/src/watch_state/snapshot.rs
@@ -1,9 +1,11 @@
-//! Snapshots of the cached keys, from which a restarted process continues. They are JSON; the caller stores them.
+//! Snapshots of the cached keys, from which a restarted process continues. They are JSON; the caller stores
+//! them.
 
 use super::{CachedEntry, Change, Confirmation, Phase, WatchState};
 use serde::{Deserialize, Serialize};
 
-/// The stored format. Earlier versions wrote it without revisions; all keys are listed after loading such a snapshot.
+/// The stored format. Earlier versions wrote it without revisions; all keys are listed after loading such a
+/// snapshot.
 #[derive(Serialize, Deserialize)]
 struct Snapshot {
     /// Keys and values.
@@ -26,13 +28,14 @@
 pub struct LoadedSnapshot {
     /// The keys, as changes from an empty cache.
     pub changes: Vec<Change>,
-    /// The number of the registry's clients when the snapshot was taken; 0 if an earlier version did not store it.
+    /// The number of the registry's clients when the snapshot was taken; 0 if an earlier version did not
+    /// store it.
     pub clients: usize,
 }
 
 impl WatchState {
-    /// Loads a snapshot of an earlier process; to be called before the first response. If the snapshot has revisions, a watch
-    /// continues from there, so that the restart of a whole fleet causes no lists.
+    /// Loads a snapshot of an earlier process; to be called before the first response. If the snapshot has
+    /// revisions, a watch continues from there, so that the restart of a whole fleet causes no lists.
     ///
     /// # Errors
     /// When the bytes are not a snapshot made by [`WatchState::to_snapshot`]; the cache is then unchanged.
@@ -40,7 +43,8 @@
         let Snapshot { keys, revisions, revision, cluster, clients } = serde_json::from_slice(bytes)?;
         let has_revisions = revision > 0 && cluster != 0 && revisions.len() == keys.len();
         for (index, (key, value)) in keys.iter().enumerate() {
-            // Without a known history revisions cannot be compared; 0 makes any listed revision count as newer.
+            // Without a known history revisions cannot be compared; 0 makes any listed revision count as
+            // newer.
             let (create_revision, mod_revision) = if has_revisions { revisions[index] } else { (0, 0) };
             let entry = CachedEntry { value: value.clone(), create_revision, mod_revision };
             self.entries.insert(key.clone(), entry);
--- a/crates/registry/src/watch_state/types.rs
+++ b/crates/registry/src/watch_state/types.rs
@@ -5,15 +5,18 @@
 pub struct WatchSettings {
     /// Maximum number of keys in one page of a list.
     pub page_size: i64,
-    /// Interval of liveness checks, which show whether the registry answers and whether the watch is complete. With many
-    /// clients it is longer, see [`WatchState::set_intervals`](super::WatchState::set_intervals).
+    /// Interval of liveness checks, which show whether the registry answers and whether the watch is
+    /// complete. With many clients it is longer, see
+    /// [`WatchState::set_intervals`](super::WatchState::set_intervals).
     pub liveness_interval_us: i64,
-    /// How long a watch may stay at the same revision after a liveness check found it behind, before a full resync starts.
+    /// How long a watch may stay at the same revision after a liveness check found it behind, before a full
+    /// resync starts.
     pub lag_tolerance_us: i64,
-    /// Interval of full resyncs. A liveness check cannot detect a lost event if a later event arrived. The protocol rules
-    /// out such a loss, but a proxy between client and registry may cause it.
+    /// Interval of full resyncs. A liveness check cannot detect a lost event if a later event arrived. The
+    /// protocol rules out such a loss, but a proxy between client and registry may cause it.
     pub full_resync_interval_us: i64,
-    /// Time without any response after which the cached keys are stale; longer if liveness checks are further apart.
+    /// Time without any response after which the cached keys are stale; longer if liveness checks are further
+    /// apart.
     pub stale_after_us: i64,
 }
 
--- a/crates/registry/src/watch_state/watch.rs
+++ b/crates/registry/src/watch_state/watch.rs
@@ -4,7 +4,8 @@
 use crate::wire::{EventType, KeyValue, WatchEvent, WatchResponse};
 
 impl WatchState {
-    /// Handles a response of the watch and returns its changes. All changes of one revision are returned together.
+    /// Handles a response of the watch and returns its changes. All changes of one revision are returned
+    /// together.
     pub fn handle_watch(&mut self, now_us: i64, response: WatchResponse) -> Vec<Change> {
         self.last_response_us = Some(now_us);
         // During a list, responses of an abandoned watch may still arrive.
@@ -24,7 +25,8 @@
         }
         let events = std::mem::take(&mut self.fragments);
         if events.is_empty() {
-            // A progress notification guarantees that all events up to its revision were delivered; `created` does not.
+            // A progress notification guarantees that all events up to its revision were delivered; `created`
+            // does not.
             if !response.created && response.header.revision > self.revision {
                 self.advance_to(response.header.revision);
             }
@@ -45,7 +47,8 @@
         }
     }
 
-    /// Handles the confirmation that the watch was created. Returns whether it is active; otherwise a resync starts.
+    /// Handles the confirmation that the watch was created. Returns whether it is active; otherwise a resync
+    /// starts.
     fn watch_created(&mut self, now_us: i64, revision: i64) -> bool {
         self.phase = Phase::Watching;
         // The member lags behind, or its history is a different one; a list shows which.
@@ -54,8 +57,8 @@
             self.start_resync();
             return false;
         }
-        // The response shows that the registry answers, so the next check can wait. This spares it the checks of all clients
-        // that reconnect at the same time.
+        // The response shows that the registry answers, so the next check can wait. This spares it the checks
+        // of all clients that reconnect at the same time.
         match self.confirmation {
             Confirmation::Pending => self.liveness_check_due_us = now_us,
             Confirmation::Confirmed => self.liveness_check_sent(now_us),
--- a/crates/registry/src/wire/encoding.rs
+++ b/crates/registry/src/wire/encoding.rs
@@ -50,7 +50,8 @@
         }
         match Either::deserialize(deserializer)? {
             Either::Text(text) => {
-                // Cluster and member ids are unsigned. They are only compared, so reinterpreting their bits as signed is safe.
+                // Cluster and member ids are unsigned. They are only compared, so reinterpreting their bits
+                // as signed is safe.
                 let number =
                     text.parse::<i64>().or_else(|_| text.parse::<u64>().map(|unsigned| unsigned as i64));
                 number.map_err(serde::de::Error::custom)
--- a/crates/registry/src/wire/kv.rs
+++ b/crates/registry/src/wire/kv.rs
@@ -54,7 +54,8 @@
 }
 
 impl RangeRequest {
-    /// Creates a request for the last modified key of a range; the response also holds the number of keys in the range.
+    /// Creates a request for the last modified key of a range; the response also holds the number of keys in
+    /// the range.
     pub fn last_modified(key: Bytes, range_end: Bytes) -> Self {
         let (sort_order, sort_target) = ("DESCEND".into(), "MOD".into());
         RangeRequest { key, range_end, limit: 1, sort_order, sort_target, ..RangeRequest::default() }
@@ -130,7 +131,8 @@
 }
 
 impl Compare {
-    /// Creates a comparison that is true if the key was last changed at `mod_revision`, or does not exist for 0.
+    /// Creates a comparison that is true if the key was last changed at `mod_revision`, or does not exist for
+    /// 0.
     pub fn unchanged(key: Bytes, mod_revision: i64) -> Self {
         Compare { target: "MOD".into(), result: "EQUAL".into(), key, mod_revision }
     }
@@ -148,7 +150,8 @@
     pub request_delete_range: Option<DeleteRequest>,
 }
 
-/// A transaction: executes all operations of `success` at one revision if all comparisons are true, otherwise none.
+/// A transaction: executes all operations of `success` at one revision if all comparisons are true, otherwise
+/// none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnRequest {
@@ -167,7 +170,8 @@
     pub revision: i64,
 }
 
-/// Returns the exclusive end of the range of all keys that start with `prefix` (etcd documentation, "Key ranges").
+/// Returns the exclusive end of the range of all keys that start with `prefix` (etcd documentation, "Key
+/// ranges").
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
--- a/crates/registry/src/wire/mod.rs
+++ b/crates/registry/src/wire/mod.rs
@@ -1,5 +1,6 @@
-//! Messages of the etcd v3 protocol in the JSON mapping of etcd's gRPC gateway: 64-bit numbers are strings, bytes are base64,
-//! zero values are omitted (etcd documentation, "gRPC gateway"; proto3 JSON mapping). Used by clients and servers.
+//! Messages of the etcd v3 protocol in the JSON mapping of etcd's gRPC gateway: 64-bit numbers are strings,
+//! bytes are base64, zero values are omitted (etcd documentation, "gRPC gateway"; proto3 JSON mapping). Used
+//! by clients and servers.
 //!
 //! Types and fields are named as in etcd's `rpc.proto`; fields that are not used here are left out.
 
--- a/crates/registry/src/wire/watch.rs
+++ b/crates/registry/src/wire/watch.rs
@@ -67,7 +67,8 @@
     /// Whether the watch was canceled.
     #[serde(skip_serializing_if = "is_false")]
     pub canceled: bool,
-    /// The oldest available revision, if the watch was canceled because its start revision is compacted; otherwise 0.
+    /// The oldest available revision, if the watch was canceled because its start revision is compacted;
+    /// otherwise 0.
     #[serde(with = "number", skip_serializing_if = "is_zero")]
     pub compact_revision: i64,
     /// Why the watch was canceled; may be empty.
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Simulates the clients of up to thousands of routers with one registry of limited capacity, without sockets. All bounds are
-//! counts and simulated times, so the results do not depend on the machine.
+//! Simulates the clients of up to thousands of routers with one registry of limited capacity, without
+//! sockets. All bounds are counts and simulated times, so the results do not depend on the machine.
 
 use slatevalve_http::{Limits, MessageReader, Side};
 use slatevalve_pacing::{seed_of, Limits as PollSchedule};
@@ -65,8 +65,8 @@
 }
 
 impl World {
-    /// Creates `routers` clients, each of which assumes `assumed` clients, and a registry that serves `per_second` requests per
-    /// second.
+    /// Creates `routers` clients, each of which assumes `assumed` clients, and a registry that serves
+    /// `per_second` requests per second.
     fn new(routers: usize, assumed: usize, per_second: f64) -> Self {
         let client = |n: usize| {
             Client::new(ClientSettings {
@@ -361,7 +361,8 @@
     world.run(60_000_000, Some(22_000_000));
     assert_eq!(world.drained_us.len(), 1_000, "some routers did not receive the drain");
     let last = world.drained_us.values().max().unwrap() - 25_000_000;
-    // The longest delay, twice if a request was lost: the registry can just serve all requests of 1,000 routers.
+    // The longest delay, twice if a request was lost: the registry can just serve all requests of 1,000
+    // routers.
     assert!(last <= 2 * PollSchedule::default().longest_us, "{last}");
     assert!(
         world.peak_requests(25_000_000..60_000_000) <= 250,
--- a/crates/registry/tests/follow.rs
+++ b/crates/registry/tests/follow.rs
@@ -1,6 +1,6 @@
-//! Runs the client against the test registry's store in simulated time. Random walks combine changes, lost connections,
-//! compaction, lost and duplicated responses, restored backups and revoked tokens; the keys reported by the client are compared
-//! with the recorded state of the store at the client's revision.
+//! Runs the client against the test registry's store in simulated time. Random walks combine changes, lost
+//! connections, compaction, lost and duplicated responses, restored backups and revoked tokens; the keys
+//! reported by the client are compared with the recorded state of the store at the client's revision.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -343,8 +343,8 @@
 const READY: &str = r#"{"address":"127.0.0.1:1"}"#;
 const DRAINING: &str = r#"{"address":"127.0.0.1:1","state":"draining"}"#;
 
-/// Executes random steps, then lets the client catch up. Returns the number of states of the store, and how often each fault
-/// was reported.
+/// Executes random steps, then lets the client catch up. Returns the number of states of the store, and how
+/// often each fault was reported.
 fn random_walk(seed: u64, steps: usize, with_loss: bool) -> (usize, BTreeMap<String, usize>) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut world = World::new(seed.is_multiple_of(3));
@@ -400,8 +400,8 @@
 
 #[test]
 fn silently_lost_changes_of_a_watch_are_detected() {
-    // Liveness checks detect the loss or, if a later change hides it from them, a full resync does. `random_walk` checks that
-    // the client's keys equal the store's at the end.
+    // Liveness checks detect the loss or, if a later change hides it from them, a full resync does.
+    // `random_walk` checks that the client's keys equal the store's at the end.
     (1_000..1_040).for_each(|seed| drop(random_walk(seed, 300, true)));
     let mut world = up_to_date_world();
     world.lossy = true;
@@ -468,7 +468,8 @@
     world.advance(0);
     world.deliver(Channel::Short);
     world.advance(1);
-    // The second page is requested at the revision of the first one, which is compacted before the request arrives.
+    // The second page is requested at the revision of the first one, which is compacted before the request
+    // arrives.
     world.put(0, DRAINING);
     world.pipes.get_mut(&Channel::Short).unwrap().inbox.clear();
     world.break_off(Channel::Short);
@@ -586,8 +587,8 @@
         world.poll_watch(false, false);
         world.deliver(Channel::Watch);
     }
-    // In one minute: two or three counts of routers with two requests each, and the liveness check after the change of the
-    // client's own entry.
+    // In one minute: two or three counts of routers with two requests each, and the liveness check after the
+    // change of the client's own entry.
     assert_eq!(world.now_us - from, 60_000_000);
     let sent = world.range_requests - range_requests;
     assert!(sent <= 8, "{sent} range requests");
@@ -626,7 +627,8 @@
 
 #[test]
 fn a_rolling_deploy_of_most_workers_is_followed_change_by_change() {
-    // 81 of 85 workers drain, are removed and replaced within 5 s, among changes of other workers: 5,000 changes in all.
+    // 81 of 85 workers drain, are removed and replaced within 5 s, among changes of other workers: 5,000
+    // changes in all.
     let watch_state = WatchSettings::default();
     let mut world = World::with(ClientSettings { watch_state, ..settings(false) }, false);
     (0..85).for_each(|n| world.put(n, READY));
--- a/crates/registry/tests/stored_forms.rs
+++ b/crates/registry/tests/stored_forms.rs
@@ -1,6 +1,7 @@
-//! Byte-for-byte examples of the formats that are stored or sent: the entries of workers, routers (gateways) and relays in the
-//! registry, and the snapshot that a gateway saves on disk. Other versions wrote them and will read them, so renaming items in
-//! the code must not change them. The literals are output of the program and must not be derived from code.
+//! Byte-for-byte examples of the formats that are stored or sent: the entries of workers, routers (gateways)
+//! and relays in the registry, and the snapshot that a gateway saves on disk. Other versions wrote them and
+//! will read them, so renaming items in the code must not change them. The literals are output of the program
+//! and must not be derived from code.
 
 use slatevalve_registry::wire::{Bytes, Header, KeyValue, RangeResponse};
 use slatevalve_registry::*;
@@ -17,7 +18,8 @@
 const RELAY_KEY: &str = "/slatevalve/relays/relay-1";
 const RELAY: &str = r#"{"routers":17}"#;
 
-/// A snapshot of two keys: `/s/workers/a` with the value `{"cell":1}`, and `/s/workers/b` with an empty value.
+/// A snapshot of two keys: `/s/workers/a` with the value `{"cell":1}`, and `/s/workers/b` with an empty
+/// value.
 const SNAPSHOT: &str = r#"{"keys":[[[47,115,47,119,111,114,107,101,114,115,47,97],[123,34,99,101,108,108,34,58,49,125]],[[47,115,47,119,111,114,107,101,114,115,47,98],[]]],"revisions":[[5,40],[6,6]],"revision":42,"cluster":-77,"askers":9}"#;
 
 fn worker() -> WorkerRecord {
--- a/crates/relay/src/entries.rs
+++ b/crates/relay/src/entries.rs
@@ -1,5 +1,5 @@
-//! The entries that routers register at a relay: leases and the keys under them. They are held and counted by the relay, so
-//! that its routers cause no requests to the registry. No I/O; the number of leases is bounded.
+//! The entries that routers register at a relay: leases and the keys under them. They are held and counted by
+//! the relay, so that its routers cause no requests to the registry. No I/O; the number of leases is bounded.
 
 use std::collections::BTreeMap;
 
@@ -33,8 +33,8 @@
 }
 
 impl Entries {
-    /// Creates an empty set for at most `capacity` leases. Relays with different names grant different ids, so that a lease
-    /// of another relay is recognized as unknown.
+    /// Creates an empty set for at most `capacity` leases. Relays with different names grant different ids,
+    /// so that a lease of another relay is recognized as unknown.
     pub fn new(name: &str, capacity: usize) -> Self {
         let id_prefix = (slatevalve_pacing::seed_of(0, name) >> 24) as i64;
         Entries { leases: BTreeMap::new(), next_id: (id_prefix << 20) | 1, capacity }
--- a/crates/relay/src/relay/mod.rs
+++ b/crates/relay/src/relay/mod.rs
@@ -1,5 +1,5 @@
-//! Serves routers: lists and watches of workers from the watch cache, and the routers' own entries. No I/O: the inputs are
-//! times and the bytes received on each connection, the outputs [`RelayAction`]s.
+//! Serves routers: lists and watches of workers from the watch cache, and the routers' own entries. No I/O:
+//! the inputs are times and the bytes received on each connection, the outputs [`RelayAction`]s.
 
 mod requests;
 mod watches;
@@ -72,8 +72,8 @@
 }
 
 impl Relay {
-    /// Creates a relay for the keys below a prefix; the name determines the ids of its leases. It rejects all requests until
-    /// the first [`Relay::update`] with a current state.
+    /// Creates a relay for the keys below a prefix; the name determines the ids of its leases. It rejects all
+    /// requests until the first [`Relay::update`] with a current state.
     pub fn new(limits: Limits, name: &str, prefix: &str) -> Self {
         Relay {
             prefix: prefix.into(),
@@ -119,7 +119,8 @@
         let Some(connection) = self.connections.get_mut(&peer) else { return };
         match connection.reader.feed(bytes) {
             Ok(None) => {}
-            // The response to a watch does not end, so another request on the same connection cannot be answered.
+            // The response to a watch does not end, so another request on the same connection cannot be
+            // answered.
             Ok(Some(_)) if connection.watch.is_some() => actions.push(RelayAction::Finish(peer)),
             Ok(Some(request)) => self.handle_request(now_us, peer, &request, actions),
             Err(_) => actions.push(RelayAction::Finish(peer)),
@@ -141,8 +142,8 @@
         });
     }
 
-    /// Updates the cache from the registry's client. To be called after each event of the client, and periodically to detect
-    /// that its state has become stale.
+    /// Updates the cache from the registry's client. To be called after each event of the client, and
+    /// periodically to detect that its state has become stale.
     pub fn update(&mut self, now_us: i64, watch_state: &WatchState, actions: &mut Vec<RelayAction>) {
         let is_current = watch_state.freshness(now_us) == Freshness::Current;
         if is_current {
@@ -158,7 +159,8 @@
         self.is_serving = is_current;
     }
 
-    /// Handles the passage of time: removes expired entries, and starts or rejects watches that wait for the cache.
+    /// Handles the passage of time: removes expired entries, and starts or rejects watches that wait for the
+    /// cache.
     pub fn advance(&mut self, now_us: i64, actions: &mut Vec<RelayAction>) {
         self.entries.expire(now_us);
         let routers = self.entries.count();
--- a/crates/relay/src/relay/requests.rs
+++ b/crates/relay/src/relay/requests.rs
@@ -17,8 +17,8 @@
 const CODE_RESOURCE_EXHAUSTED: i64 = 8;
 const CODE_UNIMPLEMENTED: i64 = 12;
 
-/// The token that every login returns. A relay does not authenticate routers; only the relay itself authenticates, to the
-/// registry.
+/// The token that every login returns. A relay does not authenticate routers; only the relay itself
+/// authenticates, to the registry.
 const TOKEN: &str = "relay";
 
 /// A rejected request.
@@ -147,8 +147,9 @@
         Ok(body)
     }
 
-    /// Returns the number of all routers, without their entries, which only the relay of each router holds. To the registry's
-    /// count it adds the routers that registered here and are not yet in this relay's record.
+    /// Returns the number of all routers, without their entries, which only the relay of each router holds.
+    /// To the registry's count it adds the routers that registered here and are not yet in this relay's
+    /// record.
     fn count_routers(&self) -> Vec<u8> {
         let own_routers = self.entries.count();
         let unannounced = own_routers.saturating_sub(self.announced_routers);
--- a/crates/relay/src/relay/watches.rs
+++ b/crates/relay/src/relay/watches.rs
@@ -43,7 +43,8 @@
 }
 
 impl Relay {
-    /// Starts a watch, or lets it wait if the cache has not reached its revision. Rejects watches of keys other than workers.
+    /// Starts a watch, or lets it wait if the cache has not reached its revision. Rejects watches of keys
+    /// other than workers.
     pub(super) fn handle_watch_request(
         &mut self,
         now_us: i64,
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Starts the waiting watches whose revision the cache has reached, and rejects those past their deadline.
+    /// Starts the waiting watches whose revision the cache has reached, and rejects those past their
+    /// deadline.
     pub(super) fn advance_pending_watches(&mut self, now_us: i64, actions: &mut Vec<RelayAction>) {
         let pending_of = |(peer, connection): (&Peer, &super::Connection)| {
             Some((*peer, connection.watch.as_ref()?.pending?))
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Starts a watch after a revision that the cache has reached, or cancels it if the history since then was discarded.
+    /// Starts a watch after a revision that the cache has reached, or cancels it if the history since then
+    /// was discarded.
     fn start_watch(&mut self, peer: Peer, after_revision: i64, actions: &mut Vec<RelayAction>) {
         let Some(watch) = self.connections.get_mut(&peer).and_then(|connection| connection.watch.as_mut())
         else {
@@ -135,7 +138,8 @@
         }
     }
 
-    /// Ends all watches and closes their connections; active ones are told the compacted revision if that is the reason.
+    /// Ends all watches and closes their connections. After a compaction, active watches first receive a
+    /// cancellation with the compacted revision.
     pub(super) fn end_watches(&mut self, end: WatchEnd, actions: &mut Vec<RelayAction>) {
         let (header, oldest) = (self.cache.header(), self.cache.oldest());
         for (peer, connection) in &mut self.connections {
--- a/crates/relay/src/run/server.rs
+++ b/crates/relay/src/run/server.rs
@@ -170,8 +170,8 @@
         Flow::Continue
     }
 
-    /// Handles a signal, or an event of the listener or of a router's connection. The first signal starts an orderly stop, a
-    /// second one stops at once.
+    /// Handles a signal, or an event of the listener or of a router's connection. The first signal starts an
+    /// orderly stop, a second one stops at once.
     fn handle_event(&mut self, now_us: i64, event: ReactorEvent) -> Flow {
         match event {
             ReactorEvent::Signal(_) if self.stopping.is_some() => return Flow::Stop,
@@ -224,8 +224,8 @@
         Flow::Continue
     }
 
-    /// Updates the relay and advances its timers. An update compares all keys, so it happens only after events of the client
-    /// and once per tick, not for each request of a router.
+    /// Updates the relay and advances its timers. An update compares all keys, so it happens only after
+    /// events of the client and once per tick, not for each request of a router.
     fn advance_relay(&mut self, now_us: i64) {
         if now_us >= self.update_due_us {
             self.update_due_us = now_us + TICK_US;
--- a/crates/relay/src/watch_cache.rs
+++ b/crates/relay/src/watch_cache.rs
@@ -1,7 +1,9 @@
-//! The keys that a relay follows, with enough history for routers that were disconnected briefly or that list in pages.
+//! The keys that a relay follows, with enough history for routers that were disconnected briefly or that list
+//! in pages.
 //!
-//! Invariant: applying the events since any revision not older than [`WatchCache::oldest`] to the keys at that revision gives
-//! the current keys. An update that cannot keep the invariant returns [`CacheUpdate::Reset`]; all routers must then list again.
+//! Invariant: applying the events since any revision not older than [`WatchCache::oldest`] to the keys at
+//! that revision gives the current keys. An update that cannot keep the invariant returns
+//! [`CacheUpdate::Reset`]; all routers must then list again.
 
 use slatevalve_registry::serve::is_in_range;
 use slatevalve_registry::wire::{
@@ -104,7 +106,8 @@
         self.oldest
     }
 
-    /// Updates the cache to the state of the registry's client: its cluster id, confirmed revision and entries.
+    /// Updates the cache to the state of the registry's client: its cluster id, confirmed revision and
+    /// entries.
     pub fn update(&mut self, cluster: i64, revision: i64, entries: &ClientEntries) -> CacheUpdate {
         if cluster != self.cluster || revision < self.revision {
             return self.replace(cluster, revision, entries);
@@ -114,8 +117,8 @@
         events.iter().for_each(|event| apply(&mut self.keys, event));
         match events.first() {
             None => CacheUpdate::Unchanged,
-            // A full resync found a change that the watch had lost. Routers that already received later events would skip
-            // it as a duplicate.
+            // A full resync found a change that the watch had lost. Routers that already received later
+            // events would skip it as a duplicate.
             Some(first) if first.kv.mod_revision <= previous_revision => {
                 self.discard_history();
                 CacheUpdate::Reset
@@ -151,7 +154,8 @@
         let put = entries.iter().filter(|(key, entry)| !is_cached(key, entry));
         let mut events: Vec<WatchEvent> =
             put.map(|(key, entry)| WatchEvent { kind: EventType::Put, kv: key_value(key, entry) }).collect();
-        // The client does not report the revision of a deletion. The key is absent at `revision`, so that is used.
+        // The client does not report the revision of a deletion. The key is absent at `revision`, so that is
+        // used.
         let deleted = self.keys.keys().filter(|key| !entries.contains_key(*key));
         events.extend(deleted.map(|key| WatchEvent {
             kind: EventType::Delete,
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -1,4 +1,5 @@
-//! Runs a relay without sockets: its responses to routers while it is current, behind the registry, or has lost it.
+//! Runs a relay without sockets: its responses to routers while it is current, behind the registry, or has
+//! lost it.
 
 use slatevalve_registry::wire::*;
 use slatevalve_registry::{WatchSettings, WatchState};
@@ -134,7 +135,8 @@
     assert_eq!(world.update(), [RelayAction::Finish(1)]);
     assert!(!world.relay.is_serving());
     assert!(text(&world.list(2), 2).contains("503") && text(&world.watch(3, 6), 3).contains("503"));
-    // The registry returns. Then it is replaced by another cluster with an earlier state, from which no watch may continue.
+    // The registry returns. Then it is replaced by another cluster with an earlier state, from which no watch
+    // may continue.
     world.watch_state.connection_lost();
     let created = WatchResponse { header: header(5), created: true, ..WatchResponse::default() };
     world.watch_state.handle_watch(world.now_us, created);
