--- a/crates/registry/src/client/settings.rs
+++ b/crates/registry/src/client/settings.rs
@@ -57,7 +57,7 @@
     pub drain_within_us: i64,
     /// Timeout of connecting, of the response to a short request, and of the confirmation of a watch.
     pub timeout_us: i64,
-    /// Seed of the random numbers; must differ between clients, see [`slatevalve_pacing::seed_of`].
+    /// Seed of the random numbers; must differ between clients, see [`slatevalve_pacing::derive_seed`].
     pub seed: u64,
 }
 
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! sockets. All bounds are counts and simulated times, so the results do not depend on the machine.
 
 use slatevalve_http::{Limits, MessageReader, Side};
-use slatevalve_pacing::{seed_of, Limits as PollSchedule};
+use slatevalve_pacing::{derive_seed, Limits as PollSchedule};
 use slatevalve_registry::serve::{answer, chunk, watch_line, WATCH_HEAD};
 use slatevalve_registry::wire::*;
 use slatevalve_registry::*;
@@ -83,7 +83,7 @@
                 drain_within_us: 12_000_000,
                 timeout_us: 2_000_000,
                 // The configured seed is the same for all.
-                seed: seed_of(1, &format!("r-{n}")),
+                seed: derive_seed(1, &format!("r-{n}")),
             })
         };
         let mut world = World {
@@ -351,7 +351,11 @@
 fn ten_routers_that_assume_1000_only_wait_longer() {
     let mut world = World::new(10, 1_000, 200.0);
     world.run(20_000_000, None);
-    assert!(world.last_listed() <= PollSchedule::default().longest_us + 1_000_000, "{}", world.last_listed());
+    assert!(
+        world.last_listed() <= PollSchedule::default().max_delay_us + 1_000_000,
+        "{}",
+        world.last_listed()
+    );
 }
 
 #[test]
@@ -363,7 +367,7 @@
     let last = world.drained_us.values().max().unwrap() - 25_000_000;
     // The longest delay, twice if a request was lost: the registry can just serve all requests of 1,000
     // routers.
-    assert!(last <= 2 * PollSchedule::default().longest_us, "{last}");
+    assert!(last <= 2 * PollSchedule::default().max_delay_us, "{last}");
     assert!(
         world.peak_requests(25_000_000..60_000_000) <= 250,
         "{}",
--- a/crates/relay/src/run/mod.rs
+++ b/crates/relay/src/run/mod.rs
@@ -54,8 +54,8 @@
 ///
 /// # Errors
 /// When a socket cannot be opened, or the event loop fails.
-pub fn run_relay(plan: RelaySettings, ready: impl FnOnce(SocketAddr)) -> Result<(), RelayError> {
-    let (mut server, address) = RelayServer::start(plan)?;
+pub fn run_relay(settings: RelaySettings, ready: impl FnOnce(SocketAddr)) -> Result<(), RelayError> {
+    let (mut server, address) = RelayServer::start(settings)?;
     ready(address);
     server.run().map_err(RelayError::Loop)
 }
--- a/crates/relay/src/run/server.rs
+++ b/crates/relay/src/run/server.rs
@@ -98,17 +98,17 @@
 
 impl RelayServer {
     /// Opens the sockets. Returns the server and the address on which it listens.
-    pub(super) fn start(plan: RelaySettings) -> Result<(Self, SocketAddr), RelayError> {
+    pub(super) fn start(settings: RelaySettings) -> Result<(Self, SocketAddr), RelayError> {
         let mut reactor = Reactor::new(BUFFERED_BYTES_MAX).map_err(RelayError::Loop)?;
         for signal in [SIGTERM, SIGINT] {
             reactor.signal(signal).map_err(RelayError::Loop)?;
         }
-        let listening = reactor.listen(plan.listen);
-        let (_, address) = listening.map_err(|error| RelayError::Listen(plan.listen, error))?;
-        let mut client = plan.client;
-        client.own = Some((format!("{}{RELAYS}{}", client.prefix, plan.name), record(0)));
-        let relay = Relay::new(plan.limits, &plan.name, &client.prefix);
-        let mut link = Link::new(client, plan.addresses);
+        let listening = reactor.listen(settings.listen);
+        let (_, address) = listening.map_err(|error| RelayError::Listen(settings.listen, error))?;
+        let mut client = settings.client;
+        client.own = Some((format!("{}{RELAYS}{}", client.prefix, settings.name), record(0)));
+        let relay = Relay::new(settings.limits, &settings.name, &client.prefix);
+        let mut link = Link::new(client, settings.addresses);
         // Relays are few, so their delays can be short.
         link.client_mut().set_clients(1);
         let server = RelayServer {
