--- a/crates/engine/src/engine/fleet.rs
+++ b/crates/engine/src/engine/fleet.rs
@@ -71,8 +71,8 @@
         let Ok(expected) = self.names.acquire(name) else { return 0 };
         self.names.release(expected);
         let outputs_before = out.len();
-        let like = function_id(replaced);
-        self.dispatch(Event::LoadExpected { function: expected, like, most: max_replicas }, out);
+        let replaced = function_id(replaced);
+        self.dispatch(Event::LoadExpected { function: expected, replaced, max_loads: max_replicas }, out);
         let is_load =
             |output: &&Output| matches!(output, Output::Load { function, .. } if *function == expected);
         out[outputs_before..].iter().filter(is_load).count()
--- a/crates/engine/tests/engine/harness.rs
+++ b/crates/engine/tests/engine/harness.rs
@@ -36,7 +36,7 @@
         balancer: Settings {
             classes: vec![class(Effect::Idempotent), class(keyed), class(Effect::NonIdempotent)],
             limits: Limits { probes: false, ..Limits::default() },
-            loading: Loading { on_request: true, orders: true, ..Loading::default() },
+            loading: Loading { on_request: true, load_requests: true, ..Loading::default() },
             ..Settings::default()
         },
         classes: vec![ClassPolicy { retention }; 3],
--- a/crates/gateway/src/settings/balancer.rs
+++ b/crates/gateway/src/settings/balancer.rs
@@ -41,9 +41,9 @@
     rules.answer_slack = form.or("answer-slack-ms", rules.answer_slack, Form::millis)?;
     rules.drain_grace = form.or("drain-grace-ms", rules.drain_grace, Form::millis)?;
     rules.start_capacity = form.or("start-capacity", rules.start_capacity, Form::number)?;
-    rules.warm_within = form.or("warm-within-ms", rules.warm_within, Form::millis)?;
-    rules.fall_multiple = form.or("fall-multiple", rules.fall_multiple, Form::number)?;
-    rules.fall_window = form.or("fall-window-ms", rules.fall_window, Form::millis)?;
+    rules.warm_up_time = form.or("warm-within-ms", rules.warm_up_time, Form::millis)?;
+    rules.overload_multiple = form.or("fall-multiple", rules.overload_multiple, Form::number)?;
+    rules.overload_window = form.or("fall-window-ms", rules.overload_window, Form::millis)?;
     form.finish()?;
     Ok(rules)
 }
@@ -52,8 +52,8 @@
     let mut loading = Loading { load_timeout: DEFAULT_LOAD_TIMEOUT, ..Settings::default().loading };
     let Some(mut form) = sub_form(top, "loading")? else { return Ok(loading) };
     loading.on_request = form.or("on-request", loading.on_request, Form::flag)?;
-    loading.orders = form.or("orders", loading.orders, Form::flag)?;
-    loading.keep = form.or("keep-ms", loading.keep, Form::millis)?;
+    loading.load_requests = form.or("orders", loading.load_requests, Form::flag)?;
+    loading.idle_retention = form.or("keep-ms", loading.idle_retention, Form::millis)?;
     loading.load_timeout = form.or("order-timeout-ms", loading.load_timeout, Form::millis)?;
     if let Some(mut quota) = sub_form(&mut form, "ration")? {
         loading.load_quota_window = quota.need("window-ms")?.millis()?;
--- a/crates/gateway/src/settings/site.rs
+++ b/crates/gateway/src/settings/site.rs
@@ -140,7 +140,7 @@
     Ok(Settings {
         routers: whole(gateway, "routers", 1, 1_000_000)?,
         zone,
-        step: BALANCER_STEP,
+        timer_resolution: BALANCER_STEP,
         classes: declared.classes.iter().map(|class| class.class.clone()).collect(),
         tenants: declared.tenants.iter().map(|tenant| tenant.tenant.clone()).collect(),
         weights: weights(workers),
--- a/crates/gateway/tests/stored_forms.rs
+++ b/crates/gateway/tests/stored_forms.rs
@@ -196,8 +196,8 @@
     let node = &site.workers[0].entry;
     assert_eq!((node.cell.0, node.weight, node.up_since.is_some()), (11, 1.5, true));
     let loading = &balancer.loading;
-    assert_eq!((loading.on_request, loading.orders), (true, false));
-    assert_eq!((loading.keep, loading.load_timeout), (Micros(8_013_000), Micros(10_014_000)));
+    assert_eq!((loading.on_request, loading.load_requests), (true, false));
+    assert_eq!((loading.idle_retention, loading.load_timeout), (Micros(8_013_000), Micros(10_014_000)));
     assert_eq!(loading.load_quota_window, Micros(15_015_000));
     assert_eq!((loading.load_quota_free, loading.load_quota_share), (16.0, 0.17));
     assert_eq!(loading.kind_memory_mb, [1_018.0, 1_019.0]);
@@ -208,8 +208,8 @@
     );
     let rules = &balancer.rules;
     assert_eq!((rules.answer_slack, rules.drain_grace), (Micros(21_000), Micros(222_000)));
-    assert_eq!((rules.start_capacity, rules.warm_within), (0.23, Micros(20_024_000)));
-    assert_eq!((rules.fall_multiple, rules.fall_window), (2.5, Micros(1_026_000)));
+    assert_eq!((rules.start_capacity, rules.warm_up_time), (0.23, Micros(20_024_000)));
+    assert_eq!((rules.overload_multiple, rules.overload_window), (2.5, Micros(1_026_000)));
     assert_eq!((site.pool.connect_timeout, site.pool.idle_timeout), (Micros(227_000), Micros(15_028_000)));
     assert_eq!((site.pool.max_connections_per_worker, site.pool.probe_timeout), (1_029, Micros(1_030_000)));
     assert_eq!(site.max_response, 1_048_531);
--- a/crates/site-config/src/settings.rs
+++ b/crates/site-config/src/settings.rs
@@ -91,7 +91,7 @@
         tenants: array(site, "tenants")?.iter().map(read_tenant).collect::<Result<_, _>>()?,
         routers: number_or(site, "instances", 1.0)? as usize,
         zone: ZoneId(index_or(zones, site, "my_zone", 0)?),
-        step: time_or(site, "step", defaults.step)?,
+        timer_resolution: time_or(site, "step", defaults.timer_resolution)?,
         classes: array(site, "categories")?.iter().map(read_class).collect::<Result<_, _>>()?,
         over_quota_weight: number_or(site, "over_share_worth", 1.0)?,
         priority_per_work: keyword(site, "counted_by") == Some("work"),
@@ -171,8 +171,8 @@
     let memory = array(family, "memory_mb_by_kind")?;
     Ok(Loading {
         on_request: keyword(family, "if_cold") == Some("load"),
-        orders: bool_or(family, "may_order", false)?,
-        keep: time_or(family, "linger_idle", Settings::default().loading.keep)?,
+        load_requests: bool_or(family, "may_order", false)?,
+        idle_retention: time_or(family, "linger_idle", Settings::default().loading.idle_retention)?,
         load_timeout: time_or(family, "load_wait", DEFAULT_LOAD_TIMEOUT)?,
         load_quota_window: time_or(family, "load_window", Micros(0))?,
         load_quota_free: number_or(family, "load_free", 0.0)?,
@@ -200,9 +200,9 @@
         drain_grace: time_or(rules, "drain_grace", Micros(0))?,
         subscription_interval: time_or(rules, "must_ask_in", defaults.subscription_interval)?,
         start_capacity: number_or(rules, "start_capacity", defaults.start_capacity)?,
-        warm_within: time_or(rules, "warm_within", defaults.warm_within)?,
-        fall_multiple: number_or(rules, "fall_multiple", defaults.fall_multiple)?,
-        fall_window: time_or(rules, "overload_for", defaults.fall_window)?,
+        warm_up_time: time_or(rules, "warm_within", defaults.warm_up_time)?,
+        overload_multiple: number_or(rules, "fall_multiple", defaults.overload_multiple)?,
+        overload_window: time_or(rules, "overload_for", defaults.overload_window)?,
     })
 }
 
--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -192,9 +192,9 @@
         /// The function about to be called.
         function: FunctionId,
         /// The function it replaces, whose placement is copied.
-        like: FunctionId,
+        replaced: FunctionId,
         /// Maximum load requests to issue now.
-        most: usize,
+        max_loads: usize,
     },
     /// A timer requested by [`Action::Wake`](super::Action::Wake) expired.
     Wake {
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -77,9 +77,9 @@
     /// A worker that lacks the function loads it while the request waits there.
     pub on_request: bool,
     /// The router may request loads and unloads.
-    pub orders: bool,
+    pub load_requests: bool,
     /// Minimum time an idle copy stays loaded.
-    pub keep: Micros,
+    pub idle_retention: Micros,
     /// Timeout of a load request.
     pub load_timeout: Micros,
     /// Window of the load request quota; 0 disables the quota.
@@ -136,11 +136,11 @@
     /// Fraction of its capacity that a worker has right after its start.
     pub start_capacity: f64,
     /// Time after which a started worker has its full capacity.
-    pub warm_within: Micros,
+    pub warm_up_time: Micros,
     /// A worker fails if sent more than this multiple of its present capacity
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// for this long.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
 }
 
 impl Default for Rules {
@@ -150,9 +150,9 @@
             drain_grace: Micros(0),
             subscription_interval: Micros(10_000_000),
             start_capacity: 0.1,
-            warm_within: Micros(20_000_000),
-            fall_multiple: 1.0,
-            fall_window: Micros(1_000_000),
+            warm_up_time: Micros(20_000_000),
+            overload_multiple: 1.0,
+            overload_window: Micros(1_000_000),
         }
     }
 }
@@ -189,7 +189,7 @@
     /// This router's zone.
     pub zone: ZoneId,
     /// Timer resolution of the router.
-    pub step: Micros,
+    pub timer_resolution: Micros,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The tenants, if any.
@@ -219,7 +219,7 @@
         Settings {
             routers: 1,
             zone: ZoneId(0),
-            step: Micros(1_000),
+            timer_resolution: Micros(1_000),
             classes: Vec::new(),
             tenants: Vec::new(),
             over_quota_weight: 1.0,
@@ -227,7 +227,7 @@
             requires_subscription: false,
             weights: Weights::None,
             reports: LoadReportSource::None,
-            loading: Loading { orders: true, keep: Micros(8_000_000), ..Loading::default() },
+            loading: Loading { load_requests: true, idle_retention: Micros(8_000_000), ..Loading::default() },
             limits: Limits::default(),
             rules: Rules::default(),
             probe_price: 0.0,
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -219,7 +219,7 @@
         let Some(worker) = self.membership.workers.get_mut(&worker_id) else { return };
         worker.in_flight += usize::from(!waits_for_load);
         self.requests.in_flight += usize::from(!waits_for_load);
-        worker.add_recent_work(self.now, work_secs, self.settings.rules.fall_window);
+        worker.add_recent_work(self.now, work_secs, self.settings.rules.overload_window);
         let Some(open) = self.requests.open.get_mut(&id) else { return };
         open.wait_until = None;
         let possible_runs = open.attempts.iter().filter(|attempt| attempt.could_have_run());
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -120,7 +120,9 @@
                 self.complete_load(worker, function, outcome, copies, latency);
             }
             Event::RouterCountChanged(routers) => self.update_router_count(routers),
-            Event::LoadExpected { function, like, most } => self.preload(function, like, most, out),
+            Event::LoadExpected { function, replaced, max_loads } => {
+                self.preload(function, replaced, max_loads, out)
+            }
             Event::Wake { token: 0 } => self.tick(out),
             Event::Wake { token } => self.resume_waiting(RequestId(token - 1), out),
         }
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -218,7 +218,7 @@
     pub(super) fn replica_count(&self, function: &Function) -> usize {
         let own_rate = function.calls.at(self.now, SHARE_WINDOW_SECS) / SHARE_WINDOW_SECS;
         let total_rate = own_rate * self.settings.routers.max(1) as f64;
-        let kept_loaded = total_rate * to_secs(self.settings.loading.keep) / CALLS_PER_RETENTION;
+        let kept_loaded = total_rate * to_secs(self.settings.loading.idle_retention) / CALLS_PER_RETENTION;
         let most = self.membership.workers.len().max(1) as f64;
         let needed = self.function_load(function) / LOAD_PER_REPLICA * self.placement.replica_scale;
         needed.min(kept_loaded).ceil().clamp(1.0, most) as usize
@@ -226,13 +226,13 @@
 
     /// Whether a copy was observed within the time that it stays loaded.
     pub(super) fn is_loaded(&self, replica: &Replica) -> bool {
-        replica.last_loaded.is_some_and(|time| since(self.now, time) < self.settings.loading.keep)
+        replica.last_loaded.is_some_and(|time| since(self.now, time) < self.settings.loading.idle_retention)
     }
 
     /// Whether a copy should be loaded: observed lately, or kept loaded by calls of other routers to the same workers,
     /// as far as this router's own such calls found one often enough.
     pub(super) fn is_likely_loaded(&self, replica: &Replica) -> bool {
-        let is_recent = |time: Micros| since(self.now, time) < self.settings.loading.keep;
+        let is_recent = |time: Micros| since(self.now, time) < self.settings.loading.idle_retention;
         self.is_loaded(replica)
             || (self.placement.assumed_loaded_probability >= ASSUMED_LOADED_THRESHOLD
                 && !replica.last_missing.is_some_and(is_recent))
@@ -259,7 +259,11 @@
         let Some(function) = self.placement.functions.get_mut(&id) else { return false };
         let replica = function.replicas.entry(worker).or_default();
         let is_pending = self.placement.pending_loads.contains(&(worker, id));
-        if !self.settings.loading.orders || !is_ready || is_pending || self.now < replica.no_load_before {
+        if !self.settings.loading.load_requests
+            || !is_ready
+            || is_pending
+            || self.now < replica.no_load_before
+        {
             return false;
         }
         if !self.take_load_quota() {
@@ -299,10 +303,16 @@
         true
     }
 
-    /// Prepares a function that is about to replace another (`like`): requests up to `limit` loads at the workers that
+    /// Prepares a function that is about to replace another (`replaced`): requests up to `limit` loads at the workers that
     /// its calls will be sent to.
-    pub(super) fn preload(&mut self, id: FunctionId, like: FunctionId, limit: usize, out: &mut Vec<Action>) {
-        let Some(old) = self.placement.functions.get(&like) else { return };
+    pub(super) fn preload(
+        &mut self,
+        id: FunctionId,
+        replaced: FunctionId,
+        limit: usize,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(old) = self.placement.functions.get(&replaced) else { return };
         let replica_count = self.replica_count(old);
         let new_function = Function {
             concurrency: old.concurrency,
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -69,13 +69,13 @@
             let weight = self.weight(worker);
             sum.weight += weight * self.slow_start_factor(worker);
             let Some(started_at) = worker.started_at else { continue };
-            let warm_at = after(started_at, rules.warm_within);
+            let warm_at = after(started_at, rules.warm_up_time);
             if self.now >= warm_at {
                 continue;
             }
             let is_started = self.now >= started_at;
             if is_started {
-                sum.slope += weight * (1.0 - rules.start_capacity) / rules.warm_within.0 as f64;
+                sum.slope += weight * (1.0 - rules.start_capacity) / rules.warm_up_time.0 as f64;
             }
             let next = if is_started { warm_at } else { started_at };
             sum.valid_until = Some(sum.valid_until.map_or(next, |until| until.min(next)));
@@ -88,7 +88,7 @@
         let Some(started_at) = worker.started_at else { return 1.0 };
         let (rules, age) = (&self.settings.rules, since(self.now, started_at).0.max(0) as f64);
         let progress =
-            if rules.warm_within.0 > 0 { (age / rules.warm_within.0 as f64).min(1.0) } else { 1.0 };
+            if rules.warm_up_time.0 > 0 { (age / rules.warm_up_time.0 as f64).min(1.0) } else { 1.0 };
         (rules.start_capacity + (1.0 - rules.start_capacity) * progress).clamp(0.0, 1.0)
     }
 
@@ -134,8 +134,9 @@
         }
         let total_weight = self.slow_start.total_weight;
         let budget = self.slow_start_budget(worker, total_weight, factor);
-        let fall_window = self.settings.rules.fall_window;
-        let recent = worker.recent_work.iter().filter(|work| since(self.now, work.sent_at) <= fall_window);
+        let overload_window = self.settings.rules.overload_window;
+        let recent =
+            worker.recent_work.iter().filter(|work| since(self.now, work.sent_at) <= overload_window);
         let sent: f64 = recent.map(|work| work.work_secs).sum();
         let probability = self.slow_start_probability(worker, total_weight, factor, reach);
         let draw =
@@ -152,7 +153,7 @@
         let rules = &self.settings.rules;
         let rate = self.statistics.served_work.at(self.now, WORK_WINDOW_SECS) / WORK_WINDOW_SECS;
         let capacity = rate * self.weight(worker) / total_weight.max(POSITIVE_MIN) * factor;
-        BUDGET_FRACTION * rules.fall_multiple * capacity * to_secs(rules.fall_window)
+        BUDGET_FRACTION * rules.overload_multiple * capacity * to_secs(rules.overload_window)
     }
 
     /// Probability of admission that reduces what all routers together send the worker to what it can take: higher
@@ -164,7 +165,7 @@
         let offered = worker.offered_load.max(mean_load) * reach.max(1) as f64;
         let lately = |counter: &DecayingCounter| counter.at(self.now, SHARE_WINDOW_SECS) + PRIOR_ATTEMPTS;
         let success_rate = (lately(&self.statistics.successes) / lately(&self.statistics.attempts)).min(1.0);
-        ADMISSION_SCALE * self.settings.rules.fall_multiple * factor * success_rate
+        ADMISSION_SCALE * self.settings.rules.overload_multiple * factor * success_rate
             / offered.max(POSITIVE_MIN)
     }
 }
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -265,7 +265,7 @@
 #[test]
 fn slow_start_limits_calls_to_a_started_worker() {
     let mut s = site(Effect::Idempotent, true);
-    s.rules = Rules { start_capacity: 0.2, fall_multiple: 2.0, ..Rules::default() };
+    s.rules = Rules { start_capacity: 0.2, overload_multiple: 2.0, ..Rules::default() };
     let mut r = Router::new(s, &[1]);
     let mut id = 0;
     for _ in 0..500 {
@@ -377,7 +377,7 @@
     let one = |n: usize| {
         let mut s = site(Effect::Idempotent, true);
         s.routers = routers;
-        s.loading.keep = Micros(8_000_000);
+        s.loading.idle_retention = Micros(8_000_000);
         change(&mut s);
         let mut r = Router::new(s.clone(), &[]);
         r.balancer = Balancer::new(s, n as u64 + 1);
@@ -419,7 +419,7 @@
 #[test]
 fn the_slow_start_budget_holds_over_all_routers() {
     let mut routers = fleet(100, 10, |s| {
-        s.rules = Rules { start_capacity: 0.2, fall_multiple: 3.0, ..Rules::default() };
+        s.rules = Rules { start_capacity: 0.2, overload_multiple: 3.0, ..Rules::default() };
     });
     for step in 0..40u64 {
         for (n, r) in routers.iter_mut().enumerate() {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -150,8 +150,8 @@
             reports: if shape & 8 == 0 { LoadReportSource::Probes } else { LoadReportSource::None },
             loading: Loading {
                 on_request: shape & 4 == 0,
-                orders: true,
-                keep: Micros(3_000_000),
+                load_requests: true,
+                idle_retention: Micros(3_000_000),
                 load_timeout: Micros(5_000_000),
                 load_quota_window: Micros(if ration { WINDOW } else { 0 }),
                 load_quota_free: FREE,
@@ -162,7 +162,7 @@
             rules: Rules {
                 answer_slack: Micros(SLACK),
                 drain_grace: Micros(GRACE),
-                fall_multiple: 3.0,
+                overload_multiple: 3.0,
                 ..Rules::default()
             },
             ..Settings::default()
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -118,15 +118,15 @@
         classes: vec![Class { effect: Effect::NonIdempotent, ..Class::default() }],
         loading: Loading {
             on_request: false,
-            orders: true,
-            keep: Micros(20_000_000),
+            load_requests: true,
+            idle_retention: Micros(20_000_000),
             load_quota_window: Micros(WINDOW),
             load_quota_free: FREE,
             load_quota_share: SHARE,
             ..Loading::default()
         },
         limits: Limits { probes: false, max_attempts: 3, ..Limits::default() },
-        rules: Rules { start_capacity: START, warm_within: Micros(6_000_000), ..Rules::default() },
+        rules: Rules { start_capacity: START, warm_up_time: Micros(6_000_000), ..Rules::default() },
         ..Settings::default()
     };
     let mut brains: Vec<Balancer> =
