--- a/src/api/actions.rs
+++ b/src/api/actions.rs
@@ -7,60 +7,62 @@
 pub enum Action {
     /// Send a request to a worker: the next attempt.
     Send {
-        /// Which request.
+        /// An open request; the attempt's index is the number of earlier `Send` actions for it.
         id: RequestId,
-        /// Which worker.
+        /// A worker of the current list.
         worker: WorkerId,
-        /// Timeout of the attempt; `None` means the client's deadline.
+        /// Limit of the attempt's duration; `None` leaves the client's deadline as the only limit.
         timeout: Option<Micros>,
     },
     /// Refuse a request; repeating it is safe.
     Refuse {
-        /// Which request.
+        /// An open request, closed by this action.
         id: RequestId,
-        /// Suggested time before a retry.
+        /// Suggested time before a retry; `None` where the balancer suggests none.
         retry_after: Option<Micros>,
     },
-    /// Fail a request; it may or may not have run.
+    /// Fail a request that may have run, so that the client cannot repeat it safely.
     Fail {
-        /// Which request.
+        /// An open request, closed by this action.
         id: RequestId,
     },
     /// Cancel an attempt.
     Cancel {
-        /// Which request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Which attempt.
+        /// Index of the attempt in the order of the request's sends, from 0.
         attempt: usize,
     },
-    /// Load copies of a function.
+    /// Load a function until a worker holds the given number of copies. At most one load request for a worker
+    /// and function is in flight at a time; it ends with
+    /// [`Event::LoadCompleted`](super::Event::LoadCompleted).
     Load {
-        /// Which worker.
+        /// A worker that accepts work.
         worker: WorkerId,
-        /// Which function.
+        /// The function to load.
         function: FunctionId,
-        /// How many.
+        /// Total number of copies to be loaded there, at least 1.
         copies: u32,
     },
     /// Unload the idle copies of a function.
     Drop {
-        /// Which worker.
+        /// The worker that holds the copies.
         worker: WorkerId,
-        /// Which function.
+        /// The function to unload.
         function: FunctionId,
     },
-    /// Probe a worker.
+    /// Send a health check to a worker; it ends with [`Event::ProbeCompleted`](super::Event::ProbeCompleted).
     Probe {
-        /// Which worker.
+        /// A worker without another probe in flight.
         worker: WorkerId,
     },
     /// Subscribe to the worker list.
     Subscribe,
     /// Start a timer that ends in [`Event::Wake`](super::Event::Wake).
     Wake {
-        /// Expiry time.
+        /// Expiry time on the router's clock.
         at: Micros,
-        /// A token returned with the event.
+        /// Opaque value that the event returns: 0 for the periodic tick, otherwise a waiting request.
         token: u64,
     },
 }
--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -6,7 +6,7 @@
 /// Result of an attempt, a probe or a load request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served; for a load request, the copies are loaded.
+    /// Success; for a load request, the copies are loaded.
     Ok,
     /// The worker answered with an error.
     Error,
@@ -22,7 +22,7 @@
     Cancelled,
     /// Never sent.
     NotSent,
-    /// Cache miss: the function is not loaded there, or its load failed.
+    /// Cache miss: the function is not loaded at the worker, or its load failed.
     Miss,
 }
 
@@ -41,26 +41,27 @@
     Ready,
     /// Finishes its current work and accepts no new work.
     Draining,
-    /// Removed.
+    /// Removed from the fleet; copies loaded there are lost.
     Gone,
 }
 
 /// An entry of the worker list.
 #[derive(Clone, Debug)]
 pub struct WorkerEntry {
-    /// Which worker.
+    /// Stays the same when the worker's process restarts.
     pub id: WorkerId,
-    /// Its zone.
+    /// Requests prefer workers of the router's own zone.
     pub zone: ZoneId,
-    /// Its kind.
+    /// Kind of machine, which determines its memory.
     pub kind: KindId,
-    /// Its cell.
+    /// Group of workers that share a table of idempotency keys.
     pub cell: CellId,
-    /// Its state.
+    /// Whether the worker accepts new work.
     pub state: WorkerState,
-    /// Its weight beside others.
+    /// Capacity relative to other workers, interpreted as [`Settings::weights`](super::Settings::weights)
+    /// says.
     pub weight: f64,
-    /// When it last started; `None` where that is long ago.
+    /// When the process last started; `None` if that is long ago and the worker counts as warm.
     pub up_since: Option<Micros>,
 }
 
@@ -95,13 +96,13 @@
 /// An update of the worker list.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// What it covers.
+    /// Whether `entries` are the changes, the complete list or nothing.
     pub scope: Scope,
-    /// The entries.
+    /// The changed or all entries; empty if the scope is [`Scope::Refused`].
     pub entries: Vec<WorkerEntry>,
 }
 
-/// A worker's load report; delayed and noisy, with the values that the site provides.
+/// A worker's load report. Values are delayed and noisy; those that the site does not provide are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// Requests waiting.
@@ -115,23 +116,23 @@
 /// How one attempt ended.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Which request.
+    /// The request that the attempt belongs to.
     pub id: RequestId,
-    /// Which attempt, counted from 0.
+    /// Index of the attempt in the order of the request's sends, from 0.
     pub attempt: usize,
-    /// Which worker.
+    /// The worker that the attempt was sent to.
     pub worker: WorkerId,
-    /// How it ended.
+    /// Result of the attempt.
     pub outcome: Outcome,
-    /// The client has its final response.
+    /// Whether the client has received its final response, so that no further attempt is needed.
     pub closed: bool,
-    /// Time since the send.
+    /// Time from the send to the end of the attempt.
     pub latency: Micros,
-    /// Calls of the same function in flight at the worker on arrival, if reported.
+    /// Calls of the same function in flight at the worker when this one arrived; `None` if not reported.
     pub queue_depth: Option<u64>,
-    /// The load behind it failed.
+    /// Whether the attempt failed because loading the function failed.
     pub load_failed: bool,
-    /// The worker's load report, if present.
+    /// Load report that the response carried.
     pub report: Option<Report>,
 }
 
@@ -142,50 +143,50 @@
     Request(Request),
     /// An attempt completed.
     Answer(Answer),
-    /// A streamed response began.
+    /// A streamed response began; the request is not sent again.
     Streaming {
-        /// Which request.
+        /// The request whose response is streamed.
         id: RequestId,
-        /// Which attempt.
+        /// Index of the attempt in the order of the request's sends, from 0.
         attempt: usize,
     },
     /// The client disconnected; no response is due.
     ClientDisconnected {
-        /// Which request.
+        /// The request that the client waited for.
         id: RequestId,
     },
     /// The worker list was updated.
     WorkersListed(Listing),
-    /// The worker list is complete as of now. Without such an event it counts as current for ever.
+    /// The worker list is complete as of now. As long as no such event has arrived, the list never expires.
     WorkerListConfirmed {
-        /// How long it may be acted on.
+        /// How long the list may be relied on without another confirmation.
         lease: Micros,
     },
     /// A probe completed.
     ProbeCompleted {
-        /// Which worker.
+        /// The worker probed.
         worker: WorkerId,
-        /// How it ended.
+        /// [`Outcome::Ok`] and [`Outcome::Full`] count as healthy.
         outcome: Outcome,
-        /// Time since the send.
+        /// Time from the probe to its response.
         latency: Micros,
-        /// The worker's load report, if present.
+        /// Load report that the response carried.
         report: Option<Report>,
     },
     /// A load request completed.
     LoadCompleted {
-        /// Which worker.
+        /// The worker of the load request.
         worker: WorkerId,
-        /// Which function.
+        /// The function of the load request.
         function: FunctionId,
-        /// How it ended.
+        /// [`Outcome::Full`] means that the worker has no room for the copies.
         outcome: Outcome,
-        /// Loaded copies.
+        /// Copies loaded at the worker after the request, earlier ones included.
         copies: u32,
-        /// Time since the load request.
+        /// Time from the load request to its completion.
         latency: Micros,
     },
-    /// The number of routers of this tier changed; this router is included.
+    /// The number of routers of this tier changed; the value includes this router.
     RouterCountChanged(usize),
     /// A function is about to replace another, as after an alias change.
     LoadExpected {
@@ -193,12 +194,12 @@
         function: FunctionId,
         /// The function it replaces, whose placement is copied.
         replaced: FunctionId,
-        /// Maximum load requests to issue now.
+        /// Maximum number of load requests to issue now.
         max_loads: usize,
     },
     /// A timer requested by [`Action::Wake`](super::Action::Wake) expired.
     Wake {
-        /// The timer's token.
+        /// The token of the action that requested the timer.
         token: u64,
     },
 }
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -1,6 +1,6 @@
 //! Identifiers and the unit of time.
 
-/// A point in time or a length of time, in whole microseconds of the router's own clock.
+/// A point in time or a duration, in whole microseconds of the router's own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub i64);
 
@@ -16,15 +16,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FunctionId(pub u64);
 
-/// A request class: its place in [`Settings::classes`](super::Settings::classes).
+/// A request class: its index in [`Settings::classes`](super::Settings::classes).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// A tenant: its place in [`Settings::tenants`](super::Settings::tenants).
+/// A tenant: its index in [`Settings::tenants`](super::Settings::tenants).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// A zone: its place in the operators' list of zones.
+/// A zone: its index in the operators' list of zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
 
@@ -32,6 +32,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u64);
 
-/// A kind of machine: its place in [`Loading::kind_memory_mb`](super::Loading::kind_memory_mb).
+/// A kind of machine: its index in [`Loading::kind_memory_mb`](super::Loading::kind_memory_mb).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub usize);
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -5,17 +5,17 @@
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Identifier.
+    /// Must differ from the ids of all open requests; a request with the id of an open one is ignored.
     pub id: RequestId,
     /// Time left until the client's deadline.
     pub budget: Micros,
-    /// Its class.
+    /// Determines its latency objective, priority and idempotency.
     pub class: ClassId,
-    /// Its tenant, if any.
+    /// The tenant whose quota it counts against; `None` if it counts against no quota.
     pub tenant: Option<TenantId>,
-    /// The function it calls.
+    /// The function to run, which must be loaded at the worker.
     pub function: FunctionId,
-    /// Concurrent calls per loaded copy.
+    /// Calls that one loaded copy of the function runs at a time; 0 counts as 1.
     pub concurrency: usize,
     /// Expected CPU time on a standard core, if the client gave a hint.
     pub work: Option<Micros>,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -8,9 +8,9 @@
     /// Every worker.
     #[default]
     All,
-    /// Those of one zone.
+    /// The workers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The workers of one cell.
     Cell,
 }
 
@@ -27,26 +27,26 @@
         /// How long repeats are dropped, counted from the first send.
         memory: Micros,
     },
-    /// Non-idempotent: must not run twice.
+    /// Non-idempotent: must not run more than once.
     NonIdempotent,
 }
 
-/// A request class.
+/// A request class: what its requests are worth and whether they may be repeated.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Latency objective: a response within this time has the full value.
     pub latency_objective: Micros,
     /// The objective is extended by this factor times the request's own work.
     pub objective_stretch: f64,
-    /// How long a client waits over all its attempts.
+    /// How long a client waits for a response, over all attempts.
     pub deadline: Micros,
-    /// Value of a response within the objective.
+    /// Value of a response within the objective; only the ratio to other classes matters.
     pub priority_weight: f64,
-    /// Fraction of the value that a late response keeps.
+    /// Fraction of the value that a response after the objective keeps.
     pub late_value: f64,
-    /// Whether the request is idempotent.
+    /// Whether its requests may be sent again after an attempt that could have run.
     pub effect: Effect,
-    /// Whether the response is a stream.
+    /// Whether responses are streamed.
     pub stream: bool,
 }
 
@@ -74,9 +74,10 @@
 /// How functions are loaded at this site.
 #[derive(Clone, Debug, Default)]
 pub struct Loading {
-    /// A worker that lacks the function loads it while the request waits there.
+    /// Whether a worker without the function loads it on a call, which waits there; otherwise it answers with
+    /// a miss.
     pub on_request: bool,
-    /// The router may request loads and unloads.
+    /// Whether the router may request loads and unloads.
     pub load_requests: bool,
     /// Minimum time an idle copy stays loaded.
     pub idle_retention: Micros,
@@ -97,17 +98,17 @@
 /// What the site allows a router to do.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Workers may be probed.
+    /// Whether workers may be probed.
     pub probes: bool,
-    /// Hedged requests: two attempts of one request may be in flight together.
+    /// Hedged requests: whether two attempts of one request may be in flight together.
     pub hedged_requests: bool,
-    /// Refusals may carry a retry-after time.
+    /// Whether refusals may carry a retry-after time.
     pub retry_after: bool,
-    /// The longest retry-after time.
+    /// Upper limit of the retry-after time.
     pub max_retry_after: Micros,
-    /// Maximum attempts for one request.
+    /// Maximum number of attempts for one request, hedged ones included.
     pub max_attempts: usize,
 }
 
@@ -129,17 +130,18 @@
 pub struct Rules {
     /// How long after the client's deadline a final response still counts.
     pub answer_slack: Micros,
-    /// How long after a drain notification work may still be sent.
+    /// How long work may still be sent to a worker after the notification that it drains.
     pub drain_grace: Micros,
     /// Maximum interval between list requests where the list has to be requested.
     pub subscription_interval: Micros,
-    /// Fraction of its capacity that a worker has right after its start.
+    /// Fraction of its capacity that a worker has right after its start, 0 to 1.
     pub start_capacity: f64,
-    /// Time after which a started worker has its full capacity.
+    /// Time after which a started worker has its full capacity, which grows linearly until then.
     pub warm_up_time: Micros,
-    /// A worker fails if sent more than this multiple of its present capacity
+    /// A worker fails if the work sent to it within `overload_window` exceeds its present capacity by this
+    /// factor.
     pub overload_multiple: f64,
-    /// for this long.
+    /// Window in which the work sent to a worker is compared with its capacity.
     pub overload_window: Micros,
 }
 
@@ -157,7 +159,7 @@
     }
 }
 
-/// Meaning of the weights in the worker list.
+/// How the weights in the worker list are interpreted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Weights {
     /// Weights carry no meaning; all workers are equal.
@@ -184,29 +186,29 @@
 /// Configuration of one router.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Routers of this tier, this one included.
+    /// Number of routers of this tier, this one included.
     pub routers: usize,
-    /// This router's zone.
+    /// This router's zone, whose workers are preferred.
     pub zone: ZoneId,
     /// Timer resolution of the router.
     pub timer_resolution: Micros,
-    /// The request classes.
+    /// The request classes, by [`ClassId`](super::ClassId).
     pub classes: Vec<Class>,
-    /// The tenants, if any.
+    /// The tenants, by [`TenantId`](super::TenantId); empty if there are no quotas.
     pub tenants: Vec<Tenant>,
-    /// Value of a request over its tenant's quota, as a fraction of the usual.
+    /// Value of a request over its tenant's quota, as a fraction of its usual value.
     pub over_quota_weight: f64,
-    /// Priority weights are per unit of work, not per request.
+    /// Whether priority weights are per unit of work rather than per request.
     pub priority_per_work: bool,
-    /// The worker list has to be requested.
+    /// Whether updates of the worker list arrive only after [`Action::Subscribe`](super::Action::Subscribe).
     pub requires_subscription: bool,
-    /// Meaning of the workers' weights.
+    /// How the workers' weights are interpreted.
     pub weights: Weights,
-    /// Source of load reports.
+    /// Which responses carry load reports.
     pub reports: LoadReportSource,
-    /// How functions are loaded.
+    /// How functions are loaded and how long they are kept.
     pub loading: Loading,
-    /// What the site allows.
+    /// Which actions the site allows.
     pub limits: Limits,
     /// Parameters of the site's rules.
     pub rules: Rules,
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -6,14 +6,16 @@
 use super::Balancer;
 use crate::api::*;
 
-/// Fraction of the latency objective that the expected delay may take, for the lowest and the highest priority.
+/// Tolerated delay as a fraction of the latency objective, for the lowest and the highest priority.
 const DELAY_TOLERANCE_LOWEST: f64 = 0.35;
 const DELAY_TOLERANCE_HIGHEST: f64 = 0.8;
-/// Increase of the shed probability with each late response, decrease with each timely one, and its upper limit.
+/// Increase of the shed probability for each late response, its decrease for each timely one, and its upper
+/// limit.
 const SHED_INCREASE_PER_LATE: f64 = 0.04;
 const SHED_DECREASE_PER_TIMELY: f64 = 0.01;
 const SHED_PROBABILITY_MAX: f64 = 0.8;
-/// A request is shed with the shed probability times this less its priority rank: the lowest rank first.
+/// A request is shed with the shed probability times the difference of this and its priority rank, so that
+/// low ranks are shed first.
 const SHED_RANK_OFFSET: f64 = 1.25;
 /// Factor of the shed probability for requests that exceed their tenant's quota.
 const SHED_FACTOR_OVER_QUOTA: f64 = 2.0;
@@ -21,15 +23,15 @@
 const DELAY_FACTOR_OVER_QUOTA: f64 = 0.35;
 /// Attempts in flight for longer than this, in latency objectives, are lost rather than queued.
 const LOST_AFTER_OBJECTIVES: f64 = 1.0;
-/// From so many consecutive failures on, attempts at a worker are not counted as a queue.
+/// Number of consecutive failures from which on attempts at a worker are not counted as a queue.
 const STALLED_WORKER_FAILURES: u32 = 2;
 /// Unused quota is kept for this long, in seconds.
 const QUOTA_BURST_SECS: f64 = 2.0;
 
-/// What is left of a tenant's quota at this router.
+/// Token bucket for this router's share of a tenant's quota.
 #[derive(Clone, Default)]
 struct QuotaBudget {
-    /// Requests that may be sent within the quota; negative after some beyond it.
+    /// Requests left within the quota; negative if the last request exceeded it.
     tokens: f64,
     updated_at: Micros,
 }
@@ -39,19 +41,19 @@
 pub(super) struct Admission {
     /// Probability with which requests are shed because responses were late.
     shed_probability: f64,
-    /// One budget for each tenant.
+    /// Quota budgets, by tenant index.
     quotas: Vec<QuotaBudget>,
     /// Time of the first event.
     started_at: Option<Micros>,
 }
 
 impl Admission {
-    /// Full admission, with an empty budget for each tenant.
+    /// Admits all requests at first; each tenant starts with an empty budget.
     pub(super) fn new(tenants: usize) -> Self {
         Admission { quotas: vec![QuotaBudget::default(); tenants], ..Admission::default() }
     }
 
-    /// Sets the time of the first event.
+    /// Records the time of the first event; later calls have no effect.
     pub(super) fn start(&mut self, now: Micros) {
         self.started_at.get_or_insert(now);
     }
@@ -61,7 +63,7 @@
         self.quotas.resize(tenants, QuotaBudget::default());
     }
 
-    /// Adapts the shed probability after a response.
+    /// Adjusts the shed probability after a response.
     pub(super) fn count_response(&mut self, is_late: bool) {
         let change = if is_late { SHED_INCREASE_PER_LATE } else { -SHED_DECREASE_PER_TIMELY };
         self.shed_probability = (self.shed_probability + change).clamp(0.0, SHED_PROBABILITY_MAX);
@@ -96,7 +98,7 @@
         }
     }
 
-    /// The settings of the request's class; the most careful ones for a class that the settings lack.
+    /// The settings of the request's class, or the safest ones if the settings lack the class.
     pub(super) fn class(&self, open: &OpenRequest) -> &Class {
         self.settings.classes.get(open.request.class.0).unwrap_or(&self.unknown_class)
     }
@@ -126,7 +128,8 @@
         DELAY_TOLERANCE_LOWEST + (DELAY_TOLERANCE_HIGHEST - DELAY_TOLERANCE_LOWEST) * self.priority_rank(open)
     }
 
-    /// Counts the request against its tenant's quota; true if it exceeds this router's share of the quota.
+    /// Counts the request against its tenant's quota. Returns whether it exceeds this router's share of the
+    /// quota.
     fn exceeds_quota(&mut self, open: &OpenRequest) -> bool {
         let Some(TenantId(index)) = open.request.tenant else { return false };
         let Some(budget) = self.admission.quotas.get_mut(index) else { return false };
@@ -139,8 +142,9 @@
         budget.tokens < 0.0 && share_per_s > 0.0
     }
 
-    /// Whether the response to a new request would be late: with many attempts in flight by Little's law, with few by
-    /// the fraction of late responses. Low priorities and requests over quota are shed first.
+    /// Whether to shed a new request because its response would be late. With many attempts in flight the
+    /// delay follows from Little's law, with few the fraction of late responses decides. Low priorities and
+    /// requests over quota are shed first.
     fn should_shed(&mut self, open: &OpenRequest) -> bool {
         let over_quota = self.exceeds_quota(open);
         let rank = self.priority_rank(open);
@@ -153,7 +157,8 @@
         let age_secs = self.admission.started_at.map_or(0.0, |start| to_secs(since(self.now, start)));
         let queue_limit =
             tolerance * to_secs(self.class(open).latency_objective) * self.response_rate(age_secs);
-        // All attempts in flight are at least those at responsive workers: few need no closer count.
+        // The total is an upper bound of the attempts at responsive workers: below the limit no exact count
+        // is needed.
         if age_secs <= RESPONSE_RATE_WINDOW_SECS || (self.requests.in_flight + 1) as f64 <= queue_limit {
             return false;
         }
@@ -169,7 +174,8 @@
 
     /// Whether the attempts in flight at responsive workers exceed the limit.
     fn queue_exceeds(&self, open: &OpenRequest, queue_limit: f64) -> bool {
-        // Attempts at stalled workers do not delay others: a silent zone must not stop the rest.
+        // Attempts at stalled workers do not delay others: an unresponsive zone must not cause refusals in
+        // the others.
         let class = open.request.class.0;
         let is_responsive = |worker: &&Worker| {
             let record = worker.failure_record(class, self.now);
@@ -177,13 +183,14 @@
         };
         let responsive = || self.membership.workers.values().filter(is_responsive);
         let in_flight = self.in_flight_at(is_responsive);
-        // Counted no further than needed: with many workers, a look at each would dominate the cost of a request.
+        // Counts only as far as needed: with many workers, visiting each would dominate the cost of a
+        // request.
         let exceeds_workers = |in_flight: usize| responsive().take(in_flight).count() < in_flight;
         let exceeds = |in_flight: usize| (in_flight + 1) as f64 > queue_limit && exceeds_workers(in_flight);
         exceeds(in_flight) && exceeds(in_flight.saturating_sub(self.lost_attempts()))
     }
 
-    /// Attempts in flight at workers that `accepts` allows, those that wait for loads left out.
+    /// Number of attempts in flight at workers that `accepts` allows, without those that wait for loads.
     fn in_flight_at(&self, accepts: impl Fn(&&Worker) -> bool) -> usize {
         let attempts = self.requests.open.values().flat_map(|open| &open.attempts);
         let queued = attempts.filter(|attempt| attempt.outcome.is_none() && !attempt.waits_for_load);
@@ -191,8 +198,9 @@
         workers.filter(accepts).count()
     }
 
-    /// Attempts in flight for longer than their objective. Where responses are lost they never end, and counted as a
-    /// queue they would cause refusals, a lower response rate and further refusals.
+    /// Number of attempts in flight for longer than their objective. If responses are lost, such attempts
+    /// never end. Counted as a queue they would cause refusals, which lower the response rate and so cause
+    /// further refusals.
     fn lost_attempts(&self) -> usize {
         let lost_in = |open: &OpenRequest| {
             let limit_secs = LOST_AFTER_OBJECTIVES * to_secs(self.class(open).latency_objective);
--- a/src/balancer/completion.rs
+++ b/src/balancer/completion.rs
@@ -7,7 +7,7 @@
 use crate::api::*;
 
 impl Balancer {
-    /// Handles the result of an attempt: learns from it, then ends the request or tries it again.
+    /// Handles the result of an attempt: updates the statistics, then ends the request or retries it.
     pub(super) fn complete_attempt(&mut self, answer: Answer, out: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get_mut(&answer.id) else { return };
         let (function, class, has_hint) =
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Counts an attempt as no longer in flight, unless the worker was restarted or removed since.
+    /// Counts an attempt as no longer in flight, unless the worker was restarted or removed in the meantime.
     fn remove_from_flight(&mut self, attempt: &Attempt) {
         let Some(worker) = self.membership.workers.get_mut(&attempt.worker) else { return };
         if !attempt.waits_for_load && worker.in_flight > 0 {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Records the outcome as a success or failure of the worker, where it indicates either.
+    /// Records the outcome as a success or failure of the worker, if it indicates either.
     fn record_outcome(&mut self, function: FunctionId, class: usize, answer: &Answer, attempt: &Attempt) {
         let worker = attempt.worker;
         let is_active = self.membership.workers.get(&worker).is_some_and(|worker| worker.is_active(self.now));
@@ -71,7 +71,8 @@
             Outcome::Full if !attempt.waits_for_load => {
                 self.record_class_failure(worker, class, FailureKind::Overload);
             }
-            // A function that no worker ever served may fail by its own fault, at a worker that serves others.
+            // An error of a function that no worker ever served may be the function's fault if the worker
+            // serves others.
             Outcome::Error if !answer.load_failed && (!is_active || was_served()) => {
                 self.record_class_failure(worker, class, FailureKind::Fault);
             }
@@ -81,20 +82,20 @@
                 self.record_class_failure(worker, class, FailureKind::Fault);
             }
             Outcome::ConnectFailed | Outcome::Reset => {
-                self.suspend_if_unlisted(worker, answer.outcome);
+                self.suspend_if_list_expired(worker, answer.outcome);
                 self.record_connection_failure(worker);
             }
             _ => {}
         }
     }
 
-    /// Ends a request that needs no response any more, and cancels what is in flight for it.
+    /// Ends a request that needs no further response and cancels its attempts in flight.
     pub(super) fn disconnect(&mut self, id: RequestId, out: &mut Vec<Action>) {
         self.cancel_attempts(id, out);
         self.close(id);
     }
 
-    /// Cancels the attempts in flight, where the site allows that and no streamed response has begun.
+    /// Cancels the attempts in flight, if the site allows it and no streamed response has begun.
     pub(super) fn cancel_attempts(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if !self.settings.limits.cancel {
             return;
@@ -116,7 +117,8 @@
         }
     }
 
-    /// Ends an undecided request without success: refused if a repeat by the client is safe, else failed.
+    /// Ends an undecided request without success: it is refused if a repeat by the client is safe, otherwise
+    /// failed.
     pub(super) fn finish_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get(&id).filter(|open| open.is_undecided()) else { return };
         let can_refuse = self.can_refuse(open);
@@ -124,7 +126,7 @@
         self.close(id);
     }
 
-    /// Whether a repeat by the client cannot repeat an effect.
+    /// Whether the client may safely repeat the request, as that cannot repeat an effect.
     fn can_refuse(&self, open: &OpenRequest) -> bool {
         match self.class(open).effect {
             Effect::Idempotent | Effect::IdempotentWithKey { group: Group::All, .. } => true,
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch: the open requests with their attempts, and the steps from a request to its next attempt.
+//! Dispatch: the open requests with their attempts, and the steps that lead from a request to its next
+//! attempt.
 
 use super::placement::Replica;
 use super::probing::PROBE_SILENCE_OBJECTIVES;
@@ -9,7 +10,7 @@
 
 /// Delay between a load request and the call that follows it, so that the call does not overtake it.
 const SEND_AFTER_LOAD_REQUEST: Micros = Micros(4_000);
-/// A request is refused if even the best queue reported exceeds its tolerated delay by this factor.
+/// A request is refused if the delay at the best worker exceeds its tolerated delay by this factor.
 const QUEUE_DELAY_TOLERANCE_FACTOR: f64 = 1.6;
 
 /// One attempt of a request at a worker.
@@ -19,10 +20,10 @@
     pub(super) zone: ZoneId,
     pub(super) cell: CellId,
     pub(super) sent_at: Micros,
-    /// When the first attempt was sent that could have run at the time of this one. The lifetime of an idempotency
-    /// key counts from there, even if that attempt turns out later not to have run.
+    /// When the first attempt was sent that could have run at the time of this one. The lifetime of an
+    /// idempotency key counts from there, even if that attempt turns out later not to have run.
     pub(super) key_sent_at: Micros,
-    /// The function has to be loaded there first.
+    /// The worker has to load the function first.
     pub(super) waits_for_load: bool,
     /// Sent on the assumption that other routers keep a copy loaded there.
     pub(super) assumed_loaded: bool,
@@ -48,9 +49,9 @@
     pub(super) is_closed: bool,
     /// A streamed response has begun.
     pub(super) is_streaming: bool,
-    /// Until when it waits for a load request to go ahead of it, or for a probe.
+    /// End of its wait for a probe or for a load request that must precede it.
     pub(super) wait_until: Option<Micros>,
-    /// Probes that it waited for.
+    /// Number of probes that it waited for.
     pub(super) probe_count: usize,
 }
 
@@ -74,12 +75,12 @@
         self.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count()
     }
 
-    /// Whether a further attempt could still change its final response.
+    /// Whether it has no final response yet, so that a further attempt is useful.
     pub(super) fn is_undecided(&self) -> bool {
         !self.is_closed && !self.is_streaming
     }
 
-    /// Whether so little time is left that it has to end now if nothing is in flight.
+    /// Whether the deadline is so close that the request has to end now if nothing is in flight.
     pub(super) fn is_expiring(&self, now: Micros) -> bool {
         since(self.deadline, now) <= FINAL_ANSWER_MARGIN
     }
@@ -89,12 +90,12 @@
 #[derive(Default)]
 pub(super) struct OpenRequests {
     pub(super) open: BTreeMap<RequestId, OpenRequest>,
-    /// Attempts in flight at all workers, those that wait for loads left out: the sum over the workers.
+    /// Attempts in flight over all workers, without those that wait for loads.
     pub(super) in_flight: usize,
 }
 
 impl Balancer {
-    /// Requests that the balancer still keeps track of; 0 once all have their final response.
+    /// Number of requests without a final response or with attempts in flight.
     pub fn open_requests(&self) -> usize {
         self.requests.open.len()
     }
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Sends an undecided request, has it wait for a moment, or leaves it for the next tick.
+    /// Sends an undecided request, delays it for a probe or load request, or leaves it for the next tick.
     pub(super) fn dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get(&id).filter(|open| open.is_undecided()) else { return };
         let function = self.placement.functions.get(&open.request.function);
@@ -119,7 +120,8 @@
         self.load_and_send(id, worker, misses_confirmed, out);
     }
 
-    /// Leaves a request that no worker can take for the next tick; ends it if that would be too late.
+    /// Leaves a request that no worker can take for the next tick, or ends it if the next tick would be too
+    /// late.
     fn postpone(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get_mut(&id) else { return };
         if open.in_flight() == 0 && open.is_expiring(self.now) {
@@ -129,9 +131,9 @@
         }
     }
 
-    /// Has a request wait or ends it if the queue at the best worker is too long; returns whether it did. Silence after
-    /// a probe ends it only after a part of the objective, and not at a worker without any contact, whose connection
-    /// may still be coming up.
+    /// Delays or ends a request if the queue at the best worker is too long; returns whether it did. A
+    /// missing probe response ends the request only after a fraction of the objective, and never at a worker
+    /// without any contact, whose connection may still be in progress.
     fn delay_is_intolerable(&mut self, id: RequestId, worker: WorkerId, out: &mut Vec<Action>) -> bool {
         let Some(open) = self.requests.open.get(&id) else { return true };
         let Some(worker) = self.membership.workers.get(&worker) else { return false };
@@ -152,7 +154,8 @@
         true
     }
 
-    /// Requests a load where one is needed and sends the request, or has it wait behind a new load request.
+    /// Requests a load if one is needed, then sends the request, or delays it until the load request has been
+    /// sent.
     fn load_and_send(
         &mut self,
         id: RequestId,
@@ -166,11 +169,11 @@
         let replica = function.replicas.get(&worker).cloned().unwrap_or_default();
         let concurrency = function.concurrency;
         let is_loaded = self.is_loaded(&replica);
-        let is_there = if misses_confirmed { is_loaded } else { self.is_likely_loaded(&replica) };
+        let can_serve = if misses_confirmed { is_loaded } else { self.is_likely_loaded(&replica) };
         let copies = replica.copies.max(1);
         let loads_on_request = self.settings.loading.on_request;
         let mut load_requested_at = replica.load_requested_at;
-        if !is_there && replica.load_expected_at.is_none() {
+        if !can_serve && replica.load_expected_at.is_none() {
             if !loads_on_request && self.request_load(function_id, worker, 1, out) {
                 load_requested_at = Some(self.now);
             }
@@ -178,13 +181,13 @@
             self.request_load(function_id, worker, copies + 1, out);
         }
         let is_new = |sent: &Micros| since(self.now, *sent) < SEND_AFTER_LOAD_REQUEST;
-        match load_requested_at.filter(is_new).filter(|_| !is_there && !loads_on_request) {
+        match load_requested_at.filter(is_new).filter(|_| !can_serve && !loads_on_request) {
             Some(sent) => self.wait(id, after(sent, SEND_AFTER_LOAD_REQUEST), out),
             None => self.send(id, worker, out),
         }
     }
 
-    /// Has a request wait until `at`, with a timer whose token names it.
+    /// Delays a request until `at`, with a timer whose token identifies it.
     pub(super) fn wait(&mut self, id: RequestId, at: Micros, out: &mut Vec<Action>) {
         if let Some(open) = self.requests.open.get_mut(&id) {
             open.wait_until = Some(at);
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Sends the next attempt of a request to the worker, if that is still allowed.
+    /// Sends the next attempt of a request to the worker, if it is still allowed.
     fn send(&mut self, id: RequestId, worker_id: WorkerId, out: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get(&id) else { return };
         let Some(worker) = self.membership.workers.get(&worker_id) else { return };
--- a/src/balancer/hash_ring.rs
+++ b/src/balancer/hash_ring.rs
@@ -1,6 +1,8 @@
-//! The consistent-hash ring: virtual points of the workers, and the candidates of a function clockwise from its hash.
+//! The consistent-hash ring: virtual points of the workers, and the candidates of a function clockwise from
+//! its hash.
 //!
-//! Points are made from worker ids alone, so that all routers agree whatever the order of their lists.
+//! The positions of points depend on worker ids only, so that all routers agree whatever the order of their
+//! lists.
 
 use super::membership::Worker;
 use super::statistics::hash_bits;
@@ -8,52 +10,55 @@
 use crate::api::{FunctionId, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Points of a worker of median weight: arcs are even to a few per cent and a search stays cheap.
+/// Points of a worker of median weight: arcs are even to within a few per cent and searches stay cheap.
 const POINTS_PER_WORKER: f64 = 96.0;
-/// Fewest points of a worker, so that a light one still receives functions.
+/// Minimum number of points of a worker, so that a worker of low weight still receives functions.
 const POINTS_MIN: f64 = 8.0;
-/// The ring is built anew if more than one worker in so many changed; else the points are exchanged.
+/// The ring is rebuilt if more than one worker in this many changed; otherwise only their points are
+/// replaced.
 const REBUILD_DIVISOR: usize = 8;
 /// Combined with function ids before hashing, so that they do not coincide with worker ids.
 const FUNCTION_HASH_SEED: u64 = 0x51a7_e7a1;
 
-/// Virtual points in one bucket of the ring, about.
+/// Approximate number of virtual points in one bucket of the ring.
 const POINTS_PER_BUCKET: usize = 64;
-/// The ring is built anew if it should have so many times as many buckets as it has.
+/// The ring is rebuilt if it needs at least this many times its current number of buckets.
 const BUCKET_GROWTH_MAX: usize = 4;
 
 /// A virtual point of a worker.
 struct RingPoint {
     position: u64,
     worker: WorkerId,
-    /// Fraction of the worker's points that come before this one; it is used once the worker is that warm.
+    /// Fraction of the worker's points that come before this one; the point is in use while the worker's
+    /// slow-start factor exceeds it.
     slow_start_threshold: f64,
 }
 
 impl RingPoint {
-    /// The place on the ring. Points of two workers at one position are in the order of the workers' ids.
+    /// The order on the ring. Points at the same position are ordered by worker id.
     fn key(&self) -> (u64, WorkerId) {
         (self.position, self.worker)
     }
 }
 
-/// The ring, in buckets of equal arcs, each sorted: an update costs what changes, not what is there.
+/// The ring, in sorted buckets of equal arcs, so that the cost of an update depends on the points that change
+/// rather than on the size of the ring.
 #[derive(Default)]
 pub(super) struct HashRing {
-    /// A power of two of them; none while there is no ring.
+    /// A power of two of buckets; empty before the ring is first built.
     buckets: Vec<Vec<RingPoint>>,
-    /// Weight that has `POINTS_PER_WORKER` points, a power of two; 0 while there is no ring.
+    /// Weight for which a worker has `POINTS_PER_WORKER` points, a power of two; 0 if the ring has to be
+    /// rebuilt.
     weight_unit: f64,
 }
 
 impl HashRing {
-    /// Has the ring built anew with the next update of the worker list.
+    /// Forces a rebuild of the ring with the next update of the worker list.
     pub(super) fn invalidate(&mut self) {
         self.weight_unit = 0.0;
     }
 
-    /// A ring of these points.
-    fn of_points(point_count: usize, points: impl Iterator<Item = RingPoint>, weight_unit: f64) -> Self {
+    fn from_points(point_count: usize, points: impl Iterator<Item = RingPoint>, weight_unit: f64) -> Self {
         let bucket_count = bucket_count(point_count);
         let bucket = || Vec::with_capacity(point_count / bucket_count);
         let mut ring = HashRing { buckets: (0..bucket_count).map(|_| bucket()).collect(), weight_unit };
@@ -65,7 +70,7 @@
         ring
     }
 
-    /// The bucket of a position: its highest bits.
+    /// The bucket of a position: its most significant bits.
     fn bucket_index(&self, position: u64) -> usize {
         let bits = self.buckets.len().trailing_zeros();
         position.checked_shr(u64::BITS - bits).unwrap_or(0) as usize
@@ -97,7 +102,7 @@
     }
 }
 
-/// Buckets for so many points: a power of two.
+/// The number of buckets for `point_count` points: a power of two.
 fn bucket_count(point_count: usize) -> usize {
     (point_count / POINTS_PER_BUCKET).next_power_of_two()
 }
@@ -108,9 +113,10 @@
         worker.is_ready().then(|| self.weight(worker))
     }
 
-    /// Updates the points of the workers in `changed`. Points are in proportion to weight, in units of a power of
-    /// two near the median weight, so that adding or removing one worker does not change the points of others.
-    /// Another unit, or many changes, rebuild the whole ring.
+    /// Updates the points of the workers in `changed`, which holds their weights before the change. The
+    /// number of points is proportional to the weight, in units of a power of two near the median weight, so
+    /// that adding or removing one worker does not change the points of others. The whole ring is rebuilt if
+    /// the unit changed or many workers did.
     pub(super) fn update_ring(&mut self, changed: &BTreeMap<WorkerId, Option<f64>>) {
         let unit = self.ring_weight_unit();
         let point_count = self.membership.ready_count * POINTS_PER_WORKER as usize;
@@ -121,7 +127,7 @@
             let workers = self.membership.workers.iter();
             let weights = workers.filter_map(|(id, worker)| Some((*id, self.ring_weight(worker)?)));
             let points = weights.flat_map(|(id, weight)| worker_points(id, weight, unit));
-            self.hash_ring = HashRing::of_points(point_count, points, unit);
+            self.hash_ring = HashRing::from_points(point_count, points, unit);
             return;
         }
         for (id, weight_before) in changed {
@@ -133,7 +139,7 @@
         }
     }
 
-    /// A power of two near the median weight.
+    /// A power of two near the median weight; 1 without workers.
     fn ring_weight_unit(&self) -> f64 {
         let workers = self.membership.workers.values();
         let mut weights: Vec<f64> = workers.map(|worker| self.weight(worker)).collect();
@@ -145,14 +151,14 @@
         2f64.powi(median.log2().round() as i32)
     }
 
-    /// The first `most` distinct workers clockwise from the function's hash. Points of a started worker come into
-    /// use one by one as it warms up; until then their arcs belong to the next worker.
-    pub(super) fn ring_candidates(&self, function: FunctionId, most: usize) -> Vec<WorkerId> {
+    /// The first `limit` distinct workers clockwise from the function's hash. The points of a started worker
+    /// come into use one by one as it warms up; until then their arcs belong to the next worker.
+    pub(super) fn ring_candidates(&self, function: FunctionId, limit: usize) -> Vec<WorkerId> {
         let position = hash_bits(function.0 ^ FUNCTION_HASH_SEED);
         let (mut candidates, mut seen) = (Vec::new(), BTreeSet::new());
-        let most = most.min(self.membership.ready_count);
+        let limit = limit.min(self.membership.ready_count);
         for point in self.hash_ring.clockwise_from(position) {
-            if candidates.len() >= most {
+            if candidates.len() >= limit {
                 break;
             }
             let worker = self.membership.workers.get(&point.worker);
--- a/src/balancer/list_lease.rs
+++ b/src/balancer/list_lease.rs
@@ -1,9 +1,9 @@
-//! Lease on the worker list: it may be acted on for a limited time after it was last confirmed.
+//! Lease on the worker list: the list may be relied on for a limited time after it was last confirmed.
 //!
-//! Once the lease has expired, workers may drain without this router hearing of it. A call or a load request then goes only to a
-//! worker that has just confirmed by a health check, or by a call that it served, that it takes new work. Workers that said
-//! otherwise, or whose connections broke, are left alone until the list is confirmed again (leases: Gray and Cheriton,
-//! SOSP 1989).
+//! Once the lease has expired, workers may drain without this router being notified. A call or load request
+//! is then sent only to a worker that has just shown, by a health check or a served call, that it accepts new
+//! work. Workers whose response shows that they accept none, or whose connections broke, are suspended until
+//! the list is confirmed again (leases: Gray and Cheriton, SOSP 1989).
 
 use super::membership::Worker;
 use super::probing::PROBE_WAIT;
@@ -12,55 +12,57 @@
 use crate::api::{Action, Micros, Outcome, RequestId, WorkerId};
 use std::collections::BTreeSet;
 
-/// A worker's own word counts for the drain grace divided by this; the rest is left for a connection to come up.
+/// A worker's own confirmation is valid for the drain grace divided by this; the rest is reserved for the
+/// setup of a connection.
 const VERIFICATION_GRACE_DIVISOR: i64 = 2;
 
-/// The lease, and what workers said of themselves since it expired.
+/// The lease, and the workers suspended since it expired.
 #[derive(Default)]
 pub(super) struct ListLease {
-    /// When it expires; `None` where the list needs no confirmation.
+    /// When it expires; `None` as long as the list was never confirmed, which means that it does not expire.
     expires_at: Option<Micros>,
-    /// Workers that are not used until the list is confirmed again.
+    /// Workers that are sent nothing until the list is confirmed again.
     suspended: BTreeSet<WorkerId>,
 }
 
 impl ListLease {
-    /// Whether a worker is left alone until the list is confirmed again.
+    /// Whether a worker is sent nothing until the list is confirmed again.
     pub(super) fn is_suspended(&self, worker: WorkerId) -> bool {
         self.suspended.contains(&worker)
     }
 }
 
 impl Balancer {
-    /// The list is complete as of now and may be acted on for `lease`.
+    /// Renews the lease for the duration `lease` and ends all suspensions, as the list is complete as of now.
     pub(super) fn confirm_list(&mut self, lease: Micros) {
         self.list_lease.expires_at = Some(after(self.now, lease));
         self.list_lease.suspended.clear();
     }
 
-    /// Whether the list may be acted on.
+    /// Whether the lease is valid, so that the list alone decides which workers accept work.
     pub(super) fn list_is_current(&self) -> bool {
         self.list_lease.expires_at.is_none_or(|at| self.now < at)
     }
 
-    /// Whether a worker that the list calls ready may be sent new work: by the list, or else by its own word.
+    /// Whether a worker may be sent new work: it is ready in the list, and either the list is current or the
+    /// worker has recently confirmed its readiness itself.
     pub(super) fn is_confirmed_ready(&self, worker: &Worker) -> bool {
         let lifetime = Micros(self.settings.rules.drain_grace.0 / VERIFICATION_GRACE_DIVISOR);
         let is_verified = || worker.verified_at.is_some_and(|at| since(self.now, at) <= lifetime);
         worker.is_ready() && (self.list_is_current() || is_verified())
     }
 
-    /// Leaves a worker alone while the list is out of date, if the outcome shows that it takes no new work or that its
-    /// process ended.
-    pub(super) fn suspend_if_unlisted(&mut self, worker: WorkerId, outcome: Outcome) {
-        let shows_end = matches!(outcome, Outcome::Error | Outcome::Reset | Outcome::ConnectFailed);
-        if shows_end && !self.list_is_current() {
+    /// Suspends a worker while the list is out of date, if the outcome shows that it accepts no new work or
+    /// that its process ended.
+    pub(super) fn suspend_if_list_expired(&mut self, worker: WorkerId, outcome: Outcome) {
+        let shows_unavailable = matches!(outcome, Outcome::Error | Outcome::Reset | Outcome::ConnectFailed);
+        if shows_unavailable && !self.list_is_current() {
             self.list_lease.suspended.insert(worker);
         }
     }
 
-    /// Has a request wait until the worker has confirmed by a health check that it takes new work. Returns whether it
-    /// waits.
+    /// Delays a request until the worker has confirmed by a health check that it accepts new work. Returns
+    /// whether the request waits.
     pub(super) fn verify_first(&mut self, id: RequestId, worker_id: WorkerId, out: &mut Vec<Action>) -> bool {
         let Some(worker) = self.membership.workers.get(&worker_id) else { return false };
         if self.is_confirmed_ready(worker) {
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -8,38 +8,37 @@
 
 /// Requests for the list are repeated after the maximum interval of the rules divided by this.
 const LIST_REQUESTS_PER_INTERVAL: i64 = 5;
-/// Weights up to this are taken for invalid.
+/// Weights up to this are treated as invalid.
 const WEIGHT_MIN: f64 = 1e-6;
 /// Greater weights are reduced to this.
 const WEIGHT_MAX: f64 = 1e6;
 
-/// A worker's queue length as it reported it.
+/// The queue length that a worker reported.
 #[derive(Clone, Copy)]
 pub(super) struct QueueReport {
     /// When the report was received.
     pub(super) received_at: Micros,
-    /// Waiting requests.
+    /// Number of waiting requests; fractional if derived from the CPU utilization.
     pub(super) requests: f64,
 }
 
-/// Work sent to a worker with one attempt.
+/// Work sent to a worker by one attempt.
 pub(super) struct SentWork {
     pub(super) sent_at: Micros,
     /// Mean work of the request's class, in seconds.
     pub(super) work_secs: f64,
 }
 
-/// What this router knows of one worker.
+/// List entry and observed state of one worker.
 #[derive(Default)]
 pub(super) struct Worker {
     pub(super) entry: WorkerEntry,
-    /// When its process last started, as far as listed.
+    /// Latest start of its process according to the list.
     pub(super) started_at: Option<Micros>,
-    /// This router's attempts in flight there, those that wait for a load left out.
+    /// This router's attempts in flight at the worker, without those that wait for a load.
     pub(super) in_flight: usize,
-    /// Failures of its connections.
     pub(super) connection_failures: FailureRecord,
-    /// Failures of each request class.
+    /// Failure records, by request class.
     pub(super) class_failures: Vec<FailureRecord>,
     /// When it last completed an attempt successfully.
     pub(super) last_success: Micros,
@@ -49,15 +48,14 @@
     pub(super) offered_load: f64,
     /// When a response of any kind was last received from it.
     pub(super) last_contact: Option<Micros>,
-    /// Its last reported queue length.
     pub(super) reported_queue: Option<QueueReport>,
-    /// When a request was sent that it answered as one does that takes new work.
+    /// Send time of the latest probe or call whose response showed that the worker accepts new work.
     pub(super) verified_at: Option<Micros>,
-    /// When the probe in flight was sent, if there is one.
+    /// When the probe in flight was sent; `None` if there is none.
     pub(super) probe_sent_at: Option<Micros>,
-    /// Requests that wait for the probe in flight.
+    /// Requests waiting for the probe in flight.
     pub(super) awaiting_probe: Vec<RequestId>,
-    /// Work sent within the window of the slow-start budget, in order of time.
+    /// Work sent within the window of the slow-start budget, oldest first.
     pub(super) recent_work: VecDeque<SentWork>,
 }
 
@@ -71,13 +69,14 @@
     /// Adds work sent now and removes what is older than the window of the slow-start budget.
     pub(super) fn add_recent_work(&mut self, now: Micros, work_secs: f64, window: Micros) {
         self.recent_work.push_back(SentWork { sent_at: now, work_secs });
-        // The entries are in order of time; checking each would dominate the cost of a call.
+        // Entries are in order of time, so that only the oldest ones are checked: checking all would dominate
+        // the cost of a call.
         while self.recent_work.front().is_some_and(|work| since(now, work.sent_at) > window) {
             self.recent_work.pop_front();
         }
     }
 
-    /// Whether the worker list allows new work there.
+    /// Whether the worker list says that it accepts new work.
     pub(super) fn is_ready(&self) -> bool {
         self.entry.state == WorkerState::Ready
     }
@@ -100,14 +99,14 @@
 }
 
 impl Membership {
-    /// Brings what is derived from all workers up to date.
+    /// Recomputes the counts over all workers.
     fn summarize(&mut self) {
         let zones = self.workers.values().map(|worker| worker.entry.zone.0);
         self.zone_count = zones.collect::<BTreeSet<_>>().len();
         self.ready_count = self.workers.values().filter(|worker| worker.is_ready()).count();
     }
 
-    /// Removes a worker and all that is known of it.
+    /// Removes a worker with its state.
     fn remove(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.remove(&id) {
             self.remove_from_cell(id, worker.entry.cell);
@@ -135,14 +134,14 @@
 }
 
 impl Balancer {
-    /// Applies an update of the worker list. If the list was not available, the current one stays.
+    /// Applies an update of the worker list. If the list was not available, the current one is kept.
     pub(super) fn update_membership(&mut self, listing: Listing) {
-        // Where the list has to be requested, a failed request or a lost subscription is repeated later.
+        // If the list has to be requested, a failed request or lost subscription is repeated later.
         self.membership.subscribed = matches!(listing.scope, Scope::Changes | Scope::Full);
         if listing.scope == Scope::Refused {
             return;
         }
-        // The weights on the ring before the update, to find the arcs that change.
+        // Ring weights before the update, to find the workers whose points change.
         let mut changed: BTreeMap<WorkerId, Option<f64>> = BTreeMap::new();
         if listing.scope != Scope::Changes {
             self.remove_unlisted_workers(&listing.entries, &mut changed);
@@ -164,7 +163,7 @@
         self.update_offered_load();
     }
 
-    /// The weight of a worker on the ring; `None` for one without points there.
+    /// The weight of a worker on the ring; `None` if it has no points there.
     pub(super) fn current_ring_weight(&self, id: WorkerId) -> Option<f64> {
         self.membership.workers.get(&id).and_then(|worker| self.ring_weight(worker))
     }
@@ -194,7 +193,8 @@
         let class_count = self.settings.classes.len();
         let new_worker = || Worker::new(entry.clone(), class_count);
         let worker = self.membership.workers.entry(id).or_insert_with(new_worker);
-        // A restart under the same id has no copies and no history, but its probe and its budget go on.
+        // A restart under the same id loses its copies and failure history; its probe in flight and its
+        // slow-start budget are kept.
         if entry.up_since > worker.entry.up_since {
             let recent_work = std::mem::take(&mut worker.recent_work);
             let (started_at, probe_sent_at) = (worker.started_at, worker.probe_sent_at);
@@ -206,7 +206,7 @@
         worker.entry = entry;
     }
 
-    /// Counts the attempts in flight at each worker anew, as workers may have been added or restarted.
+    /// Recounts the attempts in flight at each worker, as workers may have been added or restarted.
     fn recount_in_flight(&mut self) {
         self.membership.workers.values_mut().for_each(|worker| worker.in_flight = 0);
         self.requests.in_flight = 0;
@@ -226,7 +226,7 @@
         self.settings.requires_subscription && !self.membership.subscribed
     }
 
-    /// Requests the worker list if that is needed and the last request is long enough ago.
+    /// Requests the worker list if that is needed and the minimum interval since the last request has passed.
     pub(super) fn subscribe_if_due(&mut self, out: &mut Vec<Action>) {
         let interval = self.settings.rules.subscription_interval.0 / LIST_REQUESTS_PER_INTERVAL;
         let is_due = self.membership.requested_at.is_none_or(|sent| since(self.now, sent).0 > interval);
@@ -236,7 +236,7 @@
         }
     }
 
-    /// The weight of a worker beside others; 1 where the settings give weights no meaning.
+    /// The weight of a worker relative to others; 1 if the settings ignore weights or the weight is invalid.
     pub(super) fn weight(&self, worker: &Worker) -> f64 {
         let weight = worker.entry.weight;
         match self.settings.weights {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,10 +1,11 @@
-//! The load balancer: routes requests to workers over a consistent-hash ring, and decides which functions are loaded
-//! where, when to retry and when to refuse.
+//! The load balancer: routes requests to workers over a consistent-hash ring, and decides which functions are
+//! loaded where, when to retry and when to refuse.
 //!
-//! A function hashes onto a ring of virtual points. The first workers clockwise serve it, as many as its load needs:
-//! one, its primary, unless it is hot. While the one tried is busy, requests spill over to the next distinct workers.
-//! The exceptions and their conditions are listed in `docs/design.md`. Each module owns one concern with its constants
-//! and its part of the state; [`Balancer`] joins the parts and [`Balancer::handle`] is the only way in.
+//! A function hashes onto a ring of virtual points. The first workers clockwise serve it, as many as its load
+//! needs: one, its primary, unless it is hot. While the worker tried is busy, requests spill over to the next
+//! distinct ones. The exceptions and their conditions are listed in `docs/design.md`. Each module holds one
+//! concern with its constants and its part of the state; [`Balancer`] joins the parts, and
+//! [`Balancer::handle`] is the entry point for all events.
 
 mod admission;
 mod completion;
@@ -37,21 +38,22 @@
 const TICK_INTERVAL: Micros = Micros(20_000);
 /// A request with nothing in flight ends this long before its deadline: the next tick could come too late.
 const FINAL_ANSWER_MARGIN: Micros = multiplied(TICK_INTERVAL, 2);
-/// A tick that comes later than this shows that the router's own process was paused.
+/// A tick delayed by more than this shows that the router's own process was paused.
 const PROCESS_PAUSE_THRESHOLD: Micros = Micros(150_000);
 
-/// One router's load balancer. It does no input or output: [`Balancer::handle`] takes an event and the time, and
+/// One router's load balancer. It performs no I/O: [`Balancer::handle`] takes an event and the time, and
 /// returns actions. Equal settings, seeds and events lead to equal actions.
 #[derive(Default)]
 pub struct Balancer {
     settings: Settings,
     /// Time of the current event, never decreasing.
     now: Micros,
-    /// Seed of this router's own hashes, by which routers spread over workers.
+    /// Seed of hashes that differ between routers, so that routers spread over the workers.
     hash_seed: u64,
     /// When the next tick is due, if one is scheduled.
     next_tick: Option<Micros>,
-    /// When the process last resumed after a pause; older attempts say nothing of the workers.
+    /// When the process last resumed after a pause. Latencies of older attempts include the pause, so they
+    /// are not attributed to the workers.
     resumed_at: Micros,
     membership: Membership,
     list_lease: ListLease,
@@ -63,7 +65,8 @@
     admission: Admission,
     retry: RetryBudget,
     probing: Probing,
-    /// Settings of a class that is not in the settings: the most careful ones.
+    /// Used for requests of a class that the settings lack; the default class is non-idempotent, the safest
+    /// assumption.
     unknown_class: Class,
 }
 
@@ -82,9 +85,9 @@
         }
     }
 
-    /// Replaces the settings while requests are open. Classes and tenants keep their state by index; open requests
-    /// follow the new settings of their class. The number of routers stays, as it has an event of its own. If the
-    /// meaning of weights changes, a complete worker list has to follow.
+    /// Replaces the settings while requests are open. Classes and tenants keep their state by index; open
+    /// requests follow the new settings of their class. The number of routers stays, as it has an event of
+    /// its own. If the meaning of weights changes, a complete worker list has to follow.
     pub fn update_settings(&mut self, settings: Settings) {
         let class_count = settings.classes.len();
         let new_work = TrafficStatistics::new(&settings).class_work_secs;
@@ -102,8 +105,8 @@
         self.slow_start.invalidate();
     }
 
-    /// Handles one event and appends the actions to be executed, in order. A time before that of an earlier event
-    /// counts as equal to it.
+    /// Handles one event and appends the actions to be executed, in order. A time before that of an earlier
+    /// event counts as equal to it.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.advance(now);
         match event {
@@ -130,7 +133,7 @@
         self.schedule_tick(out);
     }
 
-    /// Takes over the time of an event and what follows from time alone.
+    /// Sets the current time and updates the state that depends on time alone.
     fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
         self.admission.start(self.now);
@@ -140,7 +143,8 @@
         self.refresh_weights();
     }
 
-    /// Discards what the process missed during a pause: silence and latency of the workers are judged from now on.
+    /// Restarts timers after a pause of the process, so that no worker counts as unresponsive because of the
+    /// pause.
     fn resume(&mut self) {
         self.resumed_at = self.now;
         self.next_tick = Some(self.now);
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Does the periodic work.
+    /// Runs the periodic work.
     fn tick(&mut self, out: &mut Vec<Action>) {
         self.next_tick = None;
         self.update_load_time_inflation();
--- a/src/balancer/outlier.rs
+++ b/src/balancer/outlier.rs
@@ -6,11 +6,12 @@
 use super::Balancer;
 use crate::api::{Micros, WorkerId};
 
-/// Ejection after a first failure; doubled with each further one in a row.
+/// Ejection after a first failure; doubled with each consecutive one.
 const EJECTION_BASE: Micros = Micros(1_500_000);
-/// Ejection after a first rejection for overload, which passes sooner; doubled with each further one in a row.
+/// Ejection after a first rejection for overload, which is shorter as overload passes sooner; doubled with
+/// each consecutive one.
 pub(super) const OVERLOAD_EJECTION_BASE: Micros = Micros(400_000);
-/// Consecutive failures counted at most, which bounds the ejection to eight times its base.
+/// Maximum count of consecutive failures, which limits the ejection to eight times its base.
 const CONSECUTIVE_FAILURES_MAX: u32 = 4;
 
 /// What a failure indicates.
@@ -18,25 +19,26 @@
 pub(super) enum FailureKind {
     /// An error, a timeout or a broken connection.
     Fault,
-    /// The worker answered that it is overloaded.
+    /// A rejection for overload.
     Overload,
 }
 
-/// Consecutive failures of one worker, in one class or on its connections, and the ejection they led to. After the
-/// ejection one attempt decides.
+/// Consecutive failures of one worker, in one class or on its connections, and the resulting ejection. After
+/// the ejection, the next attempt either ejects the worker again or clears the record.
 #[derive(Clone, Copy, Default)]
 pub(super) struct FailureRecord {
     pub(super) consecutive_failures: u32,
     ejected_until: Micros,
     /// Whether the last counted failure was an overload.
     pub(super) is_overload: bool,
-    /// One failure while the worker served others, not yet counted: the next one counts.
+    /// A first fault at a worker that serves other calls was not counted; the next one will be.
     is_suspected: bool,
 }
 
 impl FailureRecord {
-    /// Records a failure. For a worker that serves others (`is_active`) the first fault is not counted: one error or
-    /// reset indicates little, and each ejection has its functions loaded elsewhere.
+    /// Records a failure. For a worker that serves other calls (`is_active`) the first fault is not counted:
+    /// a single error or reset indicates little, and each ejection causes loads of its functions at other
+    /// workers.
     fn record_failure(&mut self, now: Micros, kind: FailureKind, is_active: bool) {
         let is_overload = kind == FailureKind::Overload;
         if now >= self.ejected_until
@@ -68,20 +70,21 @@
         since(now, self.last_success) < CONTACT_MAX_AGE
     }
 
-    /// Whether it has counted failures that no success has cleared yet, ejected or not.
+    /// Whether it has counted failures that no success has cleared, whether it is still ejected or not.
     pub(super) fn is_suspect(&self) -> bool {
         self.connection_failures.consecutive_failures > 0
             || self.class_failures.iter().any(|record| record.consecutive_failures > 0)
     }
 
-    /// The worst record that applies to the class: the connections', its own, or the second worst of all classes. Two
-    /// failing classes count against the worker, one alone does not, as a worker may fail one and serve the rest.
+    /// The worst record that applies to the class: that of the connections, its own, or the second worst of
+    /// all classes. Two failing classes count against the worker for all classes; a single one does not, as a
+    /// worker may fail one class and serve the others.
     pub(super) fn failure_record(&self, class: usize, now: Micros) -> FailureRecord {
         let own = self.class_failures.get(class).copied().unwrap_or_default();
         let applies = |record: &&FailureRecord| {
             record.consecutive_failures > 0 && (now < record.ejected_until || self.in_flight > 0)
         };
-        // The worst class and the second worst, the earlier one in a tie.
+        // The worst and the second worst class; in a tie the class of lower index is the worse one.
         let (mut worst, mut second) = (FailureRecord::default(), FailureRecord::default());
         for record in self.class_failures.iter().filter(applies) {
             if record.consecutive_failures > worst.consecutive_failures {
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -1,4 +1,5 @@
-//! Placement: which functions are loaded where, how many workers serve each, and the requests to load them.
+//! Placement: which functions are loaded at which workers, how many workers serve each function, and load
+//! requests.
 
 use super::dispatch::{Attempt, OpenRequest};
 use super::outlier::OVERLOAD_EJECTION_BASE;
@@ -7,13 +8,15 @@
 use crate::api::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Load of one function, in units of a mean worker's load, from which on one more worker serves it.
+/// Load of a function, in units of a mean worker's load, per worker that serves it.
 const LOAD_PER_REPLICA: f64 = 0.25;
-/// Calls that a copy should receive from all routers within the time it stays loaded, so that it is not unloaded.
+/// Calls that a copy should receive from all routers within the time it stays loaded, so that it is not
+/// unloaded.
 const CALLS_PER_RETENTION: f64 = 3.0;
-/// Calls assumed before the first, so that the first function seen is not taken for the whole load.
+/// Number of calls assumed before the first one, so that the first function seen does not count as the whole
+/// load.
 const SHARE_PRIOR_CALLS: f64 = 30.0;
-/// Functions remembered at most; the one unused longest is removed first.
+/// Maximum number of functions tracked; the least recently used one is removed first.
 const FUNCTIONS_MAX: usize = 4096;
 /// Load time of a function until it is known, in seconds.
 pub(super) const LOAD_TIME_DEFAULT_SECS: f64 = 0.7;
@@ -37,42 +40,44 @@
 const LATENCY_RATIO_RATE: f64 = 0.1;
 const LATENCY_RATIO_MIN: f64 = 0.1;
 const LATENCY_RATIO_MAX: f64 = 10.0;
-/// Probability, as lately observed, from which on calls rely on copies that only other routers keep loaded.
+/// Observed probability from which on calls rely on copies that only other routers keep loaded.
 pub(super) const ASSUMED_LOADED_THRESHOLD: f64 = 0.5;
 /// Weight of one observation in that probability.
 const ASSUMED_LOADED_RATE: f64 = 0.05;
-/// Fraction of a load time that a call to an assumed copy may take beyond its service time and still count as found.
+/// Fraction of a load time that a call to an assumed copy may take beyond its service time and still count as
+/// a hit.
 const ASSUMED_LOADED_LOAD_FRACTION: f64 = 0.5;
-/// A load request completed sooner than this, in seconds, found its copies loaded.
+/// A load request that completes faster than this, in seconds, found its copies already loaded.
 const ALREADY_LOADED_SECS: f64 = 0.06;
 /// Factor of the replica scale for each copy found, for each copy found missing, and its lower limit.
 const REPLICA_SCALE_GROWTH: f64 = 1.03;
 const REPLICA_SCALE_SHRINK: f64 = 0.93;
 const REPLICA_SCALE_MIN: f64 = 0.2;
-/// Limits of the ratio of one load's time to the usual time.
+/// Limits of the ratio of one load's time to the function's mean load time.
 const LOAD_TIME_INFLATION_MIN: f64 = 0.5;
 const LOAD_TIME_INFLATION_MAX: f64 = 20.0;
 /// Weight of one load in the mean inflation.
 const LOAD_TIME_INFLATION_RATE: f64 = 0.2;
-/// Pending loads at fewer workers than this count as if there were so many: one worker may be stalled.
+/// Minimum divisor of the mean over workers with pending loads: a single one may be stalled.
 const LOAD_TIME_INFLATION_MIN_WORKERS: usize = 3;
 /// Weight of a load and of a request in the mean number of loads per request.
 const LOAD_RATE_INCREMENT: f64 = 0.01;
 const LOAD_RATE_DECAY: f64 = 0.99;
-/// Wait after a load request found no room, doubled in a row up to `NO_ROOM_DOUBLINGS_MAX` times.
+/// Wait after a load request that found no room; doubled for each consecutive one, up to
+/// `NO_ROOM_DOUBLINGS_MAX` times.
 const NO_ROOM_DELAY_BASE: Micros = Micros(1_000_000);
 const NO_ROOM_DOUBLINGS_MAX: u32 = 3;
 /// Wait after a call that needed a load was rejected for lack of room: twice the first overload ejection.
 const NO_ROOM_CALL_DELAY: Micros = multiplied(OVERLOAD_EJECTION_BASE, 2);
 /// Wait after a load request failed.
 const LOAD_FAILED_DELAY: Micros = Micros(300_000);
-/// Copies that one load request may ask for.
+/// Maximum number of copies in one load request.
 const COPIES_MAX: u32 = 16;
-/// Misses of one request that show that other routers do not keep the function loaded, where several workers serve
-/// it; one is enough where a single worker does.
+/// Cache misses of one request that show that other routers do not keep the function loaded, if several
+/// workers serve it; one miss is enough if a single worker does.
 const CONFIRMING_MISSES: usize = 2;
 
-/// What is known of the copies of one function at one worker.
+/// State of one function at one worker, as observed by this router.
 #[derive(Clone, Default)]
 pub(super) struct Replica {
     /// This router's attempts in flight there.
@@ -88,18 +93,18 @@
     pub(super) load_expected_at: Option<Micros>,
     /// No further load request before this.
     pub(super) no_load_before: Micros,
-    /// Load requests in a row that found no room.
+    /// Consecutive load requests that found no room.
     no_room_count: u32,
 }
 
-/// What is known of one function.
+/// State and statistics of one function.
 #[derive(Default)]
 pub(super) struct Function {
     /// Calls that one copy runs at a time.
     pub(super) concurrency: usize,
     /// Mean time of a load.
     pub(super) load_time_secs: f64,
-    /// Mean time of a call that meets no queue.
+    /// Mean time of a call that does not wait in a queue.
     pub(super) service_time_secs: f64,
     /// Calls over `SHARE_WINDOW_SECS`.
     calls: DecayingCounter,
@@ -116,20 +121,20 @@
     pub(super) load_rate: f64,
     /// Mean ratio of load times to the usual ones at present.
     pub(super) load_time_inflation: f64,
-    /// How often calls lately found a copy that only other routers could have kept loaded.
+    /// Mean fraction of calls that found a copy which only other routers could have kept loaded.
     assumed_loaded_probability: f64,
-    /// Factor of the replica count; below 1 while copies are found missing.
+    /// Factor of the replica count; below 1 after copies were found missing.
     replica_scale: f64,
     /// Times of the load requests within the window of the quota.
     load_request_times: VecDeque<Micros>,
     /// Times of the requests accepted within the window of the quota.
     request_times: VecDeque<Micros>,
-    /// Load requests in flight; they outlast the removal of a worker or function.
+    /// Load requests in flight; kept when a worker or function is removed.
     pending_loads: BTreeSet<(WorkerId, FunctionId)>,
 }
 
 impl Placement {
-    /// The state before the first request. A router without peers relies on no copies of others.
+    /// The state before the first request. A single router has no peers whose copies it could rely on.
     pub(super) fn new(routers: usize) -> Self {
         let assumed_loaded_probability = ASSUMED_LOADED_THRESHOLD * routers.saturating_sub(1).min(1) as f64;
         Placement {
@@ -142,27 +147,27 @@
 }
 
 impl Balancer {
-    /// How many workers serve a function; 0 for one that is not known.
+    /// Number of workers that serve a function; 0 if the function is not tracked.
     pub fn workers_serving(&self, function: FunctionId) -> usize {
         self.placement.functions.get(&function).map_or(0, |function| self.replica_count(function))
     }
 
-    /// On how many workers copies of a function are loaded, as far as this router has lately observed.
+    /// Number of workers at which this router observed loaded copies of a function within the retention time.
     pub fn loaded_replicas(&self, function: FunctionId) -> usize {
         let Some(function) = self.placement.functions.get(&function) else { return 0 };
         function.replicas.values().filter(|replica| self.is_loaded(replica)).count()
     }
 
-    /// Takes over the number of routers, this one included.
+    /// Sets the number of routers, this one included.
     pub(super) fn update_router_count(&mut self, routers: usize) {
-        // Peers keep copies loaded that this router does not observe; a single router has none.
+        // Peers keep copies loaded that this router does not observe; a single router has no peers.
         if (routers > 1) != (self.settings.routers > 1) {
             self.placement.assumed_loaded_probability = ASSUMED_LOADED_THRESHOLD * indicator(routers > 1);
         }
         self.settings.routers = routers.max(1);
     }
 
-    /// Counts a request for its function, which is added if it is new.
+    /// Counts a request for its function and adds the function if it is new.
     pub(super) fn count_call(&mut self, request: &Request) {
         if self.settings.loading.load_quota_window.0 > 0 {
             self.placement.request_times.push_back(self.now);
@@ -184,7 +189,7 @@
         }
     }
 
-    /// Removes the function unused longest, other than `kept` and those with calls or loads in flight.
+    /// Removes the least recently used function, except `kept` and those with calls or loads in flight.
     fn remove_oldest_function(&mut self, kept: FunctionId) {
         let is_idle = |function: &Function| {
             let mut replicas = function.replicas.values();
@@ -198,23 +203,24 @@
         }
     }
 
-    /// Reduces the mean number of loads per request by one request.
+    /// Decays the mean number of loads per request; called once for each request.
     pub(super) fn decay_load_rate(&mut self) {
         self.placement.load_rate *= LOAD_RATE_DECAY;
     }
 
-    /// The load of a function in units of a mean worker's: its share of this router's calls times the number of
-    /// workers. Shares are the same at all routers but for chance.
+    /// The load of a function in units of a mean worker's load: its share of this router's calls times the
+    /// number of workers. All routers see the same shares, apart from random variation.
     pub(super) fn function_load(&self, function: &Function) -> f64 {
-        // The first function a new router sees is likely a popular one; one seen once among many is not.
+        // The first function that a new router sees is likely popular; a function seen once among many calls
+        // is not.
         let calls = self.statistics.requests.at(self.now, SHARE_WINDOW_SECS);
         let chance = (calls / SHARE_PRIOR_CALLS).min(1.0);
         let own = (function.calls.at(self.now, SHARE_WINDOW_SECS) - chance).max(0.0);
         own / (calls + SHARE_PRIOR_CALLS) * self.membership.workers.len() as f64
     }
 
-    /// How many workers clockwise serve a function: as its load needs, as long as the calls of all routers together
-    /// keep each copy loaded.
+    /// Number of workers clockwise that serve a function: as many as its load needs, limited to as many
+    /// copies as the calls of all routers together keep loaded.
     pub(super) fn replica_count(&self, function: &Function) -> usize {
         let own_rate = function.calls.at(self.now, SHARE_WINDOW_SECS) / SHARE_WINDOW_SECS;
         let total_rate = own_rate * self.settings.routers.max(1) as f64;
@@ -224,13 +230,13 @@
         needed.min(kept_loaded).ceil().clamp(1.0, most) as usize
     }
 
-    /// Whether a copy was observed within the time that it stays loaded.
+    /// Whether a copy was observed within the retention time.
     pub(super) fn is_loaded(&self, replica: &Replica) -> bool {
         replica.last_loaded.is_some_and(|time| since(self.now, time) < self.settings.loading.idle_retention)
     }
 
-    /// Whether a copy should be loaded: observed lately, or kept loaded by calls of other routers to the same workers,
-    /// as far as this router's own such calls found one often enough.
+    /// Whether a copy is probably loaded: recently observed, or kept loaded by calls of other routers to the
+    /// same workers, if this router's own calls found such copies often enough.
     pub(super) fn is_likely_loaded(&self, replica: &Replica) -> bool {
         let is_recent = |time: Micros| since(self.now, time) < self.settings.loading.idle_retention;
         self.is_loaded(replica)
@@ -238,15 +244,15 @@
                 && !replica.last_missing.is_some_and(is_recent))
     }
 
-    /// Whether the request's cache misses show that other routers do not keep the function loaded; only observed
-    /// copies count for it then.
+    /// Whether the request's cache misses show that other routers do not keep the function loaded. Then only
+    /// observed copies count as loaded for it.
     pub(super) fn has_confirmed_misses(&self, open: &OpenRequest, replica_count: usize) -> bool {
         let misses = open.attempts.iter().filter(|attempt| attempt.outcome == Some(Outcome::Miss));
         misses.count() >= replica_count.min(CONFIRMING_MISSES)
     }
 
-    /// Requests copies of a function at a worker, if the worker accepts work, the quota allows it and no load request
-    /// for the pair is in flight. Returns whether it was requested.
+    /// Requests copies of a function at a worker, if the worker accepts work, the quota allows it and no load
+    /// request for the pair is in flight. Returns whether the request was sent.
     pub(super) fn request_load(
         &mut self,
         id: FunctionId,
@@ -290,7 +296,8 @@
         }
         let placement = &mut self.placement;
         placement.load_request_times.retain(|time| since(now, *time) <= loading.load_quota_window);
-        // Requests at the window's edge may count or not: one tick is left out.
+        // Whether requests at the edge of the window count is ambiguous, so the last tick of the window is
+        // left out.
         placement
             .request_times
             .retain(|time| after(since(now, *time), TICK_INTERVAL) <= loading.load_quota_window);
@@ -303,8 +310,8 @@
         true
     }
 
-    /// Prepares a function that is about to replace another (`replaced`): requests up to `limit` loads at the workers that
-    /// its calls will be sent to.
+    /// Prepares a function that is about to replace another (`replaced`): requests up to `limit` loads at the
+    /// workers that its calls will be sent to.
     pub(super) fn preload(
         &mut self,
         id: FunctionId,
@@ -343,7 +350,7 @@
         }
     }
 
-    /// Learns from a completed attempt about the copies at the worker and the function's service time.
+    /// Updates the copies known at the worker and the function's mean times after a completed attempt.
     pub(super) fn learn_from_attempt(&mut self, id: FunctionId, answer: &Answer, attempt: &Attempt) {
         let Some(function) = self.placement.functions.get_mut(&id) else { return };
         let replica = function.replicas.entry(attempt.worker).or_default();
@@ -356,7 +363,7 @@
                 function.was_served = true;
                 self.learn_from_success(id, answer, attempt);
             }
-            // A copy was unloaded, replaced by a new version or lost in a restart.
+            // The copy was unloaded, replaced by a new version or lost in a restart.
             Outcome::Miss => {
                 (replica.last_loaded, replica.last_missing, replica.copies) = (None, Some(self.now), 0);
                 replica.load_expected_at =
@@ -368,12 +375,12 @@
                     update_mean(&mut placement.assumed_loaded_probability, 0.0, ASSUMED_LOADED_RATE);
                 }
             }
-            // No room for a copy says nothing of the functions that are loaded there.
+            // A worker without room for this copy can still serve the functions loaded there.
             Outcome::Full if attempt.waits_for_load => {
                 replica.load_expected_at = None;
                 replica.no_load_before = after(self.now, NO_ROOM_CALL_DELAY);
             }
-            // After a reset alone copies are kept: a worker that did restart answers with a miss.
+            // Copies count as kept after a mere reset: a worker that did restart answers with a miss.
             Outcome::ConnectFailed => {
                 *replica = Replica { in_flight: replica.in_flight, ..Replica::default() };
             }
@@ -387,7 +394,7 @@
         let Some(function) = placement.functions.get_mut(&id) else { return };
         placement.replica_scale = (placement.replica_scale * REPLICA_SCALE_GROWTH).min(1.0);
         if attempt.assumed_loaded {
-            // Where calls load functions by themselves only the latency shows whether a copy was there.
+            // If calls load functions implicitly, only the latency shows whether a copy was loaded.
             let limit = function.service_time_secs + ASSUMED_LOADED_LOAD_FRACTION * function.load_time_secs;
             let found = !self.settings.loading.on_request || latency_secs < limit;
             let probability = &mut placement.assumed_loaded_probability;
@@ -445,7 +452,7 @@
         }
     }
 
-    /// Learns from a successful load of copies that were not known to be loaded.
+    /// Updates the mean load time after a successful load of copies that were not known to be loaded.
     fn learn_load_time(&mut self, id: FunctionId, latency_secs: f64) {
         let placement = &mut self.placement;
         let Some(function) = placement.functions.get_mut(&id) else { return };
@@ -460,8 +467,9 @@
         update_mean(&mut function.load_time_secs, load_time, LOAD_TIME_REQUEST_RATE);
     }
 
-    /// Raises the load time inflation by the loads pending for longer than usual, before the first completes. Those of
-    /// one worker count once, by the shortest: the worker may be stalled.
+    /// Raises the load time inflation for loads that are pending for longer than usual, before the first one
+    /// completes. Each worker counts once, by its lowest ratio of the pending time to the mean load time: it
+    /// may be stalled.
     pub(super) fn update_load_time_inflation(&mut self) {
         let mut ratios: BTreeMap<WorkerId, f64> = BTreeMap::new();
         for (worker, id) in &self.placement.pending_loads {
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,4 +1,5 @@
-//! Retries: the retry budget, further attempts after a failure, and attempts elsewhere while one is unresponsive.
+//! Retries: the retry budget, further attempts after a failure, and attempts at another worker while one is
+//! unresponsive.
 
 use super::dispatch::{Attempt, OpenRequest};
 use super::membership::Worker;
@@ -8,28 +9,29 @@
 use super::Balancer;
 use crate::api::*;
 
-/// Retries allowed for each accepted request: a twentieth bounds the load that retries add in an overload.
+/// Retries allowed for each accepted request: a twentieth limits the load that retries add under overload.
 const RETRY_TOKENS_PER_REQUEST: f64 = 0.05;
 /// Retries that can be saved up.
 const RETRY_TOKENS_MAX: f64 = 3.0;
-/// Tokens taken by a retry after a broken connection or an error, which do not indicate overload.
+/// Tokens taken by a retry after a broken connection or an error, as these do not indicate overload.
 const RETRY_TOKENS_PER_BROKEN_ATTEMPT: f64 = 0.2;
 /// Tokens taken by any other retry.
 const RETRY_TOKENS_PER_RETRY: f64 = 1.0;
-/// Timeout of an attempt in service times of its function, and at least in latency objectives.
+/// Timeout of an attempt: the longer one of this many service times of its function and this many latency
+/// objectives.
 const ATTEMPT_TIMEOUT_SERVICE_TIMES: f64 = 12.0;
 const ATTEMPT_TIMEOUT_OBJECTIVES: f64 = 1.0;
 /// Extension of that timeout for an attempt that waits for a load, in load times.
 const ATTEMPT_TIMEOUT_LOAD_TIMES: f64 = 2.5;
 
-/// The budget that bounds retries.
+/// Token bucket that limits retries.
 #[derive(Default)]
 pub(super) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Starts with a full budget.
     pub(super) fn new() -> Self {
         RetryBudget { tokens: RETRY_TOKENS_MAX }
     }
@@ -47,18 +49,18 @@
     class: usize,
 }
 
-/// What a tick found to do for the open requests.
+/// Open requests that a tick has to act on.
 #[derive(Default)]
 struct DueRequests {
-    /// To be ended, as their clients are about to give up.
+    /// Requests to end, as their deadlines are near.
     expired: Vec<RequestId>,
-    /// To be dispatched again.
+    /// Requests to dispatch again.
     waiting: Vec<RequestId>,
     unresponsive: Vec<UnresponsiveAttempt>,
 }
 
 impl Balancer {
-    /// Makes a further attempt where one is allowed, else gives the final response.
+    /// Makes a further attempt if one is allowed, otherwise gives the final response.
     pub(super) fn retry_or_finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get(&id).filter(|open| !open.is_closed) else { return };
         let is_exhausted = open.attempts.len() >= self.settings.limits.max_attempts;
@@ -126,7 +128,8 @@
         to_secs(waited) > timeout_secs && is_silent && !attempt.is_cancelled
     }
 
-    /// Sends a request whose worker is unresponsive to another one, where its class and the budget allow that.
+    /// Sends a request whose worker is unresponsive to another worker, if its class and the retry budget
+    /// allow it.
     fn retry_elsewhere(&mut self, id: RequestId, unresponsive: WorkerId, out: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get(&id) else { return };
         let is_exhausted = self.retry.tokens < RETRY_TOKENS_PER_RETRY
@@ -137,7 +140,7 @@
         if !has_other {
             return;
         }
-        // Without hedged requests this attempt is cancelled first; its end leads to the next.
+        // Without hedged requests this attempt is cancelled first; its completion leads to the next one.
         if !self.settings.limits.hedged_requests {
             return self.cancel_attempts(id, out);
         }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,7 +1,8 @@
-//! Selection: the order in which workers are tried, whether one may be sent a request, and the choice among them.
+//! Selection: the order in which workers are tried, whether one may be sent a request, and the choice among
+//! them.
 //!
-//! Usually the first candidate on the ring is chosen that is not busy and has the function loaded. Where there is
-//! none, the candidate with the least expected delay, load times included.
+//! The first candidate on the ring that is not busy and has the function loaded is chosen. If there is none,
+//! the candidate with the least expected delay is chosen; load times count as delay.
 
 use super::dispatch::{Attempt, OpenRequest};
 use super::membership::Worker;
@@ -11,19 +12,20 @@
 use super::Balancer;
 use crate::api::{CellId, Effect, Group, Micros, Outcome, WorkerId};
 
-/// In-flight requests allowed at a worker relative to its fair share (consistent hashing with bounded loads), and
-/// requests allowed beyond that.
+/// In-flight requests allowed at a worker relative to its fair share (consistent hashing with bounded loads),
+/// and requests allowed beyond that.
 const BOUNDED_LOAD_FACTOR: f64 = 1.5;
 const BOUNDED_LOAD_EXTRA_REQUESTS: f64 = 2.0;
 /// Expected delay at a worker for each consecutive failure, in seconds.
 const FAILURE_COST_SECS: f64 = 3.0;
 /// Expected delay at a worker that the request was already sent to, in seconds.
 const REPEATED_WORKER_COST_SECS: f64 = 1.0;
-/// Cost of a load away from the primary worker, in load times, as it displaces other copies and queues at the store.
+/// Cost of a load away from the primary worker, in load times, as it displaces other copies and queues at the
+/// store.
 const REMOTE_LOAD_COST: f64 = 3.0;
 /// Additional cost in load times per load begun for each request, so that a storm of loads subsides.
 const REMOTE_LOAD_COST_PER_LOAD_RATE: f64 = 10.0;
-/// Additional cost in load times where there lately was no room.
+/// Additional cost in load times at a worker that recently had no room for the function.
 const NO_ROOM_COST: f64 = 4.0;
 /// Shortest remaining time expected of a load in progress, in seconds.
 const REMAINING_LOAD_MIN_SECS: f64 = 0.05;
@@ -31,36 +33,37 @@
 const STEP_COST_SECS: f64 = 1e-3;
 /// Lower limit of a worker's latency ratio when requests over its bounded load are weighed.
 const LATENCY_RATIO_COST_MIN: f64 = 0.5;
-/// Workers tried beyond those that serve the function, while one of them may be sent to.
+/// Workers tried beyond those that serve the function, while the request may be sent to any of them.
 const SPILLOVER_CANDIDATES: usize = 4;
-/// Workers tried at most where none of those that serve the function may be sent to. It bounds the cost of a request
-/// before fleets of any size, and is as good as all: so many are not all ejected or cold by chance.
+/// Maximum number of workers tried if the request may be sent to none of the usual candidates. It bounds the
+/// cost of a request independently of the fleet size and is as good as trying all: so many workers are not
+/// all ejected or cold by chance.
 const CANDIDATES_MAX: usize = 256;
 /// Queue delay in latency objectives at a worker where requests wait, and for each waiting request.
 const QUEUE_DELAY_BASE: f64 = 0.4;
 const QUEUE_DELAY_PER_REQUEST: f64 = 0.15;
 /// Requests assumed to wait at a worker that has not answered a probe in time.
 const UNRESPONSIVE_QUEUE_REQUESTS: f64 = 4.0;
-/// Time for the way to the worker, left over before an idempotency key expires.
+/// Time reserved for the transmission to the worker before an idempotency key expires.
 const KEY_EXPIRY_MARGIN: Micros = Micros(20_000);
 
-/// What all candidates for one request are compared by.
+/// Values of one request that its candidates are compared by.
 struct Comparison<'a> {
     open: &'a OpenRequest,
     function: &'a Function,
     objective_secs: f64,
-    /// Effective weight of all workers.
+    /// Total weight of the workers, each reduced by its slow-start factor.
     total_weight: f64,
     replica_count: usize,
     /// Cache misses have shown that only observed copies count.
     misses_confirmed: bool,
-    /// Usual load time at present, in seconds.
+    /// Load time of the function, scaled by the current inflation of load times, in seconds.
     load_time_secs: f64,
     /// Cost of a load away from the primary worker, in load times.
     remote_load_cost: f64,
 }
 
-/// The parts of the delay expected at a candidate.
+/// Components of the delay expected at a candidate.
 struct CandidateCost {
     load_secs: f64,
     failure_secs: f64,
@@ -77,9 +80,9 @@
 }
 
 impl Balancer {
-    /// Chooses the worker for a request; `None` if no worker may be sent it now.
+    /// Chooses the worker for a request; `None` if it may be sent to no worker now.
     pub(super) fn select_worker(&self, open: &OpenRequest) -> Option<WorkerId> {
-        let comparison = self.compare_by(open)?;
+        let comparison = self.comparison(open)?;
         let replica_count = comparison.replica_count;
         let mut candidates = self.candidates(open, replica_count);
         if !candidates.iter().any(|id| self.can_send(open, *id, candidates.len())) {
@@ -107,7 +110,7 @@
         best.map(|(_, id)| id)
     }
 
-    fn compare_by<'a>(&'a self, open: &'a OpenRequest) -> Option<Comparison<'a>> {
+    fn comparison<'a>(&'a self, open: &'a OpenRequest) -> Option<Comparison<'a>> {
         let function = self.placement.functions.get(&open.request.function)?;
         let replica_count = self.replica_count(function);
         Some(Comparison {
@@ -122,7 +125,8 @@
         })
     }
 
-    /// The delay expected at the candidate `step` places along the ring; `is_first` holds for the first allowed one.
+    /// The delay expected at the candidate with index `step`; `is_first` is set for the first one that may be
+    /// used.
     fn candidate_cost(
         &self,
         comparison: &Comparison,
@@ -148,7 +152,8 @@
         }
     }
 
-    /// The time that a load of the function takes there, weighted by what it costs others; 0 if it is loaded.
+    /// The time that a load of the function takes at the candidate, weighted by its cost to other requests; 0
+    /// if the function is loaded there.
     fn load_cost_secs(
         &self,
         comparison: &Comparison,
@@ -156,11 +161,11 @@
         can_assume: bool,
         is_first: bool,
     ) -> f64 {
-        let is_there = if can_assume { self.is_likely_loaded(replica) } else { self.is_loaded(replica) };
+        let is_loaded = if can_assume { self.is_likely_loaded(replica) } else { self.is_loaded(replica) };
         let load_time_secs = comparison.load_time_secs;
-        match (is_there, replica.load_expected_at) {
+        match (is_loaded, replica.load_expected_at) {
             (true, _) => 0.0,
-            // An overdue load is expected to take as long again as it is late.
+            // An overdue load is expected to take as long again as it is already overdue.
             (_, Some(expected)) => to_secs(since(expected, self.now)).abs().max(REMAINING_LOAD_MIN_SECS),
             _ if self.now < replica.no_load_before => {
                 load_time_secs * (NO_ROOM_COST + comparison.remote_load_cost)
@@ -170,8 +175,9 @@
         }
     }
 
-    /// The workers in the order in which this router tries them: of those that serve the function, one in its own zone
-    /// or else one by a hash with its seed, so that routers spread over them; then on along the ring.
+    /// The workers in the order in which this router tries them: first those that serve the function, by zone
+    /// and then by a hash with the router's seed, so that routers spread over them; then the next ones along
+    /// the ring.
     fn candidates(&self, open: &OpenRequest, replica_count: usize) -> Vec<WorkerId> {
         let function = open.request.function;
         let could_have_run = open.attempts.iter().any(Attempt::could_have_run);
@@ -181,20 +187,20 @@
         };
         let serving = replica_count.min(candidates.len());
         let draw = |id: u64| hash_bits(self.hash_seed ^ hash_bits(function.0) ^ id);
-        // As many routers keep to their zone as its workers can serve; the rest use the others.
+        // Only as many routers prefer their own zone as its workers can serve; the rest prefer other zones.
         let is_local = |id: &WorkerId| {
             self.membership.workers.get(id).is_some_and(|worker| worker.entry.zone == self.settings.zone)
         };
         let local = candidates[..serving].iter().filter(|id| is_local(id)).count();
         let local_capacity = (local * self.membership.zone_count) as f64 / serving.max(1) as f64;
         let prefers_local = unit_interval(draw(0)) < local_capacity;
-        // The key is computed once for each: with many workers, look-ups at each comparison would dominate.
+        // Each key is computed once: with many workers, look-ups in each comparison would dominate the cost.
         candidates[..serving].sort_by_cached_key(|id| (is_local(id) != prefers_local, draw(id.0)));
         candidates
     }
 
-    /// The workers that may be tried at all, in the order of the ring. Where a key binds the request to the cell of an
-    /// earlier attempt, the workers of that cell follow, wherever they are on the ring.
+    /// Up to `CANDIDATES_MAX` workers in ring order. If an idempotency key binds the request to the cell of
+    /// an earlier attempt, the remaining workers of that cell are appended.
     fn widest_candidates(&self, open: &OpenRequest) -> Vec<WorkerId> {
         let mut candidates = self.ring_candidates(open.request.function, CANDIDATES_MAX);
         if candidates.len() < CANDIDATES_MAX {
@@ -208,7 +214,8 @@
         candidates
     }
 
-    /// The cell that the key of an attempt that could have run binds further ones to.
+    /// The cell that further attempts are bound to by the idempotency key, if an attempt could have run
+    /// there.
     fn bound_cell(&self, open: &OpenRequest) -> Option<CellId> {
         let Effect::IdempotentWithKey { group: Group::Cell, .. } = self.class(open).effect else {
             return None;
@@ -216,7 +223,7 @@
         open.attempts.iter().find(|attempt| attempt.could_have_run()).map(|attempt| attempt.cell)
     }
 
-    /// Whether an attempt at any of the workers that `accepts` allows cannot repeat an effect.
+    /// Whether an attempt is safe at one of the workers that `accepts` allows, as it cannot repeat an effect.
     pub(super) fn effect_allows_any(
         &self,
         open: &OpenRequest,
@@ -230,7 +237,7 @@
                 .filter_map(|id| Some((id, self.membership.workers.get(id)?)))
                 .any(|(id, w)| allows(id, w));
         }
-        // What is not bound to workers by a key is the same at all of them.
+        // Without a key the result is the same for all workers.
         let is_keyed = matches!(self.class(open).effect, Effect::IdempotentWithKey { .. });
         let mut workers = self.membership.workers.iter().filter(|(id, worker)| accepts(**id, worker));
         match is_keyed {
@@ -239,8 +246,9 @@
         }
     }
 
-    /// Whether the request may be sent to the worker now: by its attempts and deadline, the worker's state, repeated
-    /// effects and slow start.
+    /// Whether the request may be sent to the worker now, considering its attempts and deadline, the worker's
+    /// state, repeated effects and slow start. `reach` is the number of workers that the request may spill
+    /// over to.
     pub(super) fn can_send(&self, open: &OpenRequest, id: WorkerId, reach: usize) -> bool {
         let Some(worker) = self.membership.workers.get(&id) else { return false };
         let (limits, in_flight) = (&self.settings.limits, open.in_flight());
@@ -254,7 +262,7 @@
             && self.slow_start_allows(open, worker, reach)
     }
 
-    /// Whether another attempt at the worker cannot repeat an effect.
+    /// Whether an attempt at the worker is safe, as it cannot repeat an effect of earlier attempts.
     pub(super) fn effect_allows(&self, open: &OpenRequest, worker: &Worker) -> bool {
         let mut possible_runs = open.attempts.iter().filter(|attempt| attempt.could_have_run());
         match self.class(open).effect {
@@ -272,7 +280,7 @@
         }
     }
 
-    /// By how many requests a worker would exceed its bounded load; above 0 it is busy.
+    /// Number of requests by which the worker would exceed its bounded load; it is busy if this is above 0.
     fn requests_over_limit(&self, worker: &Worker, total_weight: f64) -> f64 {
         let fair_share =
             (self.requests.in_flight + 1) as f64 * self.weight(worker) * self.slow_start_factor(worker)
@@ -282,8 +290,9 @@
         ((worker.in_flight + 1) as f64 - limit.max(1.0)).max(0.0)
     }
 
-    /// Queue delay at a worker by its last report, in latency objectives: where requests wait, all its slots are in
-    /// use. A worker that has not answered a probe in time counts as one with a queue.
+    /// Queue delay at a worker according to its last report, in latency objectives. If requests wait, all
+    /// slots of the worker are in use. A worker that has not answered a probe in time is assumed to have a
+    /// queue.
     pub(super) fn queue_delay(&self, worker: &Worker) -> f64 {
         let is_unresponsive = worker.probe_sent_at.is_some_and(|sent| since(self.now, sent) >= PROBE_WAIT);
         let reported =
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start: a started worker warms up, and until then receives only what its present capacity can take.
+//! Slow start: a started worker warms up and meanwhile receives only as much work as its present capacity
+//! allows.
 
 use super::dispatch::OpenRequest;
 use super::membership::Worker;
@@ -7,52 +8,53 @@
 use crate::api::{Micros, WorkerId};
 use std::collections::BTreeMap;
 
-/// Fraction of the budget of a warming worker that is used; the rest is left for repeats by clients.
+/// Fraction of the budget of a warming worker that is used; the rest is reserved for repeats by clients.
 const BUDGET_FRACTION: f64 = 0.7;
 /// Scale of the probability that an attempt is admitted where a router's budget is less than one attempt, in
 /// units of a mean worker's load.
 const ADMISSION_SCALE: f64 = 0.12;
-/// Attempts and successes assumed before the first, so that a new router admits at its usual rate.
+/// Attempts and successes assumed before the first ones, so that a new router admits at its usual rate.
 const PRIOR_ATTEMPTS: f64 = 2.0;
-/// Age from which the offered load is summed up anew, in microseconds.
+/// Age from which on the offered load is recomputed.
 const OFFERED_LOAD_MAX_AGE: Micros = Micros(500_000);
-/// Lower bound of divisors.
+/// Lower bound of divisors, which avoids divisions by 0.
 const POSITIVE_MIN: f64 = 1e-9;
 
 /// The total weight of the workers, each reduced by its slow-start factor, as a linear function of time.
 ///
-/// Each factor is linear between the start of a worker and the end of its warm-up, and constant before and after, so their
-/// sum is linear until the next such moment. A sum over all workers for each event would dominate the cost of an event.
+/// Each factor is linear between the start of a worker and the end of its warm-up, and constant before and
+/// after. So the sum is linear until the next start or end of a warm-up. Summing over all workers for each
+/// event would dominate the cost of an event.
 #[derive(Default)]
 struct EffectiveWeight {
     summed_at: Micros,
     weight: f64,
-    /// Increase with each microsecond.
+    /// Increase per microsecond.
     slope: f64,
-    /// When the next worker starts or has warmed up; `None` if none will.
+    /// When the next worker starts or completes its warm-up; `None` if there is no such worker.
     valid_until: Option<Micros>,
 }
 
-/// Progress of the warm-up over all workers.
+/// Sums over all workers that slow start depends on.
 #[derive(Default)]
 pub(super) struct SlowStart {
-    /// `None` while it has to be summed up anew.
+    /// `None` if it has to be recomputed.
     effective_weight: Option<EffectiveWeight>,
-    /// Total weight, warm or not.
+    /// Total weight of all workers, warm or not.
     total_weight: f64,
-    /// When the offered load was last summed up.
+    /// When the offered load was last computed.
     offered_load_updated_at: Micros,
 }
 
 impl SlowStart {
-    /// Has the weights summed up anew, as workers or settings changed.
+    /// Discards the sums of weights after a change of workers or settings.
     pub(super) fn invalidate(&mut self) {
         self.effective_weight = None;
     }
 }
 
 impl Balancer {
-    /// Sums up the weights of the workers where that is due.
+    /// Recomputes the sums of weights if they are not valid any more.
     pub(super) fn refresh_weights(&mut self) {
         let is_valid = |sum: &EffectiveWeight| sum.valid_until.is_none_or(|until| self.now < until);
         if !self.slow_start.effective_weight.as_ref().is_some_and(is_valid) {
@@ -83,7 +85,8 @@
         sum
     }
 
-    /// The fraction of its capacity that a worker has at least, from 0 to 1; it grows linearly from its start.
+    /// Lower bound of the fraction of its capacity that a worker has, from 0 to 1; it grows linearly during
+    /// the warm-up.
     pub(super) fn slow_start_factor(&self, worker: &Worker) -> f64 {
         let Some(started_at) = worker.started_at else { return 1.0 };
         let (rules, age) = (&self.settings.rules, since(self.now, started_at).0.max(0) as f64);
@@ -98,14 +101,15 @@
         sum.weight + sum.slope * since(self.now, sum.summed_at).0 as f64
     }
 
-    /// Sums up the offered load if it is out of date.
+    /// Recomputes the offered load if it is out of date.
     pub(super) fn refresh_offered_load(&mut self) {
         if since(self.now, self.slow_start.offered_load_updated_at) > OFFERED_LOAD_MAX_AGE {
             self.update_offered_load();
         }
     }
 
-    /// Sums up the load that the ring assigns to each worker, over the functions this router knows.
+    /// Computes the load that the ring assigns to each worker, over the functions that this router tracks. It
+    /// is 0 for all if no worker is warming up.
     pub(super) fn update_offered_load(&mut self) {
         let mut offered: BTreeMap<WorkerId, f64> = BTreeMap::new();
         if self.membership.workers.values().any(|worker| self.slow_start_factor(worker) < 1.0) {
@@ -124,9 +128,9 @@
         self.slow_start.offered_load_updated_at = self.now;
     }
 
-    /// Whether a warming worker may be sent the request: within this router's share of the worker's budget, and
-    /// with some probability where that share is less than one attempt. `reach` is the number of workers that
-    /// the request may spill over to.
+    /// Whether slow start allows the request at the worker: always if the worker is warm, otherwise within
+    /// this router's share of the worker's budget, and with some probability if that share is less than one
+    /// attempt. `reach` is the number of workers that the request may spill over to.
     pub(super) fn slow_start_allows(&self, open: &OpenRequest, worker: &Worker, reach: usize) -> bool {
         let factor = self.slow_start_factor(worker);
         if factor >= 1.0 {
@@ -145,20 +149,20 @@
             && draw < probability.max(budget / self.class_work(open).max(1e-3))
     }
 
-    /// Work that this router may send the worker within the window of the rules, in seconds of work.
+    /// Work that this router may send to the worker within the overload window, in seconds of work.
     fn slow_start_budget(&self, worker: &Worker, total_weight: f64, factor: f64) -> f64 {
-        // Capacity is estimated from the work this router sees served: both sides are in one unit, and each router
-        // sees its share. It is divided by the weight of all workers, warm or not: after a restart of many the
-        // rate lags behind.
+        // Capacity is estimated from the work that was served for this router: both sides have the same unit,
+        // and each router sees its share. It is divided by the weight of all workers, warm or not, as the
+        // rate lags behind after a restart of many workers.
         let rules = &self.settings.rules;
         let rate = self.statistics.served_work.at(self.now, WORK_WINDOW_SECS) / WORK_WINDOW_SECS;
         let capacity = rate * self.weight(worker) / total_weight.max(POSITIVE_MIN) * factor;
         BUDGET_FRACTION * rules.overload_multiple * capacity * to_secs(rules.overload_window)
     }
 
-    /// Probability of admission that reduces what all routers together send the worker to what it can take: higher
-    /// where most workers are warming up or attempts fail, lower for requests that spill over, as an idle worker
-    /// attracts them all.
+    /// Probability of admission that limits the work sent by all routers together to the worker's capacity.
+    /// It is lower if most workers are warming up, if attempts fail, and for requests that may spill over to
+    /// many workers, as an idle worker attracts them all.
     fn slow_start_probability(&self, worker: &Worker, total_weight: f64, factor: f64, reach: usize) -> f64 {
         let effective_weight = self.effective_weight();
         let mean_load = factor * total_weight / effective_weight.max(POSITIVE_MIN);
--- a/src/balancer/statistics.rs
+++ b/src/balancer/statistics.rs
@@ -1,22 +1,23 @@
-//! Decaying counters, running means, hashing and conversions of time; what this router counts of its traffic.
+//! Decaying counters, running means, hashing, time conversions, and the traffic statistics of this router.
 
 use crate::api::{Micros, Settings};
 
-/// Window of the shares of functions, attempts and successes, in seconds: long enough for stable shares.
+/// Window of the counters of requests, attempts and successes, in seconds: long enough for stable shares.
 pub(super) const SHARE_WINDOW_SECS: f64 = 20.0;
-/// Window of the work served, in seconds: capacity estimates have to follow a restart of the fleet.
+/// Window of the work served, in seconds: short enough that capacity estimates follow a restart of the fleet.
 pub(super) const WORK_WINDOW_SECS: f64 = 4.0;
-/// Window of the response rate, in seconds: admission has to react within about one latency objective.
+/// Window of the response rate, in seconds: short enough that admission reacts within about one latency
+/// objective.
 pub(super) const RESPONSE_RATE_WINDOW_SECS: f64 = 1.0;
-/// Shortest latency that is learned from, in seconds; keeps ratios finite.
+/// Lower limit of latencies in running means, in seconds; keeps ratios finite.
 pub(super) const LATENCY_MIN_SECS: f64 = 1e-4;
 /// Weight of one request in the mean work of its class.
 pub(super) const WORK_LEARNING_RATE: f64 = 0.02;
-/// Longest work that a request's hint may state, in seconds.
+/// Upper limit of the work hint of a request, in seconds.
 pub(super) const WORK_HINT_MAX_SECS: f64 = 60.0;
 /// Mean work of a class that is not in the settings, in seconds.
 pub(super) const WORK_DEFAULT_SECS: f64 = 0.1;
-/// The mean work of a class is first taken to be its latency objective divided by this.
+/// The initial mean work of a class is its latency objective divided by this.
 const INITIAL_WORK_DIVISOR: f64 = 6.0;
 
 /// Hashes 64 bits to 64 bits (the finaliser of splitmix64), identically on every router and in every build.
@@ -27,7 +28,7 @@
     bits ^ (bits >> 31)
 }
 
-/// Maps a hash to the interval from 0 to 1.
+/// Maps a hash to the closed interval from 0 to 1.
 pub(super) fn unit_interval(hash: u64) -> f64 {
     hash as f64 / u64::MAX as f64
 }
@@ -42,7 +43,7 @@
     Micros((secs * 1e6) as i64)
 }
 
-/// The time from `earlier` to `later`, negative if they are the other way round; saturating.
+/// The time from `earlier` to `later`, negative if they are swapped; saturating.
 pub(super) fn since(later: Micros, earlier: Micros) -> Micros {
     Micros(later.0.saturating_sub(earlier.0))
 }
@@ -52,7 +53,7 @@
     Micros(start.0.saturating_add(delay.0))
 }
 
-/// A length of time multiplied by a whole number.
+/// A duration multiplied by a whole number.
 pub(super) const fn multiplied(time: Micros, factor: i64) -> Micros {
     Micros(time.0 * factor)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! Routing decisions before workers that keep only some of many functions loaded.
+//! A load balancer for workers that each keep only some of many functions loaded.
 //!
-//! The library does no input or output. A router passes each event to [`Balancer::handle`] and executes the
+//! The library performs no I/O. A router passes each event to [`Balancer::handle`] and executes the
 //! [`Action`]s that it returns:
 //!
 //! ```
@@ -17,8 +17,8 @@
 //! balancer.handle(Micros(0), Event::WorkersListed(Listing { scope: Scope::Full, entries: vec![worker] }), &mut actions);
 //! let request = Request { id: RequestId(1), function: FunctionId(9), ..Request::default() };
 //! balancer.handle(Micros(1_000), Event::Request(request), &mut actions);
-//! // There was no contact with the worker yet, so it is probed first; then a load of the function is requested, and
-//! // the call follows a moment later. Each step ends in a timer.
+//! // The router has had no contact with the worker, so it probes the worker first, then requests a load of the
+//! // function and sends the call shortly after. Each step ends in a timer.
 //! for ms in 1..15 {
 //!     let now = Micros(1_000 + ms * 4_000);
 //!     let due: Vec<u64> = actions
