--- a/adapter/src/commands.rs
+++ b/adapter/src/commands.rs
@@ -1,16 +1,16 @@
-//! Actions of the load balancer, encoded as commands of the wire.
+//! Encodes actions of the load balancer as commands of the simulator's wire protocol.
 
 use crate::requests::RequestTable;
 use serde_json::{json, Value};
 use slatevalve::{Action, Micros};
 
-/// The wire's unit of time: milliseconds with fractions.
+/// Converts a time to the wire's unit: milliseconds with fractions.
 fn millis(time: Micros) -> f64 {
     time.0 as f64 / 1000.0
 }
 
-/// Encodes an action of `instance` and notes in `requests` what it sends and completes; `None` where the action is about
-/// a request that is over.
+/// Encodes an action of `instance` and records in `requests` the attempts sent and requests completed.
+/// Returns `None` if the action concerns a request that has been removed.
 pub(crate) fn encode(instance: &str, action: Action, requests: &mut RequestTable) -> Option<Value> {
     Some(match action {
         Action::Send { id, worker, timeout } => {
--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -1,25 +1,25 @@
-//! Errors that end the process.
+//! Errors that terminate the process.
 
 use slatevalve_site_config::FieldError;
 use std::error::Error;
 use std::{fmt, io};
 
-/// Why the process ends.
+/// An error that terminates the process.
 #[derive(Debug)]
 pub(crate) enum AdapterError {
     /// The standard input cannot be read.
     Input(io::Error),
     /// The standard output cannot be written.
     Output(io::Error),
-    /// A batch cannot be read.
+    /// A batch cannot be decoded.
     Batch(BatchError),
 }
 
 impl fmt::Display for AdapterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AdapterError::Input(e) => write!(f, "input: {e}"),
-            AdapterError::Output(e) => write!(f, "output: {e}"),
+            AdapterError::Input(e) => write!(f, "cannot read batches from the standard input: {e}"),
+            AdapterError::Output(e) => write!(f, "cannot write replies to the standard output: {e}"),
             AdapterError::Batch(e) => e.fmt(f),
         }
     }
@@ -40,29 +40,22 @@
     }
 }
 
-/// Why a batch cannot be read.
+/// Why a batch cannot be decoded.
 #[derive(Debug)]
 pub(crate) enum BatchError {
-    /// It is not JSON.
+    /// The line is not JSON.
     Json(serde_json::Error),
-    /// Its number cannot be read.
+    /// The number of the batch is missing or invalid.
     Number(FieldError),
-    /// Another of its own fields cannot be read.
-    Field {
-        /// The number of the batch.
-        batch: u64,
-        /// The field's error.
-        error: FieldError,
-    },
-    /// An event cannot be read.
+    /// Another field of the batch itself is missing or invalid.
+    Field { batch: u64, error: FieldError },
+    /// An event of the batch cannot be handled.
     Event {
-        /// The number of the batch.
         batch: u64,
-        /// The event's index in the batch, from 0.
+        /// Index of the event in the batch, from 0.
         index: usize,
-        /// The event's kind, where it could be read.
+        /// `None` if the field that names the kind is missing or invalid.
         kind: Option<String>,
-        /// The event's error.
         error: EventError,
     },
 }
@@ -70,7 +63,7 @@
 impl fmt::Display for BatchError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BatchError::Json(e) => write!(f, "batch: not JSON: {e}"),
+            BatchError::Json(e) => write!(f, "batch: the line is not valid JSON: {e}"),
             BatchError::Number(e) => write!(f, "batch: {e}"),
             BatchError::Field { batch, error } => write!(f, "batch {batch}: {error}"),
             BatchError::Event { batch, index, kind: None, error } => {
@@ -98,9 +91,9 @@
 pub(crate) enum EventError {
     /// A field is missing or invalid.
     Field(FieldError),
-    /// The event names a worker list that was not sent.
+    /// The event refers to a worker list that no earlier event contained.
     UnknownPage(u64),
-    /// The event names an instance that is not running.
+    /// The event is addressed to an instance that is not running.
     UnknownInstance(String),
 }
 
@@ -108,9 +101,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             EventError::Field(e) => e.fmt(f),
-            EventError::UnknownPage(page) => write!(f, "field 'page': no list {page} was given"),
+            EventError::UnknownPage(page) => write!(f, "field 'page': worker list {page} was not received"),
             EventError::UnknownInstance(instance) => {
-                write!(f, "field 'i': no instance '{instance}' is running")
+                write!(f, "field 'i': instance '{instance}' is not running")
             }
         }
     }
--- a/adapter/src/events.rs
+++ b/adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Events of the wire, decoded into events of the load balancer.
+//! Decodes events of the simulator's wire protocol into events of the load balancer.
 
 use crate::error::EventError;
 use crate::requests::RequestTable;
@@ -14,15 +14,15 @@
 use slatevalve_site_config::{FieldError, Names};
 use std::collections::BTreeMap;
 
-/// The numbered worker lists that all instances share.
+/// Worker lists by number, shared by all instances.
 pub(crate) type WorkerLists = BTreeMap<u64, Vec<Value>>;
 
-/// The field `remark` of an answer is the queue depth times this, plus a code.
+/// The field `remark` of an answer is the queue depth times this, plus a code below it.
 const REMARK_CODES: u64 = 8;
-/// The code in `remark` of an answer whose load failed.
+/// The code in `remark` of an answer whose function could not be loaded.
 const REMARK_LOAD_FAILED: u64 = 4;
 
-/// What an instance needs to decode its events.
+/// Decodes the events of one instance.
 pub(crate) struct Decoder<'a> {
     pub names: &'a Names,
     pub requests: &'a mut RequestTable,
@@ -30,7 +30,8 @@
 }
 
 impl Decoder<'_> {
-    /// Decodes an event; `None` for one of an unknown kind or about a request that is over.
+    /// Decodes an event. Returns `None` if its kind is unknown or it concerns a request that has been
+    /// removed.
     pub(crate) fn decode(&mut self, kind: &str, event: &JsonObject) -> Result<Option<Event>, EventError> {
         let event = match kind {
             "Knock" => self.request(event)?,
@@ -153,11 +154,11 @@
 fn report(event: &JsonObject) -> Result<Option<Report>, FieldError> {
     let Some(value) = optional(event, "server_stats") else { return Ok(None) };
     let stats = object(value, "server_stats")?;
-    let figure = |name| optional(stats, name).map(|_| number(stats, name)).transpose();
+    let value_of = |name| optional(stats, name).map(|_| number(stats, name)).transpose();
     Ok(Some(Report {
-        queue: figure("backlog")?,
-        inflight: figure("outstanding")?,
-        util: figure("utilization")?,
+        queue: value_of("backlog")?,
+        inflight: value_of("outstanding")?,
+        util: value_of("utilization")?,
     }))
 }
 
--- a/adapter/src/hub.rs
+++ b/adapter/src/hub.rs
@@ -1,4 +1,4 @@
-//! Batches of events, dispatched to the instances of this process.
+//! Dispatches batches of events to the instances of this process.
 
 use crate::error::{BatchError, EventError};
 use crate::events::WorkerLists;
@@ -19,7 +19,7 @@
     /// Handles one batch and returns the reply, a line of JSON.
     ///
     /// # Errors
-    /// Names the first field or event that cannot be read.
+    /// Identifies the first field or event that cannot be decoded.
     pub(crate) fn handle_batch(&mut self, line: &str) -> Result<String, BatchError> {
         let value: Value = serde_json::from_str(line).map_err(BatchError::Json)?;
         let batch = object(&value, "batch").map_err(BatchError::Number)?;
@@ -61,7 +61,7 @@
             }
             "Exit" => {
                 self.instances.remove(name);
-                // An instance that was killed must not act: its commands in this batch are void.
+                // A stopped instance must not act any more: its commands in this batch are discarded.
                 commands.retain(|command| command["i"] != name);
             }
             _ => {
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One running instance: a load balancer with the names and requests that it knows by ids.
+//! One running instance: a load balancer with the mapping between its ids and the names on the wire.
 
 use crate::commands;
 use crate::error::EventError;
@@ -10,16 +10,17 @@
 use slatevalve_site_config::{FieldError, Names, SiteConfig};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// One running instance.
+/// A load balancer with the mapping between its ids and the names on the wire.
 pub(crate) struct Instance {
     balancer: Balancer,
     names: Names,
     requests: RequestTable,
 }
 
-/// What an event ends. It is applied after the load balancer handled the event, as its actions still name the request.
-enum Ended {
-    /// An attempt and, where `last` is set, its request.
+/// What an event completes. It is removed after the load balancer handled the event, as the resulting actions
+/// may still refer to the request.
+enum Completed {
+    /// An attempt and, if `last` is set, its request.
     Attempt {
         id: RequestId,
         last: bool,
@@ -28,21 +29,21 @@
     Nothing,
 }
 
-impl From<&Event> for Ended {
+impl From<&Event> for Completed {
     fn from(event: &Event) -> Self {
         match event {
-            Event::Answer(answer) => Ended::Attempt { id: answer.id, last: answer.closed },
-            Event::ClientDisconnected { id } => Ended::Request(*id),
-            _ => Ended::Nothing,
+            Event::Answer(answer) => Completed::Attempt { id: answer.id, last: answer.closed },
+            Event::ClientDisconnected { id } => Completed::Request(*id),
+            _ => Completed::Nothing,
         }
     }
 }
 
 impl Instance {
-    /// An instance as the event `PowerOn` describes it.
+    /// Creates an instance from a `PowerOn` event.
     ///
     /// # Errors
-    /// Names the first field that is missing or invalid.
+    /// Identifies the first field that is missing or invalid.
     pub(crate) fn new(event: &JsonObject) -> Result<Self, FieldError> {
         let seed = unsigned(event, "random_seed")?;
         let site = SiteConfig::read(object(field(event, "settings")?, "settings")?)?;
@@ -50,11 +51,11 @@
         Ok(Instance { balancer, names: site.names, requests: RequestTable::default() })
     }
 
-    /// Handles an event of the instance `name` and appends the commands that follow from it. A panic of the load balancer
-    /// becomes the command `Die`.
+    /// Handles an event of the instance `name` and appends the resulting commands. A panic of the load
+    /// balancer is reported with the command `Die`.
     ///
     /// # Errors
-    /// Where the event cannot be read.
+    /// Fails if the event cannot be decoded.
     pub(crate) fn handle(
         &mut self,
         now: Micros,
@@ -66,7 +67,7 @@
     ) -> Result<(), EventError> {
         let mut decoder = Decoder { names: &self.names, requests: &mut self.requests, lists };
         let Some(event) = decoder.decode(kind, event)? else { return Ok(()) };
-        let ended = Ended::from(&event);
+        let completed = Completed::from(&event);
         let mut actions = Vec::new();
         let handle = AssertUnwindSafe(|| self.balancer.handle(now, event, &mut actions));
         if catch_unwind(handle).is_err() {
@@ -76,20 +77,20 @@
         for action in actions {
             commands.extend(commands::encode(name, action, &mut self.requests));
         }
-        self.end(&ended);
+        self.remove_completed(&completed);
         Ok(())
     }
 
-    fn end(&mut self, ended: &Ended) {
-        match *ended {
-            Ended::Attempt { id, last } => {
+    fn remove_completed(&mut self, completed: &Completed) {
+        match *completed {
+            Completed::Attempt { id, last } => {
                 self.requests.attempt_completed(id);
                 if last {
                     self.requests.completed(id);
                 }
             }
-            Ended::Request(id) => self.requests.completed(id),
-            Ended::Nothing => {}
+            Completed::Request(id) => self.requests.completed(id),
+            Completed::Nothing => {}
         }
     }
 }
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,7 +1,9 @@
-//! The adapter: runs the load balancer on the wire of the operators' bench, which it translates without decisions of its own.
+//! Connects the load balancer to the operators' simulator. The adapter translates the simulator's wire
+//! protocol and makes no decisions of its own.
 //!
-//! The wire is one JSON object a line: batches of events on the standard input, one reply with commands for each on the
-//! standard output. The process ends with an error at the first line that cannot be read.
+//! The protocol has one JSON object per line: batches of events on the standard input, and for each batch one
+//! reply with commands on the standard output. The process exits with an error at the first line that cannot
+//! be decoded.
 #![forbid(unsafe_code)]
 
 mod commands;
@@ -17,11 +19,11 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // A panic of the load balancer is reported on the wire; the default message would only repeat it.
+    // A panic of the load balancer is reported on the wire; the default message would only duplicate it.
     std::panic::set_hook(Box::new(|_| {}));
     match run(io::stdin().lock(), io::BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        // The reader of the replies has gone: nobody is left to report to.
+        // The reader of the replies has closed the pipe, so the error is not reported.
         Err(AdapterError::Output(_)) => ExitCode::FAILURE,
         Err(e) => {
             eprintln!("slatevalve-adapter: {e}");
@@ -30,7 +32,7 @@
     }
 }
 
-/// Replies to each batch of `input` until it ends.
+/// Replies to each batch of `input` until its end.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut hub = Hub::default();
     for line in input.lines() {
--- a/adapter/src/requests.rs
+++ b/adapter/src/requests.rs
@@ -1,14 +1,14 @@
-//! The requests of one instance: their names on the wire and their ids in the load balancer.
+//! Maps the requests of one instance between their names on the wire and their ids in the load balancer.
 
 use slatevalve::RequestId;
 use std::collections::HashMap;
 
-/// A request, kept while it or one of its attempts is open.
+/// A request that is not completed or has attempts in flight.
 struct OpenRequest {
     name: String,
-    /// Attempts that were sent and have not ended.
+    /// Number of attempts in flight.
     attempts: usize,
-    /// Whether the request has its final answer or lost its client.
+    /// Whether the request has its final answer or its client disconnected.
     completed: bool,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl RequestTable {
-    /// The id that [`RequestTable::insert`] gives next.
+    /// The id that the next [`RequestTable::insert`] assigns.
     pub(crate) fn next_id(&self) -> RequestId {
         RequestId(self.next_id)
     }
@@ -49,32 +49,33 @@
         self.open.get(&id).map(|request| request.name.as_str())
     }
 
-    /// Notes that an attempt was sent.
+    /// Records that an attempt was sent.
     pub(crate) fn attempt_sent(&mut self, id: RequestId) {
         if let Some(request) = self.open.get_mut(&id) {
             request.attempts += 1;
         }
     }
 
-    /// Notes that an attempt ended.
+    /// Records that an attempt ended; removes the request if it is completed and this was its last attempt.
     pub(crate) fn attempt_completed(&mut self, id: RequestId) {
         if let Some(request) = self.open.get_mut(&id) {
             request.attempts = request.attempts.saturating_sub(1);
-            self.remove_if_over(id);
+            self.remove_if_finished(id);
         }
     }
 
-    /// Notes that a request has its final answer or lost its client.
+    /// Records that a request has its final answer or its client disconnected; it is removed once no attempt
+    /// is in flight.
     pub(crate) fn completed(&mut self, id: RequestId) {
         if let Some(request) = self.open.get_mut(&id) {
             request.completed = true;
-            self.remove_if_over(id);
+            self.remove_if_finished(id);
         }
     }
 
-    fn remove_if_over(&mut self, id: RequestId) {
-        let is_over = |request: &OpenRequest| request.completed && request.attempts == 0;
-        if self.open.get(&id).is_some_and(is_over) {
+    fn remove_if_finished(&mut self, id: RequestId) {
+        let is_finished = |request: &OpenRequest| request.completed && request.attempts == 0;
+        if self.open.get(&id).is_some_and(is_finished) {
             if let Some(request) = self.open.remove(&id) {
                 self.ids.remove(&request.name);
             }
--- a/adapter/tests/platform.rs
+++ b/adapter/tests/platform.rs
@@ -1,7 +1,8 @@
-//! One story told on the simulator's wire and on the platform's sockets: the module is told the same and wants the same.
+//! Runs one scenario over the simulator's wire protocol and over the platform's protocols: the load balancer
+//! must return the same actions.
 //!
-//! It guards against a router on sockets that decides otherwise than the one that was measured. The platform's side is
-//! its front and the engine, as the gateway runs them, without sockets.
+//! Guards against a router on real sockets that decides differently from the simulated one. The platform's
+//! side consists of its front end and the engine, as the gateway runs them, without sockets.
 
 use rmp::encode;
 use serde_json::{json, Value};
@@ -28,11 +29,11 @@
         "weight_kind": "nominal"})
 }
 
-/// What happens, in the order of time (milliseconds).
+/// An event of the scenario; workers are given by index.
 enum ScriptedEvent {
     List(Vec<(&'static str, WorkerState)>),
     Call { id: &'static str, class: usize, function: &'static str },
-    Ends { id: &'static str, attempt: usize, outcome: Outcome, queue_depth: u64 },
+    AttemptCompleted { id: &'static str, attempt: usize, outcome: Outcome, queue_depth: u64 },
     Probed { worker: usize, queue: f64 },
     Loaded { worker: usize, function: &'static str, outcome: Outcome },
     ClientDisconnected { id: &'static str },
@@ -45,46 +46,48 @@
     format!("{:016x}", id.parse::<u64>().unwrap())
 }
 
-/// A story in which each kind of event comes; workers are numbered as the sides' own sends and orders name them.
-fn story() -> Vec<(f64, ScriptedEvent)> {
+/// A scenario with each kind of event, by time in milliseconds.
+fn scenario() -> Vec<(f64, ScriptedEvent)> {
     use ScriptedEvent::*;
     let ready = WorkerState::Ready;
     let [f, g] = FUNCTIONS;
-    let mut story = vec![(10.0, List(vec![("w1", ready), ("w2", ready), ("w3", ready)]))];
-    story.push((20.0, Call { id: "1", class: 0, function: f }));
-    story.push((21.0, Call { id: "2", class: 2, function: g }));
+    let mut scenario = vec![(10.0, List(vec![("w1", ready), ("w2", ready), ("w3", ready)]))];
+    scenario.push((20.0, Call { id: "1", class: 0, function: f }));
+    scenario.push((21.0, Call { id: "2", class: 2, function: g }));
     for worker in 0..3 {
-        story.push((22.0, Probed { worker, queue: worker as f64 }));
+        scenario.push((22.0, Probed { worker, queue: worker as f64 }));
     }
     for worker in 0..3 {
-        story.push((300.0, Loaded { worker, function: f, outcome: Outcome::Ok }));
-        story.push((310.0, Loaded { worker, function: g, outcome: Outcome::Full }));
+        scenario.push((300.0, Loaded { worker, function: f, outcome: Outcome::Ok }));
+        scenario.push((310.0, Loaded { worker, function: g, outcome: Outcome::Full }));
     }
-    story.push((400.0, Ends { id: "1", attempt: 0, outcome: Outcome::Ok, queue_depth: 2 }));
-    story.push((410.0, Ends { id: "2", attempt: 0, outcome: Outcome::Full, queue_depth: 1 }));
-    story.push((420.0, Call { id: "3", class: 1, function: f }));
-    story.push((425.0, Call { id: "4", class: 0, function: g }));
-    story.push((500.0, List(vec![("w2", WorkerState::Draining)])));
-    story.push((510.0, Ends { id: "3", attempt: 0, outcome: Outcome::Reset, queue_depth: 0 }));
-    story.push((530.0, ClientDisconnected { id: "4" }));
-    story.push((560.0, Ends { id: "2", attempt: 1, outcome: Outcome::Ok, queue_depth: 0 }));
+    scenario.push((400.0, AttemptCompleted { id: "1", attempt: 0, outcome: Outcome::Ok, queue_depth: 2 }));
+    scenario.push((410.0, AttemptCompleted { id: "2", attempt: 0, outcome: Outcome::Full, queue_depth: 1 }));
+    scenario.push((420.0, Call { id: "3", class: 1, function: f }));
+    scenario.push((425.0, Call { id: "4", class: 0, function: g }));
+    scenario.push((500.0, List(vec![("w2", WorkerState::Draining)])));
+    scenario.push((510.0, AttemptCompleted { id: "3", attempt: 0, outcome: Outcome::Reset, queue_depth: 0 }));
+    scenario.push((530.0, ClientDisconnected { id: "4" }));
+    scenario.push((560.0, AttemptCompleted { id: "2", attempt: 1, outcome: Outcome::Ok, queue_depth: 0 }));
     for n in 0..30 {
-        story.push((
+        scenario.push((
             600.0 + 7.0 * n as f64,
             Call { id: ["10", "11", "12"][n % 3], class: n % 3, function: f },
         ));
     }
-    story
+    scenario
 }
 
-/// What the module wanted, in plain words, by time: sends, orders, probes, cancels and final words.
-type Wanted = Vec<(i64, String)>;
+/// The actions of the load balancer as text, by time in microseconds: sends, load requests, probes,
+/// cancellations and final answers.
+type ActionLog = Vec<(i64, String)>;
 
-/// A side of the story: takes what happens, and gives the workers in the order in which it first named them.
-trait Way {
-    fn until(&mut self, at: f64);
-    fn happens(&mut self, at: f64, what: &ScriptedEvent);
-    fn wanted(&self) -> &Wanted;
+/// A way to deliver the events of the scenario to a load balancer; times are in milliseconds.
+trait Transport {
+    /// Handles all timers due up to `at`.
+    fn advance(&mut self, at: f64);
+    fn deliver(&mut self, at: f64, event: &ScriptedEvent);
+    fn actions(&self) -> &ActionLog;
 }
 
 fn name_of(worker: u64) -> String {
@@ -92,14 +95,15 @@
     names.iter().find(|n| worker_id(n).0 == worker).map_or("?".into(), |n| n.to_string())
 }
 
-/// The simulator's wire: the adapter as a child, one batch a line.
+/// The simulator's wire protocol, with the adapter as a child process.
 struct Simulator {
     child: std::process::Child,
     input: std::process::ChildStdin,
     output: std::io::BufReader<std::process::ChildStdout>,
     batch: u64,
+    /// Expiry times and tokens of the pending timers.
     due: Vec<(f64, u64)>,
-    wanted: Wanted,
+    actions: ActionLog,
 }
 
 impl Simulator {
@@ -111,12 +115,16 @@
             .expect("the adapter starts");
         let (input, output) = (child.stdin.take().unwrap(), child.stdout.take().unwrap());
         let output = std::io::BufReader::new(output);
-        let mut way = Simulator { child, input, output, batch: 0, due: Vec::new(), wanted: Vec::new() };
-        way.tell(1.0, vec![json!({"m": "PowerOn", "i": "r", "random_seed": seed, "settings": settings()})]);
-        way
+        let mut simulator =
+            Simulator { child, input, output, batch: 0, due: Vec::new(), actions: Vec::new() };
+        simulator.send_batch(
+            1.0,
+            vec![json!({"m": "PowerOn", "i": "r", "random_seed": seed, "settings": settings()})],
+        );
+        simulator
     }
 
-    fn tell(&mut self, at: f64, arrivals: Vec<Value>) {
+    fn send_batch(&mut self, at: f64, arrivals: Vec<Value>) {
         self.batch += 1;
         let line = json!({"batch": self.batch, "at_time": at, "arrivals": arrivals}).to_string();
         writeln!(self.input, "{line}").unwrap();
@@ -127,7 +135,7 @@
             let worker = || name_of(c["worker"].as_u64().unwrap_or(0));
             let id = || c["id"].as_str().unwrap_or_default();
             let app = || c["app"].as_u64().unwrap_or(0);
-            let words = match c["m"].as_str().unwrap() {
+            let action = match c["m"].as_str().unwrap() {
                 "Deliver" => format!("send {} {}", id(), worker()),
                 "Recall" => format!("cancel {} {}", id(), c["try"]),
                 "Shed" => format!("refuse {}", id()),
@@ -141,32 +149,32 @@
                 }
                 other => panic!("{other}"),
             };
-            self.wanted.push(((at * 1000.0) as i64, words));
+            self.actions.push(((at * 1000.0) as i64, action));
         }
     }
 }
 
-impl Way for Simulator {
-    fn until(&mut self, at: f64) {
+impl Transport for Simulator {
+    fn advance(&mut self, at: f64) {
         loop {
             let next = self.due.iter().enumerate().min_by(|a, b| a.1 .0.total_cmp(&b.1 .0));
             let Some((place, (when, token))) = next.map(|(n, d)| (n, *d)).filter(|(_, d)| d.0 <= at) else {
                 return;
             };
             self.due.remove(place);
-            self.tell(when, vec![json!({"m": "Reminder", "i": "r", "key_back": token})]);
+            self.send_batch(when, vec![json!({"m": "Reminder", "i": "r", "key_back": token})]);
         }
     }
 
-    fn happens(&mut self, at: f64, what: &ScriptedEvent) {
+    fn deliver(&mut self, at: f64, event: &ScriptedEvent) {
         let number = |n: &usize| worker_id(["w1", "w2", "w3"][*n]).0;
         let rc = |o: &Outcome| match o {
             Outcome::Ok => "GOOD",
             Outcome::Full => "FULL",
             Outcome::Reset => "RST",
-            _ => panic!("not in the story"),
+            o => panic!("outcome {o:?} does not occur in the scenario"),
         };
-        let events = match what {
+        let events = match event {
             ScriptedEvent::List(lines) => {
                 let scope = if lines.len() == 3 { "all" } else { "changes" };
                 let line = |(name, state): &(&str, WorkerState)| {
@@ -183,10 +191,10 @@
             ScriptedEvent::Call { id, class, function } => vec![json!({"m": "Knock", "i": "r", "id": id,
                 "budget": 2000.0, "kind": CLASSES[*class], "app": function_id(function).0, "at_once": 2,
                 "warm_ms": 300, "memory_mb": 400})],
-            ScriptedEvent::Ends { id, attempt, outcome, queue_depth } => {
-                let wanted = self.wanted.iter().filter(|w| w.1.starts_with(&format!("send {id} ")));
-                let Some((sent, words)) = wanted.clone().nth(*attempt) else { return };
-                let worker = words.rsplit(' ').next().unwrap();
+            ScriptedEvent::AttemptCompleted { id, attempt, outcome, queue_depth } => {
+                let sends = self.actions.iter().filter(|action| action.1.starts_with(&format!("send {id} ")));
+                let Some((sent, action)) = sends.clone().nth(*attempt) else { return };
+                let worker = action.rsplit(' ').next().unwrap();
                 vec![json!({"m": "Answer", "i": "r", "id": id, "worker": worker_id(worker).0,
                     "rc": rc(outcome), "try": attempt, "lag": at - *sent as f64 / 1000.0,
                     "no_more": *outcome == Outcome::Ok, "remark": queue_depth * 8})]
@@ -198,11 +206,11 @@
                 "lag": 250.0})],
             ScriptedEvent::ClientDisconnected { id } => vec![json!({"m": "Vanished", "i": "r", "id": id})],
         };
-        self.tell(at, events);
+        self.send_batch(at, events);
     }
 
-    fn wanted(&self) -> &Wanted {
-        &self.wanted
+    fn actions(&self) -> &ActionLog {
+        &self.actions
     }
 }
 
@@ -213,15 +221,15 @@
     }
 }
 
-/// The platform's way: a client's bytes into the front, calls into the engine.
+/// The platform's protocols: bytes of a client go to the front end, its calls to the engine.
 struct Platform {
     front: Front,
     engine: Engine,
-    /// Requests by the client's own id, in the engine's count.
+    /// The engine's request number and the client's message number, by the id in the scenario.
     ids: HashMap<String, (u64, u32)>,
-    number: u32,
+    last_message: u32,
     now: Micros,
-    wanted: Wanted,
+    actions: ActionLog,
 }
 
 impl Platform {
@@ -238,17 +246,17 @@
         });
         let mut front = Front::new(FrontSettings { classes, connections: 4 });
         front.opened(Micros(0), LinkId(1), &mut Vec::new());
-        let (ids, wanted) = (HashMap::new(), Vec::new());
-        Platform { front, engine, ids, number: 0, now: Micros(0), wanted }
+        let (ids, actions) = (HashMap::new(), Vec::new());
+        Platform { front, engine, ids, last_message: 0, now: Micros(0), actions }
     }
 
     fn id(&self, request: u64) -> String {
         self.ids.iter().find(|(_, n)| n.0 == request).map_or("?".into(), |(id, _)| id.clone())
     }
 
-    fn take(&mut self, out: Vec<Output>) {
+    fn record(&mut self, out: Vec<Output>) {
         for output in out {
-            let words = match output {
+            let action = match output {
                 Output::Send { attempt, worker, .. } => {
                     format!("send {} {}", self.id(attempt.request.0), name_of(worker.0))
                 }
@@ -269,34 +277,34 @@
                         _ => continue,
                     }
                 }
-                // Deadlines are the simulator's own on the other side, and come as outcomes there.
+                // The simulator applies deadlines itself and reports them as outcomes.
                 Output::Expire(_) => continue,
-                // What has not left is kept back whatever the module says: no decision of its.
+                // Holds back what was not sent yet, independently of the load balancer's decisions.
                 Output::CancelUnsent(_) => continue,
                 other => panic!("{other:?}"),
             };
-            self.wanted.push((self.now.0, words));
+            self.actions.push((self.now.0, action));
         }
     }
 
-    fn bytes(&mut self, bytes: &[u8]) {
-        let (mut out, mut wanted) = (Vec::new(), Vec::new());
+    fn receive(&mut self, bytes: &[u8]) {
+        let (mut out, mut engine_out) = (Vec::new(), Vec::new());
         self.front.received(self.now, LinkId(1), bytes, true, &mut out);
         for output in out {
             match output {
-                FrontOutput::Call(call) => self.engine.call(self.now, *call, &mut wanted),
+                FrontOutput::Call(call) => self.engine.call(self.now, *call, &mut engine_out),
                 FrontOutput::ClientDisconnected(ticket) => {
-                    self.engine.client_disconnected(self.now, ticket, &mut wanted)
+                    self.engine.client_disconnected(self.now, ticket, &mut engine_out)
                 }
                 other => panic!("{other:?}"),
             }
         }
-        self.take(wanted);
+        self.record(engine_out);
     }
 
-    fn request(&mut self, id: &str, class: usize, function: &str) -> Vec<u8> {
-        self.number += 1;
-        self.ids.insert(id.into(), (self.ids.len() as u64 + 1, self.number));
+    fn encode_request(&mut self, id: &str, class: usize, function: &str) -> Vec<u8> {
+        self.last_message += 1;
+        self.ids.insert(id.into(), (self.ids.len() as u64 + 1, self.last_message));
         let (req, key) = (request_id(id), "ab".to_string());
         let mut fields = vec![("req", &*req), ("timeout", "2000"), ("subject", function)];
         fields.push(("info", "memory_mb:400;lanes:2;load_ms:300"));
@@ -306,7 +314,7 @@
         let mut out = Vec::new();
         encode::write_array_len(&mut out, 4).unwrap();
         encode::write_uint(&mut out, 0).unwrap();
-        encode::write_uint(&mut out, u64::from(self.number)).unwrap();
+        encode::write_uint(&mut out, u64::from(self.last_message)).unwrap();
         encode::write_str(&mut out, CLASSES[class]).unwrap();
         encode::write_array_len(&mut out, 2).unwrap();
         encode::write_map_len(&mut out, fields.len() as u32).unwrap();
@@ -319,22 +327,22 @@
     }
 }
 
-impl Way for Platform {
-    fn until(&mut self, at: f64) {
+impl Transport for Platform {
+    fn advance(&mut self, at: f64) {
         let at = Micros((at * 1000.0) as i64);
         while let Some(when) = self.engine.next_wake().filter(|w| *w <= at) {
             self.now = self.now.max(when);
             let mut out = Vec::new();
             self.engine.advance(self.now, &mut out);
-            self.take(out);
+            self.record(out);
         }
     }
 
-    fn happens(&mut self, at: f64, what: &ScriptedEvent) {
+    fn deliver(&mut self, at: f64, event: &ScriptedEvent) {
         self.now = Micros((at * 1000.0) as i64);
         let mut out = Vec::new();
         let number = |n: &usize| worker_id(["w1", "w2", "w3"][*n]);
-        match what {
+        match event {
             ScriptedEvent::List(lines) => {
                 let scope = if lines.len() == 3 { Scope::Full } else { Scope::Changes };
                 let entry = |(name, state): &(&str, WorkerState)| WorkerEntry {
@@ -350,17 +358,17 @@
                 self.engine.workers_listed(self.now, listing, &mut out);
             }
             ScriptedEvent::Call { id, class, function } => {
-                // Story ids that come again are new requests once the old one is over.
+                // Each id is one request; repeats of it are not sent.
                 if self.ids.contains_key(*id) {
                     return;
                 }
-                let bytes = self.request(id, *class, function);
-                return self.bytes(&bytes);
+                let bytes = self.encode_request(id, *class, function);
+                return self.receive(&bytes);
             }
-            ScriptedEvent::Ends { id, attempt, outcome, queue_depth } => {
-                let told = matches!(outcome, Outcome::Ok | Outcome::Full).then_some(*queue_depth);
+            ScriptedEvent::AttemptCompleted { id, attempt, outcome, queue_depth } => {
+                let queue_depth = matches!(outcome, Outcome::Ok | Outcome::Full).then_some(*queue_depth);
                 let request = slatevalve::RequestId(self.ids[*id].0);
-                let end = AttemptEnd { queue_depth: told, ..AttemptEnd::without_payload(*outcome) };
+                let end = AttemptEnd { queue_depth, ..AttemptEnd::without_payload(*outcome) };
                 self.engine.attempt_completed(
                     self.now,
                     AttemptRef { request, attempt: *attempt },
@@ -393,36 +401,38 @@
                 encode::write_str(&mut bytes, "interrupt").unwrap();
                 encode::write_array_len(&mut bytes, 1).unwrap();
                 encode::write_uint(&mut bytes, u64::from(number)).unwrap();
-                return self.bytes(&bytes);
+                return self.receive(&bytes);
             }
         }
-        self.take(out);
+        self.record(out);
     }
 
-    fn wanted(&self) -> &Wanted {
-        &self.wanted
+    fn actions(&self) -> &ActionLog {
+        &self.actions
     }
 }
 
 #[test]
-fn the_same_story_gives_the_same_actions_on_both_ways_in() {
-    let mut asked = std::collections::BTreeSet::new();
-    let story: Vec<(f64, ScriptedEvent)> = story()
+fn the_same_scenario_leads_to_the_same_actions_over_both_protocols() {
+    let mut called = std::collections::BTreeSet::new();
+    let scenario: Vec<(f64, ScriptedEvent)> = scenario()
         .into_iter()
-        .filter(|(_, what)| !matches!(what, ScriptedEvent::Call { id, .. } if !asked.insert(*id)))
+        .filter(|(_, event)| !matches!(event, ScriptedEvent::Call { id, .. } if !called.insert(*id)))
         .collect();
-    let mut ways: [Box<dyn Way>; 2] = [Box::new(Simulator::start(9)), Box::new(Platform::start(9))];
-    for way in &mut ways {
-        for (at, what) in &story {
-            way.until(*at);
-            way.happens(*at, what);
+    let mut transports: [Box<dyn Transport>; 2] =
+        [Box::new(Simulator::start(9)), Box::new(Platform::start(9))];
+    for transport in &mut transports {
+        for (at, event) in &scenario {
+            transport.advance(*at);
+            transport.deliver(*at, event);
         }
-        // Before the first deadline: from there on the simulator itself ends attempts.
-        way.until(1_500.0);
+        // Stops before the first deadline, from which on the simulator itself ends attempts.
+        transport.advance(1_500.0);
     }
-    let [simulator, platform] = &ways;
+    let [simulator, platform] = &transports;
     for kind in ["send 1", "send 2", "load", "probe", "cancel"] {
-        assert!(simulator.wanted().iter().any(|w| w.1.starts_with(kind)), "the story has no {kind}");
+        let occurs = simulator.actions().iter().any(|action| action.1.starts_with(kind));
+        assert!(occurs, "the scenario leads to no action '{kind}'");
     }
-    assert_eq!(simulator.wanted(), platform.wanted());
+    assert_eq!(simulator.actions(), platform.actions());
 }
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter as the bench starts it: transcripts in, replies and errors out.
+//! Runs the adapter's binary on transcripts of the simulator's wire protocol and checks its replies and
+//! errors.
 
 use serde_json::{json, Value};
 use std::io::Write;
@@ -59,12 +60,12 @@
     json!({"m": "Knock", "i": "router/1", "id": id, "budget": 1500.0, "kind": "look-up", "app": 77, "at_once": 2})
 }
 
-fn named<'a>(commands: &'a [Value], name: &str) -> Vec<&'a Value> {
+fn commands_of_kind<'a>(commands: &'a [Value], name: &str) -> Vec<&'a Value> {
     commands.iter().filter(|c| c["m"] == name).collect()
 }
 
 #[test]
-fn a_request_goes_out_and_its_answer_ends_it() {
+fn a_request_is_sent_once_and_completed_by_its_answer() {
     let answer = json!({"m": "Answer", "i": "router/1", "id": "abc", "worker": 5, "rc": "GOOD", "lag": 40.0,
         "try": 0, "no_more": true, "server_stats": {"backlog": 2, "other": 1}});
     let got = replies(&[
@@ -73,18 +74,18 @@
         batch(3, 50.5, vec![answer.clone(), answer, json!({"m": "Vanished", "i": "router/1", "id": "abc"})]),
     ]);
     assert!(got[0].is_empty());
-    let sent = named(&got[1], "Deliver");
+    let sent = commands_of_kind(&got[1], "Deliver");
     assert_eq!((sent.len(), &sent[0]["id"], &sent[0]["worker"]), (1, &json!("abc"), &json!(5)));
-    assert!(named(&got[1], "Remind").iter().all(|c| c["when"].as_f64() > Some(10.5)));
-    assert!(got[2].is_empty(), "nothing is owed any more: {:?}", got[2]);
+    assert!(commands_of_kind(&got[1], "Remind").iter().all(|c| c["when"].as_f64() > Some(10.5)));
+    assert!(got[2].is_empty(), "commands for a completed request: {:?}", got[2]);
 }
 
 #[test]
-fn a_page_used_again_in_one_batch_means_its_latest_list() {
+fn a_reused_page_number_refers_to_its_latest_list() {
     let arrivals =
         vec![power_on(), ledger(0, 5), members("remembered", 0), ledger(0, 6), members("all", 0), knock("a")];
     let got = replies(&[batch(1, 10.0, arrivals)]);
-    assert_eq!(named(&got[0], "Deliver")[0]["worker"], 6);
+    assert_eq!(commands_of_kind(&got[0], "Deliver")[0]["worker"], 6);
 }
 
 #[test]
@@ -101,12 +102,12 @@
         knock("new"),
     ];
     let got = replies(&[batch(1, 10.0, arrivals)]);
-    let ids: Vec<_> = named(&got[0], "Deliver").iter().map(|c| c["id"].clone()).collect();
-    assert_eq!(ids, ["new"], "what the killed instance wanted is void");
+    let ids: Vec<_> = commands_of_kind(&got[0], "Deliver").iter().map(|c| c["id"].clone()).collect();
+    assert_eq!(ids, ["new"], "commands of the stopped instance were not discarded");
 }
 
 #[test]
-fn every_outcome_is_understood() {
+fn every_outcome_is_decoded() {
     for rc in ["GOOD", "BAD", "FULL", "LATE", "NOCONN", "RST", "CXL", "NOP", "MISS"] {
         let answer =
             json!({"m": "Answer", "i": "router/1", "id": "a", "worker": 5, "rc": rc, "lag": 4.0, "try": 0});
@@ -116,16 +117,16 @@
 }
 
 #[test]
-fn unknown_events_and_late_news_are_passed_over() {
-    let news = json!({"m": "SomethingNew", "i": "router/1", "x": 1});
-    let gone = json!({"m": "Answer", "i": "router/1", "id": "nobody", "worker": 5, "rc": "GOOD", "try": 0});
-    let got = replies(&[batch(1, 10.0, vec![power_on(), news, gone, members("refused", 9)])]);
-    assert!(named(&got[0], "Deliver").is_empty());
+fn unknown_events_and_events_of_unknown_requests_are_ignored() {
+    let unknown = json!({"m": "SomethingNew", "i": "router/1", "x": 1});
+    let late = json!({"m": "Answer", "i": "router/1", "id": "nobody", "worker": 5, "rc": "GOOD", "try": 0});
+    let got = replies(&[batch(1, 10.0, vec![power_on(), unknown, late, members("refused", 9)])]);
+    assert!(commands_of_kind(&got[0], "Deliver").is_empty());
 }
 
-/// Each malformed input: what the line on standard error must name.
+/// Each malformed input must be reported by one line on the standard error that contains the given words.
 #[test]
-fn malformed_input_ends_with_one_plain_line() {
+fn malformed_input_is_reported_in_one_line() {
     let on = || vec![power_on(), ledger(0, 5), members("remembered", 0)];
     let with = |v: Value| {
         let mut all = on();
@@ -158,11 +159,11 @@
     ];
     for (line, words) in cases {
         let out = run(std::slice::from_ref(&line));
-        let told = String::from_utf8_lossy(&out.stderr).to_string();
+        let message = String::from_utf8_lossy(&out.stderr).to_string();
         assert!(!out.status.success(), "accepted: {line}");
-        assert_eq!(told.lines().count(), 1, "{told}");
+        assert_eq!(message.lines().count(), 1, "{message}");
         for word in words {
-            assert!(told.contains(word), "'{word}' is not in: {told}");
+            assert!(message.contains(word), "'{word}' is not in: {message}");
         }
     }
 }
--- a/benches/module.rs
+++ b/benches/module.rs
@@ -1,6 +1,5 @@
-//! CPU time of the balancer for one request with all its events, and for one change of the worker list, by the
-//! number of workers.
-//! `cargo bench -p slatevalve`
+//! CPU time of the balancer for one request with all its events, and for one change of the worker list, by
+//! the number of workers. `cargo bench -p slatevalve`
 
 use criterion::{BenchmarkId, Criterion};
 use slatevalve::*;
@@ -8,17 +7,17 @@
 use std::collections::BinaryHeap;
 
 /// A router in a simulated environment: every probe, load request and attempt succeeds after a fixed time.
-struct World {
+struct SimulatedRouter {
     balancer: Balancer,
     now: i64,
-    next: u64,
+    last_request: u64,
     due: BinaryHeap<Reverse<(i64, u64)>>,
     events: std::collections::HashMap<u64, Event>,
     actions: Vec<Action>,
-    numbers: u64,
+    last_event: u64,
 }
 
-impl World {
+impl SimulatedRouter {
     fn new(workers: u64) -> Self {
         let class = Class { effect: Effect::Idempotent, ..Class::default() };
         let settings =
@@ -30,16 +29,17 @@
         let mut actions = Vec::new();
         balancer.handle(Micros(1), Event::WorkersListed(listing), &mut actions);
         let (due, events) = (BinaryHeap::new(), std::collections::HashMap::new());
-        let mut world = World { balancer, now: 1, next: 0, due, events, actions, numbers: 0 };
-        // The same functions for all sizes, called often enough to be known.
-        (0..3_000).for_each(|_| world.request());
-        world
+        let mut router =
+            SimulatedRouter { balancer, now: 1, last_request: 0, due, events, actions, last_event: 0 };
+        // Warm-up: the same functions for all sizes, called often enough for stable statistics.
+        (0..3_000).for_each(|_| router.request());
+        router
     }
 
     fn schedule(&mut self, micros: i64, event: Event) {
-        self.numbers += 1;
-        self.events.insert(self.numbers, event);
-        self.due.push(Reverse((self.now + micros, self.numbers)));
+        self.last_event += 1;
+        self.events.insert(self.last_event, event);
+        self.due.push(Reverse((self.now + micros, self.last_event)));
     }
 
     fn execute(&mut self) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Sends one request a millisecond, after all events that are due before it.
+    /// Advances the time by a millisecond, handles the events due until then, and sends one request.
     fn request(&mut self) {
         let until = self.now + 1_000;
         while let Some(Reverse((at, number))) = self.due.peek().copied().filter(|entry| entry.0 .0 <= until) {
@@ -88,31 +88,32 @@
             }
         }
         self.now = until;
-        self.next += 1;
-        let function = FunctionId(self.next * self.next % 61);
-        let request = Request { id: RequestId(self.next), function, ..Request::default() };
+        self.last_request += 1;
+        let function = FunctionId(self.last_request * self.last_request % 61);
+        let request = Request { id: RequestId(self.last_request), function, ..Request::default() };
         self.balancer.handle(Micros(until), Event::Request(request), &mut self.actions);
         self.execute();
     }
 }
 
-fn module(criterion: &mut Criterion) {
+fn request(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("module: one request, all its events");
     group.sample_size(20);
     for workers in [3, 12, 85, 1_000] {
-        let mut world = World::new(workers);
-        group
-            .bench_function(BenchmarkId::from_parameter(workers), |bencher| bencher.iter(|| world.request()));
+        let mut router = SimulatedRouter::new(workers);
+        group.bench_function(BenchmarkId::from_parameter(workers), |bencher| {
+            bencher.iter(|| router.request())
+        });
     }
     group.finish();
 }
 
-/// One worker drains and becomes ready again.
-fn change(criterion: &mut Criterion) {
+/// One worker alternates between draining and ready.
+fn list_change(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("module: one change of the list");
     group.sample_size(20);
     for workers in [12, 85, 1_000] {
-        let mut world = World::new(workers);
+        let mut router = SimulatedRouter::new(workers);
         let mut draining = false;
         group.bench_function(BenchmarkId::from_parameter(workers), |bencher| {
             bencher.iter(|| {
@@ -120,7 +121,11 @@
                 let state = if draining { WorkerState::Draining } else { WorkerState::Ready };
                 let entry = WorkerEntry { id: WorkerId(7_919 + 1), state, ..WorkerEntry::default() };
                 let listing = Listing { scope: Scope::Changes, entries: vec![entry] };
-                world.balancer.handle(Micros(world.now), Event::WorkersListed(listing), &mut world.actions);
+                router.balancer.handle(
+                    Micros(router.now),
+                    Event::WorkersListed(listing),
+                    &mut router.actions,
+                );
             });
         });
     }
@@ -129,7 +134,7 @@
 
 fn main() {
     let mut criterion = Criterion::default().configure_from_args();
-    module(&mut criterion);
-    change(&mut criterion);
+    request(&mut criterion);
+    list_change(&mut criterion);
     criterion.final_summary();
 }
--- a/fuzz/fuzz_targets/front.rs
+++ b/fuzz/fuzz_targets/front.rs
@@ -1,4 +1,5 @@
-//! Bytes of one client into the MQTT front: nothing panics, and what comes out speaks of that client alone.
+//! Feeds arbitrary bytes of one client to the MQTT front end: nothing panics, and all writes and closes
+//! concern that client only.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/fuzz/fuzz_targets/worker_protocol.rs
+++ b/fuzz/fuzz_targets/worker_protocol.rs
@@ -1,4 +1,4 @@
-//! Bytes into both sides of the workers' protocol: nothing panics, and no body is beyond its limit.
+//! Feeds arbitrary bytes to both sides of the worker protocol: nothing panics, and no body exceeds its limit.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
