--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -1,4 +1,4 @@
-//! The module driven by scripted events: the ring, the busy test, loads and each failure found so far.
+//! The load balancer driven by scripted events: the ring, bounded loads, load requests, and regressions.
 
 use slatevalve::*;
 
@@ -57,7 +57,7 @@
         sent(&self.handle_event(Event::Request(Request { id, function, budget, ..Request::default() })))
     }
 
-    /// Time passes; every tick falls due.
+    /// Lets time pass; ticks arrive every 20 ms.
     fn pass(&mut self, ms: i64) -> Vec<Action> {
         let from = self.out.len();
         for _ in 0..ms / 20 {
@@ -68,9 +68,9 @@
     }
 
     fn answer(&mut self, id: u64, worker: u64, outcome: Outcome) -> Vec<Action> {
-        let n = self.attempts.entry(id).or_default();
-        let attempt = *n;
-        *n += 1;
+        let next_attempt = self.attempts.entry(id).or_default();
+        let attempt = *next_attempt;
+        *next_attempt += 1;
         self.answer_to(id, attempt, worker, outcome)
     }
 
@@ -104,7 +104,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// Homes of many functions, each asked for once of a router that has no load.
+/// The primary workers of `count` functions, each called once at an idle router.
 fn primaries(r: &mut Router, count: u64) -> Vec<u64> {
     let mut primaries = Vec::new();
     for f in 0..count {
@@ -127,11 +127,11 @@
     let with = primaries(&mut Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4, 5, 6]), 400);
     let without = primaries(&mut Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 5, 6]), 400);
     for (a, b) in with.iter().zip(&without) {
-        assert!(*a == 4 || a == b, "a function of worker {a} moved to {b}");
+        assert!(*a == 4 || a == b, "a function moved from worker {a} to {b}");
     }
-    let heirs: std::collections::BTreeSet<_> =
+    let successors: std::collections::BTreeSet<_> =
         with.iter().zip(&without).filter(|(a, _)| **a == 4).map(|h| h.1).collect();
-    assert!(heirs.len() > 2, "what worker 4 had must scatter, not fall on one");
+    assert!(successors.len() > 2, "the functions of worker 4 moved to too few workers: {successors:?}");
 }
 
 #[test]
@@ -141,7 +141,7 @@
     r.list(Scope::Full, vec![entry(1), entry(2), entry(3), heavy]);
     let primaries = primaries(&mut r, 2_000);
     let share = primaries.iter().filter(|w| **w == 9).count() as f64 / 2_000.0;
-    assert!((0.3..0.5).contains(&share), "two fifths of the weight, {share} of the functions");
+    assert!((0.3..0.5).contains(&share), "{share} of the functions for two fifths of the weight");
 }
 
 #[test]
@@ -154,11 +154,11 @@
         used.push(r.send_request(id, 7).expect("sent"));
     }
     assert_eq!(used[0], primary);
-    assert!(used.iter().any(|w| *w != primary), "ten calls at once reach more workers");
+    assert!(used.iter().any(|w| *w != primary), "ten concurrent calls were all sent to the primary worker");
     for (id, w) in (2..12).zip(&used) {
         r.answer(id, *w, Outcome::Ok);
     }
-    // Once it is no longer hot, one worker serves it again.
+    // Once the function is no longer hot, one worker serves it again.
     r.now += 60_000_000;
     assert_eq!(r.send_request(20, 7), Some(primary));
 }
@@ -168,12 +168,12 @@
     let mut r = Router::new(site(Effect::NonIdempotent, false), &[1, 2, 3]);
     assert_eq!(r.send_request(1, 7), None);
     assert!(r.out.iter().any(|a| matches!(a, Action::Load { copies: 1, .. })));
-    let orders = |r: &Router| r.out.iter().filter(|a| matches!(a, Action::Load { .. })).count();
+    let load_requests = |r: &Router| r.out.iter().filter(|a| matches!(a, Action::Load { .. })).count();
     r.send_request(2, 7);
-    assert_eq!(orders(&r), 1, "one order is out for a function and worker");
-    let primary = sent(&r.pass(20)).expect("sent after the order");
+    assert_eq!(load_requests(&r), 1, "a second load request for the same function and worker");
+    let primary = sent(&r.pass(20)).expect("sent after the load request");
     let again = r.answer(1, primary, Outcome::Miss);
-    assert!(sent(&again).is_some(), "a miss proves that nothing ran: it is sent again");
+    assert!(sent(&again).is_some(), "not retried after a miss, which proves that nothing ran");
 }
 
 #[test]
@@ -197,8 +197,8 @@
     }
 }
 
-/// Found by `hunt --rules` (h2cec5a): the key's time counts from the first try that might have run when the
-/// next was sent, even when that first try is later proven not to have run.
+/// Regression (h2cec5a, found by `hunt --rules`): the lifetime of a key counts from the first attempt that
+/// could have run when the next one was sent, even if the first attempt is later proven not to have run.
 #[test]
 fn an_idempotency_key_expires_from_the_first_attempt_on() {
     let mut r = Router::new(site(keyed_effect(Group::All, 2_000_000), true), &[1, 2, 3]);
@@ -207,14 +207,15 @@
     r.pass(20);
     let start = r.now;
     let first = r.send_request(2, 7).expect("sent");
-    let second = sent(&r.pass(1_900)).expect("a silent worker's call goes to a second one");
+    let second = sent(&r.pass(1_900)).expect("a hedged attempt while the first worker is unresponsive");
     r.answer_to(2, 0, first, Outcome::Miss);
     r.now = start + 2_100_000;
     let end = r.answer_to(2, 1, second, Outcome::TimedOut);
-    assert_eq!(sent(&end), None, "more than the key's time after the first try");
+    assert_eq!(sent(&end), None, "sent after the lifetime of the key");
 }
 
-/// Incident ifaa967: a worker that refuses fast has no calls out and must not look idle for that.
+/// Regression (incident ifaa967): a worker that rejects calls quickly has few in flight, but must not count
+/// as idle.
 #[test]
 fn a_worker_that_rejects_fast_does_not_attract_calls() {
     let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4]);
@@ -224,12 +225,12 @@
     r.answer(2, primary, Outcome::Full);
     for id in 3..9 {
         let w = r.send_request(id, 7).expect("sent");
-        assert_ne!(w, primary, "call {id} went to the full worker");
+        assert_ne!(w, primary, "call {id} was sent to the full worker");
         r.answer(id, w, Outcome::Ok);
     }
 }
 
-/// Incident if8355e: a request that nobody can take is answered before its client gives up.
+/// Regression (incident if8355e): a request that no worker can take is refused before its deadline.
 #[test]
 fn a_request_without_a_worker_is_refused_in_time() {
     let mut r = Router::new(site(Effect::NonIdempotent, true), &[]);
@@ -239,7 +240,7 @@
     assert_eq!(r.balancer.open_requests(), 0);
     let id = RequestId(2);
     let short = r.handle_event(Event::Request(Request { id, budget: Micros(4_000), ..Request::default() }));
-    assert!(refused(&short), "too short a time for another tick");
+    assert!(refused(&short), "not refused at once although the deadline is before the next tick");
 }
 
 #[test]
@@ -256,12 +257,13 @@
     r.answer(1, primary, Outcome::Ok);
     r.pass(20);
     assert_eq!(r.send_request(2, 7), Some(primary));
-    let retried_at = sent(&r.pass(1_900)).expect("a second copy");
+    let retried_at = sent(&r.pass(1_900)).expect("a hedged attempt");
     assert_ne!(retried_at, primary);
-    assert_ne!(r.send_request(3, 7), Some(primary), "the silent worker is in doubt");
+    assert_ne!(r.send_request(3, 7), Some(primary), "the unresponsive worker was not ejected");
 }
 
-/// A started worker is sent little until it warms, also in one burst, and after a restart under its old id.
+/// A started worker receives few calls while it warms up, even in one burst and after a restart under the
+/// same id.
 #[test]
 fn slow_start_limits_calls_to_a_started_worker() {
     let mut s = site(Effect::Idempotent, true);
@@ -278,8 +280,9 @@
     r.list(Scope::Changes, vec![WorkerEntry { up_since, ..entry(1) }]);
     r.pass(1_000);
     let burst: Vec<_> = (0..60).filter_map(|n| r.send_request(10_000 + n, n % 40)).collect();
-    // 50 calls a second were served: a quarter of that, twice, and a part kept back.
-    assert!((1..=18).contains(&burst.len()), "{} calls to the cold worker", burst.len());
+    // 50 calls a second were served. The limit is a quarter of that (the capacity after a second of warm-up)
+    // times the overload multiple of 2, less the reserve for repeats.
+    assert!((1..=18).contains(&burst.len()), "{} calls to the started worker", burst.len());
 }
 
 #[test]
@@ -294,7 +297,8 @@
     assert_eq!(r.out.iter().filter(|a| matches!(a, Action::Load { .. })).count(), 3);
 }
 
-/// Overload (incident i4ecc8c): when answers would all come late, a part is refused at once.
+/// Regression (incident i4ecc8c): under overload, when all responses would be late, some requests are refused
+/// at once.
 #[test]
 fn requests_are_shed_under_overload() {
     let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2]);
@@ -311,12 +315,12 @@
         r.send_request(id, id % 10);
     }
     assert!(refused(&r.out[from..]));
-    let taken = r.out[from..].iter().filter(|a| matches!(a, Action::Send { .. })).count();
-    assert!(taken > 5, "some are taken still: {taken}");
+    let accepted = r.out[from..].iter().filter(|a| matches!(a, Action::Send { .. })).count();
+    assert!(accepted > 5, "only {accepted} requests accepted");
 }
 
-/// Incident i2d3d56: a zone goes silent. Calls stuck there are no queue for the workers that answer; counted as
-/// one, they would have the router refuse nearly everything.
+/// Regression (incident i2d3d56): a zone becomes unresponsive. Attempts in flight there do not delay the
+/// other workers; counted as a queue, they caused the refusal of nearly all requests.
 #[test]
 fn attempts_at_unresponsive_workers_do_not_count_as_a_queue() {
     let mut s = site(Effect::NonIdempotent, true);
@@ -335,43 +339,44 @@
         }
         r.pass(20);
     }
-    assert!(refusals < 20, "{refusals} of 200 calls refused while three workers of five are idle");
+    assert!(refusals < 20, "{refusals} of 200 calls refused while three of five workers are idle");
 }
 
-/// Incident i517e3b: a full answer to a call that needs a load says that there is no room for that function;
-/// calls of functions that stand there go on.
+/// Regression (incident i517e3b): a rejection of a call that needs a load means that there is no room for
+/// that function; calls of functions loaded at the worker continue.
 #[test]
 fn no_room_for_a_function_does_not_eject_its_worker() {
     let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3]);
     let primaries = primaries(&mut r, 30);
-    // Calls that find their copies, until the loads at the start are forgotten.
+    // Calls that find their copies, until the load rate has decayed after the loads at the start.
     for id in 1_000..1_400 {
         let w = r.send_request(id, id % 30).expect("sent");
         r.answer(id, w, Outcome::Ok);
     }
     let primary = r.send_request(1, 500).expect("sent");
-    let same = primaries.iter().position(|w| *w == primary).expect("a function at home there") as u64;
-    assert!(sent(&r.answer(1, primary, Outcome::Full)).is_some(), "it never ran and is tried again");
+    let same =
+        primaries.iter().position(|w| *w == primary).expect("a function with this primary worker") as u64;
+    assert!(sent(&r.answer(1, primary, Outcome::Full)).is_some(), "not retried although it never ran");
     assert_eq!(r.send_request(2, same), Some(primary));
 }
 
-/// A site whose list must be asked for: one call, another some time after a failure, none while subscribed.
+/// Where the list has to be requested: one request, another some time after a failure, none while subscribed.
 #[test]
 fn the_list_is_requested_at_a_bounded_rate() {
     let mut r = Router::new(site(Effect::Idempotent, true), &[]);
     r.balancer = Balancer::new(Settings { requires_subscription: true, ..Settings::default() }, 1);
-    let asks = |a: &[Action]| a.iter().filter(|a| matches!(a, Action::Subscribe)).count();
+    let list_requests = |a: &[Action]| a.iter().filter(|a| matches!(a, Action::Subscribe)).count();
     let from = r.out.len();
     r.list(Scope::Remembered, vec![entry(1)]);
     r.list(Scope::Refused, vec![]);
-    assert_eq!(asks(&r.out[from..]), 1);
-    assert_eq!(asks(&r.pass(1_000)), 0);
-    assert_eq!(asks(&r.pass(2_000)), 1);
+    assert_eq!(list_requests(&r.out[from..]), 1);
+    assert_eq!(list_requests(&r.pass(1_000)), 0);
+    assert_eq!(list_requests(&r.pass(2_000)), 1);
     r.list(Scope::Full, vec![entry(1)]);
-    assert_eq!(asks(&r.pass(20_000)), 0);
+    assert_eq!(list_requests(&r.pass(20_000)), 0);
 }
 
-/// Many routers, each with few calls: each feeds its own small share of one hot and many rare functions.
+/// Routers with the same settings and workers, and different seeds.
 fn fleet(routers: usize, workers: u64, mut change: impl FnMut(&mut Settings)) -> Vec<Router> {
     let ids: Vec<u64> = (1..=workers).collect();
     let one = |n: usize| {
@@ -387,8 +392,9 @@
     (0..routers).map(one).collect()
 }
 
-/// At size each router has about one call out, so its own counts never call a home busy: hot functions piled
-/// up there. By their share of the calls they spread over the first workers clockwise, which all agree on.
+/// In a large fleet each router has about one call in flight, so that its own counts never exceed the bounded
+/// load of a primary worker, and hot functions overloaded theirs. By their share of the calls they spread
+/// over the first workers clockwise, on which all routers agree.
 #[test]
 fn hot_functions_spread_along_the_ring_in_a_large_fleet() {
     let mut routers = fleet(60, 20, |_| {});
@@ -409,13 +415,16 @@
         }
     }
     let (most, all) = (hot.values().max().unwrap(), hot.values().sum::<u32>());
-    assert!(hot.len() >= 6 && *most * 3 < all, "a third of all calls on {hot:?}");
+    assert!(
+        hot.len() >= 6 && *most * 3 < all,
+        "a third of all calls at one worker, or too few workers: {hot:?}"
+    );
     let narrow = rare.values().filter(|w| w.len() <= 6).count();
-    assert!(narrow * 10 >= rare.len() * 9, "rare functions stay on few workers: {rare:?}");
+    assert!(narrow * 10 >= rare.len() * 9, "rare functions spread over many workers: {rare:?}");
 }
 
-/// Each router's part of a cold worker's budget is less than a call; one call from each at once would be many
-/// times what the worker can do.
+/// Each router's share of a started worker's budget is less than one call; one call from each router at once
+/// would exceed the worker's capacity many times.
 #[test]
 fn the_slow_start_budget_holds_over_all_routers() {
     let mut routers = fleet(100, 10, |s| {
@@ -437,14 +446,16 @@
             cold += usize::from(r.send_request(1_000 + id, (id * 11 + n as u64 * 17) % 30) == Some(4));
         }
     }
-    // 333 calls a second are served, 33 by a worker, a fifth of that by a cold one; three times that is the limit, 20.
-    // Half of it is left for what clients of an overloaded fleet ask again, which no router sees as load.
-    assert!(cold <= 9, "{cold} of 800 calls in one moment to a cold worker");
+    // 333 calls a second are served, 33 by each worker, a fifth of that by a started one; the limit is three
+    // times that, 20. Half of it is reserved for repeats by clients of an overloaded fleet, which no router
+    // counts as load.
+    assert!(cold <= 9, "{cold} of 800 simultaneous calls sent to a started worker");
 }
 
-/// Probes follow requests, whatever the number of workers; an idle router sends nothing and asks for no wake.
+/// The number of probes depends on requests, not on the number of workers; an idle router sends nothing and
+/// starts no timer.
 #[test]
-fn probes_are_bounded_by_requests_and_idle_routers_are_inactive() {
+fn probes_are_bounded_by_requests_and_idle_routers_return_no_actions() {
     let mut routers = fleet(1, 60, |s| {
         (s.limits.probes, s.reports) = (true, LoadReportSource::Probes);
     });
@@ -465,10 +476,10 @@
     let from = r.out.len();
     r.handle_event(Event::Wake { token: 0 });
     assert_eq!(r.balancer.open_requests(), 0);
-    assert!(r.out[from..].is_empty(), "an idle router asks for nothing: {:?}", &r.out[from..]);
+    assert!(r.out[from..].is_empty(), "an idle router returned actions: {:?}", &r.out[from..]);
 }
 
-/// A client that left early leaves nothing running.
+/// Guards against attempts that keep running for a client that has disconnected.
 #[test]
 fn attempts_of_a_disconnected_client_are_cancelled() {
     let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3]);
@@ -477,7 +488,8 @@
     assert!(end.iter().any(|a| matches!(a, Action::Cancel { id: RequestId(1), attempt: 0 })));
 }
 
-/// The router itself stood still for two seconds: the silence was its own, and no worker is doubted for it.
+/// After a pause of the router's own process for two seconds, no worker counts as unresponsive because of the
+/// pause.
 #[test]
 fn a_pause_of_the_router_ejects_no_worker() {
     let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4]);
@@ -487,12 +499,12 @@
     r.pass(100);
     r.now += 2_500_000;
     let woken = r.handle_event(Event::Wake { token: 0 });
-    assert_eq!(sent(&woken), None, "no rescue for what only the router missed");
+    assert_eq!(sent(&woken), None, "retried elsewhere because of the router's own pause");
     r.answer(2, primary, Outcome::Ok);
     assert_eq!(r.send_request(3, 7), Some(primary));
 }
 
-/// One class fails at a worker that serves another: only that class steps past it.
+/// If one class fails at a worker that serves another one, only the failing class avoids the worker.
 #[test]
 fn one_failing_class_does_not_eject_the_worker_for_others() {
     let mut s = site(Effect::Idempotent, true);
@@ -509,26 +521,27 @@
     };
     let primary = call(&mut r, 1, 0).expect("sent");
     r.answer(1, primary, Outcome::Ok);
-    // The worker serves others meanwhile, so one error may be chance; a second in a row is not.
+    // The worker serves other calls meanwhile, so that a single error is not counted; a second consecutive
+    // one is.
     for id in [20, 21] {
         assert_eq!(call(&mut r, id, 0), Some(primary));
-        let other = sent(&r.answer(id, primary, Outcome::Error)).expect("a safe call is tried again");
+        let other = sent(&r.answer(id, primary, Outcome::Error)).expect("an idempotent call is retried");
         if other != primary {
             r.answer_to(id, 1, other, Outcome::Ok);
         }
     }
-    assert_ne!(call(&mut r, 3, 0), Some(primary), "the failing class steps past");
-    assert_eq!(call(&mut r, 4, 1), Some(primary), "the other class stays at home");
+    assert_ne!(call(&mut r, 3, 0), Some(primary), "the failing class still uses the worker");
+    assert_eq!(call(&mut r, 4, 1), Some(primary), "the other class avoids the worker");
 }
 
-/// Found on sockets: requests that no worker can use failed everywhere they were tried, and each error rested a
-/// worker, whose functions were then loaded elsewhere until the store was overrun.
+/// Regression, seen on real sockets: requests that no worker can process failed wherever they were tried.
+/// Each error ejected a worker, whose functions were then loaded elsewhere until the store was overloaded.
 #[test]
 fn errors_of_a_function_that_was_never_served_eject_no_worker() {
     let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4, 5, 6, 7, 8]);
     let before = primaries(&mut r, 8);
     for id in 0..2 {
-        // Each asked anew, and failing wherever it goes.
+        // Each call is retried and fails at every worker.
         let mut worker = r.send_request(id, 900 + id);
         while let Some(w) = worker {
             worker = sent(&r.answer(id, w, Outcome::Error));
@@ -536,18 +549,23 @@
     }
     for (f, primary) in before.iter().enumerate() {
         let id = 500 + f as u64;
-        assert_eq!(r.send_request(id, f as u64), Some(*primary), "function {f} stays at home");
+        assert_eq!(
+            r.send_request(id, f as u64),
+            Some(*primary),
+            "function {f} moved away from its primary worker"
+        );
         r.answer(id, *primary, Outcome::Ok);
     }
 }
 
-/// Found on sockets: resets on the way hit every worker now and then. One is no crash: the worker keeps its calls
-/// and is believed to keep its copies. Two in a row, nothing served between, are taken for one.
+/// Regression, seen on real sockets: the network resets connections to every worker occasionally. A single
+/// reset does not count as a crash: the worker keeps its calls, and its copies count as loaded. Two
+/// consecutive resets without a success in between count as a crash.
 #[test]
 fn one_reset_is_not_a_crash_and_two_in_a_row_are() {
     let mut r = Router::new(site(Effect::Idempotent, false), &[1, 2, 3]);
     r.send_request(1, 7);
-    let primary = sent(&r.pass(20)).expect("sent behind its order");
+    let primary = sent(&r.pass(20)).expect("sent after its load request");
     r.handle_event(Event::LoadCompleted {
         worker: WorkerId(primary),
         function: FunctionId(7),
@@ -558,8 +576,11 @@
     r.answer(1, primary, Outcome::Ok);
     assert_eq!(r.send_request(2, 7), Some(primary));
     let again = r.answer(2, primary, Outcome::Reset);
-    assert_ne!(sent(&again), None, "a safe call is tried again");
-    assert!(!again.iter().any(|a| matches!(a, Action::Load { .. })), "its copy still stands: {again:?}");
+    assert_ne!(sent(&again), None, "an idempotent call was not retried");
+    assert!(
+        !again.iter().any(|a| matches!(a, Action::Load { .. })),
+        "a load was requested although the copy is still loaded: {again:?}"
+    );
     let tried = sent(&again).expect("sent");
     r.answer(2, tried, Outcome::Ok);
     for id in [3, 4] {
@@ -567,34 +588,39 @@
     }
     r.answer(3, primary, Outcome::Reset);
     r.answer(4, primary, Outcome::Reset);
-    assert_ne!(r.send_request(5, 7), Some(primary), "two in a row");
+    assert_ne!(
+        r.send_request(5, 7),
+        Some(primary),
+        "the worker was not ejected after two consecutive resets"
+    );
 }
 
-/// Found on sockets: where a tenth of the attempts are reset, a budget made for overload refused the repeats.
+/// Regression, seen on real sockets: when a tenth of the attempts were reset, the retry budget, sized for
+/// overload, prevented the retries.
 #[test]
 fn broken_connections_take_fewer_retry_tokens_than_overload() {
-    let repeats = |outcome: Outcome| {
+    let retries_after = |outcome: Outcome| {
         let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2, 3, 4]);
         primaries(&mut r, 20);
-        let mut repeated = 0;
+        let mut retries = 0;
         for id in 0..60 {
             let Some(worker) = r.send_request(id, id % 20) else { continue };
-            // One in six ends so; the others are served.
+            // One in six ends with `outcome`; the others are served.
             let first = if id % 6 == 0 { outcome } else { Outcome::Ok };
             if let Some(other) = sent(&r.answer(id, worker, first)) {
-                repeated += 1;
+                retries += 1;
                 r.answer(id, other, Outcome::Ok);
             }
             r.now += 10_000;
         }
-        repeated
+        retries
     };
-    assert_eq!(repeats(Outcome::Reset), 10);
-    assert!(repeats(Outcome::Full) < 10);
+    assert_eq!(retries_after(Outcome::Reset), 10);
+    assert!(retries_after(Outcome::Full) < 10);
 }
 
-/// Asks for a function that usually loads in 80 ms; all these tests end within a router's first second, in which it
-/// refuses nothing.
+/// Sends a call of a function whose usual load time is 80 ms. Tests that use it end within the router's first
+/// second, in which it refuses nothing.
 fn send_quick_request(r: &mut Router, id: u64, function: u64) -> Option<u64> {
     let (id, function, load_time) = (RequestId(id), FunctionId(function), Some(Micros(80_000)));
     let budget = Micros(3_000_000);
@@ -602,10 +628,10 @@
     sent(&r.handle_event(Event::Request(request))).or_else(|| sent(&r.pass(20)))
 }
 
-/// A router whose function 7 stands at one worker.
+/// A router with function 7 loaded at one worker.
 fn router_with_copy(workers: &[u64]) -> (Router, u64) {
     let mut r = Router::new(site(Effect::Idempotent, false), workers);
-    let primary = send_quick_request(&mut r, 1, 7).expect("sent behind its order");
+    let primary = send_quick_request(&mut r, 1, 7).expect("sent after its load request");
     let (worker, function) = (WorkerId(primary), FunctionId(7));
     let (outcome, latency) = (Outcome::Ok, Micros(80_000));
     r.handle_event(Event::LoadCompleted { worker, function, outcome, copies: 1, latency });
@@ -613,37 +639,37 @@
     (r, primary)
 }
 
-/// Calls of function 7 that stay at `primary`, unanswered, until one goes elsewhere.
+/// The number of unanswered calls of function 7 that are sent to `primary` before one is sent elsewhere.
 fn calls_kept_at(r: &mut Router, primary: u64, from: u64) -> u64 {
     (0..60).find(|n| send_quick_request(r, from + n, 7) != Some(primary)).unwrap_or(60)
 }
 
-/// Found on sockets: where the store was slow, each function learned of it alone and calls left busy copies for loads
-/// that took ten times the usual.
+/// Regression, seen on real sockets: when the store was slow, each function learned that separately, and
+/// calls left busy copies for loads that took ten times their usual time.
 #[test]
 fn slow_loads_keep_calls_at_loaded_copies() {
     let (mut r, primary) = router_with_copy(&[1, 2, 3, 4, 5]);
-    let loads = |r: &mut Router, end: bool| {
+    let load_others = |r: &mut Router, complete: bool| {
         for f in 20..28 {
-            let worker = send_quick_request(r, 1_000 + f, f).expect("sent behind its order");
+            let worker = send_quick_request(r, 1_000 + f, f).expect("sent after its load request");
             let (worker, function) = (WorkerId(worker), FunctionId(f));
             let (outcome, latency) = (Outcome::Ok, Micros(80_000));
-            if end {
+            if complete {
                 r.handle_event(Event::LoadCompleted { worker, function, outcome, copies: 1, latency });
             }
         }
         r.pass(400);
     };
-    loads(&mut r, true);
+    load_others(&mut r, true);
     let usual = calls_kept_at(&mut r, primary, 100);
     let (mut r, primary) = router_with_copy(&[1, 2, 3, 4, 5]);
-    loads(&mut r, false);
+    load_others(&mut r, false);
     let slow = calls_kept_at(&mut r, primary, 100);
-    assert!(slow > usual, "{slow} calls held, {usual} with a store at its usual pace");
+    assert!(slow > usual, "{slow} calls stayed with a slow store, {usual} with one of the usual speed");
 }
 
-/// Found on sockets: a load that was overdue counted as done in a moment, and half of all time-outs waited for one while
-/// a copy stood elsewhere.
+/// Regression, seen on real sockets: an overdue load was expected to complete at once, and half of all
+/// timeouts waited for such a load while a copy was loaded elsewhere.
 #[test]
 fn an_overdue_load_attracts_no_calls_from_a_loaded_copy() {
     let (mut r, primary) = router_with_copy(&[1, 2, 3]);
@@ -651,22 +677,26 @@
     for id in 100..100 + usual {
         r.answer(id, primary, Outcome::Ok);
     }
-    // The load at the other one was due long ago.
+    // The load at the other worker is long overdue.
     r.pass(400);
     let now = calls_kept_at(&mut r, primary, 500);
-    assert!(now > usual, "{now} calls held before one joined the overdue load, {usual} at first");
+    assert!(
+        now > usual,
+        "{now} calls stayed before one was sent to the overdue load, {usual} before it was overdue"
+    );
 }
 
-/// Found on sockets (r072b97): a tenth of all answers never came. The calls that waited for them counted as a queue, so
-/// others were refused, the pace of answers fell, and more were refused.
+/// Regression (r072b97), seen on real sockets: a tenth of all responses were lost. The calls that waited for
+/// them counted as a queue, so that others were refused, which lowered the response rate and caused more
+/// refusals.
 #[test]
-fn answers_lost_everywhere_do_not_lead_to_refusals() {
+fn lost_answers_do_not_lead_to_refusals() {
     let mut s = site(Effect::Idempotent, true);
     s.classes[0].latency_objective = Micros(300_000);
     let mut r = Router::new(s, &[1, 2, 3, 4, 5, 6]);
     let (mut out, mut refusals) = (Vec::new(), 0);
     for id in 0..600 {
-        // A hundred calls a second, each answered after 50 ms, but for one in seven.
+        // A hundred calls a second, each answered after 50 ms, except one in seven.
         r.now += 10_000;
         if id % 2 == 0 {
             r.handle_event(Event::Wake { token: 0 });
@@ -685,10 +715,11 @@
             }
         }
     }
-    assert!(refusals < 60, "{refusals} of 600 refused");
+    assert!(refusals < 60, "{refusals} of 600 calls refused");
 }
 
-/// Found by a test of the gateway: a worker that fails all it gets was never doubted, as no function was known yet.
+/// Regression, found by a gateway test: a worker that failed all calls was never ejected, as no function had
+/// been served yet.
 #[test]
 fn a_worker_that_serves_nothing_is_ejected_for_unknown_functions_too() {
     let mut r = Router::new(site(Effect::Idempotent, true), &[1, 2]);
@@ -697,7 +728,7 @@
         while worker == Some(1) {
             worker = sent(&r.answer(id, 1, Outcome::Error));
         }
-        assert_eq!(worker, Some(2), "call {id} is served by the other");
+        assert_eq!(worker, Some(2), "call {id} was not retried at the other worker");
         r.answer(id, 2, Outcome::Ok);
     }
 }
--- a/tests/list_lease.rs
+++ b/tests/list_lease.rs
@@ -1,4 +1,4 @@
-//! The lease on the worker list: what is sent once it has expired, and to whom.
+//! The lease on the worker list: which workers receive calls and load requests after it has expired.
 
 use slatevalve::*;
 
@@ -11,7 +11,7 @@
 }
 
 impl Router {
-    /// One before workers 1 to 4, with an expired lease.
+    /// A router with workers 1 to 4 and an expired lease.
     fn expired() -> Self {
         let class = Class { effect: Effect::Idempotent, ..Class::default() };
         let mut settings =
@@ -41,7 +41,7 @@
         self.handle(Event::Request(Request { id: RequestId(id), budget, ..Request::default() }))
     }
 
-    fn probe_ends(&mut self, worker: WorkerId, outcome: Outcome) -> Vec<Action> {
+    fn complete_probe(&mut self, worker: WorkerId, outcome: Outcome) -> Vec<Action> {
         let latency = Micros(1_000);
         self.handle(Event::ProbeCompleted { worker, outcome, latency, report: None })
     }
@@ -68,75 +68,78 @@
     })
 }
 
-/// The worker of a call or of a load request.
-fn used(actions: &[Action]) -> Option<WorkerId> {
+/// The worker that a call or load request was sent to.
+fn used_worker(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|action| match action {
         Action::Send { worker, .. } | Action::Load { worker, .. } => Some(*worker),
         _ => None,
     })
 }
 
-/// Guards against new work for a worker that drained while the list was out of date.
+/// Guards against sending new work to a worker that began to drain while the list was out of date.
 #[test]
-fn once_the_lease_has_expired_a_worker_is_asked_before_it_is_sent_anything() {
+fn a_worker_is_probed_before_it_receives_work_once_the_lease_has_expired() {
     let mut router = Router::expired();
     let actions = router.request(1);
     let first = probed(&actions).expect("a probe");
-    assert_eq!(used(&actions), None);
-    // It drains: the next one is asked, and used once it says that it is ready.
-    let actions = router.probe_ends(first, Outcome::Error);
-    assert_eq!(used(&actions), None);
+    assert_eq!(used_worker(&actions), None);
+    // The worker drains: the next one is probed, and used after a successful probe.
+    let actions = router.complete_probe(first, Outcome::Error);
+    assert_eq!(used_worker(&actions), None);
     let second = probed(&actions).expect("a probe of another worker");
     assert_ne!(second, first);
-    assert_eq!(used(&router.probe_ends(second, Outcome::Ok)), Some(second));
+    assert_eq!(used_worker(&router.complete_probe(second, Outcome::Ok)), Some(second));
 }
 
-/// Guards against a worker's word that counts for longer than a drain may stay unheard.
+/// Guards against a worker's own confirmation that stays valid beyond the drain grace: the worker may drain
+/// meanwhile.
 #[test]
-fn a_workers_own_word_counts_for_less_than_the_drain_grace() {
+fn a_workers_confirmation_expires_within_the_drain_grace() {
     let mut router = Router::expired();
     let worker = probed(&router.request(1)).expect("a probe");
-    router.probe_ends(worker, Outcome::Ok);
+    router.complete_probe(worker, Outcome::Ok);
     router.now += DRAIN_GRACE;
     let actions = router.request(2);
-    assert_eq!((used(&actions), probed(&actions).is_some()), (None, true));
+    assert_eq!((used_worker(&actions), probed(&actions).is_some()), (None, true));
 }
 
-/// Guards against a successor at the address of a process that ended unseen.
+/// Guards against work sent to another process that took over the address of a worker whose end was not
+/// noticed.
 #[test]
-fn a_worker_whose_connection_broke_is_left_alone_until_the_list_is_confirmed() {
+fn a_worker_whose_connection_broke_is_not_used_until_the_list_is_confirmed() {
     let mut router = Router::expired();
     let worker = probed(&router.request(1)).expect("a probe");
-    router.probe_ends(worker, Outcome::Ok);
+    router.complete_probe(worker, Outcome::Ok);
     router.now += 10_000;
     let actions = router.handle(Event::Wake { token: 2 });
-    let actions = if used(&actions).is_some() { actions } else { router.handle(Event::Wake { token: 0 }) };
-    assert!(used(&actions).is_none_or(|used| used == worker));
+    let actions =
+        if used_worker(&actions).is_some() { actions } else { router.handle(Event::Wake { token: 0 }) };
+    assert!(used_worker(&actions).is_none_or(|used| used == worker));
     router.answer(1, worker, Outcome::Reset);
     for id in 2..40 {
         router.now += 100_000;
         let actions = router.request(id);
-        for asked in [probed(&actions), used(&actions)].into_iter().flatten() {
-            assert_ne!(asked, worker);
-            router.probe_ends(asked, Outcome::Error);
+        for contacted in [probed(&actions), used_worker(&actions)].into_iter().flatten() {
+            assert_ne!(contacted, worker);
+            router.complete_probe(contacted, Outcome::Error);
         }
     }
     router.confirm();
-    let reached = (100..200).any(|id| {
+    let used_again = (100..200).any(|id| {
         router.now += 1_000_000;
         router.confirm();
         let function = FunctionId(id);
         let request =
             Request { id: RequestId(id), function, budget: Micros(3_000_000), ..Request::default() };
         let actions = router.handle(Event::Request(request));
-        [probed(&actions), used(&actions)].contains(&Some(worker))
+        [probed(&actions), used_worker(&actions)].contains(&Some(worker))
     });
-    assert!(reached, "it is used again");
+    assert!(used_again, "the worker is not used again after the list was confirmed");
 }
 
-/// Guards against routers that refuse all work for want of a confirmation that they never get.
+/// Guards against routers that refuse all work at sites where the list is never confirmed.
 #[test]
-fn without_any_confirmation_the_list_counts_as_current() {
+fn a_list_that_was_never_confirmed_does_not_expire() {
     let class = Class { effect: Effect::Idempotent, ..Class::default() };
     let mut settings = Settings { classes: vec![class], ..Settings::default() };
     settings.limits.probes = false;
@@ -144,5 +147,5 @@
     let entry = WorkerEntry { id: WorkerId(1), ..WorkerEntry::default() };
     router.handle(Event::WorkersListed(Listing { scope: Scope::Full, entries: vec![entry] }));
     router.now += 100 * LEASE;
-    assert_eq!(used(&router.request(1)), Some(WorkerId(1)));
+    assert_eq!(used_worker(&router.request(1)), Some(WorkerId(1)));
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,5 +1,6 @@
-//! New versions of all that is loaded arrive on a quiet day: every copy is gone at once, and nothing else is wrong. Many
-//! instances of the module before workers in simulated time; what they order and send is counted here, by itself.
+//! Recovery after new versions of all functions appear at once, so that every loaded copy is lost without any
+//! other fault. Many balancers and workers run in simulated time; the test counts their load requests and
+//! calls independently.
 
 use slatevalve::*;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -7,70 +8,78 @@
 const ROUTERS: usize = 30;
 const WORKERS: u64 = 10;
 const FUNCTIONS: u64 = 20;
-/// Calls come to each router so far apart, in microseconds, in turn over all routers.
-const EVERY: i64 = 100_000;
-const LOAD: i64 = 400_000;
-const WORK: i64 = 60_000;
-/// When the new versions come, and when the day ends.
-const NEW: i64 = 8_000_000;
+/// Interval between the calls of one router, in microseconds; the routers' calls are spread evenly over it.
+const CALL_INTERVAL: i64 = 100_000;
+/// Load time and service time of each function, in microseconds.
+const LOAD_TIME: i64 = 400_000;
+const SERVICE_TIME: i64 = 60_000;
+/// When the new versions appear and when the simulation ends, in microseconds.
+const VERSION_CHANGE: i64 = 8_000_000;
 const END: i64 = 16_000_000;
-/// The ration of each router: so many orders in the window, and so many more for each request taken in it.
-const WINDOW: i64 = 2_000_000;
-const FREE: f64 = 2.0;
-const SHARE: f64 = 0.3;
-/// This worker has just come up when the new versions do, and begins with this part of its capacity.
-const COLD: u64 = 3;
-const START: f64 = 0.3;
+/// The load request quota of each router: its window in microseconds, the load requests allowed in it, and
+/// the additional ones for each request accepted in it.
+const QUOTA_WINDOW: i64 = 2_000_000;
+const QUOTA_FREE: f64 = 2.0;
+const QUOTA_SHARE: f64 = 0.3;
+/// This worker restarts when the new versions appear, and starts with this fraction of its capacity.
+const STARTED_WORKER: u64 = 3;
+const START_CAPACITY: f64 = 0.3;
 
+/// A scheduled step of the simulation.
 enum Due {
+    /// The next call arrives at this router.
     Call(usize),
-    Tell(usize, Box<Event>),
+    /// This router receives an event.
+    Event(usize, Box<Event>),
 }
 
 #[derive(Default)]
-struct Day {
+struct Simulation {
     now: i64,
-    agenda: BTreeMap<(i64, u64), Due>,
-    next: u64,
-    /// When a copy stands, by worker and function.
+    schedule: BTreeMap<(i64, u64), Due>,
+    last_entry: u64,
+    /// When a copy is or will be loaded, by worker and function.
     copies: HashMap<(u64, u64), i64>,
+    /// Number of attempts, the function and the arrival time, by router and request.
     attempts: HashMap<(usize, u64), usize>,
     functions: HashMap<(usize, u64), u64>,
-    asked: HashMap<(usize, u64), i64>,
-    /// For each router, times of requests taken and of orders.
-    taken: Vec<Vec<i64>>,
-    orders: Vec<Vec<i64>>,
-    /// Times of all calls that reached the cold worker.
-    cold: Vec<i64>,
-    /// Times of requests served, with the time of their coming, and of those that were not.
+    arrived_at: HashMap<(usize, u64), i64>,
+    /// Times of the requests accepted and of the load requests, by router.
+    accepted: Vec<Vec<i64>>,
+    load_requests: Vec<Vec<i64>>,
+    /// Times of all calls sent to the started worker.
+    calls_to_started: Vec<i64>,
+    /// Completion and arrival times of the requests served.
     served: Vec<(i64, i64)>,
-    lost: Vec<i64>,
+    /// Arrival times of the requests refused or failed.
+    unserved: Vec<i64>,
+    /// Loads begun since the new versions appeared.
     loads: usize,
 }
 
-impl Day {
+impl Simulation {
     fn at(&mut self, after: i64, due: Due) {
-        self.next += 1;
-        self.agenda.insert((self.now + after, self.next), due);
+        self.last_entry += 1;
+        self.schedule.insert((self.now + after, self.last_entry), due);
     }
 
-    fn handle_event(&mut self, after: i64, router: usize, event: Event) {
-        self.at(after, Due::Tell(router, Box::new(event)));
+    fn deliver(&mut self, after: i64, router: usize, event: Event) {
+        self.at(after, Due::Event(router, Box::new(event)));
     }
 
-    fn act(&mut self, n: usize, action: Action) {
+    fn execute(&mut self, n: usize, action: Action) {
         match action {
             Action::Send { id, worker, .. } => {
                 let attempt = self.attempts.entry((n, id.0)).or_default();
                 *attempt += 1;
                 let (attempt, function) = (*attempt - 1, self.functions[&(n, id.0)]);
-                if worker.0 == COLD {
-                    self.cold.push(self.now);
+                if worker.0 == STARTED_WORKER {
+                    self.calls_to_started.push(self.now);
                 }
-                let stands = self.copies.get(&(worker.0, function)).copied();
-                // A load under way is waited for, once its order has come.
-                let (outcome, taken) = match stands {
-                    Some(at) => (Outcome::Ok, (at - self.now).max(0) + WORK),
+                let loaded_at = self.copies.get(&(worker.0, function)).copied();
+                // A call waits for a load in progress; without one it is answered with a miss.
+                let (outcome, latency) = match loaded_at {
+                    Some(at) => (Outcome::Ok, (at - self.now).max(0) + SERVICE_TIME),
                     None => (Outcome::Miss, 1_000),
                 };
                 let answer = Answer {
@@ -79,40 +88,38 @@
                     worker,
                     outcome,
                     closed: outcome == Outcome::Ok,
-                    latency: Micros(taken),
+                    latency: Micros(latency),
                     queue_depth: None,
                     load_failed: false,
                     report: None,
                 };
-                self.handle_event(taken, n, Event::Answer(answer));
+                self.deliver(latency, n, Event::Answer(answer));
             }
             Action::Load { worker, function, copies } => {
-                self.orders[n].push(self.now);
+                self.load_requests[n].push(self.now);
                 let now = self.now;
                 let mut begun = 0;
-                let stands = *self.copies.entry((worker.0, function.0)).or_insert_with(|| {
+                let loaded_at = *self.copies.entry((worker.0, function.0)).or_insert_with(|| {
                     begun = 1;
-                    now + LOAD
+                    now + LOAD_TIME
                 });
                 self.loads += begun;
-                let taken = (stands - now).max(1_000);
-                let (outcome, latency) = (Outcome::Ok, Micros(taken));
-                self.handle_event(
-                    taken,
-                    n,
-                    Event::LoadCompleted { worker, function, outcome, copies, latency },
-                );
+                let delay = (loaded_at - now).max(1_000);
+                let (outcome, latency) = (Outcome::Ok, Micros(delay));
+                self.deliver(delay, n, Event::LoadCompleted { worker, function, outcome, copies, latency });
             }
             Action::Wake { at, token } => {
-                self.handle_event((at.0 - self.now).max(0), n, Event::Wake { token });
+                self.deliver((at.0 - self.now).max(0), n, Event::Wake { token });
+            }
+            Action::Refuse { id, .. } | Action::Fail { id } => {
+                self.unserved.push(self.arrived_at[&(n, id.0)])
             }
-            Action::Refuse { id, .. } | Action::Fail { id } => self.lost.push(self.asked[&(n, id.0)]),
             _ => {}
         }
     }
 }
 
-fn day(new_versions: bool) -> Day {
+fn simulate(new_versions: bool) -> Simulation {
     let settings = Settings {
         routers: ROUTERS,
         classes: vec![Class { effect: Effect::NonIdempotent, ..Class::default() }],
@@ -120,58 +127,62 @@
             on_request: false,
             load_requests: true,
             idle_retention: Micros(20_000_000),
-            load_quota_window: Micros(WINDOW),
-            load_quota_free: FREE,
-            load_quota_share: SHARE,
+            load_quota_window: Micros(QUOTA_WINDOW),
+            load_quota_free: QUOTA_FREE,
+            load_quota_share: QUOTA_SHARE,
             ..Loading::default()
         },
         limits: Limits { probes: false, max_attempts: 3, ..Limits::default() },
-        rules: Rules { start_capacity: START, warm_up_time: Micros(6_000_000), ..Rules::default() },
+        rules: Rules { start_capacity: START_CAPACITY, warm_up_time: Micros(6_000_000), ..Rules::default() },
         ..Settings::default()
     };
-    let mut brains: Vec<Balancer> =
+    let mut balancers: Vec<Balancer> =
         (0..ROUTERS).map(|n| Balancer::new(settings.clone(), n as u64 + 1)).collect();
-    let mut day =
-        Day { taken: vec![vec![]; ROUTERS], orders: vec![vec![]; ROUTERS], now: 1_000_000, ..Day::default() };
+    let mut simulation = Simulation {
+        accepted: vec![vec![]; ROUTERS],
+        load_requests: vec![vec![]; ROUTERS],
+        now: 1_000_000,
+        ..Simulation::default()
+    };
     let entries: Vec<WorkerEntry> =
         (1..=WORKERS).map(|w| WorkerEntry { id: WorkerId(w), ..WorkerEntry::default() }).collect();
     for n in 0..ROUTERS {
         let listing = Listing { scope: Scope::Full, entries: entries.clone() };
-        day.handle_event(0, n, Event::WorkersListed(listing));
-        let first = 1_000 + n as i64 * EVERY / ROUTERS as i64;
-        day.at(first, Due::Call(n));
+        simulation.deliver(0, n, Event::WorkersListed(listing));
+        let first = 1_000 + n as i64 * CALL_INTERVAL / ROUTERS as i64;
+        simulation.at(first, Due::Call(n));
     }
     let (mut requests, mut changed) = (0, !new_versions);
-    while let Some(((at, _), due)) = day.agenda.pop_first() {
-        day.now = at;
+    while let Some(((at, _), due)) = simulation.schedule.pop_first() {
+        simulation.now = at;
         if at >= END {
             break;
         }
-        if !changed && at >= NEW {
+        if !changed && at >= VERSION_CHANGE {
             changed = true;
-            day.copies.clear();
-            day.loads = 0;
+            simulation.copies.clear();
+            simulation.loads = 0;
             let up_since = Some(Micros(at));
-            let cold = WorkerEntry { id: WorkerId(COLD), up_since, ..WorkerEntry::default() };
+            let started = WorkerEntry { id: WorkerId(STARTED_WORKER), up_since, ..WorkerEntry::default() };
             for n in 0..ROUTERS {
-                day.handle_event(
+                simulation.deliver(
                     0,
                     n,
-                    Event::WorkersListed(Listing { scope: Scope::Changes, entries: vec![cold.clone()] }),
+                    Event::WorkersListed(Listing { scope: Scope::Changes, entries: vec![started.clone()] }),
                 );
             }
         }
         let (n, event) = match due {
-            Due::Tell(n, event) => (n, *event),
+            Due::Event(n, event) => (n, *event),
             Due::Call(n) => {
                 requests += 1;
-                // Half of the calls are for a fifth of the functions.
+                // A fifth of the functions receive half of the calls.
                 let draw = (requests * 7919 + requests / 13) % 40;
                 let function = if draw < 20 { draw % 4 } else { draw % FUNCTIONS };
-                day.functions.insert((n, requests), function);
-                day.asked.insert((n, requests), at);
-                day.taken[n].push(at);
-                day.at(EVERY, Due::Call(n));
+                simulation.functions.insert((n, requests), function);
+                simulation.arrived_at.insert((n, requests), at);
+                simulation.accepted[n].push(at);
+                simulation.at(CALL_INTERVAL, Due::Call(n));
                 let request = Request {
                     id: RequestId(requests),
                     function: FunctionId(function),
@@ -182,66 +193,81 @@
             }
         };
         if let Event::Answer(Answer { id, outcome: Outcome::Ok, .. }) = &event {
-            let came = day.asked[&(n, id.0)];
-            day.served.push((at, came));
+            let arrival = simulation.arrived_at[&(n, id.0)];
+            simulation.served.push((at, arrival));
         }
         let mut out = Vec::new();
-        brains[n].handle(Micros(at), event, &mut out);
-        out.into_iter().for_each(|action| day.act(n, action));
+        balancers[n].handle(Micros(at), event, &mut out);
+        out.into_iter().for_each(|action| simulation.execute(n, action));
     }
-    day
+    simulation
 }
 
-/// The most that a router ordered beyond its ration at any order.
-fn load_requests_over_quota(day: &Day) -> f64 {
+/// The largest number by which the load requests of a router exceeded its quota; negative if none did.
+fn load_requests_over_quota(simulation: &Simulation) -> f64 {
     let mut most = f64::MIN;
-    for (orders, taken) in day.orders.iter().zip(&day.taken) {
+    for (load_requests, accepted) in simulation.load_requests.iter().zip(&simulation.accepted) {
         let mut window: VecDeque<i64> = VecDeque::new();
-        for at in orders {
+        for at in load_requests {
             window.push_back(*at);
-            window.retain(|t| at - t <= WINDOW);
-            let requests = taken.iter().filter(|t| **t <= *at && at - **t < WINDOW).count();
-            most = most.max(window.len() as f64 - FREE - SHARE * requests as f64);
+            window.retain(|t| at - t <= QUOTA_WINDOW);
+            let requests = accepted.iter().filter(|t| **t <= *at && at - **t < QUOTA_WINDOW).count();
+            most = most.max(window.len() as f64 - QUOTA_FREE - QUOTA_SHARE * requests as f64);
         }
     }
     most
 }
 
-fn share_served(day: &Day, from: i64, to: i64) -> f64 {
+/// The fraction of the requests that arrived from `from` to `to` and were served within a second.
+fn share_served(simulation: &Simulation, from: i64, to: i64) -> f64 {
     let within = |t: &i64| (from..to).contains(t);
-    let served = day.served.iter().filter(|(at, came)| within(came) && at - came < 1_000_000).count();
-    let asked = day.asked.values().filter(|t| within(t)).count();
-    served as f64 / asked as f64
+    let served =
+        simulation.served.iter().filter(|(at, arrival)| within(arrival) && at - arrival < 1_000_000).count();
+    let arrived = simulation.arrived_at.values().filter(|t| within(t)).count();
+    served as f64 / arrived as f64
 }
 
 #[test]
 fn service_recovers_within_quota_and_slow_start_budget_when_all_copies_are_lost() {
-    let (quiet, day) = (day(false), day(true));
-    let usual = share_served(&quiet, NEW, END - 3_000_000);
-    assert!(usual > 0.99, "{usual} of a day without news");
+    let (unchanged, changed) = (simulate(false), simulate(true));
+    let usual = share_served(&unchanged, VERSION_CHANGE, END - 3_000_000);
+    assert!(usual > 0.99, "only {usual} served within a second without new versions");
     assert!(
-        load_requests_over_quota(&day) <= 0.0,
-        "an order beyond the ration: {}",
-        load_requests_over_quota(&day)
+        load_requests_over_quota(&changed) <= 0.0,
+        "load requests exceeded the quota by {}",
+        load_requests_over_quota(&changed)
+    );
+    let (first, then) = (
+        share_served(&changed, VERSION_CHANGE, VERSION_CHANGE + 2_000_000),
+        share_served(&changed, VERSION_CHANGE + 2_000_000, END - 3_000_000),
     );
-    let (first, then) =
-        (share_served(&day, NEW, NEW + 2_000_000), share_served(&day, NEW + 2_000_000, END - 3_000_000));
-    let waited = |d: &Day| {
-        let first = d.served.iter().filter(|(_, came)| (NEW..NEW + 2_000_000).contains(came));
-        first.filter(|(at, came)| at - came > 2 * WORK).count()
+    let waited_for_load = |simulation: &Simulation| {
+        let early = VERSION_CHANGE..VERSION_CHANGE + 2_000_000;
+        let first = simulation.served.iter().filter(|(_, arrival)| early.contains(arrival));
+        first.filter(|(at, arrival)| at - arrival > 2 * SERVICE_TIME).count()
     };
-    let (felt, before) = (waited(&day), waited(&quiet));
-    assert!(felt > 20 && felt > 4 * before, "calls waited for copies: {felt}, {before} without news");
-    assert!(then > 0.98, "{first} in the first two seconds, {then} afterwards");
+    let (waited, usual_waits) = (waited_for_load(&changed), waited_for_load(&unchanged));
+    assert!(
+        waited > 20 && waited > 4 * usual_waits,
+        "{waited} calls waited for loads, {usual_waits} without new versions"
+    );
+    assert!(then > 0.98, "{first} served within a second in the first two seconds, {then} afterwards");
     // About one load for each worker that serves a function, not one for each router.
-    assert!(day.loads <= 3 * FUNCTIONS as usize, "{} loads by {ROUTERS} routers", day.loads);
-    // In a second the cold worker may get three times what it can do: its part of 300 calls a second.
-    let capacity = (ROUTERS as f64 * 1e6 / EVERY as f64) / WORKERS as f64 * START;
-    let second = |from: &i64| day.cold.iter().filter(|t| **t >= *from && **t < from + 1_000_000).count();
-    let early = day.cold.iter().filter(|t| **t >= NEW && **t < NEW + 2_000_000);
-    let most = early.map(second).max().unwrap_or(0);
+    assert!(changed.loads <= 3 * FUNCTIONS as usize, "{} loads by {ROUTERS} routers", changed.loads);
+    // The started worker may receive up to three times its capacity, which is its share of 300 calls a
+    // second.
+    let capacity = (ROUTERS as f64 * 1e6 / CALL_INTERVAL as f64) / WORKERS as f64 * START_CAPACITY;
+    let calls_in_second_from = |from: &i64| {
+        changed.calls_to_started.iter().filter(|t| **t >= *from && **t < from + 1_000_000).count()
+    };
+    let early =
+        changed.calls_to_started.iter().filter(|t| **t >= VERSION_CHANGE && **t < VERSION_CHANGE + 2_000_000);
+    let most = early.map(calls_in_second_from).max().unwrap_or(0);
     let bound = 3.0 * capacity;
     let slack = 3.0 * bound.sqrt() + 3.0;
-    assert!(most > 0, "it takes part");
-    assert!(most as f64 <= bound + slack, "{most} calls in a second to the cold worker, {bound} + {slack}");
+    assert!(most > 0, "the started worker received no calls");
+    assert!(
+        most as f64 <= bound + slack,
+        "{most} calls in a second to the started worker, more than {bound} + {slack}"
+    );
 }
