--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -9,7 +9,7 @@
 use mqtt_protocol_core::mqtt::packet::*;
 use slatevalve_gateway::clock::Clock;
 use slatevalve_gateway::server::GatewayServer;
-use slatevalve_gateway::settings::{Named, Site};
+use slatevalve_gateway::settings::{NameTables, Site};
 use slatevalve_reactor::{Id, Reactor, ReactorEvent};
 use slatevalve_worker_protocol::{
     Call, Limits, Message, MessageReader, ParsedRequest, Reply, Side, WorkerRequest,
@@ -112,7 +112,7 @@
     let thread = thread::Builder::new().name("gateway".into());
     let spawned = thread.spawn(move || {
         let clock = Clock::start();
-        let site = Site::parse("bench", &text, &clock, Named::default()).unwrap();
+        let site = Site::parse("bench", &text, &clock, NameTables::default()).unwrap();
         let mut server = GatewayServer::new(site, None, clock).unwrap();
         send.send(Server { address: server.address(), thread: this_thread() }).unwrap();
         server.run().unwrap();
--- a/crates/gateway/src/chaos_test/runner/mod.rs
+++ b/crates/gateway/src/chaos_test/runner/mod.rs
@@ -12,7 +12,7 @@
 use super::script::Script;
 use super::{ChaosTestError, Options};
 use crate::clock::Clock;
-use crate::settings::{Named, Site};
+use crate::settings::{NameTables, Site};
 use processes::{Gateway, Worker};
 use slatevalve_sexpr::File;
 use slatevalve_test_servers::{unix_micros, ClientPlan, ClientReport, Driver, TraceWriter};
@@ -115,7 +115,7 @@
     /// Runs the test to its end; `progress` is called with the seconds since the start and the number of open calls.
     pub(super) fn run(mut self, progress: impl FnMut(f64, usize)) -> Result<RunRecord, ChaosTestError> {
         let clock = Clock::start();
-        let site = Site::parse("(settings ...)", &self.settings_file(0), &clock, Named::default())?;
+        let site = Site::parse("(settings ...)", &self.settings_file(0), &clock, NameTables::default())?;
         let terms = self.terms(&site);
         let requirements = class_requirements(&site);
         let known = |class: &String| requirements.iter().any(|known| known.name == *class);
--- a/crates/gateway/src/commands/gateway.rs
+++ b/crates/gateway/src/commands/gateway.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::platform::{PlatformError, Router};
 use crate::server::GatewayServer;
-use crate::settings::{Named, Site, VersionedSettings};
+use crate::settings::{NameTables, Site, VersionedSettings};
 use serde_json::json;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -20,7 +20,7 @@
             GatewayServer::versioned(registry_settings, versioned, clock)?
         }
         None => {
-            let site = Site::load(&settings, &clock, Named::default())?;
+            let site = Site::load(&settings, &clock, NameTables::default())?;
             GatewayServer::new(site, Some(settings), clock)?
         }
     };
@@ -41,7 +41,7 @@
 
 /// Reads a settings file and prints what it holds.
 pub(super) fn check(settings: PathBuf, json: bool) -> CommandResult {
-    let site = Site::load(&settings, &Clock::start(), Named::default())?;
+    let site = Site::load(&settings, &Clock::start(), NameTables::default())?;
     let routes = &site.front.routes;
     let (name, classes, workers) = (&site.name, site.classes.len(), site.workers.len());
     let (routes, tenants) = (routes.routes.len(), routes.tenants.len());
--- a/crates/gateway/src/commands/plugin/mod.rs
+++ b/crates/gateway/src/commands/plugin/mod.rs
@@ -9,7 +9,7 @@
 use crate::clock::Clock;
 use crate::plugins::command::{execute, Command, CommandError, Context};
 use crate::plugins::folder::PluginFolder;
-use crate::settings::{Named, Site};
+use crate::settings::{NameTables, Site};
 use clap::{Args, Subcommand};
 use registry::Registry;
 use serde_json::{json, Value};
@@ -317,5 +317,5 @@
 
 /// The classes and tenants of a settings file, against which what is taken in is checked.
 fn class_rights(settings: &Path) -> Result<ClassRights, Box<dyn Error>> {
-    Ok(Site::load(settings, &Clock::start(), Named::default())?.rights)
+    Ok(Site::load(settings, &Clock::start(), NameTables::default())?.rights)
 }
--- a/crates/gateway/src/server/config_versioning/integration.rs
+++ b/crates/gateway/src/server/config_versioning/integration.rs
@@ -73,7 +73,7 @@
         site.listen = self.site.listen;
         let workers = self.source.is_none().then(|| site.workers.clone());
         if self.source.is_some() {
-            site.named = std::mem::take(&mut self.site.named);
+            site.name_tables = std::mem::take(&mut self.site.name_tables);
         }
         self.site = site;
         if let Some(workers) = workers {
--- a/crates/gateway/src/server/events.rs
+++ b/crates/gateway/src/server/events.rs
@@ -46,9 +46,9 @@
 
     fn received(&mut self, now: Micros, id: Id, bytes: &[u8]) {
         if let Some(link) = self.clients.link(id) {
-            self.front.received(now, link, bytes, &mut self.to_front);
+            self.front.received(now, link, bytes, &mut self.front_outputs);
         } else if let Some(link) = bridge::by_connection(&mut self.bridge, id) {
-            link.bridge.received(now, bytes, &mut self.to_bridge);
+            link.bridge.received(now, bytes, &mut self.bridge_outputs);
         } else if self.admin.as_ref().is_some_and(|admin| admin.owns(id)) {
             self.admin_received(id, bytes);
         } else {
@@ -58,14 +58,14 @@
 
     fn connected(&mut self, now: Micros, id: Id) {
         match bridge::by_connection(&mut self.bridge, id) {
-            Some(link) => link.bridge.connected(now, &mut self.to_bridge),
+            Some(link) => link.bridge.connected(now, &mut self.bridge_outputs),
             None => self.worker_side().connected(now, id),
         }
     }
 
     fn closed(&mut self, now: Micros, id: Id, connected: bool, written: u64) {
         if let Some(link) = self.clients.remove(id) {
-            self.front.closed(now, link, &mut self.to_front);
+            self.front.closed(now, link, &mut self.front_outputs);
         } else if let Some(link) = bridge::by_connection(&mut self.bridge, id) {
             link.closed(now);
         } else if !self.admin.as_mut().is_some_and(|admin| admin.closed(id)) {
--- a/crates/gateway/src/server/members.rs
+++ b/crates/gateway/src/server/members.rs
@@ -3,7 +3,7 @@
 
 use super::{GatewayError, GatewayServer};
 use crate::members::{MemberSettings, MembershipEvent, Recorder, RegistrySource, ReplaySource, Source};
-use crate::settings::{MemberSource, Site, WorkerLine};
+use crate::settings::{ListedWorker, MemberSource, Site};
 use slatevalve::{Listing, Micros, Scope, WorkerEntry, WorkerId, WorkerState};
 use slatevalve_engine::worker_id;
 use slatevalve_registry::{RouterRecord, WorkerRecord};
@@ -54,10 +54,10 @@
                 MembershipEvent::Changes(changes) => self.apply_changes(now, changes),
                 MembershipEvent::Refused => {
                     let listing = Listing { scope: Scope::Refused, entries: Vec::new() };
-                    self.engine.workers_listed(now, listing, &mut self.to_engine);
+                    self.engine.workers_listed(now, listing, &mut self.engine_outputs);
                 }
                 MembershipEvent::Routers(routers) => {
-                    self.engine.router_count_changed(now, routers, &mut self.to_engine)
+                    self.engine.router_count_changed(now, routers, &mut self.engine_outputs)
                 }
             }
         }
@@ -73,8 +73,8 @@
     }
 
     /// Converts a worker's record; returns none where another worker has the same id.
-    fn worker_line(&mut self, name: &str, record: &WorkerRecord) -> Option<WorkerLine> {
-        let mut line = WorkerLine::of(name, record, &mut self.site.named, &self.clock);
+    fn worker_line(&mut self, name: &str, record: &WorkerRecord) -> Option<ListedWorker> {
+        let mut line = ListedWorker::from_record(name, record, &mut self.site.name_tables, &self.clock);
         let worker = line.entry.id;
         let known = self.names.entry(worker).or_insert_with(|| name.into());
         if known != name {
@@ -92,7 +92,7 @@
         self.names.retain(|_, name| workers.contains_key(name));
         let names = &self.names;
         self.start_times.retain(|worker| names.contains_key(worker));
-        let lines: Vec<WorkerLine> =
+        let lines: Vec<ListedWorker> =
             workers.iter().filter_map(|(name, record)| self.worker_line(name, record)).collect();
         info!(workers = lines.len(), ?scope, "the list of workers");
         self.apply_worker_list(scope, &lines);
@@ -118,12 +118,12 @@
             }
         }
         let listing = Listing { scope: Scope::Changes, entries };
-        self.engine.workers_listed(now, listing, &mut self.to_engine);
+        self.engine.workers_listed(now, listing, &mut self.engine_outputs);
         self.cancel_unsent(now, to_cancel);
     }
 
     /// Updates a worker in the pool; returns whether it drains or has another address.
-    fn list_worker(&mut self, name: &str, line: &WorkerLine) -> bool {
+    fn list_worker(&mut self, name: &str, line: &ListedWorker) -> bool {
         let worker = line.entry.id;
         info!(worker = name, state = ?line.entry.state, "worker");
         let moved = self.pool.list(&mut self.reactor, worker, name, line.address);
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -74,9 +74,9 @@
     /// Longest time that bytes read in this iteration may have waited to be read.
     read_delay: Micros,
     stopping: bool,
-    to_engine: Vec<Output>,
-    to_front: Vec<FrontOutput>,
-    to_bridge: Vec<BridgeOutput>,
+    engine_outputs: Vec<Output>,
+    front_outputs: Vec<FrontOutput>,
+    bridge_outputs: Vec<BridgeOutput>,
 }
 
 impl GatewayServer {
@@ -122,9 +122,9 @@
             workers_listed: BTreeSet::new(),
             read_delay: Micros(0),
             stopping: false,
-            to_engine: Vec::new(),
-            to_front: Vec::new(),
-            to_bridge: Vec::new(),
+            engine_outputs: Vec::new(),
+            front_outputs: Vec::new(),
+            bridge_outputs: Vec::new(),
             site,
         };
         server.apply_first_list();
@@ -186,9 +186,9 @@
 
     /// Fires the timers of front end, bridge and worker source.
     fn advance_protocols(&mut self, now: Micros) {
-        self.front.advance(now, &mut self.to_front);
+        self.front.advance(now, &mut self.front_outputs);
         if let Some(link) = &mut self.bridge {
-            link.bridge.advance(now, &mut self.to_bridge);
+            link.bridge.advance(now, &mut self.bridge_outputs);
         }
         if let Some(source) = &mut self.source {
             source.advance(now, &mut self.reactor);
@@ -200,9 +200,9 @@
     fn advance_calls(&mut self, now: Micros) {
         self.worker_side().advance(now);
         self.drain_outputs(now);
-        self.engine.advance(now, &mut self.to_engine);
+        self.engine.advance(now, &mut self.engine_outputs);
         if let Some(plugins) = &mut self.plugins {
-            plugins.advance(now, &mut self.engine, &mut self.to_engine);
+            plugins.advance(now, &mut self.engine, &mut self.engine_outputs);
         }
         self.drain_outputs(now);
     }
@@ -230,7 +230,7 @@
             reactor: &mut self.reactor,
             engine: &mut self.engine,
             classes: &self.site.classes,
-            outputs: &mut self.to_engine,
+            outputs: &mut self.engine_outputs,
         }
     }
 
--- a/crates/gateway/src/server/outputs.rs
+++ b/crates/gateway/src/server/outputs.rs
@@ -10,23 +10,23 @@
     /// Executes pending outputs until none is left; an output may lead to others.
     pub(super) fn drain_outputs(&mut self, now: Micros) {
         while self.has_outputs() {
-            for output in std::mem::take(&mut self.to_bridge) {
+            for output in std::mem::take(&mut self.bridge_outputs) {
                 let Some(link) = &mut self.bridge else { continue };
                 if let Some(call) = link.execute(now, &mut self.reactor, output) {
                     self.submit_call(now, *call);
                 }
             }
-            for output in std::mem::take(&mut self.to_front) {
+            for output in std::mem::take(&mut self.front_outputs) {
                 self.execute_front(now, output);
             }
-            for output in std::mem::take(&mut self.to_engine) {
+            for output in std::mem::take(&mut self.engine_outputs) {
                 self.execute(now, output);
             }
         }
     }
 
     fn has_outputs(&self) -> bool {
-        !(self.to_front.is_empty() && self.to_engine.is_empty() && self.to_bridge.is_empty())
+        !(self.front_outputs.is_empty() && self.engine_outputs.is_empty() && self.bridge_outputs.is_empty())
     }
 
     fn execute_front(&mut self, now: Micros, output: FrontOutput) {
@@ -36,7 +36,7 @@
             FrontOutput::Call(call) => self.submit_call(now, *call),
             FrontOutput::ClientDisconnected(ticket) => {
                 self.plugins.iter_mut().for_each(|plugins| plugins.call_withdrawn(now, ticket));
-                self.engine.client_disconnected(now, ticket, &mut self.to_engine);
+                self.engine.client_disconnected(now, ticket, &mut self.engine_outputs);
             }
         }
     }
@@ -47,7 +47,7 @@
         if let Some(plugins) = &mut self.plugins {
             plugins.resolve(now, &mut call);
         }
-        self.engine.call(now, call, &mut self.to_engine);
+        self.engine.call(now, call, &mut self.engine_outputs);
     }
 
     fn execute(&mut self, now: Micros, output: Output) {
@@ -68,8 +68,8 @@
     fn answer(&mut self, now: Micros, ticket: Ticket, answer: &Answer) {
         self.plugins.iter_mut().for_each(|plugins| plugins.call_answered(now, ticket, answer));
         match bridge::by_ticket(&mut self.bridge, ticket) {
-            Some(link) => link.bridge.answer(now, ticket, answer, &mut self.to_bridge),
-            None => self.front.answer(now, ticket, answer, &mut self.to_front),
+            Some(link) => link.bridge.answer(now, ticket, answer, &mut self.bridge_outputs),
+            None => self.front.answer(now, ticket, answer, &mut self.front_outputs),
         }
     }
 
@@ -77,7 +77,7 @@
     fn superseded(&mut self, now: Micros, ticket: Ticket) {
         self.plugins.iter_mut().for_each(|plugins| plugins.call_withdrawn(now, ticket));
         match bridge::by_ticket(&mut self.bridge, ticket) {
-            Some(link) => link.bridge.superseded(now, ticket, &mut self.to_bridge),
+            Some(link) => link.bridge.superseded(now, ticket, &mut self.bridge_outputs),
             None => self.front.superseded(ticket),
         }
     }
--- a/crates/gateway/src/server/plugins/calls.rs
+++ b/crates/gateway/src/server/plugins/calls.rs
@@ -99,7 +99,7 @@
     /// Queues a pull of a version that a call was refused for, where the settings enable that; later calls can run it.
     fn queue_pull(&mut self, now: Micros, reference: &Reference, error: &CatalogueError) {
         let missing = matches!(error, CatalogueError::UnknownVersion(_) | CatalogueError::Partial(_));
-        if missing && self.settings.on_call && self.settings.registry.is_some() {
+        if missing && self.settings.pull_on_call && self.settings.registry.is_some() {
             if let Ok((version, _)) = self.catalogue.version_of(reference) {
                 self.pull_queue.enqueue(now.0, &format!("{}@{version}", reference.name));
             }
--- a/crates/gateway/src/server/reload.rs
+++ b/crates/gateway/src/server/reload.rs
@@ -1,7 +1,7 @@
 //! Reload of the settings file, and worker lists that replace the current one as a whole.
 
 use super::GatewayServer;
-use crate::settings::{Site, WorkerLine};
+use crate::settings::{ListedWorker, Site};
 use slatevalve::{Listing, Micros, Scope, WorkerId, WorkerState};
 use slatevalve_sexpr::FormError;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
             plugins.reload();
         }
         let Some(path) = &self.settings_file else { return };
-        let read: Result<Site, FormError> = Site::load(path, &self.clock, self.site.named.clone());
+        let read: Result<Site, FormError> = Site::load(path, &self.clock, self.site.name_tables.clone());
         match read {
             Ok(site) => self.apply_reloaded(site),
             Err(error) => error!(%error, "settings file rejected; worker list unchanged"),
@@ -26,7 +26,7 @@
         if let (Some(plugins), Some(settings)) = (&mut self.plugins, site.plugins) {
             plugins.require(settings.terms);
         }
-        self.site.named = site.named;
+        self.site.name_tables = site.name_tables;
         self.site.workers = site.workers.clone();
         if self.source.is_none() {
             self.apply_worker_list(Scope::Full, &site.workers);
@@ -34,7 +34,7 @@
     }
 
     /// Applies a complete worker list. Workers that it no longer names are gone.
-    pub(super) fn apply_worker_list(&mut self, scope: Scope, workers: &[WorkerLine]) {
+    pub(super) fn apply_worker_list(&mut self, scope: Scope, workers: &[ListedWorker]) {
         let now = self.clock.now();
         let mut named = BTreeSet::new();
         let mut not_accepting = Vec::new();
@@ -54,7 +54,7 @@
         self.workers_listed = named;
         let entries = workers.iter().map(|line| line.entry.clone()).collect();
         let listing = Listing { scope, entries };
-        self.engine.workers_listed(now, listing, &mut self.to_engine);
+        self.engine.workers_listed(now, listing, &mut self.engine_outputs);
         self.cancel_unsent(now, not_accepting);
         self.drain_outputs(now);
     }
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -23,7 +23,7 @@
         if let Some(link) = &mut self.bridge {
             link.bridge.hold();
         }
-        self.engine.stop(now, after(now, self.site.stop_within));
+        self.engine.stop(now, after(now, self.site.stop_timeout));
         if let Some(source) = &mut self.source {
             source.leave(now, &mut self.reactor);
         }
@@ -37,7 +37,7 @@
         if let Some(config_versioning) = &mut self.config_versioning {
             config_versioning.release_lease();
         }
-        self.front.stop(now, &mut self.to_front);
+        self.front.stop(now, &mut self.front_outputs);
         self.drain_outputs(now);
         let until = after(now, FLUSH_TIMEOUT);
         let mut events = Vec::new();
--- a/crates/gateway/src/settings/document.rs
+++ b/crates/gateway/src/settings/document.rs
@@ -4,7 +4,7 @@
 //! commands and by gateways that act by documents. Source: `docs/design-config-versioning.md`.
 
 use super::forms::Res;
-use super::{Named, Site};
+use super::{NameTables, Site};
 use crate::clock::Clock;
 use slatevalve::{Effect, Group, Micros};
 use slatevalve_config_versioning::{
@@ -46,7 +46,7 @@
     /// # Errors
     /// The first fault, with its place.
     pub fn parse(name: &str, text: &str, clock: &Clock) -> Res<Self> {
-        SharedSettings::parse_for_router(name, text, PLACEHOLDER_ROUTER, clock, Named::default())
+        SharedSettings::parse_for_router(name, text, PLACEHOLDER_ROUTER, clock, NameTables::default())
     }
 
     /// Reads and checks the text of a document together with a router's own forms, and with the names that it knows already.
@@ -58,7 +58,7 @@
         text: &str,
         router_forms: &str,
         clock: &Clock,
-        named: Named,
+        name_tables: NameTables,
     ) -> Res<Self> {
         let document = File::parse(name, text)?;
         let mut forms = document.forms()?;
@@ -69,7 +69,7 @@
         let mut top = complete.forms()?;
         top.take("agreed")?;
         let AgreementForm { expiry_policy, lease, clock_error_ppm } = AgreementForm::read(&mut top)?;
-        let site = Site::of_forms(top, clock, named)?;
+        let site = Site::of_forms(top, clock, name_tables)?;
         Ok(SharedSettings { site, expiry_policy, lease, clock_error_ppm: clock_error_ppm as i64 })
     }
 
@@ -110,7 +110,7 @@
     fn worker_facts(&self) -> BTreeMap<String, BTreeSet<Option<String>>> {
         let mut facts = BTreeMap::new();
         for worker in &self.site.workers {
-            let zone = self.site.named.zones.name(worker.entry.zone.0);
+            let zone = self.site.name_tables.zones.name(worker.entry.zone.0);
             let known = [
                 ("cell", worker.entry.cell.0.to_string()),
                 ("zone", zone.to_string()),
--- a/crates/gateway/src/settings/mod.rs
+++ b/crates/gateway/src/settings/mod.rs
@@ -18,11 +18,11 @@
 
 pub use document::SharedSettings;
 pub use members::MemberSource;
-pub use names::Named;
+pub use names::NameTables;
 pub use plugins::PluginSettings;
 pub use pool::PoolSettings;
 pub use site::Site;
 pub use versioned::{ActivationError, DocumentRegistrySettings, VersionedSettings};
-pub use workers::WorkerLine;
+pub use workers::ListedWorker;
 
 pub(crate) use forms::read_text;
--- a/crates/gateway/src/settings/names.rs
+++ b/crates/gateway/src/settings/names.rs
@@ -22,7 +22,7 @@
 /// The zones and kinds of a site. A file that is read again continues with those of the first reading, so that a name keeps
 /// its number while calls that refer to it are open.
 #[derive(Clone, Debug, Default)]
-pub struct Named {
+pub struct NameTables {
     pub(crate) zones: NameTable,
     pub(crate) kinds: NameTable,
 }
--- a/crates/gateway/src/settings/plugins.rs
+++ b/crates/gateway/src/settings/plugins.rs
@@ -20,7 +20,7 @@
     /// Where versions are pulled from, if anywhere.
     pub registry: Option<PullSettings>,
     /// Whether a call that names a version of a known plug-in has it pulled.
-    pub on_call: bool,
+    pub pull_on_call: bool,
     /// Bytes of stored content that are verified again in a second; 0 for none.
     pub scrub_per_s: u64,
     /// What a version must fulfil to run.
@@ -52,7 +52,7 @@
         unlisted,
         rollout: (!is_plain_switch).then_some(rollout),
         admin,
-        on_call: source.as_ref().is_some_and(|source| source.on_call),
+        pull_on_call: source.as_ref().is_some_and(|source| source.pull_on_call),
         registry: source.map(|source| source.settings),
         scrub_per_s: (scrub_mb_per_s * 1e6) as u64,
         terms: Terms { keys, rights: Some(rights) },
@@ -96,7 +96,7 @@
 struct PullForm {
     settings: PullSettings,
     /// Whether a call that names a version has it pulled.
-    on_call: bool,
+    pull_on_call: bool,
 }
 
 impl PullForm {
@@ -107,7 +107,7 @@
         let policy = policy(&mut fields)?;
         let range = whole(&mut fields, "range-kb", DEFAULT_RANGE_KB, MAX_SIZE_FIELD)?.max(1) * 1_024;
         let max_size = whole(&mut fields, "most-mb", DEFAULT_MAX_SIZE_MB, MAX_SIZE_FIELD)? * 1_000_000;
-        let on_call = fields.or("on-call", false, Form::flag)?;
+        let pull_on_call = fields.or("on-call", false, Form::flag)?;
         fields.finish()?;
         let settings = PullSettings {
             location,
@@ -118,7 +118,7 @@
             rights: Some(rights.clone()),
             seed,
         };
-        Ok(PullForm { settings, on_call })
+        Ok(PullForm { settings, pull_on_call })
     }
 }
 
--- a/crates/gateway/src/settings/site.rs
+++ b/crates/gateway/src/settings/site.rs
@@ -5,7 +5,9 @@
 use super::forms::{header_text, read_text, whole, Res};
 use super::mqtt::{bridge, BridgeContext, MqttForm};
 use super::pool::PoolForm;
-use super::{members, plugins, workers, MemberSource, Named, PluginSettings, PoolSettings, WorkerLine};
+use super::{
+    members, plugins, workers, ListedWorker, MemberSource, NameTables, PluginSettings, PoolSettings,
+};
 use crate::clock::Clock;
 use slatevalve::{LoadReportSource, Micros, Settings, Weights, ZoneId};
 use slatevalve_engine::EngineSettings;
@@ -20,7 +22,7 @@
 /// The default margin before a deadline in which an answer still reaches the client.
 const DEFAULT_ANSWER_MARGIN: Micros = Micros(20_000);
 /// The default time that an orderly shutdown may take.
-const DEFAULT_STOP_WITHIN: Micros = Micros(5_000_000);
+const DEFAULT_STOP_TIMEOUT: Micros = Micros(5_000_000);
 
 /// All settings of one gateway.
 #[derive(Clone, Debug)]
@@ -40,7 +42,7 @@
     /// The effect of each class, and the classes that each tenant may use.
     pub rights: ClassRights,
     /// The worker list.
-    pub workers: Vec<WorkerLine>,
+    pub workers: Vec<ListedWorker>,
     /// The source of further workers while the gateway runs.
     pub members: Option<MemberSource>,
     /// Connections to workers.
@@ -50,11 +52,11 @@
     /// Plug-ins, if there are any.
     pub plugins: Option<PluginSettings>,
     /// How long an orderly shutdown may take.
-    pub stop_within: Micros,
+    pub stop_timeout: Micros,
     /// The gateway's own zone.
     pub zone: String,
     /// The zones and kinds that the file names.
-    pub named: Named,
+    pub name_tables: NameTables,
     /// The tenants' names, in the order of their ids.
     pub tenants: Vec<String>,
     /// Numbers of the settings documents in force; none for a file.
@@ -66,32 +68,32 @@
     ///
     /// # Errors
     /// The first fault, with file, line and form.
-    pub fn load(path: &Path, clock: &Clock, named: Named) -> Res<Self> {
+    pub fn load(path: &Path, clock: &Clock, name_tables: NameTables) -> Res<Self> {
         let (name, text) = read_text(path)?;
-        Site::parse(&name, &text, clock, named)
+        Site::parse(&name, &text, clock, name_tables)
     }
 
     /// Reads and checks the text of a settings file.
     ///
     /// # Errors
     /// The first fault, with file, line and form.
-    pub fn parse(file: &str, text: &str, clock: &Clock, named: Named) -> Res<Self> {
-        Site::of_forms(File::parse(file, text)?.forms()?, clock, named)
+    pub fn parse(file: &str, text: &str, clock: &Clock, name_tables: NameTables) -> Res<Self> {
+        Site::of_forms(File::parse(file, text)?.forms()?, clock, name_tables)
     }
 
     /// Reads and checks the forms of a settings file.
-    pub(super) fn of_forms(mut top: Fields<'_>, clock: &Clock, mut named: Named) -> Res<Self> {
+    pub(super) fn of_forms(mut top: Fields<'_>, clock: &Clock, mut name_tables: NameTables) -> Res<Self> {
         let mut gateway = top.need("gateway")?.fields()?;
         let name = gateway.or("name", "gateway".to_string(), header_text)?;
         let zone = gateway.or("zone", "default".to_string(), Form::text)?;
-        let zone_id = ZoneId(named.zones.number_of(&zone));
+        let zone_id = ZoneId(name_tables.zones.number_of(&zone));
         let declared = Declarations::read(&mut top)?;
-        let shared = balancer(&mut top, &mut named.kinds)?;
-        let workers = workers::workers(&mut top, &mut named, clock)?;
+        let shared = balancer(&mut top, &mut name_tables.kinds)?;
+        let workers = workers::workers(&mut top, &mut name_tables, clock)?;
         let balancer = complete_balancer(&mut gateway, zone_id, &declared, &workers, shared)?;
         let routes = declared.routes(&mut top)?;
         let engine = engine(&mut top, &mut gateway, balancer, &declared)?;
-        let stop_within = gateway.or("stop-within-ms", DEFAULT_STOP_WITHIN, Form::millis)?;
+        let stop_timeout = gateway.or("stop-within-ms", DEFAULT_STOP_TIMEOUT, Form::millis)?;
         gateway.finish()?;
         let context = BridgeContext {
             routes: &routes,
@@ -120,9 +122,9 @@
             pool,
             max_response,
             plugins,
-            stop_within,
+            stop_timeout,
             zone,
-            named,
+            name_tables,
             tenants,
             documents: Vec::new(),
         })
@@ -134,7 +136,7 @@
     gateway: &mut Fields<'_>,
     zone: ZoneId,
     declared: &Declarations,
-    workers: &[WorkerLine],
+    workers: &[ListedWorker],
     shared: Settings,
 ) -> Res<Settings> {
     Ok(Settings {
@@ -150,7 +152,7 @@
 }
 
 /// Workers come from the file or from a member source, not from both.
-fn check_one_source(top: &Fields<'_>, members: Option<&MemberSource>, workers: &[WorkerLine]) -> Res<()> {
+fn check_one_source(top: &Fields<'_>, members: Option<&MemberSource>, workers: &[ListedWorker]) -> Res<()> {
     if members.is_some() && !workers.is_empty() {
         return Err(
             top.error("(members ...) and (worker ...) do not stand together: the list has one source")
@@ -160,7 +162,7 @@
 }
 
 /// Workers are weighted by size if the list gives one of them a weight.
-fn weights(workers: &[WorkerLine]) -> Weights {
+fn weights(workers: &[ListedWorker]) -> Weights {
     if workers.iter().any(|worker| worker.entry.weight != 1.0) {
         Weights::Size
     } else {
--- a/crates/gateway/src/settings/versioned.rs
+++ b/crates/gateway/src/settings/versioned.rs
@@ -7,7 +7,7 @@
 
 use super::document::retry_rule;
 use super::forms::{header_text, optional_path, read_text, Res};
-use super::{members, Named, SharedSettings, Site};
+use super::{members, NameTables, SharedSettings, Site};
 use crate::clock::Clock;
 use slatevalve::{Class, ClassId, Effect, Group, Loading, Micros, Tenant, TenantId, WorkerState};
 use slatevalve_config_versioning::{Document, RetryCondition, RetryRule, Terms};
@@ -76,7 +76,7 @@
 pub struct VersionedSettings {
     /// The text of the router's own file.
     router_forms: String,
-    named: Named,
+    name_tables: NameTables,
     slots: Vec<ClassSlot>,
     /// The slot of each class that is in use.
     current_slots: BTreeMap<String, usize>,
@@ -118,13 +118,18 @@
         open_classes: &BTreeSet<ClassId>,
         clock: &Clock,
     ) -> Result<Site, ActivationError> {
-        let mut named = self.named.clone();
+        let mut name_tables = self.name_tables.clone();
         let mut parsed = Vec::new();
         for document in documents {
             let name = format!("document {}", document.number);
-            let shared =
-                SharedSettings::parse_for_router(&name, &document.text, &self.router_forms, clock, named)?;
-            named = shared.site.named.clone();
+            let shared = SharedSettings::parse_for_router(
+                &name,
+                &document.text,
+                &self.router_forms,
+                clock,
+                name_tables,
+            )?;
+            name_tables = shared.site.name_tables.clone();
             parsed.push(shared);
         }
         let terms = parsed.iter().map(SharedSettings::terms).reduce(|one, other| one.meet(&other));
@@ -132,8 +137,8 @@
             return Err(ActivationError::NoDocument);
         };
         let mut site = newest.site;
-        site.named.clone_from(&named);
-        self.named = named;
+        site.name_tables.clone_from(&name_tables);
+        self.name_tables = name_tables;
         let older: Vec<Site> = parsed.into_iter().map(|shared| shared.site).collect();
         restrict(&mut site, &older, &terms);
         site.documents = documents.iter().map(|document| document.number).collect();
--- a/crates/gateway/src/settings/workers.rs
+++ b/crates/gateway/src/settings/workers.rs
@@ -1,7 +1,7 @@
 //! The `worker` forms: the list of workers.
 
 use super::forms::{address, optional, whole, Res};
-use super::names::Named;
+use super::names::NameTables;
 use crate::clock::Clock;
 use slatevalve::{CellId, KindId, WorkerEntry, WorkerState, ZoneId};
 use slatevalve_engine::worker_id;
@@ -15,7 +15,7 @@
 
 /// One worker in the list.
 #[derive(Clone, Debug)]
-pub struct WorkerLine {
+pub struct ListedWorker {
     /// The worker's name, the same at all gateways and over its restarts.
     pub name: String,
     /// Where it is reached.
@@ -24,27 +24,36 @@
     pub entry: WorkerEntry,
 }
 
-impl WorkerLine {
+impl ListedWorker {
     /// The line of a worker that the registry lists.
-    pub(crate) fn of(name: &str, record: &WorkerRecord, named: &mut Named, clock: &Clock) -> Self {
+    pub(crate) fn from_record(
+        name: &str,
+        record: &WorkerRecord,
+        name_tables: &mut NameTables,
+        clock: &Clock,
+    ) -> Self {
         let state = match record.state {
             MemberState::Ready => WorkerState::Ready,
             MemberState::Draining => WorkerState::Draining,
         };
         let entry = WorkerEntry {
             id: worker_id(name),
-            zone: ZoneId(named.zones.number_of(&record.zone)),
-            kind: KindId(named.kinds.number_of(&record.kind)),
+            zone: ZoneId(name_tables.zones.number_of(&record.zone)),
+            kind: KindId(name_tables.kinds.number_of(&record.kind)),
             cell: CellId(record.cell),
             state,
             weight: record.weight,
             up_since: record.up_since_unix_ms.map(|ms| clock.at_unix_ms(ms)),
         };
-        WorkerLine { name: name.into(), address: record.address, entry }
+        ListedWorker { name: name.into(), address: record.address, entry }
     }
 }
 
-pub(super) fn workers(top: &mut Fields<'_>, named: &mut Named, clock: &Clock) -> Res<Vec<WorkerLine>> {
+pub(super) fn workers(
+    top: &mut Fields<'_>,
+    name_tables: &mut NameTables,
+    clock: &Clock,
+) -> Res<Vec<ListedWorker>> {
     let mut workers = Vec::new();
     let mut names_by_id = HashMap::new();
     for form in top.take_all("worker") {
@@ -57,7 +66,7 @@
             };
             return Err(form.error(message));
         }
-        workers.push(worker(&form, name, fields, named, clock)?);
+        workers.push(worker(&form, name, fields, name_tables, clock)?);
     }
     Ok(workers)
 }
@@ -66,9 +75,9 @@
     form: &Form<'_>,
     name: String,
     mut fields: Fields<'_>,
-    named: &mut Named,
+    name_tables: &mut NameTables,
     clock: &Clock,
-) -> Res<WorkerLine> {
+) -> Res<ListedWorker> {
     let state = optional(&mut fields, "state", Form::text)?;
     let state = match state.as_deref() {
         None | Some("ready") => WorkerState::Ready,
@@ -86,8 +95,8 @@
     }
     let entry = WorkerEntry {
         id: worker_id(&name),
-        zone: ZoneId(named.zones.number_of(&zone)),
-        kind: KindId(named.kinds.number_of(&kind)),
+        zone: ZoneId(name_tables.zones.number_of(&zone)),
+        kind: KindId(name_tables.kinds.number_of(&kind)),
         cell: CellId(whole(&mut fields, "cell", 0, u64::from(u32::MAX))?),
         state,
         weight,
@@ -96,5 +105,5 @@
     };
     let address = address(&fields.need("address")?)?;
     fields.finish()?;
-    Ok(WorkerLine { name, address, entry })
+    Ok(ListedWorker { name, address, entry })
 }
--- a/crates/gateway/tests/stored_forms.rs
+++ b/crates/gateway/tests/stored_forms.rs
@@ -11,7 +11,7 @@
 use slatevalve_gateway::clock::Clock;
 use slatevalve_gateway::members::{MembershipEvent, Recorder, ReplaySource, Source};
 use slatevalve_gateway::plugins::command::Command as PluginCommand;
-use slatevalve_gateway::settings::{MemberSource, Named, SharedSettings, Site, VersionedSettings};
+use slatevalve_gateway::settings::{MemberSource, NameTables, SharedSettings, Site, VersionedSettings};
 use slatevalve_plugins::Signature;
 use slatevalve_reactor::Reactor;
 use slatevalve_registry::{MemberState, WorkerRecord};
@@ -91,7 +91,7 @@
     }
 
     fn site(&self, text: &str) -> Site {
-        Site::parse("site.scm", &self.here(text), &Clock::start(), Named::default()).unwrap()
+        Site::parse("site.scm", &self.here(text), &Clock::start(), NameTables::default()).unwrap()
     }
 
     /// What the binary prints of a settings file.
@@ -145,7 +145,7 @@
     ];
     for form in forms {
         let text = files.here(&whole.replacen(form, &format!("{form}(no-such-field 1) "), 1));
-        let error = Site::parse("site.scm", &text, &Clock::start(), Named::default()).unwrap_err();
+        let error = Site::parse("site.scm", &text, &Clock::start(), NameTables::default()).unwrap_err();
         assert!(error.to_string().contains("no-such-field"), "{form}: {error}");
     }
 }
@@ -154,7 +154,7 @@
 fn the_fields_of_gateway_mqtt_and_bridge_are_read_to_their_own_places() {
     let site = Files::new().site(&format!("{OWN}{SHARED}{BRIDGE}"));
     assert_eq!(
-        (site.name.as_str(), site.zone.as_str(), site.stop_within),
+        (site.name.as_str(), site.zone.as_str(), site.stop_timeout),
         ("gw-1", "hall-a", Micros(5_046_000))
     );
     let engine = &site.engine;
@@ -223,7 +223,7 @@
     let plugins = files.site(&format!("{OWN}{SHARED}{PLUGINS}")).plugins.unwrap();
     assert_eq!(plugins.folder, Path::new(&files.here("DIR/plugins")));
     assert_eq!(plugins.admin.as_deref(), Some(Path::new(&files.here("DIR/admin.sock"))));
-    assert_eq!((plugins.unlisted, plugins.on_call, plugins.scrub_per_s), (true, true, 7_500_000));
+    assert_eq!((plugins.unlisted, plugins.pull_on_call, plugins.scrub_per_s), (true, true, 7_500_000));
     assert!(plugins.terms.keys.is_some());
     let rollout = plugins.rollout.unwrap();
     assert_eq!((rollout.orders_at_once, rollout.first_part, rollout.step_us), (71, 0.72, 73_000));
