--- a/crates/gateway/src/child_processes.rs
+++ b/crates/gateway/src/child_processes.rs
@@ -1,4 +1,4 @@
-//! Child processes of the program's own binary, for the demo and the chaos test.
+//! Child processes that run this binary, for the demo and the chaos test.
 
 use slatevalve_fleet_test::Process;
 use slatevalve_test_servers::WorkerPlan;
@@ -14,7 +14,7 @@
     Process::start(command)
 }
 
-/// Starts a gateway by its settings file and waits until it is ready; its log is written to `log`.
+/// Starts a gateway with a settings file and waits until it is ready; its log is written to `log`.
 pub(crate) fn start_gateway(settings: &Path, log: Stdio, log_level: &str) -> io::Result<Process> {
     let mut command = Command::new(std::env::current_exe()?);
     command.args(["--log-level", log_level, "run"]).arg(settings).stderr(log);
--- a/crates/gateway/src/commands/chaos_test.rs
+++ b/crates/gateway/src/commands/chaos_test.rs
@@ -1,4 +1,4 @@
-//! The sub-commands `chaos-test`, which plays a script, and `rules`, which checks a recorded trace again.
+//! The sub-commands `chaos-test`, which runs a script, and `rules`, which checks a recorded trace again.
 
 use super::CommandResult;
 use crate::chaos_test::{self, script::Script};
@@ -9,10 +9,11 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A line of progress is printed so many times during a test.
+/// Number of progress lines that are printed during a test.
 const PROGRESS_LINES: f64 = 10.0;
 
-/// Plays a script on this machine and prints its report; exit code 1 where a rule was broken or a call has no answer.
+/// Runs a script on this machine and prints its report; exit code 1 if a rule was violated or a call has no
+/// answer.
 pub(super) fn chaos_test(
     script: &Path,
     seed: u64,
@@ -38,7 +39,7 @@
     Ok(if report.is_good() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Checks the trace in a directory that `chaos-test --keep` wrote; exit code 1 where a rule is broken.
+/// Checks the trace in a directory that `chaos-test --keep` wrote; exit code 1 if a rule is violated.
 pub(super) fn rules(directory: &Path, json: bool) -> CommandResult {
     let read = |name: &str| {
         let path = directory.join(name);
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -1,4 +1,5 @@
-//! The demo: a gateway and three test workers as child processes, a few calls, and commands to try.
+//! The sub-command `demo`: a gateway and three test workers as child processes, a few calls, and commands to
+//! try.
 
 use super::CommandResult;
 use crate::child_processes;
@@ -14,24 +15,25 @@
 use std::time::{Duration, Instant};
 
 const WORKERS: usize = 3;
-/// The time of a load at the test workers, in microseconds.
+/// Duration of a load at the test workers, in microseconds.
 const LOAD_US: i64 = 50_000;
-/// The classes of the calls, in order.
-const CALLS: [&str; 7] = ["quote", "quote", "booking", "charge", "quote", "booking", "charge"];
-/// The time before the first call and between two calls, in microseconds.
+/// Classes of the calls, in order.
+const CALL_CLASSES: [&str; 7] = ["quote", "quote", "booking", "charge", "quote", "booking", "charge"];
+/// Time before the first call and between two calls, in microseconds.
 const CALL_INTERVAL_US: i64 = 100_000;
-/// The time until a client gives up, and the work of a call, in microseconds.
+/// Time after which a client gives up on a call, in microseconds.
 const BUDGET_US: i64 = 2_000_000;
+/// Time that a worker takes for a call, in microseconds.
 const WORK_US: i64 = 5_000;
-/// The time within which all calls are answered.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(10);
-const STOP_WITHIN: Duration = Duration::from_secs(10);
-const CLIENT_POLL: Duration = Duration::from_millis(20);
-const SIGNAL_POLL: Duration = Duration::from_millis(50);
-/// The largest time that `--seconds` stands for.
+/// Timeout for the answers of all calls.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
+const CLIENT_POLL_TIMEOUT: Duration = Duration::from_millis(20);
+const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Upper limit of `--seconds`, so that the deadline does not overflow.
 const MAX_SECONDS: f64 = 1e6;
 
-/// A small site: idempotent quotes, bookings with a key, non-idempotent charges.
+/// Classes and routes of the demo: idempotent quotes, bookings with a key, non-idempotent charges.
 const SITE: &str = r#"
 (class "quote" (effect safe) (aim-ms 500) (deadline-ms 2000) (worth 1))
 (class "booking" (effect keyed (group cell) (window-ms 6000)) (aim-ms 1000) (deadline-ms 3000) (worth 3))
@@ -41,7 +43,7 @@
 (route "calls/charge/+" (class "charge") (function "{3}"))
 "#;
 
-/// The result of one call.
+/// The outcome and latency of one call; a call without an answer has latency 0.
 struct CallResult {
     call: String,
     outcome: String,
@@ -63,12 +65,12 @@
     fs::write(&file, settings)?;
     let mut gateway = child_processes::start_gateway(&file, Stdio::inherit(), "warn").map_err(|error| {
         format!(
-            "the gateway did not start: {error}; is {listen} taken? (--listen 127.0.0.1:0 takes a free port)"
+            "the gateway did not start: {error}; is {listen} in use? (--listen 127.0.0.1:0 uses a free port)"
         )
     })?;
     let address = gateway.address;
     if !json {
-        println!("A gateway listens on {address}, before {WORKERS} stand-in workers.");
+        println!("A gateway with {WORKERS} test workers listens on {address}.");
     }
     let results = make_calls(address)?;
     if !json {
@@ -76,7 +78,7 @@
         print_commands(address);
     }
     wait(seconds)?;
-    let is_stopped = gateway.stop(STOP_WITHIN);
+    let is_stopped = gateway.stop(STOP_TIMEOUT);
     let served = results.iter().filter(|result| result.outcome == "served").count();
     if json {
         println!("{}", json!({"calls": results.len(), "served": served, "stopped_in_order": is_stopped}));
@@ -103,12 +105,12 @@
     let mut driver = Driver::new(ClientPlan {
         gateways: vec![("demo".into(), address)],
         connections: 1,
-        arrivals: CALLS.iter().enumerate().map(arrival).collect(),
+        arrivals: CALL_CLASSES.iter().enumerate().map(arrival).collect(),
         trace: None,
     })?;
-    let deadline = Instant::now() + ANSWERED_WITHIN;
+    let deadline = Instant::now() + ANSWER_TIMEOUT;
     while !driver.is_done() && Instant::now() < deadline {
-        driver.poll(CLIENT_POLL)?;
+        driver.poll(CLIENT_POLL_TIMEOUT)?;
     }
     let results = driver.reports().iter().map(|(call, report)| {
         let (latency_us, outcome) = match (&report.answer, report.published_us) {
@@ -128,16 +130,16 @@
     }
 }
 
-/// Prints commands by which the reader can make calls.
+/// Prints commands with which the user can make calls.
 fn print_commands(address: SocketAddr) {
     let (ip, port) = (address.ip(), address.port());
-    println!("\nYours, for example, with any MQTT 5 client:\n");
+    println!("\nTo make your own calls, use any MQTT 5 client, for example:\n");
     println!(
         "  mosquitto_rr -V mqttv5 -h {ip} -p {port} -q 1 -t calls/quote/fare -e replies/me -m 'work-us=2000'"
     );
     println!("  mosquitto_pub -V mqttv5 -h {ip} -p {port} -q 1 -t calls/charge/card -m 'work-us=2000' \\");
     println!("      -D publish user-property key ride-4711 -D publish response-topic replies/me\n");
-    println!("Ctrl-C ends it.");
+    println!("Press Ctrl-C to stop.");
 }
 
 /// Waits for the given time, or for SIGINT or SIGTERM.
@@ -149,7 +151,7 @@
     let deadline =
         seconds.map(|seconds| Instant::now() + Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS)));
     while !stop.load(Ordering::Relaxed) && deadline.is_none_or(|deadline| Instant::now() < deadline) {
-        thread::sleep(SIGNAL_POLL);
+        thread::sleep(SIGNAL_POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/gateway/src/commands/fleet_test.rs
+++ b/crates/gateway/src/commands/fleet_test.rs
@@ -1,4 +1,5 @@
-//! `slatevalve fleet-test`: many processes of this program under a script of faults, and `slatevalve link`, one link of it.
+//! `slatevalve fleet-test`, which runs many processes of this program under scripted faults, and `slatevalve
+//! link`, which runs one network link of such a test.
 
 use super::{print_ready, CommandResult};
 use clap::Args;
@@ -9,26 +10,26 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The width of the band that shows an event on the page, in seconds.
+/// Width of the band that marks an event on the page, in seconds.
 const EVENT_BAND_S: f64 = 0.02;
 
 #[derive(Args)]
 pub(super) struct FleetTestArguments {
-    /// The script
+    /// The script file
     script: PathBuf,
-    /// Another seed than the script's
+    /// Use this seed instead of the script's
     #[arg(long)]
     seed: Option<u64>,
-    /// Play it first with the routers of this program, an earlier build, and report both
+    /// Run the script first with routers of this executable, an earlier build, and report both runs
     #[arg(long = "beside", value_name = "BESIDE")]
     earlier_build: Option<PathBuf>,
     /// Keep settings, logs and counts in this directory, which must be empty or new
     #[arg(long = "keep", value_name = "KEEP")]
     output_directory: Option<PathBuf>,
-    /// Write a page with charts
+    /// Write a page with charts to this file
     #[arg(long)]
     page: Option<PathBuf>,
-    /// Print one JSON object for each play
+    /// Print one JSON object per run
     #[arg(long)]
     json: bool,
 }
@@ -69,7 +70,7 @@
 pub(super) fn link(plan: &str) -> CommandResult {
     let plan: LinkPlan = serde_json::from_str(plan)?;
     run_link(plan, |address| {
-        // The link works as well where the reader of its output has gone.
+        // The link also works after the reader of its output has exited.
         let _ = print_ready(address);
     })?;
     Ok(ExitCode::SUCCESS)
--- a/crates/gateway/src/commands/gateway.rs
+++ b/crates/gateway/src/commands/gateway.rs
@@ -1,4 +1,5 @@
-//! The sub-commands `run`, `platform` and `check`: the two event loops, and a settings file without starting anything.
+//! The sub-commands `run` and `platform`, which run the two event loops, and `check`, which only reads a
+//! settings file.
 
 use super::{print_ready, CommandResult};
 use crate::clock::Clock;
@@ -9,10 +10,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The variable of the environment that names the platform's configuration file.
+/// Environment variable with the path of the platform's configuration file.
 const PLATFORM_CONFIG_VARIABLE: &str = "EDGE_CONFIG";
 
-/// Runs a gateway by a settings file until it is stopped by a signal.
+/// Runs a gateway with a settings file until it is stopped by a signal.
 pub(super) fn run(settings: PathBuf) -> CommandResult {
     let clock = Clock::start();
     let mut server = match VersionedSettings::read(&settings)? {
@@ -39,7 +40,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads a settings file and prints what it holds.
+/// Checks a settings file and prints a summary of it.
 pub(super) fn check(settings: PathBuf, json: bool) -> CommandResult {
     let site = Site::load(&settings, &Clock::start(), NameTables::default())?;
     let routes = &site.front.routes;
--- a/crates/gateway/src/commands/login.rs
+++ b/crates/gateway/src/commands/login.rs
@@ -1,4 +1,4 @@
-//! Who a command is towards a registry: a name, and a password from a file.
+//! Login arguments for a registry: a user name, and a file that contains the password.
 
 use clap::Args;
 use std::error::Error;
@@ -7,19 +7,19 @@
 
 #[derive(Args)]
 pub(super) struct LoginArguments {
-    /// The user's name towards the registry
+    /// User name for the registry
     #[arg(long, requires = "password_file")]
     user: Option<String>,
-    /// The file that holds the password
+    /// File that contains the password
     #[arg(long, requires = "user")]
     password_file: Option<PathBuf>,
 }
 
 impl LoginArguments {
-    /// Name and password, where they are given. A line end behind the password is none of it.
+    /// Reads name and password, if they are given. Line ends after the password are removed.
     ///
     /// # Errors
-    /// When the file cannot be read.
+    /// If the file cannot be read.
     pub(super) fn read(self) -> Result<Option<(String, String)>, Box<dyn Error>> {
         let Some((user, file)) = self.user.zip(self.password_file) else { return Ok(None) };
         let text = fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
--- a/crates/gateway/src/commands/members.rs
+++ b/crates/gateway/src/commands/members.rs
@@ -1,6 +1,6 @@
 //! `slatevalve members`: lists the members in the registry, follows their changes, and drains workers.
 
-use super::session::{RegistryArguments, Res, Session};
+use super::session::{RegistryArguments, Session, SessionResult};
 use super::CommandResult;
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
@@ -12,8 +12,8 @@
 use std::io::{self, Write};
 use std::process::ExitCode;
 
-/// How often a change of state is attempted while others change the worker's entry at the same time.
-const ATTEMPTS_MAX: usize = 5;
+/// Maximum number of attempts to change a worker's state while others change its entry at the same time.
+const MAX_ATTEMPTS: usize = 5;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 #[derive(Args)]
@@ -31,20 +31,20 @@
 enum MembersCommand {
     /// List workers and routers
     List,
-    /// Print each change as it comes, until Ctrl-C or for so long
+    /// Print each change as it occurs, until Ctrl-C or for the given time
     Watch {
-        /// Stop after so many seconds
+        /// Stop after this many seconds
         #[arg(long)]
         seconds: Option<f64>,
     },
-    /// Let a worker drain: routers send it nothing new
+    /// Drain a worker: routers send it no new calls
     Drain {
-        /// The worker
+        /// Name of the worker
         worker: String,
     },
-    /// Let a worker that drains take work again
+    /// Let a draining worker take calls again
     Ready {
-        /// The worker
+        /// Name of the worker
         worker: String,
     },
 }
@@ -85,7 +85,7 @@
 }
 
 impl Session {
-    fn print_list(&mut self, json: bool) -> Res<()> {
+    fn print_list(&mut self, json: bool) -> SessionResult<()> {
         let changes = self.first_list()?;
         let rows: Vec<Value> = changes.iter().map(|change| self.row(change)).collect();
         if json {
@@ -97,7 +97,7 @@
     }
 
     /// Waits for the first complete list.
-    fn first_list(&mut self) -> Res<Vec<Change>> {
+    fn first_list(&mut self) -> SessionResult<Vec<Change>> {
         self.poll_until(|session, events| {
             let is_complete = session.link.client().watch_state().revision() > 0;
             is_complete.then(|| Ok(events.into_iter().flat_map(changes_of).collect()))
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Prints changes until the time is over or the output is closed.
-    fn watch(&mut self, seconds: Option<f64>, json: bool) -> Res<()> {
+    /// Prints changes until the time has passed or the output is closed.
+    fn watch(&mut self, seconds: Option<f64>, json: bool) -> SessionResult<()> {
         let end_us = seconds.map(|seconds| self.clock.now().0 + (seconds * MICROS_PER_SECOND) as i64);
         let mut out = io::stdout().lock();
         while end_us.is_none_or(|end_us| self.clock.now().0 < end_us) {
@@ -151,17 +151,18 @@
         Ok(())
     }
 
-    /// Writes a worker's state into its present entry, under the entry's lease; repeated where the entry changed in between.
-    fn set_state(&mut self, worker: &str, state: MemberState, json: bool) -> Res<()> {
+    /// Writes a worker's state into its current entry and keeps the entry's lease; retried if the entry
+    /// changed meanwhile.
+    fn set_state(&mut self, worker: &str, state: MemberState, json: bool) -> SessionResult<()> {
         let key = Bytes::of(&worker_key(&self.prefix, worker));
-        for _ in 0..ATTEMPTS_MAX {
+        for _ in 0..MAX_ATTEMPTS {
             let found: RangeResponse =
                 self.request(RANGE, &RangeRequest { key: key.clone(), ..RangeRequest::default() })?;
             let Some(KeyValue { value, mod_revision, lease, .. }) = found.kvs.into_iter().next() else {
                 return Err(format!("there is no worker {worker} in the registry").into());
             };
             let Some(Member::Worker(_, mut record)) = read_member(&self.prefix, &key.0, &value.0)? else {
-                return Err(format!("{worker} cannot be a worker's name").into());
+                return Err(format!("{worker} is not a valid worker name").into());
             };
             record.state = state;
             let put = PutRequest { key: key.clone(), value: Bytes(serde_json::to_vec(&record)?), lease };
@@ -177,11 +178,12 @@
                 return Ok(());
             }
         }
-        Err(format!("the entry of {worker} is changed again and again by somebody else").into())
+        Err(format!("the entry of {worker} was changed by another writer in each of {MAX_ATTEMPTS} attempts")
+            .into())
     }
 }
 
-/// Prints a fault of the client to standard error; other events are ignored.
+/// Prints a failure of the client to standard error; ignores other events.
 fn report_fault(event: &ClientEvent) {
     match event {
         ClientEvent::Failed(reason) => eprintln!("registry: {reason}"),
--- a/crates/gateway/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -22,23 +22,25 @@
 use test_servers::WorkerArguments;
 use tracing_subscriber::EnvFilter;
 
-/// Exit code where a command could not be carried out.
+/// Exit code of a command that could not be executed.
 const EXIT_ERROR: u8 = 2;
 
-/// What a command ends with: its exit code, or an error that is printed.
+/// The result of a command: its exit code, or an error that is printed.
 type CommandResult = Result<ExitCode, Box<dyn Error>>;
 
 /// A gateway that runs calls on workers which keep only some of many functions loaded.
 ///
-/// Calls come as MQTT publishes; the answer goes to their response topic. `slatevalve demo` shows it at work on this
-/// machine, `slatevalve check FILE` says what is wrong with a settings file, `slatevalve run FILE` runs it.
+/// Calls arrive as MQTT publishes; answers go to their response topic. `slatevalve demo` demonstrates it on
+/// this machine, `slatevalve check FILE` reports errors in a settings file, `slatevalve run FILE` runs a
+/// gateway with it.
 #[derive(Parser)]
 #[command(name = "slatevalve", version)]
 struct Cli {
-    /// How much is logged, to standard error: error, warn, info, debug, or a filter like "slatevalve_mqtt=debug"
+    /// Log level: error, warn, info, debug, or a filter like "slatevalve_mqtt=debug"; logs go to standard
+    /// error
     #[arg(long, global = true, default_value = "info")]
     log_level: String,
-    /// How it is logged
+    /// Log format
     #[arg(long, global = true, value_enum, default_value = "text")]
     log_format: LogFormat,
     #[command(subcommand)]
@@ -47,25 +49,26 @@
 
 #[derive(Clone, Copy, ValueEnum)]
 enum LogFormat {
-    /// Lines for people
+    /// Readable lines
     Text,
-    /// One JSON object a line
+    /// One JSON object per line
     Json,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a gateway by a settings file until SIGTERM or SIGINT; SIGHUP reads its worker list again
+    /// Run a gateway with a settings file until SIGTERM or SIGINT; SIGHUP reloads its worker list
     ///
-    /// Prints "ready ADDRESS" on standard output once clients can connect. On SIGTERM it takes no new calls, ends
-    /// those that are open within the stated time, and exits with 0.
+    /// Prints "ready ADDRESS" on standard output once clients can connect. On SIGTERM it accepts no new
+    /// calls, ends open calls within (stop-within-ms ...), and exits with 0.
     Run {
         /// The settings file
         settings: PathBuf,
     },
-    /// Run a router of the platform, told all by EDGE_CONFIG, until SIGTERM; SIGHUP reads that file again
+    /// Run a router of the platform with the configuration file in EDGE_CONFIG until SIGTERM; SIGHUP reloads
+    /// the file
     Platform,
-    /// Check a settings file and say what it means, without starting anything
+    /// Check a settings file and print a summary of it, without starting anything
     Check {
         /// The settings file
         settings: PathBuf,
@@ -75,39 +78,40 @@
     },
     /// Run a test worker, for trying things out and for fleet tests
     ///
-    /// Prints "ready ADDRESS" on standard output. Its calls do nothing but take time: a payload like
-    /// "call=NAME work-us=5000" says how much.
+    /// Prints "ready ADDRESS" on standard output. Its calls only take time; a payload like "call=NAME
+    /// work-us=5000" sets how much.
     Worker(WorkerArguments),
     /// Run a test MQTT 5 broker, for trying out the bridge
     ///
-    /// Prints "ready ADDRESS" on standard output. Shared subscriptions, sessions and QoS 0 and 1; nothing is kept on
-    /// disk and nobody is asked for a password.
+    /// Prints "ready ADDRESS" on standard output. It supports shared subscriptions, sessions and QoS 0 and 1;
+    /// it stores nothing on disk and requires no password.
     Broker {
-        /// Where it listens; port 0 takes a free one
+        /// Listening address; port 0 chooses a free port
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Everything as JSON, with faults
+        /// All settings as JSON, including injected faults
         #[arg(long, hide = true)]
         plan: Option<String>,
     },
-    /// Start a gateway and three test workers on this machine, make a few calls, and stay for yours
+    /// Start a gateway and three test workers on this machine, make a few calls, and keep running for further
+    /// calls
     Demo {
-        /// Stop by itself after so many seconds; else on Ctrl-C
+        /// Stop after this many seconds; the default is to run until Ctrl-C
         #[arg(long)]
         seconds: Option<f64>,
-        /// Where MQTT clients connect; port 0 takes a free one
+        /// Listening address for MQTT clients; port 0 chooses a free port
         #[arg(long, default_value = "127.0.0.1:1883")]
         listen: SocketAddr,
         /// Print one JSON object at the end
         #[arg(long)]
         json: bool,
     },
-    /// Run a scripted chaos test on this machine and check the rules from the recorded traffic
+    /// Run a scripted chaos test on this machine and check the rules against the recorded traffic
     ///
-    /// Exits with 1 where a rule was broken or a call had no answer, with 2 where the test could not be run.
+    /// Exits with 1 if a rule was violated or a call had no answer, with 2 if the test could not be run.
     #[command(alias = "badday")]
     ChaosTest {
-        /// The script
+        /// The script file
         script: PathBuf,
         /// Seed of calls, workers and gateways
         #[arg(long, default_value_t = 1)]
@@ -119,54 +123,59 @@
         #[arg(long)]
         json: bool,
     },
-    /// Versions of functions: push them, move aliases, check their content
+    /// Manage versions of functions: push them, move aliases, check their content
     ///
-    /// With --socket a running gateway does it and the change counts at once; with --folder it is done on the folder, and
-    /// the gateway reads it again on SIGHUP.
+    /// With --socket a running gateway executes the command, and the change takes effect at once. With
+    /// --folder the command changes the folder, which a gateway reloads on SIGHUP.
     Plugin(plugin::PluginArguments),
-    /// Who is in the key-value registry: list, watch, drain a worker
+    /// Manage the members in the key-value registry: list and watch them, drain a worker
     Members(members::MembersArguments),
-    /// Settings with versions: check, compare and publish documents, see who has acknowledged them
+    /// Manage versioned settings: check, compare and publish documents, show which routers have acknowledged
+    /// them
     ///
-    /// Exits with 1 where documents contradict, with 2 where something is wrong, with 3 where a change is prepared and waits.
+    /// Exits with 1 if documents contradict each other, with 2 on an error, with 3 if a change is prepared
+    /// but not committed.
     Settings(settings::SettingsArguments),
-    /// Run a test key-value registry that speaks etcd's JSON mapping, for trying things out
+    /// Run a test key-value registry with etcd's JSON mapping, for trying things out
     ///
     /// Prints "ready ADDRESS" on standard output. Nothing is kept on disk.
     Kv {
-        /// Where it listens; port 0 takes a free one
+        /// Listening address; port 0 chooses a free port
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Forget history older than this
+        /// Compact history older than this many milliseconds; 0 keeps all
         #[arg(long, default_value_t = 0)]
         compact_after_ms: u32,
-        /// Everything as JSON, with faults
+        /// All settings as JSON, including injected faults
         #[arg(long, hide = true)]
         plan: Option<String>,
     },
-    /// Run a registry of plug-ins over a folder, by the OCI distribution protocol
+    /// Run a registry of plug-ins on a folder, with the OCI distribution protocol
     ///
-    /// Prints "ready ADDRESS" on standard output. `plugin publish` sends to it, `plugin pull` and gateways take from it.
+    /// Prints "ready ADDRESS" on standard output. `plugin publish` uploads to it, `plugin pull` and gateways
+    /// download from it.
     Registry(registry::RegistryArguments),
-    /// Follow the registry's list of workers once and serve it to many routers, by the same protocol
+    /// Run a relay, which watches the worker list of the registry once and serves it to many routers with the
+    /// same protocol
     ///
-    /// Prints "ready ADDRESS" on standard output. Routers name it under (relays ...) in their members form.
+    /// Prints "ready ADDRESS" on standard output. Routers list it in (relays ...) of their members form.
     Relay(relay::RelayArguments),
-    /// Run a fleet test: many processes of this program, routers, list service, links between them that fail by script
+    /// Run a fleet test: many processes of this program (routers, list service, links between them) with
+    /// scripted faults
     ///
-    /// Exits with 1 where an expectation of the script is not met, with 2 where it could not be played.
+    /// Exits with 1 if an expectation of the script is not met, with 2 if the script could not be run.
     #[command(alias = "rehearsal")]
     FleetTest(fleet_test::FleetTestArguments),
     /// Run one link of a fleet test; prints "ready ADDRESS" on standard output
     #[command(hide = true)]
     Link {
-        /// Everything as JSON
+        /// All settings as JSON
         #[arg(long)]
         plan: String,
     },
-    /// Check the rules in a trace that `chaos-test --keep` left (all.jsonl beside terms.json)
+    /// Check the rules against a trace that `chaos-test --keep` wrote (all.jsonl and terms.json)
     Rules {
-        /// The directory that was kept
+        /// The directory with the trace
         directory: PathBuf,
         /// Print one JSON object
         #[arg(long)]
@@ -220,7 +229,7 @@
     }
 }
 
-/// Prints the line that says that clients can connect, which scripts wait for.
+/// Prints the line that announces that clients can connect; scripts wait for it.
 fn print_ready(address: SocketAddr) -> io::Result<()> {
     let mut out = io::stdout().lock();
     writeln!(out, "ready {address}")?;
--- a/crates/gateway/src/commands/plugin/mod.rs
+++ b/crates/gateway/src/commands/plugin/mod.rs
@@ -1,4 +1,5 @@
-//! The `plugin` sub-commands: on the folder of plug-ins, or by the admin socket of a running gateway.
+//! The `plugin` sub-commands, executed on the folder of plug-ins or by a running gateway over its admin
+//! socket.
 
 mod output;
 mod registry;
@@ -25,13 +26,13 @@
 
 #[derive(Args)]
 pub(super) struct PluginArguments {
-    /// The folder of plug-ins, as `(plugins (folder ...))` names it
+    /// Folder of plug-ins, as in `(plugins (folder ...))`
     #[arg(long)]
     folder: Option<PathBuf>,
-    /// The admin socket of a running gateway, as `(plugins (admin ...))` names it: the change counts at once
+    /// Admin socket of a running gateway, as in `(plugins (admin ...))`; changes take effect at once
     #[arg(long)]
     socket: Option<PathBuf>,
-    /// The registry, http://HOST[:PORT][/PREFIX], for `pull` and `publish` without a running gateway
+    /// Registry, http://HOST[:PORT][/PREFIX], for `pull` and `publish` without a running gateway
     #[arg(long)]
     registry: Option<String>,
     #[command(flatten)]
@@ -45,36 +46,36 @@
 
 #[derive(Subcommand)]
 enum PluginCommand {
-    /// Take a version in: its manifest and the files of its layers
+    /// Add a version: its manifest and the files of its layers
     Push {
-        /// The manifest, JSON
+        /// The manifest as JSON
         manifest: PathBuf,
-        /// The layers' files, in any order; those that are here already may be left out
+        /// The files of the layers, in any order; layers already in the folder may be omitted
         layers: Vec<PathBuf>,
         /// Check the class that it claims against the classes and tenants of this settings file
         #[arg(long)]
         settings: Option<PathBuf>,
     },
-    /// Bring a version from the registry, verified; one that broke off goes on from where it was
+    /// Download and verify a version from the registry; an interrupted download is resumed
     Pull {
         /// The plug-in's name
         name: String,
-        /// Its version, or sha256:... of its image manifest
+        /// The version, or sha256:... of its image manifest
         version: String,
         /// Check the class that it claims against the classes and tenants of this settings file
         #[arg(long)]
         settings: Option<PathBuf>,
     },
-    /// Send a version and its signatures from the folder to the registry
+    /// Upload a version and its signatures from the folder to the registry
     Publish {
         /// The plug-in's name
         name: String,
         /// Its version
         version: String,
     },
-    /// Make a key that signs, in a file that only you can read, and print its public part
+    /// Create a signing key in a file that only its owner can read, and print the public key
     Keygen {
-        /// The file, which must not be there yet
+        /// The file, which must not exist yet
         file: PathBuf,
     },
     /// Sign a version in the folder
@@ -83,32 +84,33 @@
         name: String,
         /// Its version
         version: String,
-        /// The file that `keygen` made
+        /// The key file that `keygen` created
         #[arg(long)]
         key: PathBuf,
-        /// The key's id, as `(signatures (key "ID" ...))` has it
+        /// The id of the key, as in `(signatures (key "ID" ...))`
         #[arg(long)]
         id: String,
     },
-    /// List all plug-ins and what their `current` means
+    /// List all plug-ins and the versions that their `current` refers to
     List,
     /// Show the versions and aliases of a plug-in
     Show {
-        /// Its name
+        /// The plug-in's name
         name: String,
     },
-    /// Move an alias to a version, or make it; `current` takes `previous` along
+    /// Point an alias to a version, creating it if needed; moving `current` sets `previous` to its old
+    /// version
     Alias {
         /// The plug-in's name
         name: String,
         /// The alias
         alias: String,
-        /// The version that it is to mean
+        /// The version that the alias is to refer to
         version: String,
-        /// Move it only if it is at this revision still (0: if there is none)
+        /// Move the alias only if it is still at this revision (0: only if it does not exist)
         #[arg(long)]
         expect: Option<u64>,
-        /// Who moves it, for the history
+        /// Author of the move, for the history
         #[arg(long, default_value = "operator")]
         who: String,
     },
@@ -120,17 +122,17 @@
         #[arg(default_value = CURRENT)]
         alias: String,
     },
-    /// Check all content against its digests; what is missing or corrupt goes into quarantine
+    /// Check all content against its digests; versions with missing or corrupt content are quarantined
     Verify,
     /// Take a version out of use until it is pushed or pulled again
     Quarantine {
         /// NAME@VERSION or NAME@sha256:...
         reference: String,
-        /// Why
+        /// Reason, shown by `show`
         #[arg(long)]
         reason: String,
     },
-    /// Delete a version that no alias means
+    /// Delete a version that no alias refers to
     Delete {
         /// The plug-in's name
         name: String,
@@ -139,18 +141,18 @@
     },
     /// Remove content that no version needs
     ///
-    /// By --socket, content of calls that are open stays; with --folder run it when none is.
+    /// With --socket, content of open calls is kept; use --folder only while no call is open.
     Gc,
-    /// Let a running gateway read its folder again (--socket)
+    /// Make a running gateway reload its folder (--socket)
     Reload,
-    /// What a running gateway moves, pulled and does not let run (--socket)
+    /// Show the rollouts, pulls and barred versions of a running gateway (--socket)
     Status,
 }
 
-/// What a command answers, as JSON.
+/// The result of a command as JSON.
 type Answer = Result<Value, Box<dyn Error>>;
 
-/// Runs a `plugin` sub-command; exit code 1 where `verify` found content that is missing or corrupt.
+/// Runs a `plugin` sub-command; exit code 1 if `verify` found missing or corrupt content.
 pub(super) fn plugin(arguments: PluginArguments) -> CommandResult {
     let PluginArguments { folder, socket, registry, login, json, command } = arguments;
     let rights = command.settings().map(class_rights).transpose()?;
@@ -165,7 +167,7 @@
     Ok(if found_bad { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
-/// What a command works on: a folder, a running gateway, a registry.
+/// The targets of a command: a folder, a running gateway, a registry.
 struct Target {
     folder: Option<PathBuf>,
     socket: Option<PathBuf>,
@@ -193,13 +195,13 @@
                 Ok(answer)
             }
             other => {
-                let command = other.to_gateway_command().ok_or("this command works on a folder only")?;
+                let command = other.to_gateway_command().ok_or("this command works only on a folder")?;
                 self.execute_anywhere(&command)
             }
         }
     }
 
-    /// By the running gateway where its socket is given, else on the folder.
+    /// Executes a command by the running gateway if its socket is given, else on the folder.
     fn execute_anywhere(self, command: &Command) -> Answer {
         if let Some(socket) = &self.socket {
             return send_to_gateway(socket, command);
@@ -210,11 +212,11 @@
     }
 
     fn open_folder(&self) -> Result<PluginFolder, Box<dyn Error>> {
-        let path = self.folder.as_deref().ok_or("this works on a folder: give --folder")?;
+        let path = self.folder.as_deref().ok_or("this command works on a folder: use --folder DIR")?;
         Ok(PluginFolder::open(path)?)
     }
 
-    /// Has the running gateway, where its socket is given, read the folder again.
+    /// Makes the running gateway reload the folder if its socket is given.
     fn reload_gateway(&self) -> Result<(), Box<dyn Error>> {
         let Some(socket) = &self.socket else { return Ok(()) };
         send_to_gateway(socket, &Command::Reload).map(drop)
@@ -222,7 +224,7 @@
 }
 
 impl PluginCommand {
-    /// The settings file against which a version's class is checked.
+    /// The settings file against which the class of a version is checked.
     fn settings(&self) -> Option<&Path> {
         match self {
             PluginCommand::Push { settings, .. } | PluginCommand::Pull { settings, .. } => {
@@ -232,7 +234,7 @@
         }
     }
 
-    /// The command as a gateway takes it; none for those that work on files of the caller.
+    /// The command for a gateway; `None` for commands that use files of the caller.
     fn to_gateway_command(&self) -> Option<Command> {
         Some(match self {
             PluginCommand::List => Command::List,
@@ -268,10 +270,10 @@
     }
 }
 
-/// Progress on a terminal, one line that is written over.
-fn show_progress((done, of): (u64, u64)) {
-    if io::stderr().is_terminal() && of > 0 {
-        eprint!("\r  {done} of {of}");
+/// Shows progress on a terminal, on a line that is overwritten each time.
+fn show_progress((done, total): (u64, u64)) {
+    if io::stderr().is_terminal() && total > 0 {
+        eprint!("\r  {done} of {total}");
     }
 }
 
@@ -302,8 +304,8 @@
     stream.write_all(format!("{}\n", serde_json::to_string(command)?).as_bytes()).map_err(failed)?;
     for line in BufReader::new(stream).lines() {
         let mut answer: Value = serde_json::from_str(&line.map_err(failed)?)?;
-        if let Some([done, of]) = answer["progress"].as_array().map(Vec::as_slice) {
-            show_progress((done.as_u64().unwrap_or(0), of.as_u64().unwrap_or(0)));
+        if let Some([done, total]) = answer["progress"].as_array().map(Vec::as_slice) {
+            show_progress((done.as_u64().unwrap_or(0), total.as_u64().unwrap_or(0)));
             continue;
         }
         end_progress();
@@ -312,10 +314,10 @@
             None => Ok(answer["done"].take()),
         };
     }
-    Err(format!("admin socket {}: the gateway ended before it answered", path.display()).into())
+    Err(format!("admin socket {}: the connection closed before the answer", path.display()).into())
 }
 
-/// The classes and tenants of a settings file, against which what is taken in is checked.
+/// Reads the class rights of a settings file, against which added versions are checked.
 fn class_rights(settings: &Path) -> Result<ClassRights, Box<dyn Error>> {
     Ok(Site::load(settings, &Clock::start(), NameTables::default())?.rights)
 }
--- a/crates/gateway/src/commands/plugin/signing.rs
+++ b/crates/gateway/src/commands/plugin/signing.rs
@@ -1,4 +1,4 @@
-//! `plugin keygen` and `plugin sign`: keys in files, signatures on versions of the folder.
+//! `plugin keygen` and `plugin sign`: creation of signing keys, signatures on versions in the folder.
 
 use super::{run, Answer};
 use crate::plugins::command::Command;
@@ -10,13 +10,13 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
 
-/// Mode of a file that holds a secret key: its owner alone reads it.
+/// Mode of a file with a secret key: only its owner can read it.
 const SECRET_FILE_MODE: u32 = 0o600;
 
-/// Writes a new secret key to a file that must not exist yet; answers its public part.
+/// Writes a new secret key to a file that must not exist yet; returns the public key.
 pub(super) fn keygen(file: &Path) -> Answer {
     let mut seed = [0; 32];
-    getrandom::fill(&mut seed).map_err(|e| format!("no random bytes: {e}"))?;
+    getrandom::fill(&mut seed).map_err(|e| format!("cannot get random bytes for the key: {e}"))?;
     let secret = SigningSecret::from_random(seed);
     let mut opened = OpenOptions::new()
         .write(true)
@@ -28,7 +28,7 @@
     Ok(json!({"public": secret.public()}))
 }
 
-/// Signs a version of the folder with the key in a file.
+/// Signs a version in the folder with the key in a file.
 pub(super) fn sign(folder: &mut PluginFolder, name: &str, version: &str, key: &Path, id: &str) -> Answer {
     let text = fs::read_to_string(key).map_err(|e| format!("{}: {e}", key.display()))?;
     let secret = SigningSecret::parse(&text).map_err(|e| format!("{}: {e}", key.display()))?;
--- a/crates/gateway/src/commands/registry.rs
+++ b/crates/gateway/src/commands/registry.rs
@@ -1,4 +1,4 @@
-//! The `registry` sub-command: a registry of plug-ins over a folder.
+//! The sub-command `registry`: a registry of plug-ins on a folder.
 
 use super::login::LoginArguments;
 use super::{print_ready, CommandResult};
@@ -12,22 +12,22 @@
 
 #[derive(Args)]
 pub(super) struct RegistryArguments {
-    /// Where its content lies; made where there is none
+    /// Folder of its content; created if it does not exist
     #[arg(long, required_unless_present = "plan")]
     folder: Option<PathBuf>,
-    /// Where it listens; port 0 takes a free one
+    /// Listening address; port 0 chooses a free port
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Serve only whoever shows this name and password
+    /// Serve only requests with this name and password
     #[command(flatten)]
     login: LoginArguments,
-    /// Ask for a token, which /token gives for name and password
+    /// Require a token, which /token issues for name and password
     #[arg(long, requires = "user")]
     tokens: bool,
-    /// Remove what no tag needs, and end; for a registry that does not run
+    /// Remove content that no tag needs, and exit; only while the registry is not running
     #[arg(long, conflicts_with = "listen")]
     gc: bool,
-    /// Everything as JSON, with faults
+    /// All settings as JSON, including injected faults
     #[arg(long, hide = true)]
     plan: Option<String>,
 }
@@ -54,10 +54,10 @@
         }
     };
     let mut random = [0; 16];
-    getrandom::fill(&mut random).map_err(|e| format!("no random bytes: {e}"))?;
+    getrandom::fill(&mut random).map_err(|e| format!("cannot get random bytes for the token: {e}"))?;
     plan.token = random.iter().map(|b| format!("{b:02x}")).collect();
     run_registry(plan, |address| {
-        // Whoever started it may not listen any more; it works all the same.
+        // The registry also works after the reader of its output has exited.
         let _ = print_ready(address);
     })?;
     Ok(ExitCode::SUCCESS)
--- a/crates/gateway/src/commands/relay.rs
+++ b/crates/gateway/src/commands/relay.rs
@@ -1,4 +1,4 @@
-//! `slatevalve relay`: follows the list of workers once and serves it to many routers.
+//! `slatevalve relay`: watches the worker list once and serves it to many routers.
 
 use super::login::LoginArguments;
 use super::session::resolve;
@@ -10,36 +10,36 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// Time to live of the lease of the relay's own entry.
+/// Time to live of the lease of the relay's own entry, in seconds.
 const LEASE_TTL_S: i64 = 10;
-/// The longest delay after failures while few relays are counted.
+/// Maximum delay after failures while few relays are counted.
 const FEW_RELAYS_DELAY_MAX_US: i64 = 1_000_000;
-/// Bound on the time until a change is received, as of a gateway.
+/// Bound on the time until a change is received; the same as the default of a gateway.
 const DRAIN_WITHIN_US: i64 = 12_000_000;
-/// Timeout of one request at one member.
+/// Timeout of a request to one member of the registry.
 const REQUEST_TIMEOUT_US: i64 = 1_000_000;
 
 #[derive(Args)]
 pub(super) struct RelayArguments {
-    /// Its name, different from other relays'
+    /// Name of the relay, unique among relays
     #[arg(long)]
     name: String,
-    /// Where routers connect; port 0 takes a free one
+    /// Listening address for routers; port 0 chooses a free port
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
     /// A member of the registry, HOST:PORT; several are tried in turn
     #[arg(long, required = true)]
     registry: Vec<String>,
-    /// What all keys begin with
+    /// Prefix of all keys
     #[arg(long, default_value = "/slatevalve/")]
     prefix: String,
-    /// Milliseconds between two looks at whether the watch tells all
+    /// Milliseconds between two checks that the watch is up to date
     #[arg(long = "look-ms", value_name = "LOOK_MS", default_value_t = 500)]
     liveness_interval_ms: u32,
-    /// Milliseconds without a word of the registry after which it serves nobody any more
+    /// Milliseconds without a message from the registry after which the relay stops serving
     #[arg(long = "silence-ms", value_name = "SILENCE_MS", default_value_t = 2_000)]
     stale_after_ms: u32,
-    /// Connections of routers at most
+    /// Maximum number of connections of routers
     #[arg(long, default_value_t = Limits::default().peers)]
     connections: usize,
     #[command(flatten)]
@@ -59,10 +59,10 @@
         login,
     } = arguments;
     if name.is_empty() || !name.chars().all(|letter| letter.is_ascii_graphic() && letter != '/') {
-        return Err("--name is of visible ASCII characters without /".into());
+        return Err("--name must consist of visible ASCII characters other than /".into());
     }
     if !prefix.ends_with('/') {
-        return Err("--prefix ends with /".into());
+        return Err("--prefix must end with /".into());
     }
     let addresses = resolve(&registry)?;
     let micros = |millis: u32| i64::from(millis) * 1_000;
--- a/crates/gateway/src/commands/settings/client.rs
+++ b/crates/gateway/src/commands/settings/client.rs
@@ -2,7 +2,7 @@
 
 use super::error::SettingsError;
 use super::output::{OutputFormat, PendingAcks};
-use crate::commands::session::{RegistryArguments, Res, Session};
+use crate::commands::session::{RegistryArguments, Session, SessionResult};
 use crate::commands::CommandResult;
 use crate::documents::{request, snapshot, DocumentRollout};
 use crate::settings::SharedSettings;
@@ -16,13 +16,13 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// The first wait between two checks of a change; each following one is twice as long.
-const FIRST_WAIT: Duration = Duration::from_millis(20);
-/// The longest wait between two checks of a change.
-const MAX_WAIT: Duration = Duration::from_millis(500);
-/// The longest time that a change can be waited for, in seconds: a day.
+/// First interval between two checks of a change; it doubles after each check.
+const FIRST_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest interval between two checks of a change.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Upper limit of `--wait-s`: a day.
 const MAX_WAIT_S: f64 = 86_400.0;
-/// The exit code of a command that leaves a change prepared and not committed.
+/// Exit code of a command that leaves a change prepared but not committed.
 const EXIT_NOT_COMMITTED: u8 = 3;
 
 /// A document to publish.
@@ -37,29 +37,29 @@
 enum DriveStep {
     /// Nothing is prepared; the document with this number is committed.
     Finished(u64),
-    /// A commit was requested. Whether it was done, by whomever, shows in the next snapshot.
+    /// A commit was requested. The next snapshot shows whether this or another request committed the change.
     CommitRequested,
-    /// Acknowledgements are awaited.
+    /// The change waits for acknowledgements.
     Waiting(PendingAcks),
 }
 
-/// Which keys a read covers.
+/// The keys that a read covers: one key, or all with a prefix.
 #[derive(Clone, Copy)]
 enum KeyRange {
     Key,
     Prefix,
 }
 
-/// Entries, and the revision at which they were read.
+/// Entries and the revision at which they were read.
 struct ReadEntries {
     entries: Vec<KeyValue>,
     revision: i64,
 }
 
-/// The revision of a read that takes the newest one.
+/// Requests a read at the newest revision.
 const LATEST: i64 = 0;
 
-/// A session with the documents that were read, which are immutable.
+/// A session with a cache of the documents read so far; documents are immutable.
 pub(super) struct SettingsClient {
     session: Session,
     pub(super) keys: Keys,
@@ -68,13 +68,13 @@
 }
 
 impl SettingsClient {
-    pub(super) fn new(registry: RegistryArguments, format: OutputFormat) -> Res<Self> {
+    pub(super) fn new(registry: RegistryArguments, format: OutputFormat) -> SessionResult<Self> {
         let keys = Keys::new(&registry.prefix);
         let session = Session::new(registry, WatchScope::Nothing)?;
         Ok(SettingsClient { session, keys, format, documents: BTreeMap::new() })
     }
 
-    fn read_entries(&mut self, key: &str, range: KeyRange, revision: i64) -> Res<ReadEntries> {
+    fn read_entries(&mut self, key: &str, range: KeyRange, revision: i64) -> SessionResult<ReadEntries> {
         let range_end = match range {
             KeyRange::Key => Vec::new(),
             KeyRange::Prefix => prefix_end(key.as_bytes()),
@@ -89,8 +89,8 @@
         Ok(ReadEntries { entries: response.kvs, revision: response.header.revision })
     }
 
-    /// The state and the leases at one revision, and the documents that they refer to.
-    pub(super) fn read(&mut self) -> Res<Snapshot> {
+    /// Reads the state and the leases at one revision, and the documents that they refer to.
+    pub(super) fn read(&mut self) -> SessionResult<Snapshot> {
         let ReadEntries { mut entries, revision } =
             self.read_entries(&self.keys.leases(), KeyRange::Prefix, LATEST)?;
         entries.extend(self.read_entries(&self.keys.state(), KeyRange::Key, revision)?.entries);
@@ -105,11 +105,11 @@
         Ok(snapshot)
     }
 
-    /// The document with a number.
+    /// Reads the document with a number.
     ///
     /// # Errors
     /// If there is none, it cannot be read, or the registry does not answer.
-    pub(super) fn document(&mut self, number: u64) -> Res<Document> {
+    pub(super) fn document(&mut self, number: u64) -> SessionResult<Document> {
         if let Some(document) = self.documents.get(&number) {
             return Ok(document.clone());
         }
@@ -125,15 +125,15 @@
         }
     }
 
-    /// All published documents that can be read, the oldest first.
-    pub(super) fn history(&mut self) -> Res<Vec<Document>> {
+    /// Reads all published documents, the oldest first; unreadable ones are omitted.
+    pub(super) fn history(&mut self) -> SessionResult<Vec<Document>> {
         let last_number = self.read()?.state.map_or(0, |state| state.value.last_number);
-        // One request a document: a response with all of them may be larger than any limit.
+        // One request per document, as a response with all of them could exceed size limits.
         Ok((1..=last_number).filter_map(|number| self.document(number).ok()).collect())
     }
 
-    /// Requests a transaction; returns whether it was done.
-    fn write(&mut self, txn: &Txn) -> Res<bool> {
+    /// Requests a transaction; returns whether it was executed.
+    fn write(&mut self, txn: &Txn) -> SessionResult<bool> {
         let response: PlainResponse = self.session.request(TXN, &request(txn))?;
         Ok(response.succeeded)
     }
@@ -141,8 +141,8 @@
     /// Requests a transaction.
     ///
     /// # Errors
-    /// If it was not done.
-    pub(super) fn write_or_fail(&mut self, txn: &Txn) -> Res<()> {
+    /// If it was not executed because its entries had changed.
+    pub(super) fn write_or_fail(&mut self, txn: &Txn) -> SessionResult<()> {
         if self.write(txn)? {
             Ok(())
         } else {
@@ -151,7 +151,7 @@
     }
 
     /// Publishes a document under a number above `above`; returns the number.
-    pub(super) fn publish(&mut self, draft: Draft<'_>, above: u64) -> Res<u64> {
+    pub(super) fn publish(&mut self, draft: Draft<'_>, above: u64) -> SessionResult<u64> {
         let snapshot = self.read()?;
         let document = Document {
             number: 0,
@@ -168,12 +168,13 @@
         Ok(number)
     }
 
-    /// Drives a change until it is committed, or `wait_s` seconds have passed. With `published`, the change to this document.
+    /// Drives a change until it is committed or `wait_s` seconds have passed. With `published`, it is the
+    /// change to this document.
     pub(super) fn drive(&mut self, published: Option<u64>, wait_s: f64) -> CommandResult {
         let deadline = Instant::now() + Duration::from_secs_f64(wait_s.clamp(0.0, MAX_WAIT_S));
         let mut rollout = DocumentRollout::new(self.keys.clone());
         let mut printed: Vec<PendingAck> = Vec::new();
-        let mut wait = FIRST_WAIT;
+        let mut interval = FIRST_CHECK_INTERVAL;
         loop {
             let awaited = match self.read() {
                 Ok(snapshot) => match self.drive_step(&mut rollout, &snapshot)? {
@@ -181,7 +182,7 @@
                     DriveStep::CommitRequested => continue,
                     DriveStep::Waiting(awaited) => awaited,
                 },
-                // The registry may come back; the change stays as it is.
+                // The registry may become available again; the change remains prepared.
                 Err(error) if Instant::now() < deadline => {
                     eprintln!("registry: {error}");
                     PendingAcks::default()
@@ -195,12 +196,12 @@
             if Instant::now() >= deadline {
                 return Ok(self.stop_waiting(&awaited));
             }
-            std::thread::sleep(wait);
-            wait = (wait * 2).min(MAX_WAIT);
+            std::thread::sleep(interval);
+            interval = (interval * 2).min(MAX_CHECK_INTERVAL);
         }
     }
 
-    fn drive_step(&mut self, rollout: &mut DocumentRollout, snapshot: &Snapshot) -> Res<DriveStep> {
+    fn drive_step(&mut self, rollout: &mut DocumentRollout, snapshot: &Snapshot) -> SessionResult<DriveStep> {
         let state = snapshot.state.as_ref().ok_or(SettingsError::NothingPublished)?;
         let active_settings = &state.value.active_settings;
         if active_settings.prepared.is_none() {
@@ -218,13 +219,14 @@
         }
     }
 
-    /// Prints the end of a change. A committed document that is older than the published one means a withdrawal.
+    /// Prints the end of a change. A committed document that is older than the published one means that the
+    /// change was withdrawn.
     fn finish(&self, published: Option<u64>, committed: u64) -> CommandResult {
         if published.is_some_and(|number| number > committed) {
             return Err(SettingsError::Withdrawn.into());
         }
         let value = json!({"committed": true, "number": committed});
-        self.format.print(&value, || format!("document {committed} counts"));
+        self.format.print(&value, || format!("document {committed} is committed"));
         Ok(ExitCode::SUCCESS)
     }
 
--- a/crates/gateway/src/commands/settings/diff.rs
+++ b/crates/gateway/src/commands/settings/diff.rs
@@ -1,9 +1,10 @@
-//! `settings diff`: what contradicts between two documents, and what is restricted while one replaces the other.
+//! `settings diff`: the contradictions between two documents, and the restrictions while one replaces the
+//! other.
 
 use super::client::SettingsClient;
 use super::output::OutputFormat;
 use super::{parse, read_file};
-use crate::commands::session::{RegistryArguments, Res};
+use crate::commands::session::{RegistryArguments, SessionResult};
 use crate::commands::CommandResult;
 use serde_json::{json, Value};
 use slatevalve_config_versioning::{contradictions, Class, Contradiction, Terms};
@@ -25,19 +26,19 @@
     Ok(if found.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// The number of a published document; `None` for a file, also if its name is a number.
+/// The number of a published document; `None` for an existing file, even if its name is a number.
 fn published_number(name: &str) -> Option<u64> {
     name.parse().ok().filter(|_| !Path::new(name).exists())
 }
 
-fn read_terms(client: Option<&mut SettingsClient>, name: &str) -> Res<Terms> {
+fn read_terms(client: Option<&mut SettingsClient>, name: &str) -> SessionResult<Terms> {
     match (published_number(name), client) {
         (Some(number), Some(client)) => Ok(parse(name, &client.document(number)?.text)?.terms()),
         _ => Ok(read_file(Path::new(name))?.shared.terms()),
     }
 }
 
-/// Classes that are restricted while the change is under way, those that only one side has included.
+/// Classes that are restricted during the change, including those that only one of the documents has.
 fn restricted_classes(old: &Terms, new: &Terms) -> Vec<String> {
     let meet = old.meet(new);
     let is_restricted = |name: &String, meet: &Class| {
@@ -53,13 +54,14 @@
 
 fn text(found: &[Contradiction], restricted: &[String]) -> String {
     if found.is_empty() {
-        return "nothing contradicts: the change waits for nobody".into();
+        return "no contradictions: the change waits for no router".into();
     }
     let mut lines: Vec<String> = found.iter().map(ToString::to_string).collect();
     lines.push(
-        "until all routers have said yes: what is named above is refused or kept to by the stricter side"
+        "until all routers have acknowledged the change, calls affected by these fields are refused or follow \
+         the stricter document"
             .into(),
     );
-    lines.push(format!("classes under stricter rules meanwhile: {restricted:?}"));
+    lines.push(format!("classes with stricter rules during the change: {restricted:?}"));
     lines.join("\n")
 }
--- a/crates/gateway/src/commands/settings/mod.rs
+++ b/crates/gateway/src/commands/settings/mod.rs
@@ -1,15 +1,15 @@
-//! The `settings` sub-commands: check and compare documents, publish one and drive its rollout, withdraw it, show who has
-//! acknowledged it.
+//! The `settings` sub-commands: check and compare documents, publish one and drive its rollout, withdraw it,
+//! show which routers have acknowledged it.
 //!
-//! The decisions are those of `slatevalve-config-versioning`: what contradicts, what can be published and when a change is
-//! committed. A command may be killed at any step; `settings drive` continues the change.
+//! `slatevalve-config-versioning` decides which documents contradict each other, what can be published and
+//! when a change is committed. A command may be killed at any step; `settings drive` continues the change.
 
 mod client;
 mod diff;
 mod error;
 mod output;
 
-use super::session::{RegistryArguments, Res};
+use super::session::{RegistryArguments, SessionResult};
 use super::CommandResult;
 use crate::clock::Clock;
 use crate::settings::{read_text, SharedSettings};
@@ -23,7 +23,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The author of a document that is published again by a rollback.
+/// The author of a document that a rollback publishes again.
 const ROLLBACK_AUTHOR: &str = "rollback";
 
 #[derive(Args)]
@@ -39,62 +39,63 @@
 
 #[derive(Subcommand)]
 enum SettingsCommand {
-    /// Check a document, without a registry
+    /// Check a document without a registry
     Check {
-        /// The file
+        /// File with the document
         file: PathBuf,
     },
-    /// Say in which fields two documents contradict each other, and what is refused while one replaces the other
+    /// Show in which fields two documents contradict each other, and which classes are restricted while one
+    /// replaces the other
     ///
-    /// Each is a file, or the number of a published document. Exits with 1 where they contradict.
+    /// Each is a file, or the number of a published document. Exits with 1 if they contradict each other.
     Diff {
-        /// The old one
+        /// The old document
         old: String,
-        /// The new one
+        /// The new document
         new: String,
     },
     /// Publish a document and drive the change until it is committed
     Publish {
-        /// The file
+        /// File with the document
         file: PathBuf,
-        /// Why
+        /// Reason for the change, for the history
         #[arg(long)]
         why: String,
-        /// Who publishes it
+        /// Author of the change, for the history
         #[arg(long, default_value = "operator")]
         who: String,
-        /// Give a number above this one; for a registry that was put back to an older content
+        /// Use a document number above this one, for a registry that was restored from a backup
         #[arg(long, default_value_t = 0)]
         above: u64,
-        /// Stop waiting after so many seconds; the change stays prepared
+        /// Stop waiting after this many seconds; the change stays prepared
         #[arg(long, default_value_t = 60.0)]
         wait_s: f64,
     },
-    /// Drive a change that somebody else began, until it is committed
+    /// Drive a change that another command began until it is committed
     Drive {
-        /// Stop waiting after so many seconds
+        /// Stop waiting after this many seconds
         #[arg(long, default_value_t = 60.0)]
         wait_s: f64,
     },
-    /// Show what counts, what is prepared, and who has said yes
+    /// Show the committed and the prepared document, and which routers have acknowledged the change
     Status,
     /// List the published documents
     History,
-    /// Take a prepared change back; where none is, publish an older document anew
+    /// Withdraw a prepared change; if there is none, publish an older document again
     Rollback {
-        /// The document; the parent of the one that counts if none is named
+        /// Number of the document; the default is the parent of the committed one
         number: Option<u64>,
-        /// Stop waiting after so many seconds
+        /// Stop waiting after this many seconds
         #[arg(long, default_value_t = 60.0)]
         wait_s: f64,
     },
-    /// Take a router's right to act out, by your word that it sends nothing any more
+    /// Remove the lease of a router, asserting that it no longer sends anything
     DeclareGone {
-        /// Its name
+        /// Name of the router
         name: String,
-        /// One life of it; all if none is named
-        #[arg(long)]
-        life: Option<String>,
+        /// Remove only the lease of this incarnation; the default is all incarnations
+        #[arg(long = "life", value_name = "LIFE")]
+        incarnation: Option<String>,
     },
 }
 
@@ -117,8 +118,8 @@
         SettingsCommand::Rollback { number, wait_s } => {
             rollback(SettingsClient::new(registry, format)?, number, wait_s)
         }
-        SettingsCommand::DeclareGone { name, life } => {
-            revoke_leases(SettingsClient::new(registry, format)?, &name, life.as_deref())
+        SettingsCommand::DeclareGone { name, incarnation } => {
+            revoke_leases(SettingsClient::new(registry, format)?, &name, incarnation.as_deref())
         }
     }
 }
@@ -149,12 +150,12 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Withdraws a prepared change; else publishes an older document again.
+/// Withdraws a prepared change unless a document number is given; else publishes an older document again.
 fn rollback(mut client: SettingsClient, number: Option<u64>, wait_s: f64) -> CommandResult {
     let snapshot = client.read()?;
     if let (Some(txn), None) = (snapshot.withdraw(&client.keys), number) {
         client.write_or_fail(&txn)?;
-        client.format.print(&json!({"withdrawn": true}), || "the prepared change is taken back".into());
+        client.format.print(&json!({"withdrawn": true}), || "the prepared change is withdrawn".into());
         return Ok(ExitCode::SUCCESS);
     }
     let state = snapshot.state.as_ref().ok_or(SettingsError::NothingPublished)?;
@@ -175,23 +176,23 @@
     client.write_or_fail(&txn)?;
     let leases = txn.deletes.len();
     client.format.print(&json!({"gone": name, "lives": leases}), || {
-        format!("{name} is declared gone, {leases} of its lives")
+        format!("router {name} is declared gone: {leases} leases removed")
     });
     Ok(ExitCode::SUCCESS)
 }
 
-/// A document in a file.
+/// A document that was read from a file, with its text.
 struct DocumentFile {
     text: String,
     shared: SharedSettings,
 }
 
-fn read_file(path: &Path) -> Res<DocumentFile> {
+fn read_file(path: &Path) -> SessionResult<DocumentFile> {
     let (name, text) = read_text(path)?;
     let shared = parse(&name, &text)?;
     Ok(DocumentFile { text, shared })
 }
 
-fn parse(name: &str, text: &str) -> Res<SharedSettings> {
+fn parse(name: &str, text: &str) -> SessionResult<SharedSettings> {
     Ok(SharedSettings::parse(name, text, &Clock::start())?)
 }
--- a/crates/gateway/src/commands/settings/output.rs
+++ b/crates/gateway/src/commands/settings/output.rs
@@ -1,4 +1,4 @@
-//! What the `settings` sub-commands print: JSON for programs, text for people.
+//! Output of the `settings` sub-commands, as JSON or as text.
 
 use serde_json::{json, Value};
 use slatevalve_config_versioning::{
@@ -6,22 +6,22 @@
 };
 use std::io::{self, IsTerminal, Write};
 
-/// At most so many awaited routers are named in a line.
+/// Maximum number of awaited routers that are listed in a line.
 const MAX_NAMED_ROUTERS: usize = 5;
-/// The width of the progress bar, in characters.
+/// Width of the progress bar, in characters.
 const PROGRESS_BAR_CHARACTERS: usize = 20;
 
 /// How results are printed on standard output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OutputFormat {
-    /// One JSON value a line.
+    /// One JSON value per line.
     Json,
-    /// Text for people.
+    /// Readable text.
     Text,
 }
 
 impl OutputFormat {
-    /// The format by the flag `--json`.
+    /// Chooses the format by the flag `--json`.
     pub(super) fn new(json: bool) -> Self {
         if json {
             OutputFormat::Json
@@ -43,7 +43,7 @@
 #[derive(Default)]
 pub(super) struct PendingAcks {
     pub(super) acks: Vec<PendingAck>,
-    /// The number of routers with a lease.
+    /// The number of all routers with a lease.
     pub(super) routers: usize,
 }
 
@@ -60,10 +60,10 @@
         let names: Vec<String> = self.acks.iter().take(MAX_NAMED_ROUTERS).map(pending_ack_text).collect();
         let mut out = io::stderr().lock();
         let bar = if out.is_terminal() { progress_bar(acknowledged, routers) } else { String::new() };
-        // Progress that cannot be printed is no reason to stop.
+        // The command continues if progress cannot be printed.
         let _ = writeln!(
             out,
-            "{bar}{acknowledged} of {routers} routers have said yes; awaited: {}",
+            "{bar}{acknowledged} of {routers} routers have acknowledged; awaited: {}",
             names.join(", ")
         );
     }
@@ -77,8 +77,8 @@
 fn pending_ack_text(ack: &PendingAck) -> String {
     let reason = match ack.reason {
         WaitReason::Acknowledgement => "goes on by the rules it has",
-        WaitReason::LeaseExpiry(_) => "until its right ends",
-        WaitReason::UnreadableLease => "what it wrote cannot be read here",
+        WaitReason::LeaseExpiry(_) => "until its lease expires",
+        WaitReason::UnreadableLease => "its lease record cannot be read here",
     };
     format!("{} ({reason})", ack.name)
 }
@@ -138,10 +138,10 @@
 /// The text of [`status`].
 pub(super) fn status_text(status: &Value) -> String {
     if status["published"] == false {
-        return "nothing is published".into();
+        return "no document is published".into();
     }
     let version = |row: &Value| format!("document {} ({}: {})", row["number"], row["who"], row["why"]);
-    let mut lines = vec![format!("counts: {}", version(&status["committed"]))];
+    let mut lines = vec![format!("committed: {}", version(&status["committed"]))];
     if !status["prepared"].is_null() {
         lines.push(format!("prepared: {}", version(&status["prepared"])));
     }
--- a/crates/gateway/src/commands/test_servers.rs
+++ b/crates/gateway/src/commands/test_servers.rs
@@ -11,48 +11,49 @@
 
 #[derive(Args)]
 pub(super) struct WorkerArguments {
-    /// Its name
+    /// Name of the worker
     #[arg(long, default_value = "worker")]
     name: String,
-    /// Where it listens; port 0 takes a free one
+    /// Listening address; port 0 chooses a free port
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Calls that it runs at a time
+    /// Number of calls that run at the same time
     #[arg(long, default_value_t = 4)]
     lanes: usize,
-    /// Calls that may wait
+    /// Maximum number of queued calls
     #[arg(long, default_value_t = 32)]
     queue: usize,
-    /// Copies that fit into its memory
+    /// Maximum number of loaded copies of functions
     #[arg(long, default_value_t = 16)]
     copies: usize,
-    /// Milliseconds that a load takes
+    /// Duration of a load in milliseconds
     #[arg(long, default_value_t = 100)]
     load_ms: u32,
-    /// Register with this member of a key-value registry, HOST:PORT; SIGUSR1 lets it drain, SIGTERM drain and leave
+    /// Register with this member of a key-value registry, HOST:PORT; SIGUSR1 drains the worker, SIGTERM
+    /// drains and deregisters it
     #[arg(long)]
     registry: Vec<SocketAddr>,
-    /// What its key begins with
+    /// Prefix of its key
     #[arg(long, default_value = "/slatevalve/")]
     prefix: String,
-    /// Its cell
+    /// Cell of the worker
     #[arg(long, default_value_t = 0)]
     cell: u64,
-    /// Load a function when a call for it comes; else such a call is answered as a miss
+    /// Load a function on the first call for it; without this option such a call is answered as a miss
     #[arg(long)]
     load_on_call: bool,
-    /// Record what passes its socket in this file
+    /// Record the traffic of its socket in this file
     #[arg(long)]
     trace: Option<PathBuf>,
-    /// Everything as JSON, with faults; the other options are passed by
+    /// All settings as JSON, including injected faults; the other options are ignored
     #[arg(long, hide = true)]
     plan: Option<String>,
-    /// Turn calls away that are sent by settings documents which were overtaken for longer than this
+    /// Refuse calls sent under settings documents that were superseded more than this many milliseconds ago
     #[arg(long)]
     refuse_overtaken_ms: Option<u32>,
 }
 
-/// Prints where a test server listens. Whoever started it may have closed its standard output; it serves all the same.
+/// Prints the address of a test server, which also serves if the reader of its output has exited.
 fn announce(address: SocketAddr) {
     let _ = print_ready(address);
 }
--- a/crates/gateway/src/documents.rs
+++ b/crates/gateway/src/documents.rs
@@ -1,6 +1,6 @@
-//! Config versioning in the registry's protocol, for the gateway's server and the `settings` commands: records and transactions
-//! as requests and responses, and a rollout by documents that are read as a gateway reads them. The callers own their
-//! connections.
+//! Config versioning over the registry's protocol, for the gateway server and the `settings` commands:
+//! conversion of transactions to requests and of responses to snapshots, and a rollout that parses documents
+//! as a gateway does. The callers own their connections.
 
 use crate::clock::Clock;
 use crate::settings::SharedSettings;
@@ -10,10 +10,11 @@
 use slatevalve_registry::wire::{Bytes, Compare, DeleteRequest, KeyValue, PutRequest, RequestOp, TxnRequest};
 use std::collections::BTreeMap;
 
-/// The clock error assumed where a document cannot be read here, in parts per million: the largest that a document may state.
+/// The clock error assumed for a document that cannot be read here, in parts per million: the largest that a
+/// document may set.
 const MAX_CLOCK_ERROR_PPM: i64 = 500_000;
 
-/// A transaction in the registry's protocol.
+/// Converts a transaction to a request of the registry's protocol.
 #[must_use]
 pub fn request(txn: &Txn) -> TxnRequest {
     let put = |(key, value): &(String, Vec<u8>)| RequestOp {
@@ -31,7 +32,7 @@
     }
 }
 
-/// The records of a range response.
+/// Reads the records in the entries of a range response.
 #[must_use]
 pub fn snapshot(keys: &Keys, entries: &[KeyValue]) -> Snapshot {
     let names: Vec<String> =
@@ -43,14 +44,14 @@
     Snapshot::from_entries(keys, records)
 }
 
-/// What a rollout needs of a document.
+/// The settings of a document that a rollout depends on.
 struct DocumentRules {
     terms: Terms,
     clock_error_ppm: i64,
 }
 
 impl DocumentRules {
-    /// The rules of a document; `None` if it cannot be read here.
+    /// Parses a document; `None` if this version of the program cannot read it.
     fn read(document: &Document, clock: &Clock) -> Option<Self> {
         let name = format!("document {}", document.number);
         let shared = SharedSettings::parse(&name, &document.text, clock).ok()?;
@@ -58,13 +59,13 @@
     }
 }
 
-/// The coordinator of the change that a step of the state prepared.
+/// The coordinator of the change that was prepared at a step of the state.
 struct StepCoordinator {
     step: u64,
     coordinator: RolloutCoordinator,
 }
 
-/// Coordinates one change after the other, and caches the rules of the documents in use.
+/// Coordinates successive changes, and caches the rules of the documents in use.
 pub(crate) struct DocumentRollout {
     keys: Keys,
     current: Option<StepCoordinator>,
@@ -77,8 +78,8 @@
         DocumentRollout { keys, current: None, rules: BTreeMap::new() }
     }
 
-    /// Decides the next step by a snapshot that holds the known ones of the documents it refers to; see
-    /// [`RolloutCoordinator::advance`].
+    /// Decides the next step from a snapshot, which must contain those of its referenced documents that could
+    /// be read; see [`RolloutCoordinator::advance`].
     pub(crate) fn advance(&mut self, clock: &Clock, snapshot: &Snapshot) -> RolloutStep {
         let Some(state) = &snapshot.state else { return RolloutStep::Idle };
         self.read_rules(clock, snapshot);
@@ -92,7 +93,7 @@
         next
     }
 
-    /// Reads the rules of documents that came into use, and forgets those of others.
+    /// Reads the rules of documents that came into use, and drops those that are no longer referenced.
     fn read_rules(&mut self, clock: &Clock, snapshot: &Snapshot) {
         let referenced = snapshot.referenced_versions();
         self.rules.retain(|version, _| referenced.contains(version));
@@ -108,7 +109,8 @@
         self.rules.get(version)?.as_ref()
     }
 
-    /// A coordinator for the step of this state. It reckons with the largest clock error of the documents in force.
+    /// Creates a coordinator for the step of this state. It assumes the largest clock error of the documents
+    /// in force.
     fn begin(&self, state: &State) -> StepCoordinator {
         let clock_error = |version: &DocumentVersion| {
             self.known_rules(version).map_or(MAX_CLOCK_ERROR_PPM, |rules| rules.clock_error_ppm)
--- a/crates/gateway/src/documents/tests.rs
+++ b/crates/gateway/src/documents/tests.rs
@@ -1,13 +1,13 @@
-//! The waiting time of a rollout whose documents state other clock errors.
+//! A rollout between documents with different clock errors must wait for leases by the larger one.
 
 use super::*;
 use slatevalve_config_versioning::{
     LeaseExpiryPolicy, LeaseHolder, LeaseOwner, LeaseRequest, LeaseTerms, WaitReason,
 };
 
-const RIGHT_US: i64 = 3_600_000_000;
+const LEASE_US: i64 = 3_600_000_000;
 
-/// Publishes a document into entries; a router that stands still has said yes to the one before.
+/// Publishes a document with this clock error and a lease of [`LEASE_US`].
 fn publish(keys: &Keys, entries: &mut Vec<KeyValue>, clock_error_ppm: i64) {
     let text = format!(
         "(class \"charge\" (effect keyed (group all) (window-ms {clock_error_ppm})) (aim-ms 1) (deadline-ms 1))
@@ -16,7 +16,7 @@
     );
     let (digest, who, why, expiry_policy) =
         (String::new(), "op".into(), "why".into(), LeaseExpiryPolicy::GiveUp);
-    let draft = Document { number: 0, parent: 0, digest, text, who, why, expiry_policy, lease_us: RIGHT_US };
+    let draft = Document { number: 0, parent: 0, digest, text, who, why, expiry_policy, lease_us: LEASE_US };
     let (_, txn) = snapshot(keys, entries).publish(keys, &draft, 0).unwrap();
     put(entries, &txn);
 }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_right_is_waited_for_by_the_larger_clock_error_of_both_documents() {
+fn a_rollout_waits_for_a_lease_by_the_larger_clock_error_of_both_documents() {
     for (old, new) in [(400_000, 1), (1, 400_000)] {
         let (keys, clock, mut entries) = (Keys::new("/t/"), Clock::start(), Vec::new());
         publish(&keys, &mut entries, old);
@@ -39,24 +39,26 @@
             incarnation: "1".into(),
             previous_incarnations: vec![],
         };
-        let mut still = LeaseHolder::new(settings);
-        still
+        let mut idle_router = LeaseHolder::new(settings);
+        idle_router
             .observe_state(
                 &snapshot(&keys, &entries).state.unwrap(),
-                &[LeaseTerms { lease_us: RIGHT_US, expiry_policy: LeaseExpiryPolicy::GiveUp }],
+                &[LeaseTerms { lease_us: LEASE_US, expiry_policy: LeaseExpiryPolicy::GiveUp }],
             )
             .unwrap();
-        let Some(LeaseRequest::Write(txn)) = still.next_request(0) else { panic!("it asks for its right") };
+        let Some(LeaseRequest::Write(txn)) = idle_router.next_request(0) else {
+            panic!("the router requests no lease")
+        };
         put(&mut entries, &txn);
         publish(&keys, &mut entries, new);
         let from = clock.now().0;
         let RolloutStep::Wait(awaited) =
             DocumentRollout::new(keys.clone()).advance(&clock, &snapshot(&keys, &entries))
         else {
-            panic!("its right stands")
+            panic!("the rollout does not wait for the lease")
         };
         let WaitReason::LeaseExpiry(until) = awaited[0].reason else { panic!("{awaited:?}") };
-        // 1.4 / 0.6 of the right.
-        assert!(until - from >= RIGHT_US / 6 * 14, "{old} then {new}: {}", until - from);
+        // A clock error of 40 % stretches the lease to (1 + 0.4) / (1 - 0.4) of its duration.
+        assert!(until - from >= LEASE_US / 6 * 14, "{old} then {new}: {}", until - from);
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway: settings, event loops, and the command line's sub-commands.
+//! The gateway: settings, event loops, and the sub-commands of the command line.
 //!
-//! The binary `slatevalve` is a few lines over [`commands::run`]. Sockets, files, signals and the clock are in this crate
-//! and in no crate below it. Where to start reading: [`server`] is the event loop of the gateway, [`platform`] that of the
-//! platform's router.
+//! The binary `slatevalve` only calls [`commands::run`]. Sockets, files, signals and the clock are used in
+//! this crate and in no crate below it. To start reading: [`server`] is the event loop of the gateway,
+//! [`platform`] that of the platform's router.
 #![forbid(unsafe_code)]
 
 pub mod chaos_test;
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary: the command line, and nothing else.
+//! The `slatevalve` binary. The command line is in the library, see `commands`.
 
 use std::process::ExitCode;
 
--- a/crates/gateway/src/remembered_file.rs
+++ b/crates/gateway/src/remembered_file.rs
@@ -1,4 +1,4 @@
-//! A file that holds the latest version of something for the next start, written by a thread of its own.
+//! A file that keeps the latest version of some content for the next start, written by a background thread.
 
 use std::fs;
 use std::io::{self, Write};
@@ -7,49 +7,50 @@
 use std::thread;
 use tracing::warn;
 
-/// A request to the writing thread.
+/// A request to the writer thread.
 enum Request {
     Write(Vec<u8>),
     /// Answered by dropping the sender, once every earlier write has succeeded or failed.
     Flush(Sender<()>),
 }
 
-/// Writes the latest content to a file off the event loop. A failure is logged; the content before it stays on disk. The
-/// writing thread ends after the handle is dropped, once the last content is written.
+/// Writes the latest content to a file outside the event loop. A failed write is logged and leaves the
+/// previous content on disk. The writer thread ends after the handle is dropped, once the last content is
+/// written.
 pub(crate) struct RememberedFile {
     requests: Sender<Request>,
 }
 
 impl RememberedFile {
-    /// Starts the writing thread. `content_name` names the content in logs, and the thread.
+    /// Starts the writer thread. `content_name` identifies the content in logs and is the name of the thread.
     pub(crate) fn open(path: PathBuf, content_name: &'static str) -> Self {
         let (requests, received) = mpsc::channel();
         let spawned = thread::Builder::new()
             .name(content_name.into())
             .spawn(move || write_requested(&received, &path, content_name));
         if let Err(error) = spawned {
-            warn!(%error, content = content_name, "writing thread not started; nothing is remembered");
+            warn!(%error, content = content_name, "cannot start the writer thread; the content is not saved");
         }
         RememberedFile { requests }
     }
 
-    /// Replaces the file's content soon. Of several contents that are pending only the last is written.
+    /// Queues new content for the file. If several are queued, only the last one is written.
     pub(crate) fn write(&self, content: Vec<u8>) {
-        // Fails only where the thread could not be started, which has been logged.
+        // Fails only if the thread could not be started, which has been logged.
         let _ = self.requests.send(Request::Write(content));
     }
 
-    /// Blocks until all content handed over so far is on disk, or has failed to be written.
+    /// Blocks until all content queued so far is on disk or could not be written.
     pub(crate) fn flush(&self) {
         let (done, wait) = mpsc::channel();
         if self.requests.send(Request::Flush(done)).is_ok() {
-            // Ends by the sender's drop, whether the writes succeeded or not.
+            // Returns when the thread drops the sender, whether the writes succeeded or not.
             let _ = wait.recv();
         }
     }
 }
 
-/// The writing thread: takes all pending requests at a time until the handle is dropped.
+/// Runs the writer thread: handles all queued requests at once, until the handle is dropped.
 fn write_requested(received: &Receiver<Request>, path: &Path, content_name: &str) {
     while let Ok(first) = received.recv() {
         let (mut latest, mut flushed) = (None, Vec::new());
@@ -60,7 +61,7 @@
             }
         }
         if let Some(Err(error)) = latest.map(|content| replace(path, &content)) {
-            warn!(path = %path.display(), %error, content = content_name, "file not written; the one before stays");
+            warn!(path = %path.display(), %error, content = content_name, "cannot write the file; its content is unchanged");
         }
     }
 }
--- a/crates/gateway/src/server/admin.rs
+++ b/crates/gateway/src/server/admin.rs
@@ -1,8 +1,9 @@
 //! The admin socket of a running gateway: a Unix domain socket for commands on plug-ins.
 //!
-//! One command a line, as JSON; the answer is lines of progress, then one line with the result. A connection has one command
-//! in progress. The length of a line and the number of connections are bounded, so that no peer can exhaust the event loop;
-//! beyond that a peer is trusted, as only the gateway's own user can open the socket.
+//! Each line is one command as JSON; the reply is any number of progress lines, then one line with the
+//! result. A connection runs one command at a time. The length of a line and the number of connections are
+//! bounded, so that no peer can exhaust the event loop. Peers are trusted otherwise, as only the gateway's
+//! own user can open the socket.
 
 use crate::plugins::command::Command;
 use serde_json::{json, Value};
@@ -11,17 +12,17 @@
 use std::io;
 use std::path::Path;
 
-/// Longest line of a command, in bytes.
+/// Maximum length of a command line, in bytes.
 const MAX_LINE: usize = 64 * 1024;
-/// Open connections at a time.
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 32;
 
 /// Whether a reply ends its command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReplyKind {
-    /// More lines follow; a command in progress stays so.
+    /// More lines follow; a command in progress is not yet complete.
     Progress,
-    /// The command's last line.
+    /// The last line of the command; the connection may send the next one.
     Final,
 }
 
@@ -35,7 +36,7 @@
 
 #[derive(Default)]
 struct Connection {
-    /// Bytes of the next command's line that have come.
+    /// Received bytes of the next command's line.
     line: Vec<u8>,
     in_progress: bool,
 }
@@ -46,16 +47,16 @@
 }
 
 impl Admin {
-    /// Listens at a path.
+    /// Listens on a Unix domain socket.
     ///
     /// # Errors
-    /// When the socket cannot be bound, or another process listens there.
+    /// If the socket cannot be bound, or another process listens on it.
     pub(super) fn open(reactor: &mut Reactor, path: &Path) -> io::Result<Self> {
         reactor.listen_unix(path)?;
         Ok(Admin { connections: HashMap::new() })
     }
 
-    /// Adds a connection; beyond [`MAX_CONNECTIONS`] it gets an error and is closed.
+    /// Adds a connection. Beyond [`MAX_CONNECTIONS`] it receives an error and is closed.
     pub(super) fn accepted(&mut self, reactor: &mut Reactor, connection: Id) {
         if self.connections.len() >= MAX_CONNECTIONS {
             reactor.write(connection, b"{\"error\":\"too many are connected to the admin socket\"}\n");
@@ -64,18 +65,19 @@
         self.connections.insert(connection, Connection::default());
     }
 
-    /// Whether a connection is one of the admin socket.
+    /// Whether a connection belongs to the admin socket.
     pub(super) fn owns(&self, connection: Id) -> bool {
         self.connections.contains_key(&connection)
     }
 
-    /// Forgets a connection that closed; `false` where it is not one of the admin socket.
+    /// Removes a closed connection; returns `false` if it does not belong to the admin socket.
     pub(super) fn closed(&mut self, connection: Id) -> bool {
         self.connections.remove(&connection).is_some()
     }
 
-    /// Takes bytes, and returns the command once its line is complete. What is not a command gets an error; a line that is
-    /// too long, or bytes while a command is in progress, also end the connection.
+    /// Buffers received bytes, and returns the command once its line is complete. A line that is not a
+    /// command is answered with an error. A line that is too long, or bytes during a command in progress,
+    /// also close the connection.
     pub(super) fn received(
         &mut self,
         reactor: &mut Reactor,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Writes a reply; does nothing once its connection has closed.
+    /// Writes a reply; ignored if its connection has closed.
     pub(super) fn reply(&mut self, reactor: &mut Reactor, reply: &AdminReply) {
         if let Some(connection) = self.connections.get_mut(&reply.connection) {
             connection.in_progress &= reply.kind == ReplyKind::Progress;
--- a/crates/gateway/src/server/bridge.rs
+++ b/crates/gateway/src/server/bridge.rs
@@ -1,4 +1,4 @@
-//! The bridge to an MQTT broker, and its connection.
+//! The bridge to an MQTT broker and its TCP connection.
 
 use slatevalve::Micros;
 use slatevalve_engine::{Call, Ticket};
@@ -6,7 +6,7 @@
 use slatevalve_reactor::{Id, Reactor};
 use std::net::SocketAddr;
 
-/// The bridge's number among the sources of tickets; clients that connect to the gateway are 1.
+/// The bridge's number as a source of tickets; the front end for connecting clients has number 1.
 const BRIDGE_TICKET_SOURCE: u8 = 2;
 
 /// The bridge and its connection to the broker.
@@ -17,23 +17,23 @@
 }
 
 impl BridgeLink {
-    /// Not connected; the bridge asks for its connection by an output.
+    /// Starts unconnected; the bridge requests its connection with [`BridgeOutput::Connect`].
     pub(super) fn new(bridge: Bridge, broker: SocketAddr) -> Self {
         BridgeLink { bridge, broker, connection: None }
     }
 
-    /// The broker's connection closed.
+    /// Handles the close of the connection to the broker.
     pub(super) fn closed(&mut self, now: Micros) {
         self.connection = None;
         self.bridge.closed(now);
     }
 
-    /// Whether the bridge has bytes that its broker has still to get.
+    /// Whether the bridge is connected and has bytes that are not yet sent to the broker.
     pub(super) fn has_unsent(&self) -> bool {
         self.bridge.is_up() && self.bridge.unsent() > 0
     }
 
-    /// Executes an output of the bridge; returns the call where it is one.
+    /// Executes an output of the bridge; returns the call if the output is one.
     pub(super) fn execute(
         &mut self,
         now: Micros,
@@ -61,12 +61,12 @@
     }
 }
 
-/// The bridge, where a connection is its own.
+/// The bridge, if the connection is the one to its broker.
 pub(super) fn by_connection(bridge: &mut Option<BridgeLink>, connection: Id) -> Option<&mut BridgeLink> {
     bridge.as_mut().filter(|link| link.connection == Some(connection))
 }
 
-/// The bridge, where it made a ticket.
+/// The bridge, if it issued the ticket.
 pub(super) fn by_ticket(bridge: &mut Option<BridgeLink>, ticket: Ticket) -> Option<&mut BridgeLink> {
     bridge.as_mut().filter(|_| TicketSource::front_of(ticket) == BRIDGE_TICKET_SOURCE)
 }
--- a/crates/gateway/src/server/error.rs
+++ b/crates/gateway/src/server/error.rs
@@ -7,18 +7,19 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a gateway could not start or go on.
+/// Why a gateway could not start or had to stop.
 #[derive(Debug)]
 pub enum GatewayError {
     /// The public listener could not be opened.
     Listen(SocketAddr, io::Error),
     /// The admin socket could not be opened.
     Admin(PathBuf, io::Error),
-    /// A recorded worker list cannot be read, or none be written; also a file that identifies this process in the registry.
+    /// A file cannot be read or written: a recording of the worker list, or the file with this process's
+    /// identity in the registry.
     Record(PathBuf, io::Error),
     /// The plug-in folder cannot be read.
     Plugins(FolderError),
-    /// The poller or a signal failed.
+    /// The poller or a signal handler failed.
     Loop(io::Error),
 }
 
@@ -26,10 +27,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             GatewayError::Listen(address, e) => write!(f, "cannot listen on {address}: {e}"),
-            GatewayError::Admin(path, e) => write!(f, "admin socket {}: {e}", path.display()),
+            GatewayError::Admin(path, e) => write!(f, "cannot open the admin socket {}: {e}", path.display()),
             GatewayError::Record(path, e) => write!(f, "{}: {e}", path.display()),
             GatewayError::Plugins(e) => write!(f, "plug-ins: {e}"),
-            GatewayError::Loop(e) => write!(f, "the loop failed: {e}"),
+            GatewayError::Loop(e) => write!(f, "the event loop failed: {e}"),
         }
     }
 }
--- a/crates/gateway/src/server/events.rs
+++ b/crates/gateway/src/server/events.rs
@@ -1,5 +1,5 @@
-//! Dispatch of the reactor's events to the part that owns the connection, in this order: worker source, agreement, clients,
-//! bridge, admin socket, pool.
+//! Dispatch of the reactor's events to the owner of the connection, looked up in this order: worker source,
+//! config versioning, clients, bridge, admin socket, pool.
 
 use super::{bridge, GatewayServer};
 use signal_hook::consts::SIGHUP;
@@ -9,7 +9,8 @@
 use tracing::error;
 
 impl GatewayServer {
-    /// Handles one event and executes what follows from it, so that the next event finds its effects.
+    /// Handles one event and executes the resulting outputs, so that the next event is handled with its
+    /// effects in place.
     pub(super) fn handle_event(&mut self, now: Micros, event: ReactorEvent) {
         if self.source.as_mut().is_some_and(|source| source.handle_event(now, &mut self.reactor, &event)) {
             return self.take_membership_events(now);
@@ -73,14 +74,14 @@
         }
     }
 
-    /// Pauses the public listener, whichever listener failed. The admin socket's stays paused: its clients belong to the
-    /// gateway's own user and can connect again.
+    /// Pauses the public listener, whichever listener failed. The admin socket's listener stays paused: its
+    /// clients belong to the gateway's own user and can connect again.
     fn accept_failed(&mut self, now: Micros, error: &io::Error) {
         error!(%error, "cannot accept connections; open ones are served");
         self.listener.pause(now);
     }
 
-    /// Takes the results of the plug-ins' background worker.
+    /// Takes the results of the plug-ins' background thread and sends the replies to the admin socket.
     fn take_plugin_results(&mut self, now: Micros) {
         let Some(plugins) = &mut self.plugins else { return };
         for reply in plugins.take_results(now, &self.engine) {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Bytes came on a connection of the admin socket.
+    /// Handles bytes received on a connection of the admin socket.
     fn admin_received(&mut self, id: Id, bytes: &[u8]) {
         let (Some(admin), Some(plugins)) = (&mut self.admin, &mut self.plugins) else { return };
         let Some(command) = admin.received(&mut self.reactor, id, bytes) else { return };
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -1,11 +1,13 @@
-//! The gateway server: one event loop around front end, bridge, request engine and pool of worker connections.
+//! The gateway server: one event loop around front end, bridge, request engine and pool of worker
+//! connections.
 //!
-//! The loop does I/O and measures time; it decides nothing about a call. In each iteration events of sockets are handled
-//! before timers fire: after a pause of the process, answers that arrived in time are found before their deadlines are.
+//! The loop does I/O and reads the clock; decisions about calls are made by the engine. In each iteration
+//! socket events are handled before timers fire, so that after a pause of the process, answers that arrived
+//! in time are processed before the deadlines of their calls expire.
 //!
-//! One concern a module: `events` dispatches what the reactor reports, `outputs` executes what the protocols ask for,
-//! `reload` and `shutdown` handle the signals; `config_versioning` and `members` connect the settings' documents and the worker
-//! source, `plugins` the versions of functions, `admin` the operators' socket.
+//! Modules: `events` dispatches events of the reactor, `outputs` executes the outputs of front end, bridge
+//! and engine, `reload` and `shutdown` handle signals. `config_versioning` connects the settings documents,
+//! `members` the worker source, `plugins` the versions of functions, and `admin` the operators' socket.
 
 mod admin;
 mod bridge;
@@ -41,16 +43,16 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Bytes buffered for one connection at most; a peer that reads more slowly is disconnected.
+/// Maximum of unsent bytes per connection; a peer that reads too slowly is disconnected when it is reached.
 const MAX_BUFFERED_BYTES: usize = 8 * 1024 * 1024;
-/// Pause of the listener after a failed accept.
+/// How long the listener is paused after a failed accept.
 const ACCEPT_PAUSE: Micros = Micros(100_000);
 
 /// A running gateway.
 pub struct GatewayServer {
     clock: Clock,
     site: Site,
-    /// Read again on SIGHUP.
+    /// Reloaded on SIGHUP.
     settings_file: Option<PathBuf>,
     reactor: Reactor,
     engine: Engine,
@@ -58,12 +60,12 @@
     bridge: Option<BridgeLink>,
     plugins: Option<PluginHost>,
     admin: Option<Admin>,
-    /// The source of the settings, where they are documents of the registry.
+    /// Source of the settings if they are documents of the registry.
     config_versioning: Option<ConfigVersioning>,
-    /// The source of the worker list, where that is not the settings file.
+    /// Source of the worker list if that is not the settings file.
     source: Option<Box<dyn Source>>,
     recorder: Option<Recorder>,
-    /// Names by id, as two names may have one id.
+    /// Names of the source's workers by id; detects different names that hash to the same id.
     names: HashMap<WorkerId, String>,
     start_times: WorkerStartTimes,
     pool: Pool,
@@ -71,7 +73,7 @@
     clients: ClientConnections<LinkId>,
     /// Workers of the current list.
     workers_listed: BTreeSet<WorkerId>,
-    /// Longest time that bytes read in this iteration may have waited to be read.
+    /// Upper bound of the time that bytes read in this iteration waited before they were read.
     read_delay: Micros,
     stopping: bool,
     engine_outputs: Vec<Output>,
@@ -83,7 +85,7 @@
     /// Opens the listener and applies the worker list; `settings_file` is read again on SIGHUP.
     ///
     /// # Errors
-    /// When a socket, the poller, a signal handler or the plug-in folder is not available.
+    /// If a socket, the poller, a signal handler or the plug-in folder is not available.
     pub fn new(site: Site, settings_file: Option<PathBuf>, clock: Clock) -> Result<Self, GatewayError> {
         let reactor = Reactor::new(MAX_BUFFERED_BYTES).map_err(GatewayError::Loop)?;
         GatewayServer::with_reactor(site, settings_file, clock, reactor)
@@ -127,11 +129,11 @@
             bridge_outputs: Vec::new(),
             site,
         };
-        server.apply_first_list();
+        server.apply_initial_list();
         Ok(server)
     }
 
-    fn apply_first_list(&mut self) {
+    fn apply_initial_list(&mut self) {
         self.pool.set_document_versions(&self.site.documents);
         if self.source.is_none() {
             let workers = self.site.workers.clone();
@@ -140,15 +142,16 @@
         self.take_membership_events(self.clock.now());
     }
 
-    /// Where MQTT clients connect.
+    /// The address on which MQTT clients connect, with the port that the kernel chose if the settings name
+    /// port 0.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Runs until an orderly stop is complete.
+    /// Runs until a graceful shutdown is complete.
     ///
     /// # Errors
-    /// When the poller fails.
+    /// If the poller fails.
     pub fn run(&mut self) -> Result<(), GatewayError> {
         let mut loop_timer = LoopTimer::new(self.clock.now(), self.drain_grace());
         loop {
@@ -159,9 +162,10 @@
         }
     }
 
-    /// One iteration of the loop: write and wait, events, protocol timers, settings, then calls. Returns its time.
+    /// Runs one iteration of the loop: write and wait, events, protocol timers, settings, then calls. Returns
+    /// its time.
     ///
-    /// What may be sent is checked wherever a lease may have ended since the last check.
+    /// The send permission is checked wherever a lease may have expired since the last check.
     fn run_iteration(&mut self, loop_timer: &mut LoopTimer) -> Result<Micros, GatewayError> {
         self.apply_send_permission();
         let timeout = self.poll_timeout(self.clock.now());
@@ -170,7 +174,7 @@
             .wait(&self.clock, &mut self.reactor, timeout, write_deadline)
             .map_err(GatewayError::Loop)?;
         self.read_delay = read_delay;
-        // The wait may have been long.
+        // The lease may have expired during the wait.
         self.apply_send_permission();
         for event in events {
             self.handle_event(now, event);
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Fires the timers of pool, engine and plug-ins, and executes what follows.
+    /// Fires the timers of pool, engine and plug-ins, and executes the outputs.
     fn advance_calls(&mut self, now: Micros) {
         self.worker_side().advance(now);
         self.drain_outputs(now);
@@ -234,20 +238,20 @@
         }
     }
 
-    /// Reports a completed request to a worker to the engine.
+    /// Reports the end of a request to a worker to the engine.
     fn report_completion(&mut self, now: Micros, end: RequestEnd) {
         self.worker_side().report(now, [end]);
     }
 }
 
-/// Opens the admin socket, where the settings name one.
+/// Opens the admin socket if the settings name one.
 fn open_admin(site: &Site, reactor: &mut Reactor) -> Result<Option<Admin>, GatewayError> {
     let path = site.plugins.as_ref().and_then(|settings| settings.admin.as_ref());
     path.map(|path| Admin::open(reactor, path).map_err(|error| GatewayError::Admin(path.clone(), error)))
         .transpose()
 }
 
-/// Opens the plug-in folder, where the settings name one.
+/// Opens the plug-in folder if the settings name one.
 fn open_plugins(
     site: &Site,
     reactor: &mut Reactor,
--- a/crates/gateway/src/server/outputs.rs
+++ b/crates/gateway/src/server/outputs.rs
@@ -7,7 +7,7 @@
 use tracing::error;
 
 impl GatewayServer {
-    /// Executes pending outputs until none is left; an output may lead to others.
+    /// Executes pending outputs until none is left; executing an output may add further ones.
     pub(super) fn drain_outputs(&mut self, now: Micros) {
         while self.has_outputs() {
             for output in std::mem::take(&mut self.bridge_outputs) {
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Hands a call to the engine, with the version that its function's name means now.
+    /// Resolves a call's function to the plug-in version that is current now, and passes the call to the
+    /// engine.
     fn submit_call(&mut self, now: Micros, mut call: Call) {
         call.age = self.read_delay;
         if let Some(plugins) = &mut self.plugins {
@@ -54,17 +55,17 @@
         match self.worker_side().execute(now, output) {
             Some(Output::VersionMismatch { worker, version, ran }) => {
                 let worker = self.pool.name(worker);
-                error!(worker, digest = %version.digest, ran = ran.as_deref().unwrap_or("nothing named"),
-                    "a worker ran other content; its answer was not passed on");
+                error!(worker, digest = %version.digest, ran = ran.as_deref().unwrap_or("none reported"),
+                    "a worker ran other content than requested; its answer was not passed on");
             }
             Some(Output::Answer(ticket, answer)) => self.answer(now, ticket, &answer),
             Some(Output::Superseded(ticket)) => self.superseded(now, ticket),
-            // The remaining outputs ask for a worker list, which arrives by itself.
+            // The remaining outputs request a worker list; the source of the list sends changes unrequested.
             _ => {}
         }
     }
 
-    /// Passes a call's final answer to where the call came from.
+    /// Passes a call's final answer to the bridge or front end that the call came from.
     fn answer(&mut self, now: Micros, ticket: Ticket, answer: &Answer) {
         self.plugins.iter_mut().for_each(|plugins| plugins.call_answered(now, ticket, answer));
         match bridge::by_ticket(&mut self.bridge, ticket) {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The same client repeated the call: the repeat's ticket gets the answer, this one gets none.
+    /// Drops a ticket because the same client repeated the call: the answer goes to the ticket of the repeat.
     fn superseded(&mut self, now: Micros, ticket: Ticket) {
         self.plugins.iter_mut().for_each(|plugins| plugins.call_withdrawn(now, ticket));
         match bridge::by_ticket(&mut self.bridge, ticket) {
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! The orderly stop: open calls are finished first, then connections.
+//! Graceful shutdown: open calls are completed first, then connections are closed.
 
 use super::{GatewayError, GatewayServer};
 use crate::clock::after;
@@ -6,13 +6,14 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Longest time for sending what is buffered, and for leaving the registry, once all calls are answered.
+/// Timeout for sending buffered bytes and deregistering from the registry once all calls are answered.
 const FLUSH_TIMEOUT: Micros = Micros(1_000_000);
-/// Poll timeout meanwhile; the end of a flush is no event of its own.
+/// Poll timeout during the flush, as the reactor reports no event when the last byte is sent.
 const FLUSH_POLL_TIMEOUT: Duration = Duration::from_millis(10);
 
 impl GatewayServer {
-    /// SIGTERM or SIGINT: accepts no new calls; open ones are finished, or ended at the settings' time limit.
+    /// Handles SIGTERM and SIGINT: accepts no new calls; open ones are completed, or ended after the
+    /// settings' `stop_timeout`.
     pub(super) fn stop(&mut self, now: Micros) {
         if self.stopping {
             return;
@@ -29,19 +30,20 @@
         }
     }
 
-    /// All calls are answered: disconnects the clients, leaves the registry and sends what is buffered, for a bounded time.
+    /// Disconnects the clients, deregisters and sends buffered bytes, for at most [`FLUSH_TIMEOUT`]. All
+    /// calls must have been answered.
     ///
     /// # Errors
-    /// When the poller fails.
+    /// If the poller fails.
     pub(super) fn shut_down(&mut self, now: Micros) -> Result<(), GatewayError> {
         if let Some(config_versioning) = &mut self.config_versioning {
             config_versioning.release_lease();
         }
         self.front.stop(now, &mut self.front_outputs);
         self.drain_outputs(now);
-        let until = after(now, FLUSH_TIMEOUT);
+        let deadline = after(now, FLUSH_TIMEOUT);
         let mut events = Vec::new();
-        while self.has_unfinished() && self.clock.now() < until {
+        while self.has_unfinished() && self.clock.now() < deadline {
             self.reactor.poll(Some(FLUSH_POLL_TIMEOUT), &mut events).map_err(GatewayError::Loop)?;
             let now = self.clock.now();
             for event in events.drain(..) {
@@ -53,7 +55,8 @@
         Ok(())
     }
 
-    /// Whether bytes are to be sent, or the registry is to confirm that this gateway left.
+    /// Whether bytes are unsent, or the registry has not yet confirmed that this gateway released its lease
+    /// and deregistered.
     fn has_unfinished(&self) -> bool {
         self.reactor.has_pending()
             || self.bridge.as_ref().is_some_and(|link| link.has_unsent())
@@ -67,7 +70,7 @@
     fn log_statistics(&self) {
         let counts = self.engine.statistics();
         if counts.overdue > 0 {
-            warn!(overdue = counts.overdue, "calls ended by the engine past their deadline");
+            warn!(overdue = counts.overdue, "calls were ended by the engine after their deadline");
         }
         info!(
             calls = counts.calls,
--- a/crates/gateway/src/settings/balancer.rs
+++ b/crates/gateway/src/settings/balancer.rs
@@ -1,21 +1,22 @@
 //! The forms of the load balancer and the engine: `limits`, `rules`, `loading`, `function` and `keys`.
 
-use super::forms::{optional, sub_form, whole, Res};
+use super::forms::{optional, sub_form, whole, FormResult};
 use super::names::NameTable;
 use slatevalve::{Limits, Loading, Micros, Rules, Settings};
 use slatevalve_engine::{DuplicateLimits, FunctionTraits};
 use slatevalve_sexpr::{Fields, Form};
 use std::collections::HashMap;
 
-/// The default grace of a drain, in which a worker still takes calls for functions that only it has loaded.
+/// Default grace period of a drain, in which a worker still takes calls for functions that only it has
+/// loaded.
 const DEFAULT_DRAIN_GRACE: Micros = Micros(250_000);
-/// The default time after which a load request without an answer has failed.
+/// Default time after which an unanswered load request counts as failed.
 const DEFAULT_LOAD_TIMEOUT: Micros = Micros(10_000_000);
-/// The function name that stands for all functions without a form of their own.
+/// The name in a `function` form that applies to all functions without a form of their own.
 const ANY_FUNCTION: &str = "*";
 
-/// The load balancer's settings by `loading`, `rules` and `limits`, with defaults for the rest.
-pub(super) fn balancer(top: &mut Fields<'_>, kinds: &mut NameTable) -> Res<Settings> {
+/// Reads the load balancer's settings from `loading`, `rules` and `limits`; the rest are defaults.
+pub(super) fn balancer(top: &mut Fields<'_>, kinds: &mut NameTable) -> FormResult<Settings> {
     Ok(Settings {
         loading: loading(top, kinds)?,
         rules: rules(top)?,
@@ -24,7 +25,7 @@
     })
 }
 
-fn limits(top: &mut Fields<'_>) -> Res<Limits> {
+fn limits(top: &mut Fields<'_>) -> FormResult<Limits> {
     let mut limits = Limits { hedged_requests: true, ..Limits::default() };
     let Some(mut form) = sub_form(top, "limits")? else { return Ok(limits) };
     limits.cancel = form.or("cancel", limits.cancel, Form::flag)?;
@@ -35,7 +36,7 @@
     Ok(limits)
 }
 
-fn rules(top: &mut Fields<'_>) -> Res<Rules> {
+fn rules(top: &mut Fields<'_>) -> FormResult<Rules> {
     let mut rules = Rules { drain_grace: DEFAULT_DRAIN_GRACE, ..Rules::default() };
     let Some(mut form) = sub_form(top, "rules")? else { return Ok(rules) };
     rules.answer_slack = form.or("answer-slack-ms", rules.answer_slack, Form::millis)?;
@@ -48,7 +49,7 @@
     Ok(rules)
 }
 
-fn loading(top: &mut Fields<'_>, kinds: &mut NameTable) -> Res<Loading> {
+fn loading(top: &mut Fields<'_>, kinds: &mut NameTable) -> FormResult<Loading> {
     let mut loading = Loading { load_timeout: DEFAULT_LOAD_TIMEOUT, ..Settings::default().loading };
     let Some(mut form) = sub_form(top, "loading")? else { return Ok(loading) };
     loading.on_request = form.or("on-request", loading.on_request, Form::flag)?;
@@ -73,16 +74,16 @@
     Ok(loading)
 }
 
-/// Traits of functions by the `function` forms.
+/// Traits of functions, from the `function` forms.
 #[derive(Default)]
 pub(super) struct Functions {
     pub(super) named: HashMap<String, FunctionTraits>,
-    /// Those of all other functions.
+    /// Traits of all functions that are not in `named`.
     pub(super) other: FunctionTraits,
 }
 
 impl Functions {
-    pub(super) fn read(top: &mut Fields<'_>) -> Res<Self> {
+    pub(super) fn read(top: &mut Fields<'_>) -> FormResult<Self> {
         let mut functions = Functions::default();
         for form in top.take_all("function") {
             let (name, mut fields) = form.named_fields()?;
@@ -96,15 +97,15 @@
             if name == ANY_FUNCTION {
                 functions.other = traits;
             } else if functions.named.insert(name.clone(), traits).is_some() {
-                return Err(form.error(format!("function \"{name}\" stands twice")));
+                return Err(form.error(format!("function \"{name}\" is defined twice")));
             }
         }
         Ok(functions)
     }
 }
 
-/// Limits of the table of keys by `keys`.
-pub(super) fn duplicates(top: &mut Fields<'_>) -> Res<DuplicateLimits> {
+/// Reads `(keys ...)`: the limits of the table of keys.
+pub(super) fn duplicates(top: &mut Fields<'_>) -> FormResult<DuplicateLimits> {
     let mut limits = DuplicateLimits::default();
     let Some(mut form) = sub_form(top, "keys")? else { return Ok(limits) };
     limits.keys = whole(&mut form, "most", limits.keys, 100_000_000)?;
--- a/crates/gateway/src/settings/classes.rs
+++ b/crates/gateway/src/settings/classes.rs
@@ -1,6 +1,6 @@
 //! The `class`, `tenant` and `route` forms.
 
-use super::forms::{optional, Res};
+use super::forms::{optional, FormResult};
 use slatevalve::{Class, ClassId, Effect, Group, Micros, Tenant, TenantId};
 use slatevalve_engine::ClassPolicy;
 use slatevalve_mqtt::{Route, Routes, Template, TopicFilter};
@@ -8,15 +8,16 @@
 use slatevalve_sexpr::{Fields, Form};
 use std::collections::BTreeSet;
 
-/// How long keys are remembered by default: ten minutes, and never less than the workers' own memory.
-const DEFAULT_REMEMBER: Micros = Micros(600_000_000);
+/// Default retention of keys: ten minutes, or the class's `window-ms`, for which workers remember keys, if
+/// that is longer.
+const DEFAULT_KEY_RETENTION: Micros = Micros(600_000_000);
 
-/// A class with its name; its id is its place in the file.
+/// A class with its name. Its id is its index in the order of the file.
 pub(super) struct NamedClass {
     pub(super) name: String,
     pub(super) class: Class,
-    /// How long its keys are remembered.
-    pub(super) remember: Micros,
+    /// How long the gateway remembers the keys of its calls.
+    pub(super) key_retention: Micros,
 }
 
 /// A tenant with its name and id.
@@ -28,40 +29,44 @@
     pub(super) classes: Option<BTreeSet<String>>,
 }
 
-/// The classes and tenants that a file declares, which other forms refer to.
+/// The declared classes and tenants, to which other forms refer.
 pub(super) struct Declarations {
     pub(super) classes: Vec<NamedClass>,
     pub(super) tenants: Vec<NamedTenant>,
 }
 
 impl Declarations {
-    pub(super) fn read(top: &mut Fields<'_>) -> Res<Self> {
+    pub(super) fn read(top: &mut Fields<'_>) -> FormResult<Self> {
         let classes = classes(top)?;
         let tenants = tenants(top, &classes)?;
         Ok(Declarations { classes, tenants })
     }
 
-    pub(super) fn routes(&self, top: &mut Fields<'_>) -> Res<Routes> {
+    pub(super) fn routes(&self, top: &mut Fields<'_>) -> FormResult<Routes> {
         let mut routes = Vec::new();
         for form in top.take_all("route") {
             routes.push(self.route(&form)?);
         }
         if routes.is_empty() {
-            return Err(top.error("there is no (route ...)"));
+            return Err(top.error("at least one (route ...) is required"));
         }
         let tenants = self.tenants.iter().map(|tenant| (tenant.name.clone(), tenant.id)).collect();
         Ok(Routes { routes, tenants, ..Routes::default() })
     }
 
-    fn route(&self, form: &Form<'_>) -> Res<Route> {
+    fn route(&self, form: &Form<'_>) -> FormResult<Route> {
         let (filter, mut fields) = form.named_fields()?;
         let filter = TopicFilter::parse(&filter).map_err(|e| form.error(e.to_string()))?;
         let class = self.class_id(&fields.need("class")?, form)?;
         let function = template(&fields.need("function")?)?;
         let tenant = optional(&mut fields, "tenant", template)?;
         match (&tenant, self.tenants.is_empty()) {
-            (None, false) => return Err(form.error("(tenant ...) is missing")),
-            (Some(_), true) => return Err(form.error("there is no (tenant ...) at the top")),
+            (None, false) => {
+                return Err(form.error("(tenant ...) is required because the settings define tenants"))
+            }
+            (Some(_), true) => {
+                return Err(form.error("(tenant ...) is not allowed because the settings define no tenants"))
+            }
             _ => {}
         }
         let key = optional(&mut fields, "key", template)?;
@@ -71,8 +76,8 @@
         Ok(route)
     }
 
-    /// The class that a route names.
-    fn class_id(&self, class: &Form<'_>, route: &Form<'_>) -> Res<ClassId> {
+    /// The id of the class that a route refers to.
+    fn class_id(&self, class: &Form<'_>, route: &Form<'_>) -> FormResult<ClassId> {
         let name = class.text()?;
         let id = self.classes.iter().position(|class| class.name == name);
         id.map(ClassId).ok_or_else(|| route.error(format!("there is no class \"{name}\"")))
@@ -83,10 +88,11 @@
     }
 
     pub(super) fn policies(&self) -> Vec<ClassPolicy> {
-        self.classes.iter().map(|class| ClassPolicy { retention: class.remember }).collect()
+        self.classes.iter().map(|class| ClassPolicy { retention: class.key_retention }).collect()
     }
 
-    /// What plug-ins may claim: the effect of each class, and the classes of tenants that are limited to some.
+    /// What plug-ins may claim: the effect of each class, and the allowed classes of tenants that are limited
+    /// to some.
     pub(super) fn rights(&self) -> ClassRights {
         let effects = self.classes.iter().map(|class| (class.name.clone(), effect_name(class).to_string()));
         let limited = |tenant: &NamedTenant| Some((tenant.name.clone(), tenant.classes.clone()?));
@@ -109,29 +115,29 @@
     }
 }
 
-fn template(form: &Form<'_>) -> Res<Template> {
+fn template(form: &Form<'_>) -> FormResult<Template> {
     Template::parse(&form.text()?).map_err(|e| form.error(e.to_string()))
 }
 
-fn classes(top: &mut Fields<'_>) -> Res<Vec<NamedClass>> {
+fn classes(top: &mut Fields<'_>) -> FormResult<Vec<NamedClass>> {
     let mut classes: Vec<NamedClass> = Vec::new();
     for form in top.take_all("class") {
         let class = class(&form, &classes)?;
         classes.push(class);
     }
     if classes.is_empty() {
-        return Err(top.error("there is no (class ...)"));
+        return Err(top.error("at least one (class ...) is required"));
     }
     Ok(classes)
 }
 
-fn class(form: &Form<'_>, known: &[NamedClass]) -> Res<NamedClass> {
+fn class(form: &Form<'_>, declared: &[NamedClass]) -> FormResult<NamedClass> {
     let (name, mut fields) = form.named_fields()?;
     if name.is_empty() || !name.chars().all(|character| character.is_ascii_graphic()) {
-        return Err(form.error("a class's name is made of visible ASCII characters without spaces"));
+        return Err(form.error("a class name must consist of visible ASCII characters without spaces"));
     }
-    if known.iter().any(|class| class.name == name) {
-        return Err(form.error(format!("class \"{name}\" stands twice")));
+    if declared.iter().any(|class| class.name == name) {
+        return Err(form.error(format!("class \"{name}\" is defined twice")));
     }
     let base = Class::default();
     let effect = effect(&fields.need("effect")?)?;
@@ -145,20 +151,20 @@
         stream: false,
     };
     if class.latency_objective > class.deadline || class.latency_objective.0 == 0 {
-        return Err(form.error("the aim lies between 0 and the deadline"));
+        return Err(form.error("aim-ms must be above 0 and at most deadline-ms"));
     }
     let window = if let Effect::IdempotentWithKey { memory, .. } = effect { memory } else { Micros(0) };
-    let remember = fields.or("remember-ms", DEFAULT_REMEMBER.max(window), Form::millis)?;
-    if remember < window || (effect != Effect::Idempotent && remember < class.deadline) {
-        return Err(form.error("remember-ms is less than the key's window or the deadline"));
+    let key_retention = fields.or("remember-ms", DEFAULT_KEY_RETENTION.max(window), Form::millis)?;
+    if key_retention < window || (effect != Effect::Idempotent && key_retention < class.deadline) {
+        return Err(form.error("remember-ms is less than window-ms or deadline-ms"));
     }
     fields.finish()?;
-    Ok(NamedClass { name, class, remember })
+    Ok(NamedClass { name, class, key_retention })
 }
 
-fn effect(form: &Form<'_>) -> Res<Effect> {
-    if let Ok(word) = form.text() {
-        return match word.as_str() {
+fn effect(form: &Form<'_>) -> FormResult<Effect> {
+    if let Ok(name) = form.text() {
+        return match name.as_str() {
             "safe" => Ok(Effect::Idempotent),
             "unsafe" => Ok(Effect::NonIdempotent),
             other => {
@@ -166,9 +172,9 @@
             }
         };
     }
-    let (word, mut fields) = form.named_fields()?;
-    if word != "keyed" {
-        return Err(form.error(format!("expected keyed before fields, found {word}")));
+    let (name, mut fields) = form.named_fields()?;
+    if name != "keyed" {
+        return Err(form.error(format!("expected keyed before fields, found {name}")));
     }
     let group = fields.need("group")?;
     let group = match group.text()?.as_str() {
@@ -182,15 +188,15 @@
     Ok(Effect::IdempotentWithKey { group, memory })
 }
 
-fn tenants(top: &mut Fields<'_>, known: &[NamedClass]) -> Res<Vec<NamedTenant>> {
+fn tenants(top: &mut Fields<'_>, declared: &[NamedClass]) -> FormResult<Vec<NamedTenant>> {
     let mut tenants: Vec<NamedTenant> = Vec::new();
     for form in top.take_all("tenant") {
         let (name, mut fields) = form.named_fields()?;
         if tenants.iter().any(|tenant| tenant.name == name) {
-            return Err(form.error(format!("tenant \"{name}\" stands twice")));
+            return Err(form.error(format!("tenant \"{name}\" is defined twice")));
         }
         let quota_per_s = fields.or("per-second", 0.0, Form::number)?;
-        let classes = optional(&mut fields, "plugin-classes", |form| class_names(form, known))?;
+        let classes = optional(&mut fields, "plugin-classes", |form| class_names(form, declared))?;
         fields.finish()?;
         let id = TenantId(tenants.len());
         tenants.push(NamedTenant { name, tenant: Tenant { quota_per_s }, id, classes });
@@ -198,9 +204,9 @@
     Ok(tenants)
 }
 
-fn class_names(form: &Form<'_>, known: &[NamedClass]) -> Res<BTreeSet<String>> {
+fn class_names(form: &Form<'_>, declared: &[NamedClass]) -> FormResult<BTreeSet<String>> {
     let names: BTreeSet<String> = form.texts()?.into_iter().collect();
-    match names.iter().find(|name| !known.iter().any(|class| class.name == **name)) {
+    match names.iter().find(|name| !declared.iter().any(|class| class.name == **name)) {
         Some(unknown) => Err(form.error(format!("there is no class \"{unknown}\""))),
         None => Ok(names),
     }
--- a/crates/gateway/src/settings/document.rs
+++ b/crates/gateway/src/settings/document.rs
@@ -1,9 +1,11 @@
-//! A settings document: the part of a settings file that a whole fleet shares, and its rules for config versioning.
+//! A settings document: the part of a settings file that all routers of a fleet share, and its rules for
+//! config versioning.
 //!
-//! A document is read by the same code as a router's own file: whole, or it is an error with its place. Used by the `settings`
-//! commands and by gateways that act by documents. Source: `docs/design-config-versioning.md`.
+//! A document is parsed by the same code as a router's own file; any error, reported with its position,
+//! rejects the whole document. Used by the `settings` commands and by gateways that take their settings from
+//! documents. The design is described in `docs/design-config-versioning.md`.
 
-use super::forms::Res;
+use super::forms::FormResult;
 use super::{NameTables, Site};
 use crate::clock::Clock;
 use slatevalve::{Effect, Group, Micros};
@@ -14,29 +16,30 @@
 use slatevalve_sexpr::{Fields, File, Form};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Forms of one router that must not occur in a document.
+/// Forms of a router's own file that must not occur in a document.
 const ROUTER_FORMS: [&str; 6] = ["agreed", "gateway", "mqtt", "bridge", "members", "plugins"];
-/// The forms of a router that complete a document where it is read for none.
+/// Router forms that complete a document when it is parsed without a router's own file.
 const PLACEHOLDER_ROUTER: &str = "(gateway (name \"document\"))\n(mqtt (listen \"127.0.0.1:0\"))\n";
-/// The default length of a lease to act.
+/// Default duration of a lease.
 const DEFAULT_LEASE: Micros = Micros(3_000_000);
-/// The shortest lease that a document may state.
+/// Shortest lease that a document may set.
 const MIN_LEASE: Micros = Micros(100_000);
-/// The default error of a clock's rate, in parts per million.
+/// Default bound on the error of a clock's rate, in parts per million.
 const DEFAULT_CLOCK_ERROR_PPM: u64 = 20_000;
-/// The largest error of a clock's rate that a document may state, in parts per million.
+/// Largest bound on the error of a clock's rate that a document may set, in parts per million.
 const MAX_CLOCK_ERROR_PPM: u64 = 500_000;
 
 /// The content of a document.
 #[derive(Clone, Debug)]
 pub struct SharedSettings {
-    /// The settings, with those of one router left at placeholders.
+    /// The settings. Those of a single router are placeholders unless the document was parsed with a router's
+    /// own forms.
     pub site: Site,
-    /// What routers do that cannot renew their lease to act.
+    /// What a router does once its lease has expired because it could not renew it.
     pub expiry_policy: LeaseExpiryPolicy,
-    /// The length of such a lease.
+    /// Duration of a router's lease on the settings in force.
     pub lease: Micros,
-    /// The largest error of a clock's rate, in parts per million.
+    /// Largest assumed error of a clock's rate, in parts per million.
     pub clock_error_ppm: i64,
 }
 
@@ -44,26 +47,27 @@
     /// Reads and checks the text of a document.
     ///
     /// # Errors
-    /// The first fault, with its place.
-    pub fn parse(name: &str, text: &str, clock: &Clock) -> Res<Self> {
+    /// The first error, with its position.
+    pub fn parse(name: &str, text: &str, clock: &Clock) -> FormResult<Self> {
         SharedSettings::parse_for_router(name, text, PLACEHOLDER_ROUTER, clock, NameTables::default())
     }
 
-    /// Reads and checks the text of a document together with a router's own forms, and with the names that it knows already.
+    /// Reads and checks the text of a document together with a router's own forms. `name_tables` holds the
+    /// names that already have a number.
     ///
     /// # Errors
-    /// The first fault, with its place.
+    /// The first error, with its position.
     pub(crate) fn parse_for_router(
         name: &str,
         text: &str,
         router_forms: &str,
         clock: &Clock,
         name_tables: NameTables,
-    ) -> Res<Self> {
+    ) -> FormResult<Self> {
         let document = File::parse(name, text)?;
         let mut forms = document.forms()?;
         if let Some(form) = ROUTER_FORMS.iter().flat_map(|name| forms.take_all(name)).next() {
-            return Err(form.error("is a router's own and stands in no document"));
+            return Err(form.error("belongs in a router's own file and is not allowed in a document"));
         }
         let complete = File::parse(name, &format!("{text}\n{router_forms}"))?;
         let mut top = complete.forms()?;
@@ -73,7 +77,7 @@
         Ok(SharedSettings { site, expiry_policy, lease, clock_error_ppm: clock_error_ppm as i64 })
     }
 
-    /// The rules that can contradict another document's.
+    /// The rules of the document that can contradict those of another document.
     #[must_use]
     pub fn terms(&self) -> Terms {
         let routes = &self.site.front.routes.routes;
@@ -125,7 +129,8 @@
 
     fn bounds(&self) -> BTreeMap<String, Bound> {
         let (rules, loading) = (&self.site.engine.balancer.rules, &self.site.engine.balancer.loading);
-        // Without a window there is no quota; a longer window is the stricter one.
+        // Without a window there is no quota. A longer window is stricter, hence the bound on windows per
+        // hour.
         let has_quota = loading.load_quota_window.0 > 0;
         let quota = |maximum: f64| if has_quota { (maximum * 1e6) as i64 } else { i64::MAX };
         let windows_per_hour = 3.6e9 / loading.load_quota_window.0.max(1) as f64;
@@ -147,7 +152,7 @@
 }
 
 impl AgreementForm {
-    fn read(top: &mut Fields<'_>) -> Res<Self> {
+    fn read(top: &mut Fields<'_>) -> FormResult<Self> {
         let mut agreement = AgreementForm {
             expiry_policy: LeaseExpiryPolicy::GoOn,
             lease: DEFAULT_LEASE,
@@ -161,13 +166,13 @@
             .or("clock-error-ppm", agreement.clock_error_ppm, |field| field.whole(MAX_CLOCK_ERROR_PPM))?;
         fields.finish()?;
         if agreement.lease < MIN_LEASE {
-            return Err(form.error("a right lasts for 100 ms at least"));
+            return Err(form.error("right-ms must be at least 100"));
         }
         Ok(agreement)
     }
 }
 
-fn expiry_policy(form: &Form<'_>) -> Res<LeaseExpiryPolicy> {
+fn expiry_policy(form: &Form<'_>) -> FormResult<LeaseExpiryPolicy> {
     match form.text()?.as_str() {
         "go-on" => Ok(LeaseExpiryPolicy::GoOn),
         "give-up" => Ok(LeaseExpiryPolicy::GiveUp),
@@ -175,7 +180,7 @@
     }
 }
 
-/// When calls of this effect may be retried.
+/// The conditions under which calls of this effect may be retried.
 pub(super) fn retry_rule(effect: Effect) -> RetryRule {
     match effect {
         Effect::Idempotent => RetryRule::always(),
--- a/crates/gateway/src/settings/members.rs
+++ b/crates/gateway/src/settings/members.rs
@@ -1,6 +1,6 @@
-//! The `members` form: where the list of workers comes from while the gateway runs.
+//! The `members` form: the source of the worker list while the gateway runs.
 
-use super::forms::{credentials, millis_as_us, optional_path, whole, Res};
+use super::forms::{credentials, millis_as_us, optional_path, whole, FormResult};
 use crate::members::MemberSettings;
 use slatevalve_pacing::{derive_seed, Limits};
 use slatevalve_registry::{
@@ -10,35 +10,36 @@
 use std::net::{SocketAddr, ToSocketAddrs};
 use std::path::PathBuf;
 
-/// The shortest time between two liveness checks, in microseconds.
+/// Shortest interval between two liveness checks, in microseconds.
 const MIN_LIVENESS_CHECK_US: i64 = 1_000;
-/// The default time to live of a registration, in seconds.
+/// Default time to live of a registration, in seconds.
 const DEFAULT_TTL_S: i64 = 30;
-/// The longest time to live of a registration, in seconds: a day.
+/// Longest time to live of a registration, in seconds: a day.
 const MAX_TTL_S: u64 = 86_400;
-/// The default time after which a request to the registry is abandoned, in microseconds.
+/// Default timeout of a request to the registry, in microseconds.
 const DEFAULT_TIMEOUT_US: i64 = 2_000_000;
-/// The default time within which a drain is known everywhere, in microseconds.
+/// Default bound on the time until all routers have received a drain, in microseconds.
 const DEFAULT_DRAIN_WITHIN_US: i64 = 12_000_000;
-/// The largest number of routers that can be set.
+/// Largest number of routers that can be set.
 const MAX_ROUTERS: u64 = 1_000_000;
 
-/// The source of the list of workers, beside the settings file.
+/// A source of the worker list other than the settings file.
 #[derive(Clone, Debug)]
 pub enum MemberSource {
-    /// A registry.
+    /// A registry, whose list is followed.
     Registry(Box<MemberSettings>),
-    /// A recorded file.
+    /// A file with recorded changes, which are replayed.
     Replay(PathBuf),
 }
 
-/// Reads `(members ...)`. Name and number of routers are the gateway's own: random draws follow from the name.
+/// Reads `(members ...)`. `name` and `routers` are the gateway's name and number of routers; the seed of the
+/// registry client is derived from `seed` and the name, so that gateways draw different random delays.
 pub(super) fn members(
     top: &mut Fields<'_>,
     seed: u64,
     name: &str,
     routers: usize,
-) -> Res<Option<MemberSource>> {
+) -> FormResult<Option<MemberSource>> {
     let Some(form) = top.take("members")? else { return Ok(None) };
     let mut fields = form.fields()?;
     if let Some(file) = fields.take("replay")? {
@@ -65,18 +66,19 @@
     }))))
 }
 
-/// The fields of a connection to a registry: the client's settings, and its members' addresses.
+/// Reads the fields of a connection to a registry: the client's settings, and the addresses of relays and
+/// members.
 pub(super) fn client(
     fields: &mut Fields<'_>,
     form: &Form<'_>,
     seed: u64,
     name: &str,
     routers: usize,
-) -> Res<(ClientSettings, Vec<SocketAddr>)> {
+) -> FormResult<(ClientSettings, Vec<SocketAddr>)> {
     let Endpoints { names: endpoints, addresses, relays } = Endpoints::read(fields)?;
     let prefix = fields.or("prefix", "/slatevalve/".to_string(), Form::text)?;
     if !prefix.ends_with('/') {
-        return Err(form.error("the prefix ends with /"));
+        return Err(form.error("prefix must end with /"));
     }
     let login = credentials(fields, form)?;
     let base = WatchSettings::default();
@@ -91,13 +93,14 @@
     let base = Limits::default();
     let per_second = fields.or("service-per-second", base.per_second, Form::number)?;
     if per_second <= 0.0 {
-        return Err(form.error("service-per-second is above 0"));
+        return Err(form.error("service-per-second must be above 0"));
     }
     let drain_within_us = millis_as_us(fields, "drain-within-ms", DEFAULT_DRAIN_WITHIN_US)?;
-    // It covers a wait, the time of an answer, and that of a liveness check that finds the watch behind.
+    // drain-within-ms covers the delay before a request, the request itself, and the lag after which a
+    // liveness check finds the watch to be behind.
     let max_delay_us = drain_within_us - timeout_us - watch_state.lag_tolerance_us;
     if max_delay_us <= 0 {
-        return Err(form.error("drain-within-ms is longer than timeout-ms and half a second together"));
+        return Err(form.error("drain-within-ms must be longer than timeout-ms plus half a second"));
     }
     let client = ClientSettings {
         endpoints,
@@ -122,18 +125,18 @@
     Ok((client, addresses))
 }
 
-/// Relays and members of a registry, the relays first.
+/// The endpoints of a registry client: relays first, then members of the registry.
 struct Endpoints {
-    /// As `HOST:PORT`.
+    /// `HOST:PORT` of each endpoint.
     names: Vec<String>,
     addresses: Vec<SocketAddr>,
-    /// The number of relays among them.
+    /// How many of the endpoints are relays.
     relays: usize,
 }
 
 impl Endpoints {
     /// Reads `registry` and `relays`, and resolves their names.
-    fn read(fields: &mut Fields<'_>) -> Res<Self> {
+    fn read(fields: &mut Fields<'_>) -> FormResult<Self> {
         let registry = fields.need("registry")?;
         let relays = fields.take("relays")?;
         let mut endpoints = Endpoints { names: Vec::new(), addresses: Vec::new(), relays: 0 };
@@ -145,15 +148,15 @@
         Ok(endpoints)
     }
 
-    fn add(&mut self, form: &Form<'_>) -> Res<()> {
+    fn add(&mut self, form: &Form<'_>) -> FormResult<()> {
         let names = form.texts()?;
         if names.is_empty() {
-            return Err(form.error("expected one HOST:PORT or more"));
+            return Err(form.error("expected at least one HOST:PORT"));
         }
         for name in names {
             let resolved = name.to_socket_addrs().ok().and_then(|mut addresses| addresses.next());
-            let unknown = || form.error(format!("{name} is no HOST:PORT that is known"));
-            self.addresses.push(resolved.ok_or_else(unknown)?);
+            let unresolved = || form.error(format!("cannot resolve {name} as HOST:PORT"));
+            self.addresses.push(resolved.ok_or_else(unresolved)?);
             self.names.push(name);
         }
         Ok(())
--- a/crates/gateway/src/settings/mod.rs
+++ b/crates/gateway/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! The settings file: what an operator may set, checked as a whole before anything starts.
+//! The settings file, which is checked as a whole before anything starts.
 //!
-//! Forms and their meaning are listed in `docs/operators/router.md`. Read at the start and, for its worker list,
-//! again on SIGHUP. Each module reads the forms of one concern; [`Site`] joins them.
+//! The forms and their meaning are listed in `docs/operators/router.md`. The file is read at startup; its
+//! worker list is read again on SIGHUP. Each module reads a group of related forms; [`Site`] combines them.
 
 mod balancer;
 mod classes;
--- a/crates/gateway/src/settings/mqtt.rs
+++ b/crates/gateway/src/settings/mqtt.rs
@@ -1,19 +1,19 @@
-//! The `mqtt` and `bridge` forms: where clients connect, and the broker that the gateway connects to.
+//! The `mqtt` and `bridge` forms: the listener for clients, and the broker to which the gateway connects.
 
-use super::forms::{address, optional, whole, Res};
+use super::forms::{address, optional, whole, FormResult};
 use slatevalve_mqtt::{BridgeSettings, FrontSettings, Routes};
 use slatevalve_sexpr::{Fields, Form};
 use std::net::SocketAddr;
 
-/// The number of the front end for clients among the engine's front ends.
+/// Number of the front end for clients among the engine's front ends.
 const FRONT_NUMBER: u8 = 1;
-/// The number of the bridge among the engine's front ends.
+/// Number of the bridge among the engine's front ends.
 const BRIDGE_NUMBER: u8 = 2;
-/// The largest MQTT packet that may be set, in bytes.
+/// Largest value of the maximum packet size, in bytes.
 const MAX_PACKET_BYTES: u64 = 256 * 1024 * 1024;
-/// The largest value of MQTT's two-byte integers.
+/// Largest value of MQTT's two-byte integers.
 const MAX_TWO_BYTES: u64 = 65_535;
-/// The smallest packet maximum of a bridge, in bytes.
+/// Smallest value of a bridge's maximum packet size, in bytes.
 const MIN_BRIDGE_PACKET_BYTES: u32 = 64;
 
 /// The form `(mqtt ...)`.
@@ -23,7 +23,7 @@
 }
 
 impl MqttForm {
-    pub(super) fn read(top: &mut Fields<'_>, routes: Routes) -> Res<Self> {
+    pub(super) fn read(top: &mut Fields<'_>, routes: Routes) -> FormResult<Self> {
         let mut form = top.need("mqtt")?.fields()?;
         let listen = address(&form.need("listen")?)?;
         let base = FrontSettings::default();
@@ -45,19 +45,19 @@
     }
 }
 
-/// What a bridge takes over from the other forms.
+/// Values from other forms that a bridge needs.
 pub(super) struct BridgeContext<'a> {
     pub(super) routes: &'a Routes,
-    /// Whether some class is not idempotent.
+    /// Whether a class has the effect `unsafe`.
     pub(super) has_unsafe_class: bool,
     pub(super) seed: u64,
 }
 
-/// Reads `(bridge ...)`: the broker's address, and how to connect to it.
+/// Reads `(bridge ...)`: the broker's address, and the settings of the connection to it.
 pub(super) fn bridge(
     top: &mut Fields<'_>,
     context: &BridgeContext<'_>,
-) -> Res<Option<(SocketAddr, BridgeSettings)>> {
+) -> FormResult<Option<(SocketAddr, BridgeSettings)>> {
     let Some(form) = top.take("bridge")? else { return Ok(None) };
     let mut fields = form.fields()?;
     let base = BridgeSettings::default();
@@ -85,25 +85,27 @@
     Ok(Some((broker, settings)))
 }
 
-/// The shared-subscription group of a bridge.
+/// Reads the shared-subscription group of a bridge.
 fn group(
     fields: &mut Fields<'_>,
     form: &Form<'_>,
     client_id: &str,
     has_unsafe_class: bool,
-) -> Res<Option<String>> {
+) -> FormResult<Option<String>> {
     let group = optional(fields, "group", Form::text)?;
     let is_invalid = |group: &str| group.is_empty() || group.contains(['/', '+', '#']);
     if client_id.is_empty() || group.as_deref().is_some_and(is_invalid) {
-        return Err(form.error("client-id is empty, or group is empty or holds one of / + #"));
+        return Err(
+            form.error("client-id must not be empty, and group must not be empty or contain /, + or #")
+        );
     }
     let is_sole_member = fields.or("sole-member", false, Form::flag)?;
-    // A broker may hand what one member had not acknowledged to another, unmarked; gateways share nothing, so the
-    // other cannot know that it ran.
+    // A broker may redeliver a publish that one member had not acknowledged to another one without marking it
+    // as a duplicate. Gateways share no state, so the other one cannot detect that the call already ran.
     if group.is_some() && has_unsafe_class && !is_sole_member {
         return Err(form.error(
-            "a group whose broker may hand a publish from one gateway to another would let unsafe calls run twice; \
-             leave (group ...) out, or say (sole-member yes) where no other gateway is in it",
+            "a broker may redeliver a publish to another gateway of the group and make unsafe calls run twice; \
+             remove (group ...), or set (sole-member yes) if the group has no other gateway",
         ));
     }
     Ok(group)
--- a/crates/gateway/src/settings/plugins.rs
+++ b/crates/gateway/src/settings/plugins.rs
@@ -1,42 +1,46 @@
 //! The `plugins` form: folder, registry, signatures and rollout of plug-ins.
 
-use super::forms::{credentials, millis_as_us, optional, optional_path, sub_form, whole, Res};
+use super::forms::{credentials, millis_as_us, optional, optional_path, sub_form, whole, FormResult};
 use slatevalve_oci::{Credentials, Location, Policy, PullSettings};
 use slatevalve_plugins::{ClassRights, KeyList, RolloutSettings, Terms};
 use slatevalve_sexpr::{Fields, Form};
 use std::path::PathBuf;
 
-/// Plug-ins: functions that the gateway's operators install.
+/// Settings of plug-ins: functions whose versions the gateway's operators install.
 #[derive(Clone, Debug)]
 pub struct PluginSettings {
-    /// The folder of blobs and of the catalogue.
+    /// Folder of the blobs and the catalogue.
     pub folder: PathBuf,
-    /// Whether functions that are no plug-ins run as well.
+    /// Whether calls of functions that are not plug-ins are accepted as well.
     pub unlisted: bool,
-    /// How an alias moves to another version; `None` for a plain switch.
+    /// How the gateway rolls out an alias that moves to another version; `None` to switch at once.
     pub rollout: Option<RolloutSettings>,
-    /// The path of the admin socket, if there is one.
+    /// Path of the admin socket; `None` to open none.
     pub admin: Option<PathBuf>,
-    /// Where versions are pulled from, if anywhere.
+    /// Settings for pulling versions from a registry; `None` if none is set.
     pub registry: Option<PullSettings>,
-    /// Whether a call that names a version of a known plug-in has it pulled.
+    /// Whether a call for a missing version of a known plug-in starts a pull of that version.
     pub pull_on_call: bool,
-    /// Bytes of stored content that are verified again in a second; 0 for none.
+    /// Rate at which stored content is verified again, in bytes per second; 0 disables it.
     pub scrub_per_s: u64,
-    /// What a version must fulfil to run.
+    /// Conditions that a version must meet to run: signatures and claimed class.
     pub terms: Terms,
 }
 
-/// The default rate at which stored content is verified again, in megabytes a second.
+/// Default rate at which stored content is verified again, in megabytes per second.
 const DEFAULT_SCRUB_MB_PER_S: f64 = 8.0;
-/// The default of `range-kb`, in kilobytes.
+/// Default of `range-kb`, in kilobytes.
 const DEFAULT_RANGE_KB: u64 = 1_024;
-/// The default of `most-mb`, in megabytes.
+/// Default of `most-mb`, in megabytes.
 const DEFAULT_MAX_SIZE_MB: u64 = 1_024;
-/// The largest value of `range-kb` and `most-mb`.
+/// Largest value of `range-kb` and `most-mb`.
 const MAX_SIZE_FIELD: u64 = 1 << 20;
 
-pub(super) fn plugins(top: &mut Fields<'_>, rights: ClassRights, seed: u64) -> Res<Option<PluginSettings>> {
+pub(super) fn plugins(
+    top: &mut Fields<'_>,
+    rights: ClassRights,
+    seed: u64,
+) -> FormResult<Option<PluginSettings>> {
     let Some(mut fields) = sub_form(top, "plugins")? else { return Ok(None) };
     let folder = PathBuf::from(fields.need("folder")?.text()?);
     let unlisted = fields.or("unlisted", false, Form::flag)?;
@@ -59,7 +63,7 @@
     }))
 }
 
-fn rollout(fields: &mut Fields<'_>) -> Res<RolloutSettings> {
+fn rollout(fields: &mut Fields<'_>) -> FormResult<RolloutSettings> {
     let mut rollout = RolloutSettings::default();
     let Some(mut form) = sub_form(fields, "rollout")? else { return Ok(rollout) };
     rollout.orders_at_once = whole(&mut form, "orders-at-once", rollout.orders_at_once, 1_000)?;
@@ -73,14 +77,14 @@
     Ok(rollout)
 }
 
-/// Reads `(signatures (key "ID" "PUBLIC") ...)`. Without keys nothing could run, which is an error.
-fn keys(fields: &mut Fields<'_>) -> Res<Option<KeyList>> {
+/// Reads `(signatures (key "ID" "PUBLIC") ...)`. A form without keys is an error, as no version could run.
+fn keys(fields: &mut Fields<'_>) -> FormResult<Option<KeyList>> {
     let Some(form) = fields.take("signatures")? else { return Ok(None) };
     let mut inner = form.fields()?;
     let mut keys = KeyList::default();
     let listed = inner.take_all("key");
     if listed.is_empty() {
-        return Err(form.error("no (key \"ID\" \"PUBLIC\") stands here, so nothing could run"));
+        return Err(form.error("at least one (key \"ID\" \"PUBLIC\") is required, or no version could run"));
     }
     for key in listed {
         match key.texts()?.as_slice() {
@@ -95,12 +99,12 @@
 /// The form `(registry ...)`.
 struct PullForm {
     settings: PullSettings,
-    /// Whether a call that names a version has it pulled.
+    /// See [`PluginSettings::pull_on_call`].
     pull_on_call: bool,
 }
 
 impl PullForm {
-    fn read(form: &Form<'_>, rights: &ClassRights, seed: u64) -> Res<Self> {
+    fn read(form: &Form<'_>, rights: &ClassRights, seed: u64) -> FormResult<Self> {
         let (address, mut fields) = form.named_fields()?;
         let location = Location::parse(&address).map_err(|e| form.error(e.to_string()))?;
         let login = credentials(&mut fields, form)?;
@@ -122,8 +126,8 @@
     }
 }
 
-/// When downloads are abandoned and retried.
-fn policy(fields: &mut Fields<'_>) -> Res<Policy> {
+/// Reads when downloads are retried and abandoned.
+fn policy(fields: &mut Fields<'_>) -> FormResult<Policy> {
     let base = Policy::default();
     Ok(Policy {
         stall_us: millis_as_us(fields, "stall-ms", base.stall_us)?,
--- a/crates/gateway/src/settings/pool.rs
+++ b/crates/gateway/src/settings/pool.rs
@@ -1,24 +1,25 @@
 //! The `pool` form: connections to workers.
 
-use super::forms::{sub_form, whole, Res};
+use super::forms::{sub_form, whole, FormResult};
 use slatevalve::Micros;
 use slatevalve_sexpr::{Fields, Form};
 
-/// The default largest body of a worker's response, in bytes.
+/// Default maximum size of the body of a worker's response, in bytes.
 const DEFAULT_MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Connections to workers.
+/// Settings of the connections to workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSettings {
-    /// A connection that is not established after this time has failed.
+    /// Time after which a connection that is not established counts as failed.
     pub connect_timeout: Micros,
-    /// An idle connection is closed after this time.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Micros,
-    /// The maximum of connections to one worker.
+    /// Maximum number of connections to one worker.
     pub max_connections_per_worker: usize,
-    /// The maximum of connections to all workers; beyond it, requests share connections where the protocol allows it.
+    /// Maximum number of connections to all workers; beyond it, requests share connections if the protocol
+    /// allows it.
     pub max_connections: usize,
-    /// A probe without an answer after this time has timed out.
+    /// Time after which an unanswered probe has timed out.
     pub probe_timeout: Micros,
 }
 
@@ -37,12 +38,12 @@
 /// The form `(pool ...)`.
 pub(super) struct PoolForm {
     pub(super) settings: PoolSettings,
-    /// The largest body of a worker's response, in bytes.
+    /// Maximum size of the body of a worker's response, in bytes.
     pub(super) max_response: usize,
 }
 
 impl PoolForm {
-    pub(super) fn read(top: &mut Fields<'_>) -> Res<Self> {
+    pub(super) fn read(top: &mut Fields<'_>) -> FormResult<Self> {
         let mut pool =
             PoolForm { settings: PoolSettings::default(), max_response: DEFAULT_MAX_RESPONSE_BYTES };
         let Some(mut form) = sub_form(top, "pool")? else { return Ok(pool) };
--- a/crates/gateway/src/settings/site.rs
+++ b/crates/gateway/src/settings/site.rs
@@ -2,7 +2,7 @@
 
 use super::balancer::{balancer, duplicates, Functions};
 use super::classes::Declarations;
-use super::forms::{header_text, read_text, whole, Res};
+use super::forms::{header_text, read_text, whole, FormResult};
 use super::mqtt::{bridge, BridgeContext, MqttForm};
 use super::pool::PoolForm;
 use super::{
@@ -17,49 +17,49 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The step of the load balancer's clock.
-const BALANCER_STEP: Micros = Micros(1_000);
-/// The default margin before a deadline in which an answer still reaches the client.
+/// Resolution of the load balancer's timers.
+const BALANCER_TIMER_RESOLUTION: Micros = Micros(1_000);
+/// Default margin before a call's deadline that the answer needs to reach the client in time.
 const DEFAULT_ANSWER_MARGIN: Micros = Micros(20_000);
-/// The default time that an orderly shutdown may take.
+/// Default timeout of a graceful shutdown.
 const DEFAULT_STOP_TIMEOUT: Micros = Micros(5_000_000);
 
 /// All settings of one gateway.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// The gateway's name, as workers see it.
+    /// The gateway's name, which is sent to workers and identifies it in the registry.
     pub name: String,
-    /// Where MQTT clients connect; port 0 lets the kernel choose.
+    /// Listening address for MQTT clients; with port 0 the kernel chooses a port.
     pub listen: SocketAddr,
-    /// For the engine and the load balancer in it.
+    /// Settings of the engine and of its load balancer.
     pub engine: EngineSettings,
-    /// For the MQTT front end.
+    /// Settings of the MQTT front end, with the routes.
     pub front: FrontSettings,
-    /// The broker to connect to, and how, if there is one.
+    /// Address of the broker and settings of the bridge; `None` without a bridge.
     pub bridge: Option<(SocketAddr, BridgeSettings)>,
     /// Names of the classes, in the order of their ids.
     pub classes: Vec<String>,
-    /// The effect of each class, and the classes that each tenant may use.
+    /// The effect of each class, and the classes that the plug-ins of each tenant may claim.
     pub rights: ClassRights,
-    /// The worker list.
+    /// The workers of the file; empty if `members` is set.
     pub workers: Vec<ListedWorker>,
-    /// The source of further workers while the gateway runs.
+    /// The source of the worker list if it is not the file.
     pub members: Option<MemberSource>,
-    /// Connections to workers.
+    /// Settings of the connections to workers.
     pub pool: PoolSettings,
-    /// The largest body of a worker's response, in bytes.
+    /// Maximum size of the body of a worker's response, in bytes.
     pub max_response: usize,
-    /// Plug-ins, if there are any.
+    /// Settings of plug-ins; `None` if the gateway uses none.
     pub plugins: Option<PluginSettings>,
-    /// How long an orderly shutdown may take.
+    /// Time that open calls have to complete in a graceful shutdown.
     pub stop_timeout: Micros,
-    /// The gateway's own zone.
+    /// Name of the gateway's own zone.
     pub zone: String,
-    /// The zones and kinds that the file names.
+    /// Numbers of the zones and kinds of workers, kept over reloads.
     pub name_tables: NameTables,
-    /// The tenants' names, in the order of their ids.
+    /// Names of the tenants, in the order of their ids.
     pub tenants: Vec<String>,
-    /// Numbers of the settings documents in force; none for a file.
+    /// Numbers of the settings documents in force; empty if the settings come from a file.
     pub documents: Vec<u64>,
 }
 
@@ -67,8 +67,8 @@
     /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// The first fault, with file, line and form.
-    pub fn load(path: &Path, clock: &Clock, name_tables: NameTables) -> Res<Self> {
+    /// The first error, with file, line and form.
+    pub fn load(path: &Path, clock: &Clock, name_tables: NameTables) -> FormResult<Self> {
         let (name, text) = read_text(path)?;
         Site::parse(&name, &text, clock, name_tables)
     }
@@ -76,13 +76,17 @@
     /// Reads and checks the text of a settings file.
     ///
     /// # Errors
-    /// The first fault, with file, line and form.
-    pub fn parse(file: &str, text: &str, clock: &Clock, name_tables: NameTables) -> Res<Self> {
+    /// The first error, with file, line and form.
+    pub fn parse(file: &str, text: &str, clock: &Clock, name_tables: NameTables) -> FormResult<Self> {
         Site::of_forms(File::parse(file, text)?.forms()?, clock, name_tables)
     }
 
     /// Reads and checks the forms of a settings file.
-    pub(super) fn of_forms(mut top: Fields<'_>, clock: &Clock, mut name_tables: NameTables) -> Res<Self> {
+    pub(super) fn of_forms(
+        mut top: Fields<'_>,
+        clock: &Clock,
+        mut name_tables: NameTables,
+    ) -> FormResult<Self> {
         let mut gateway = top.need("gateway")?.fields()?;
         let name = gateway.or("name", "gateway".to_string(), header_text)?;
         let zone = gateway.or("zone", "default".to_string(), Form::text)?;
@@ -131,18 +135,18 @@
     }
 }
 
-/// The load balancer's settings.
+/// Adds the gateway's own settings and the declarations to the load balancer's shared settings.
 fn complete_balancer(
     gateway: &mut Fields<'_>,
     zone: ZoneId,
     declared: &Declarations,
     workers: &[ListedWorker],
     shared: Settings,
-) -> Res<Settings> {
+) -> FormResult<Settings> {
     Ok(Settings {
         routers: whole(gateway, "routers", 1, 1_000_000)?,
         zone,
-        step: BALANCER_STEP,
+        step: BALANCER_TIMER_RESOLUTION,
         classes: declared.classes.iter().map(|class| class.class.clone()).collect(),
         tenants: declared.tenants.iter().map(|tenant| tenant.tenant.clone()).collect(),
         weights: weights(workers),
@@ -151,17 +155,21 @@
     })
 }
 
-/// Workers come from the file or from a member source, not from both.
-fn check_one_source(top: &Fields<'_>, members: Option<&MemberSource>, workers: &[ListedWorker]) -> Res<()> {
+/// Checks that workers come either from the file or from a member source.
+fn check_one_source(
+    top: &Fields<'_>,
+    members: Option<&MemberSource>,
+    workers: &[ListedWorker],
+) -> FormResult<()> {
     if members.is_some() && !workers.is_empty() {
         return Err(
-            top.error("(members ...) and (worker ...) do not stand together: the list has one source")
+            top.error("(members ...) and (worker ...) exclude each other: the worker list has one source")
         );
     }
     Ok(())
 }
 
-/// Workers are weighted by size if the list gives one of them a weight.
+/// Workers are weighted by size if the list sets a weight other than 1 for any of them.
 fn weights(workers: &[ListedWorker]) -> Weights {
     if workers.iter().any(|worker| worker.entry.weight != 1.0) {
         Weights::Size
@@ -175,7 +183,7 @@
     gateway: &mut Fields<'_>,
     balancer: Settings,
     declared: &Declarations,
-) -> Res<EngineSettings> {
+) -> FormResult<EngineSettings> {
     let functions = Functions::read(top)?;
     Ok(EngineSettings {
         balancer,
--- a/crates/gateway/src/settings/versioned.rs
+++ b/crates/gateway/src/settings/versioned.rs
@@ -1,12 +1,14 @@
-//! The settings of a gateway that acts by documents: its own forms, and the settings that follow from the documents in force.
+//! The settings of a gateway that takes them from documents: its own forms, combined with the documents in
+//! force.
 //!
-//! Invariants: open calls and keys survive a change. A class keeps its slot among the module's classes while its rules stay or
-//! become stricter, gets another slot where they become looser and calls are open, and keeps the keys that are known of it.
-//! While a change is prepared, the settings are those of the meet of both documents ([`slatevalve_config_versioning::Terms`]).
-//! Used by the server's `config_versioning`, at the start and with each change.
+//! Invariants: open calls and keys survive a change. A class keeps its slot among the engine's classes while
+//! its rules stay the same or become stricter; if they become looser while calls are open, it gets another
+//! slot. In either case it keeps its keys. While a change is prepared, the settings are the meet of both
+//! documents ([`slatevalve_config_versioning::Terms`]). Used by the server's `config_versioning` at startup
+//! and for each change.
 
 use super::document::retry_rule;
-use super::forms::{header_text, optional_path, read_text, Res};
+use super::forms::{header_text, optional_path, read_text, FormResult};
 use super::{members, NameTables, SharedSettings, Site};
 use crate::clock::Clock;
 use slatevalve::{Class, ClassId, Effect, Group, Loading, Micros, Tenant, TenantId, WorkerState};
@@ -20,29 +22,29 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The form `(agreed ...)` of a router's own file: where documents come from, and what is kept on disk.
+/// The form `(agreed ...)` of a router's own file: the registry of the documents, and the files kept on disk.
 #[derive(Clone, Debug)]
 pub struct DocumentRegistrySettings {
-    /// The registry's client.
+    /// Settings of the registry client.
     pub client: ClientSettings,
-    /// Addresses of the registry's members.
+    /// Resolved addresses of the registry's endpoints, in the order of the client's settings.
     pub addresses: Vec<SocketAddr>,
-    /// The prefix of the registry's keys.
+    /// Prefix of all keys in the registry, ending with `/`.
     pub prefix: String,
-    /// The file with the incarnations of this name, which is locked while one lasts.
+    /// File with the incarnations of this gateway name; locked by the current incarnation.
     pub incarnation_file: Option<PathBuf>,
-    /// The file with the last state and its documents, for a start without a registry.
+    /// File with the latest state and its documents, for a start while the registry is unavailable.
     pub remembered_file: Option<PathBuf>,
-    /// The gateway's name.
+    /// The gateway's name, under which it holds its lease.
     pub name: String,
 }
 
-/// Why documents cannot be acted by.
+/// Why documents cannot be activated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ActivationError {
-    /// A document has a fault.
+    /// A document has an error.
     Form(FormError),
-    /// There is no document.
+    /// No document was given.
     NoDocument,
 }
 
@@ -50,7 +52,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ActivationError::Form(error) => write!(f, "{error}"),
-            ActivationError::NoDocument => f.write_str("there is no document"),
+            ActivationError::NoDocument => f.write_str("no settings document to activate"),
         }
     }
 }
@@ -63,42 +65,43 @@
     }
 }
 
-/// A class in its slot among the module's classes; the slot's index is the class's id.
+/// A class in its slot among the engine's classes; the index of the slot is the id of the class.
 #[derive(Clone, Debug)]
 struct ClassSlot {
     name: String,
     class: Class,
-    remember: Micros,
+    key_retention: Micros,
 }
 
-/// The settings of a gateway that acts by documents; see the module's documentation.
+/// The settings of a gateway that takes them from documents. See the documentation of the module for the
+/// invariants.
 #[derive(Debug, Default)]
 pub struct VersionedSettings {
-    /// The text of the router's own file.
+    /// Text of the router's own file.
     router_forms: String,
     name_tables: NameTables,
     slots: Vec<ClassSlot>,
-    /// The slot of each class that is in use.
+    /// The slot for new calls of each class that is in use.
     current_slots: BTreeMap<String, usize>,
-    /// The number under which the keys of each class are known, for good.
+    /// The key space of each class, which never changes.
     key_spaces: BTreeMap<String, usize>,
-    /// All tenants so far, in the order of their ids.
+    /// All tenants of the documents so far, in the order of their ids; never shortened.
     tenants: Vec<String>,
 }
 
 impl VersionedSettings {
-    /// Reads a router's own file; `None` if it has no `(agreed ...)` and so holds all settings itself.
+    /// Reads a router's own file; `None` if it has no `(agreed ...)` and thus contains all settings itself.
     ///
     /// # Errors
-    /// The first fault, with its place.
-    pub fn read(path: &Path) -> Res<Option<(DocumentRegistrySettings, VersionedSettings)>> {
+    /// The first error, with its position.
+    pub fn read(path: &Path) -> FormResult<Option<(DocumentRegistrySettings, VersionedSettings)>> {
         let (file_name, router_forms) = read_text(path)?;
         let file = File::parse(&file_name, &router_forms)?;
         let mut top = file.forms()?;
         let Some(form) = top.take("agreed")? else { return Ok(None) };
         for unsupported in ["bridge", "plugins"] {
             if let Some(unsupported) = top.take(unsupported)? {
-                return Err(unsupported.error("does not stand together with (agreed ...) yet"));
+                return Err(unsupported.error("cannot be combined with (agreed ...) yet"));
             }
         }
         let mut gateway = top.need("gateway")?.fields()?;
@@ -107,11 +110,11 @@
         Ok(Some((settings, VersionedSettings { router_forms, ..VersionedSettings::default() })))
     }
 
-    /// The settings by one document or, while a change is prepared, by two, the newer one last. Slots of `open_classes` keep
-    /// the rules by which their open calls go. On an error nothing is changed.
+    /// Combines the router's forms with one document or, while a change is prepared, with two, the newer one
+    /// last. Slots of `open_classes` keep the rules of their open calls. On an error nothing is changed.
     ///
     /// # Errors
-    /// If the documents cannot be read whole, or cannot be acted by here.
+    /// If a document has an error together with the router's forms, or no document is given.
     pub fn site(
         &mut self,
         documents: &[&Document],
@@ -149,19 +152,19 @@
         Ok(site)
     }
 
-    /// Gives each class of the newest document its slot. A class that only an older document has keeps its slot and gets no
-    /// calls.
+    /// Assigns a slot to each class of the newest document. A class that only an older document has keeps its
+    /// slot but gets no calls.
     fn assign_slots(&mut self, site: &Site, older: &[Site], open_classes: &BTreeSet<ClassId>) {
         let in_use = |name: &String| {
             site.classes.contains(name) || older.iter().any(|other| other.classes.contains(name))
         };
         self.current_slots.retain(|name, _| in_use(name));
-        // By name, so that slots do not depend on the order of classes in a document.
+        // Sorted by name, so that slots do not depend on the order of classes in a document.
         let mut classes: BTreeMap<&String, ClassSlot> = BTreeMap::new();
         for (id, name) in site.classes.iter().enumerate() {
-            let remember = site.engine.classes.get(id).map_or(Micros(0), |policy| policy.retention);
+            let key_retention = site.engine.classes.get(id).map_or(Micros(0), |policy| policy.retention);
             let class = site.engine.balancer.classes[id].clone();
-            classes.insert(name, ClassSlot { name: name.clone(), class, remember });
+            classes.insert(name, ClassSlot { name: name.clone(), class, key_retention });
         }
         for class in classes.into_values() {
             self.assign_slot(class, open_classes);
@@ -174,7 +177,7 @@
         let rule = retry_rule(new.class.effect);
         let at = self.choose_slot(&new.name, &rule, open_classes);
         self.current_slots.insert(new.name.clone(), at);
-        // Calls that are open in an earlier slot of the class go by its rules and by the new ones.
+        // Open calls in an earlier slot of the class are subject to its rules and to the new ones.
         for (_, earlier) in
             self.slots.iter_mut().enumerate().filter(|(id, slot)| *id != at && slot.name == new.name)
         {
@@ -186,7 +189,8 @@
         }
     }
 
-    /// The class's own slot, unless calls are open there and the rules become looser; else a free one, or a new one.
+    /// Chooses the class's current slot unless calls are open there and the rules become looser; else a free
+    /// or a new one.
     fn choose_slot(&self, name: &str, rule: &RetryRule, open_classes: &BTreeSet<ClassId>) -> usize {
         let is_open = |at: usize| open_classes.contains(&ClassId(at));
         let may_keep =
@@ -199,7 +203,8 @@
         (0..self.slots.len()).find(is_free).unwrap_or(self.slots.len())
     }
 
-    /// Replaces the classes, tenants and routes of a site, which its document numbers, by those of the slots.
+    /// Replaces the classes, tenants and routes of a site, which are numbered by its document, with those of
+    /// the slots.
     fn apply_slots(&mut self, site: &mut Site, older: &[Site]) {
         let tenant_ids = self.assign_tenants(site);
         let safe = |(id, slot): (usize, &ClassSlot)| {
@@ -215,13 +220,14 @@
         site.classes = self.slots.iter().map(|slot| slot.name.clone()).collect();
         let engine = &mut site.engine;
         engine.balancer.classes = self.slots.iter().map(|slot| slot.class.clone()).collect();
-        engine.classes = self.slots.iter().map(|slot| ClassPolicy { retention: slot.remember }).collect();
+        engine.classes =
+            self.slots.iter().map(|slot| ClassPolicy { retention: slot.key_retention }).collect();
         let key_space = |slot: &ClassSlot| ClassId(self.key_spaces.get(&slot.name).copied().unwrap_or(0));
         engine.key_spaces = self.slots.iter().map(key_space).collect();
     }
 
-    /// Gives each tenant of a site the id that it keeps for good, and moves its quota there. Returns the ids in the site's
-    /// order.
+    /// Assigns a permanent id to each tenant of a site, and moves its quota to that index. Returns the ids in
+    /// the site's order.
     fn assign_tenants(&mut self, site: &mut Site) -> Vec<TenantId> {
         let ids: Vec<TenantId> = site.tenants.iter().map(|name| TenantId(self.tenant_id(name))).collect();
         let mut tenants = vec![Tenant::default(); self.tenants.len()];
@@ -239,7 +245,8 @@
         })
     }
 
-    /// The routes of a site with the ids of the slots. A class without a slot gets an id that no class has.
+    /// The routes of a site with the ids of the slots as classes. A class without a slot gets an id that no
+    /// class has.
     fn slot_routes(&self, site: &Site) -> Vec<Route> {
         let slot = |route: &Route| {
             self.current_slots.get(&site.classes[route.class.0]).copied().unwrap_or(usize::MAX)
@@ -250,7 +257,7 @@
 }
 
 impl DocumentRegistrySettings {
-    fn read(form: &Form<'_>, name: String) -> Res<Self> {
+    fn read(form: &Form<'_>, name: String) -> FormResult<Self> {
         let mut fields = form.fields()?;
         let incarnation_file = optional_path(&mut fields, "lives")?;
         let remembered_file = optional_path(&mut fields, "remember")?;
@@ -263,7 +270,7 @@
     }
 }
 
-/// Restricts a site to the terms, which are the meet of its own and those of older documents.
+/// Restricts a site to `terms`, the meet of its own terms and those of older documents.
 fn restrict(site: &mut Site, older: &[Site], terms: &Terms) {
     for (id, name) in site.classes.iter().enumerate() {
         let Some(class) = terms.classes.get(name) else { continue };
@@ -279,13 +286,13 @@
     for worker in &mut site.workers {
         let is_known = |fact: &str| terms.fact(&format!("worker \"{}\" {fact}", worker.name)).is_some();
         if !["cell", "zone", "address"].into_iter().all(is_known) {
-            // The documents differ on where it is, or on whether it exists: it gets no new calls.
+            // The documents disagree on its location, or on whether it exists, so it gets no new calls.
             worker.entry.state = WorkerState::Draining;
         }
     }
 }
 
-/// Restricts a load quota to the stricter one of both. A window of 0 means that there is no quota.
+/// Restricts a load quota to the stricter of the two. A window of 0 means no quota.
 fn restrict_load_quota(loading: &mut Loading, other: &Loading) {
     if loading.load_quota_window.0 == 0 {
         loading.load_quota_window = other.load_quota_window;
@@ -298,7 +305,8 @@
     }
 }
 
-/// The effect that allows no more retries than this rule; unsafe where the module has no nearer one.
+/// The least strict effect that allows no more retries than this rule; `NonIdempotent` if there is no closer
+/// one.
 fn strictest_effect(rule: &RetryRule) -> Effect {
     let requires = |condition| rule.conditions().contains(&condition);
     let group = match (requires(RetryCondition::Zone), requires(RetryCondition::Cell)) {
--- a/crates/gateway/src/settings/workers.rs
+++ b/crates/gateway/src/settings/workers.rs
@@ -1,6 +1,6 @@
-//! The `worker` forms: the list of workers.
+//! The `worker` forms: the worker list.
 
-use super::forms::{address, optional, whole, Res};
+use super::forms::{address, optional, whole, FormResult};
 use super::names::NameTables;
 use crate::clock::Clock;
 use slatevalve::{CellId, KindId, WorkerEntry, WorkerState, ZoneId};
@@ -10,22 +10,22 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// The largest weight of a worker.
+/// Largest weight of a worker.
 const MAX_WEIGHT: f64 = 1e6;
 
-/// One worker in the list.
+/// A worker of the worker list, from the settings or from a registry.
 #[derive(Clone, Debug)]
 pub struct ListedWorker {
-    /// The worker's name, the same at all gateways and over its restarts.
+    /// The worker's name; the same at all gateways and across restarts.
     pub name: String,
-    /// Where it is reached.
+    /// The address that calls and probes are sent to.
     pub address: SocketAddr,
-    /// Its entry for the load balancer.
+    /// Its entry for the load balancer, whose id is derived from the name.
     pub entry: WorkerEntry,
 }
 
 impl ListedWorker {
-    /// The line of a worker that the registry lists.
+    /// Converts a worker's record in a registry.
     pub(crate) fn from_record(
         name: &str,
         record: &WorkerRecord,
@@ -53,16 +53,16 @@
     top: &mut Fields<'_>,
     name_tables: &mut NameTables,
     clock: &Clock,
-) -> Res<Vec<ListedWorker>> {
+) -> FormResult<Vec<ListedWorker>> {
     let mut workers = Vec::new();
     let mut names_by_id = HashMap::new();
     for form in top.take_all("worker") {
         let (name, fields) = form.named_fields()?;
         if let Some(other) = names_by_id.insert(worker_id(&name), name.clone()) {
             let message = if other == name {
-                format!("worker \"{name}\" stands twice")
+                format!("worker \"{name}\" is listed twice")
             } else {
-                format!("worker \"{name}\" has the same id as \"{other}\"; name one of them anew")
+                format!("worker \"{name}\" has the same id as \"{other}\"; rename one of them")
             };
             return Err(form.error(message));
         }
@@ -77,7 +77,7 @@
     mut fields: Fields<'_>,
     name_tables: &mut NameTables,
     clock: &Clock,
-) -> Res<ListedWorker> {
+) -> FormResult<ListedWorker> {
     let state = optional(&mut fields, "state", Form::text)?;
     let state = match state.as_deref() {
         None | Some("ready") => WorkerState::Ready,
@@ -91,7 +91,7 @@
     let kind = fields.or("kind", "default".to_string(), Form::text)?;
     let weight = fields.or("weight", 1.0, Form::number)?;
     if weight <= 0.0 || weight > MAX_WEIGHT {
-        return Err(form.error("a weight lies between 0 and 1,000,000"));
+        return Err(form.error("weight must be above 0 and at most 1,000,000"));
     }
     let entry = WorkerEntry {
         id: worker_id(&name),
--- a/crates/gateway/tests/operations.rs
+++ b/crates/gateway/tests/operations.rs
@@ -169,7 +169,7 @@
             "there is no class \"quota\"",
         ),
         (good.replace("{2}", "{3}"), "level 3 is asked for"),
-        (good.replace("(aim-ms 300)", "(aim-ms 900)"), "the aim lies between"),
+        (good.replace("(aim-ms 300)", "(aim-ms 900)"), "aim-ms must be above 0 and at most deadline-ms"),
         (
             good + "(bridge (broker \"127.0.0.1:1\") (client-id \"c\") (group \"g\"))",
             "unsafe calls run twice",
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -107,12 +107,15 @@
     let whole = fleet.text(UNSAFE);
     let own = "(mqtt (listen \"127.0.0.1:1\"))";
     for (wrong, words) in [
-        (format!("{own}{whole}"), "wrong.scm:1: (mqtt ...): is a router's own and stands in no document"),
+        (
+            format!("{own}{whole}"),
+            "wrong.scm:1: (mqtt ...): belongs in a router's own file and is not allowed in a document",
+        ),
         (
             whole.replace("(effect unsafe)", "(effect sometimes)"),
             "wrong.scm:1: (effect ...): expected safe, unsafe",
         ),
-        (whole.replace("600", "1"), "wrong.scm:5: (agreement ...): a right lasts for 100 ms at least"),
+        (whole.replace("600", "1"), "wrong.scm:5: (agreement ...): right-ms must be at least 100"),
         (whole.replace("go-on", "perhaps"), "expected go-on or give-up, found perhaps"),
         (whole.clone() + "(later-form 1)", "(later-form ...) is not known here"),
         (whole.clone() + "(class \"open\"", "wrong.scm"),
