--- a/crates/gateway/src/settings/mod.rs
+++ b/crates/gateway/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! The settings file: what an operator may set, checked as a whole before anything starts.
+//! The settings file, which is checked as a whole before anything starts.
 //!
-//! Forms and their meaning are listed in `docs/operators/router.md`. Read at the start and, for its worker list,
-//! again on SIGHUP. Each module reads the forms of one concern; [`Site`] joins them.
+//! The forms and their meaning are listed in `docs/operators/router.md`. The file is read at startup; its
+//! worker list is read again on SIGHUP. Each module reads a group of related forms; [`Site`] combines them.
 
 mod balancer;
 mod classes;
@@ -18,11 +18,11 @@
 
 pub use document::SharedSettings;
 pub use members::MemberSource;
-pub use names::Named;
+pub use names::NameTables;
 pub use plugins::PluginSettings;
 pub use pool::PoolSettings;
 pub use site::Site;
 pub use versioned::{ActivationError, DocumentRegistrySettings, VersionedSettings};
-pub use workers::WorkerLine;
+pub use workers::ListedWorker;
 
 pub(crate) use forms::read_text;
--- a/crates/gateway/src/settings/site.rs
+++ b/crates/gateway/src/settings/site.rs
@@ -2,10 +2,12 @@
 
 use super::balancer::{balancer, duplicates, Functions};
 use super::classes::Declarations;
-use super::forms::{header_text, read_text, whole, Res};
+use super::forms::{header_text, read_text, whole, FormResult};
 use super::mqtt::{bridge, BridgeContext, MqttForm};
 use super::pool::PoolForm;
-use super::{members, plugins, workers, MemberSource, Named, PluginSettings, PoolSettings, WorkerLine};
+use super::{
+    members, plugins, workers, ListedWorker, MemberSource, NameTables, PluginSettings, PoolSettings,
+};
 use crate::clock::Clock;
 use slatevalve::{LoadReportSource, Micros, Settings, Weights, ZoneId};
 use slatevalve_engine::EngineSettings;
@@ -15,49 +17,49 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The step of the load balancer's clock.
-const BALANCER_STEP: Micros = Micros(1_000);
-/// The default margin before a deadline in which an answer still reaches the client.
+/// Resolution of the load balancer's timers.
+const BALANCER_TIMER_RESOLUTION: Micros = Micros(1_000);
+/// Default margin before a call's deadline that the answer needs to reach the client in time.
 const DEFAULT_ANSWER_MARGIN: Micros = Micros(20_000);
-/// The default time that an orderly shutdown may take.
-const DEFAULT_STOP_WITHIN: Micros = Micros(5_000_000);
+/// Default timeout of a graceful shutdown.
+const DEFAULT_STOP_TIMEOUT: Micros = Micros(5_000_000);
 
 /// All settings of one gateway.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// The gateway's name, as workers see it.
+    /// The gateway's name, which is sent to workers and identifies it in the registry.
     pub name: String,
-    /// Where MQTT clients connect; port 0 lets the kernel choose.
+    /// Listening address for MQTT clients; with port 0 the kernel chooses a port.
     pub listen: SocketAddr,
-    /// For the engine and the load balancer in it.
+    /// Settings of the engine and of its load balancer.
     pub engine: EngineSettings,
-    /// For the MQTT front end.
+    /// Settings of the MQTT front end, with the routes.
     pub front: FrontSettings,
-    /// The broker to connect to, and how, if there is one.
+    /// Address of the broker and settings of the bridge; `None` without a bridge.
     pub bridge: Option<(SocketAddr, BridgeSettings)>,
     /// Names of the classes, in the order of their ids.
     pub classes: Vec<String>,
-    /// The effect of each class, and the classes that each tenant may use.
+    /// The effect of each class, and the classes that the plug-ins of each tenant may claim.
     pub rights: ClassRights,
-    /// The worker list.
-    pub workers: Vec<WorkerLine>,
-    /// The source of further workers while the gateway runs.
+    /// The workers of the file; empty if `members` is set.
+    pub workers: Vec<ListedWorker>,
+    /// The source of the worker list if it is not the file.
     pub members: Option<MemberSource>,
-    /// Connections to workers.
+    /// Settings of the connections to workers.
     pub pool: PoolSettings,
-    /// The largest body of a worker's response, in bytes.
+    /// Maximum size of the body of a worker's response, in bytes.
     pub max_response: usize,
-    /// Plug-ins, if there are any.
+    /// Settings of plug-ins; `None` if the gateway uses none.
     pub plugins: Option<PluginSettings>,
-    /// How long an orderly shutdown may take.
-    pub stop_within: Micros,
-    /// The gateway's own zone.
+    /// Time that open calls have to complete in a graceful shutdown.
+    pub stop_timeout: Micros,
+    /// Name of the gateway's own zone.
     pub zone: String,
-    /// The zones and kinds that the file names.
-    pub named: Named,
-    /// The tenants' names, in the order of their ids.
+    /// Numbers of the zones and kinds of workers, kept over reloads.
+    pub name_tables: NameTables,
+    /// Names of the tenants, in the order of their ids.
     pub tenants: Vec<String>,
-    /// Numbers of the settings documents in force; none for a file.
+    /// Numbers of the settings documents in force; empty if the settings come from a file.
     pub documents: Vec<u64>,
 }
 
@@ -65,33 +67,37 @@
     /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// The first fault, with file, line and form.
-    pub fn load(path: &Path, clock: &Clock, named: Named) -> Res<Self> {
+    /// The first error, with file, line and form.
+    pub fn load(path: &Path, clock: &Clock, name_tables: NameTables) -> FormResult<Self> {
         let (name, text) = read_text(path)?;
-        Site::parse(&name, &text, clock, named)
+        Site::parse(&name, &text, clock, name_tables)
     }
 
     /// Reads and checks the text of a settings file.
     ///
     /// # Errors
-    /// The first fault, with file, line and form.
-    pub fn parse(file: &str, text: &str, clock: &Clock, named: Named) -> Res<Self> {
-        Site::of_forms(File::parse(file, text)?.forms()?, clock, named)
+    /// The first error, with file, line and form.
+    pub fn parse(file: &str, text: &str, clock: &Clock, name_tables: NameTables) -> FormResult<Self> {
+        Site::of_forms(File::parse(file, text)?.forms()?, clock, name_tables)
     }
 
     /// Reads and checks the forms of a settings file.
-    pub(super) fn of_forms(mut top: Fields<'_>, clock: &Clock, mut named: Named) -> Res<Self> {
+    pub(super) fn of_forms(
+        mut top: Fields<'_>,
+        clock: &Clock,
+        mut name_tables: NameTables,
+    ) -> FormResult<Self> {
         let mut gateway = top.need("gateway")?.fields()?;
         let name = gateway.or("name", "gateway".to_string(), header_text)?;
         let zone = gateway.or("zone", "default".to_string(), Form::text)?;
-        let zone_id = ZoneId(named.zones.number_of(&zone));
+        let zone_id = ZoneId(name_tables.zones.number_of(&zone));
         let declared = Declarations::read(&mut top)?;
-        let shared = balancer(&mut top, &mut named.kinds)?;
-        let workers = workers::workers(&mut top, &mut named, clock)?;
+        let shared = balancer(&mut top, &mut name_tables.kinds)?;
+        let workers = workers::workers(&mut top, &mut name_tables, clock)?;
         let balancer = complete_balancer(&mut gateway, zone_id, &declared, &workers, shared)?;
         let routes = declared.routes(&mut top)?;
         let engine = engine(&mut top, &mut gateway, balancer, &declared)?;
-        let stop_within = gateway.or("stop-within-ms", DEFAULT_STOP_WITHIN, Form::millis)?;
+        let stop_timeout = gateway.or("stop-within-ms", DEFAULT_STOP_TIMEOUT, Form::millis)?;
         gateway.finish()?;
         let context = BridgeContext {
             routes: &routes,
@@ -120,27 +126,27 @@
             pool,
             max_response,
             plugins,
-            stop_within,
+            stop_timeout,
             zone,
-            named,
+            name_tables,
             tenants,
             documents: Vec::new(),
         })
     }
 }
 
-/// The load balancer's settings.
+/// Adds the gateway's own settings and the declarations to the load balancer's shared settings.
 fn complete_balancer(
     gateway: &mut Fields<'_>,
     zone: ZoneId,
     declared: &Declarations,
-    workers: &[WorkerLine],
+    workers: &[ListedWorker],
     shared: Settings,
-) -> Res<Settings> {
+) -> FormResult<Settings> {
     Ok(Settings {
         routers: whole(gateway, "routers", 1, 1_000_000)?,
         zone,
-        timer_resolution: BALANCER_STEP,
+        timer_resolution: BALANCER_TIMER_RESOLUTION,
         classes: declared.classes.iter().map(|class| class.class.clone()).collect(),
         tenants: declared.tenants.iter().map(|tenant| tenant.tenant.clone()).collect(),
         weights: weights(workers),
@@ -149,18 +155,22 @@
     })
 }
 
-/// Workers come from the file or from a member source, not from both.
-fn check_one_source(top: &Fields<'_>, members: Option<&MemberSource>, workers: &[WorkerLine]) -> Res<()> {
+/// Checks that workers come either from the file or from a member source.
+fn check_one_source(
+    top: &Fields<'_>,
+    members: Option<&MemberSource>,
+    workers: &[ListedWorker],
+) -> FormResult<()> {
     if members.is_some() && !workers.is_empty() {
         return Err(
-            top.error("(members ...) and (worker ...) do not stand together: the list has one source")
+            top.error("(members ...) and (worker ...) exclude each other: the worker list has one source")
         );
     }
     Ok(())
 }
 
-/// Workers are weighted by size if the list gives one of them a weight.
-fn weights(workers: &[WorkerLine]) -> Weights {
+/// Workers are weighted by size if the list sets a weight other than 1 for any of them.
+fn weights(workers: &[ListedWorker]) -> Weights {
     if workers.iter().any(|worker| worker.entry.weight != 1.0) {
         Weights::Size
     } else {
@@ -173,7 +183,7 @@
     gateway: &mut Fields<'_>,
     balancer: Settings,
     declared: &Declarations,
-) -> Res<EngineSettings> {
+) -> FormResult<EngineSettings> {
     let functions = Functions::read(top)?;
     Ok(EngineSettings {
         balancer,
