--- a/crates/gateway/src/chaos_test/runner/terms.rs
+++ b/crates/gateway/src/chaos_test/runner/terms.rs
@@ -15,11 +15,11 @@
             workers: self.worker_terms(),
             answer_slack_us: balancer.rules.answer_slack.0,
             drain_grace_us: balancer.rules.drain_grace.0,
-            fall_multiple: balancer.rules.overload_multiple,
-            fall_window_us: balancer.rules.overload_window.0,
-            ration_window_us: balancer.loading.load_quota_window.0,
-            ration_free: balancer.loading.load_quota_free,
-            ration_share: balancer.loading.load_quota_share,
+            overload_multiple: balancer.rules.overload_multiple,
+            overload_window_us: balancer.rules.overload_window.0,
+            load_quota_window_us: balancer.loading.load_quota_window.0,
+            load_quota_free: balancer.loading.load_quota_free,
+            load_quota_share: balancer.loading.load_quota_share,
             settings: None,
         }
     }
--- a/crates/gateway/src/server/bridge.rs
+++ b/crates/gateway/src/server/bridge.rs
@@ -30,7 +30,7 @@
 
     /// Whether the bridge has bytes that its broker has still to get.
     pub(super) fn has_unsent(&self) -> bool {
-        self.bridge.is_up() && self.bridge.unsent() > 0
+        self.bridge.is_connected() && self.bridge.unacknowledged_answers() > 0
     }
 
     /// Executes an output of the bridge; returns the call where it is one.
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -21,7 +21,7 @@
         self.stopping = true;
         self.listener.close(&mut self.reactor);
         if let Some(link) = &mut self.bridge {
-            link.bridge.hold();
+            link.bridge.stop_accepting();
         }
         self.engine.stop(now, after(now, self.site.stop_within));
         if let Some(source) = &mut self.source {
--- a/crates/gateway/src/settings/versioned.rs
+++ b/crates/gateway/src/settings/versioned.rs
@@ -204,7 +204,7 @@
             routes: self.slot_routes(site),
             tenants: site.tenants.iter().cloned().zip(tenant_ids).collect(),
             others: older.iter().map(|other| self.slot_routes(other)).collect(),
-            safe: self.slots.iter().enumerate().filter_map(safe).collect(),
+            idempotent_classes: self.slots.iter().enumerate().filter_map(safe).collect(),
         };
         site.tenants.clone_from(&self.tenants);
         site.classes = self.slots.iter().map(|slot| slot.name.clone()).collect();
--- a/crates/gateway/tests/agreed/drawn_faults.rs
+++ b/crates/gateway/tests/agreed/drawn_faults.rs
@@ -15,18 +15,18 @@
     let class =
         |effect| ClassTerms { effect, latency_objective_us: 1, priority_weight: 1.0, late_value: 1.0 };
     let classes = [("quote", EffectTerms::Safe), ("charge", EffectTerms::Unsafe)];
-    let contradict = (1..=last).flat_map(|a| (a + 1..=last).map(move |b| (a, b))).collect();
+    let contradictions = (1..=last).flat_map(|a| (a + 1..=last).map(move |b| (a, b))).collect();
     Terms {
         classes: classes.map(|(name, effect)| (name.to_string(), class(effect))).into(),
         workers: Default::default(),
         answer_slack_us: 0,
         drain_grace_us: 1,
-        fall_multiple: 1e9,
-        fall_window_us: 1,
-        ration_window_us: 0,
-        ration_free: 0.0,
-        ration_share: 0.0,
-        settings: Some(SettingsTerms { contradict, bound_us: 1_000_000 }),
+        overload_multiple: 1e9,
+        overload_window_us: 1,
+        load_quota_window_us: 0,
+        load_quota_free: 0.0,
+        load_quota_share: 0.0,
+        settings: Some(SettingsTerms { contradictions, bound_us: 1_000_000 }),
     }
 }
 
@@ -257,7 +257,7 @@
     let pairs =
         history.iter().flat_map(|a| history.iter().filter(move |b| differ(a, b)).map(move |b| (a.0, b.0)));
     let mut terms = terms(0);
-    terms.settings = Some(SettingsTerms { contradict: pairs.collect(), bound_us: 1_000_000 });
+    terms.settings = Some(SettingsTerms { contradictions: pairs.collect(), bound_us: 1_000_000 });
     let found = check(&terms, &lines);
     let is_relevant = |v: &Violation| matches!(v.rule, Rule::Agreement | Rule::Effects);
     (lines.len(), found.into_iter().filter(is_relevant).collect())
--- a/crates/mqtt/src/bridge.rs
+++ b/crates/mqtt/src/bridge.rs
@@ -136,7 +136,7 @@
     covered_since: Option<Micros>,
     is_resumed: bool,
     /// Whether received publishes are left to the broker.
-    is_holding: bool,
+    stopped_accepting: bool,
 }
 
 impl Bridge {
@@ -159,25 +159,25 @@
             connected_at: Micros(0),
             covered_since: None,
             is_resumed: false,
-            is_holding: false,
+            stopped_accepting: false,
             settings,
         }
     }
 
     /// Whether the broker accepted the connection.
     #[must_use]
-    pub fn is_up(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         self.stage == Stage::Connected
     }
 
     /// Accepts no further publishes. They are not acknowledged, so that the broker keeps them.
-    pub fn hold(&mut self) {
-        self.is_holding = true;
+    pub fn stop_accepting(&mut self) {
+        self.stopped_accepting = true;
     }
 
     /// The number of answers that the broker has not acknowledged.
     #[must_use]
-    pub fn unsent(&self) -> usize {
+    pub fn unacknowledged_answers(&self) -> usize {
         self.outbox.len() + self.unacknowledged.len()
     }
 
--- a/crates/mqtt/src/bridge/deliveries.rs
+++ b/crates/mqtt/src/bridge/deliveries.rs
@@ -93,7 +93,7 @@
         publish: InboundPublish,
         out: &mut Vec<BridgeOutput>,
     ) {
-        if self.is_holding {
+        if self.stopped_accepting {
             return;
         }
         if let Some(id) = publish.packet_id {
--- a/crates/mqtt/src/routes.rs
+++ b/crates/mqtt/src/routes.rs
@@ -73,7 +73,7 @@
     /// only if it gives the same call by each of them.
     pub others: Vec<Vec<Route>>,
     /// Idempotent classes, of which only the class must agree.
-    pub safe: BTreeSet<ClassId>,
+    pub idempotent_classes: BTreeSet<ClassId>,
     /// The site's tenants.
     pub tenants: HashMap<String, TenantId>,
 }
@@ -90,7 +90,7 @@
     #[must_use]
     pub fn find(&self, topic: &str) -> Option<&Route> {
         let route = first_match(&self.routes, topic)?;
-        let is_idempotent = self.safe.contains(&route.class);
+        let is_idempotent = self.idempotent_classes.contains(&route.class);
         let agrees_with = |other: &Route| match is_idempotent {
             true => other.class == route.class,
             false => other.is_equivalent(route),
--- a/crates/mqtt/tests/bridge.rs
+++ b/crates/mqtt/tests/bridge.rs
@@ -198,7 +198,7 @@
     b.lose();
     b.come_up(false, vec![]);
     assert_eq!(b.sent(), ["answer", "answer"]);
-    assert_eq!(b.bridge.unsent(), 2);
+    assert_eq!(b.bridge.unacknowledged_answers(), 2);
 }
 
 #[test]
@@ -227,5 +227,5 @@
     b.act(|b, now, out| b.received(now, b"HTTP/1.1 400 Bad Request\r\n\r\n", out));
     assert_eq!(b.finished, 1);
     b.come_up(false, vec![]);
-    assert!(b.bridge.is_up());
+    assert!(b.bridge.is_connected());
 }
--- a/crates/trace-checker/src/load_quota.rs
+++ b/crates/trace-checker/src/load_quota.rs
@@ -22,7 +22,7 @@
 }
 
 pub(crate) fn check(terms: &Terms, lines: &[&Line], violations: &mut Vec<Violation>) {
-    if terms.ration_window_us <= 0 {
+    if terms.load_quota_window_us <= 0 {
         return;
     }
     let mut gateways: BTreeMap<&str, Gateway> = BTreeMap::new();
@@ -31,13 +31,13 @@
             TraceEvent::Published { gateway, .. } => {
                 let counted = gateways.entry(gateway).or_default();
                 counted.calls.push_back(line.at_us);
-                counted.discard_before(line.at_us - terms.ration_window_us);
+                counted.discard_before(line.at_us - terms.load_quota_window_us);
             }
             TraceEvent::LoadRequested { copies, gateway, .. } if *copies > 0 => {
                 let counted = gateways.entry(gateway).or_default();
                 counted.load_requests.push_back(line.at_us);
-                counted.discard_before(line.at_us - terms.ration_window_us);
-                let quota = terms.ration_free + terms.ration_share * counted.calls.len() as f64;
+                counted.discard_before(line.at_us - terms.load_quota_window_us);
+                let quota = terms.load_quota_free + terms.load_quota_share * counted.calls.len() as f64;
                 let requested = counted.load_requests.len();
                 if requested as f64 > quota {
                     let what = format!("{gateway} ordered {requested} loads in a window, {quota:.1} allowed");
--- a/crates/trace-checker/src/settings_conflicts.rs
+++ b/crates/trace-checker/src/settings_conflicts.rs
@@ -42,7 +42,7 @@
 /// allow, so it contradicts no gateway that acts by one of them.
 fn are_contradicting(settings: &SettingsTerms, left: &[u64], right: &[u64]) -> bool {
     let is_listed =
-        |a: u64, b: u64| settings.contradict.iter().any(|pair| *pair == (a, b) || *pair == (b, a));
+        |a: u64, b: u64| settings.contradictions.iter().any(|pair| *pair == (a, b) || *pair == (b, a));
     let has_shared = left.iter().any(|number| right.contains(number));
     !has_shared && left.iter().any(|a| right.iter().any(|b| is_listed(*a, *b)))
 }
--- a/crates/trace-checker/src/slow_start.rs
+++ b/crates/trace-checker/src/slow_start.rs
@@ -33,12 +33,12 @@
     /// Counts an attempt; returns the violation when it exceeds the capacity for the first time.
     fn receive(&mut self, terms: &Terms, line: &Line, work_us: i64) -> Option<Violation> {
         self.recent.push_back(ReceivedWork { at_us: line.at_us, work_us });
-        while self.recent.front().is_some_and(|oldest| line.at_us - oldest.at_us > terms.fall_window_us) {
+        while self.recent.front().is_some_and(|oldest| line.at_us - oldest.at_us > terms.overload_window_us) {
             self.recent.pop_front();
         }
         let sent_us: i64 = self.recent.iter().map(|received| received.work_us).sum();
-        let capacity_us = self.concurrency_at(line.at_us) * terms.fall_window_us as f64;
-        if sent_us as f64 <= capacity_us * terms.fall_multiple || self.reported {
+        let capacity_us = self.concurrency_at(line.at_us) * terms.overload_window_us as f64;
+        if sent_us as f64 <= capacity_us * terms.overload_multiple || self.reported {
             return None;
         }
         self.reported = true;
--- a/crates/trace-checker/src/terms.rs
+++ b/crates/trace-checker/src/terms.rs
@@ -69,15 +69,20 @@
     /// Microseconds after the notification of a drain within which new work may still reach the worker.
     pub drain_grace_us: i64,
     /// Multiple of a worker's capacity beyond which the work sent in one window overloads it during slow start.
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// The window of that overload, in microseconds.
-    pub fall_window_us: i64,
+    #[serde(rename = "fall_window_us")]
+    pub overload_window_us: i64,
     /// The window of the load quota, in microseconds; 0 for no quota.
-    pub ration_window_us: i64,
+    #[serde(rename = "ration_window_us")]
+    pub load_quota_window_us: i64,
     /// Load requests that are free in each window.
-    pub ration_free: f64,
+    #[serde(rename = "ration_free")]
+    pub load_quota_free: f64,
     /// Further load requests for each call that was published in the window.
-    pub ration_share: f64,
+    #[serde(rename = "ration_share")]
+    pub load_quota_share: f64,
     /// The settings documents that must not be in use together; none where gateways do not act by documents.
     #[serde(default)]
     pub settings: Option<SettingsTerms>,
@@ -87,7 +92,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsTerms {
     /// Pairs of the documents' numbers, in either order.
-    pub contradict: Vec<(u64, u64)>,
+    #[serde(rename = "contradict")]
+    pub contradictions: Vec<(u64, u64)>,
     /// Microseconds after the first attempt by a newer document within which an older one may still be in use.
     pub bound_us: i64,
 }
--- a/crates/trace-checker/tests/violations.rs
+++ b/crates/trace-checker/tests/violations.rs
@@ -14,11 +14,11 @@
         workers: [("w1", 1), ("w2", 1), ("w3", 2)].map(|(n, cell)| (n.to_string(), worker(cell))).into(),
         answer_slack_us: 1_000,
         drain_grace_us: 250_000,
-        fall_multiple: 1.0,
-        fall_window_us: 1_000_000,
-        ration_window_us: 1_000_000,
-        ration_free: 2.0,
-        ration_share: 0.5,
+        overload_multiple: 1.0,
+        overload_window_us: 1_000_000,
+        load_quota_window_us: 1_000_000,
+        load_quota_free: 2.0,
+        load_quota_share: 0.5,
         settings: None,
     }
 }
@@ -180,7 +180,7 @@
 
 #[test]
 fn what_is_sent_by_overtaken_settings_that_contradict_is_caught_after_the_bound() {
-    let settings = SettingsTerms { contradict: vec![(2, 1), (2, 3)], bound_us: 1_000 };
+    let settings = SettingsTerms { contradictions: vec![(2, 1), (2, 3)], bound_us: 1_000 };
     let terms = Terms { settings: Some(settings), ..terms() };
     let found = |lines: &[Line]| -> Vec<String> {
         let found = check(&terms, lines).into_iter().filter(|v| v.rule == Rule::Agreement);
