--- a/crates/gateway/src/chaos_test/arrivals.rs
+++ b/crates/gateway/src/chaos_test/arrivals.rs
@@ -1,46 +1,47 @@
-//! The calls of a chaos test, drawn from a seed: Poisson arrivals, a mix of classes, functions of unequal popularity, bursts,
-//! and clients that publish a call repeatedly. The order of the draws is part of the result.
+//! Generates the calls of a chaos test from a seed: Poisson arrivals, a mix of classes, a Zipf distribution
+//! of functions, bursts and repeated publications. Changing the order of the random draws changes the
+//! generated calls.
 
 use super::script::{ClassShare, Load, Script};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use slatevalve_test_servers::Arrival;
 
-/// The share of calls with QoS 2; all others have QoS 1.
+/// Share of calls with QoS 2; all others have QoS 1.
 const QOS_2_SHARE: f64 = 0.2;
-/// A call's work as a factor of the mean.
+/// Range of a call's work, as a factor of the mean.
 const WORK_FACTORS: std::ops::Range<f64> = 0.5..1.5;
 
-/// The properties of a class that its calls depend on.
+/// Properties of a class that determine how its calls are published.
 pub(super) struct ClassRequirements {
     pub(super) name: String,
-    /// Whether its calls have an idempotency key.
+    /// Whether the calls have an idempotency key.
     pub(super) is_keyed: bool,
-    /// Microseconds until the clients' deadline.
+    /// Microseconds from publication to the client's deadline.
     pub(super) budget_us: i64,
 }
 
-/// The arrival rate at a time.
+/// The arrival rate at a point in time.
 struct Rate {
-    /// As a factor of the usual rate.
+    /// Factor of the rate outside bursts.
     factor: f64,
-    /// Whether the calls beyond the usual rate belong to one tenant.
+    /// Whether the calls beyond the rate outside bursts belong to one tenant.
     has_single_tenant_excess: bool,
 }
 
-/// Draws the calls of a run.
+/// Generates the calls of a run.
 pub(super) struct ArrivalGenerator<'a> {
     pub(super) script: &'a Script,
     pub(super) classes: &'a [ClassRequirements],
     pub(super) tenants: &'a [String],
     pub(super) seed: u64,
-    /// The start of the run, in microseconds of the Unix clock.
+    /// Second 0 of the run, in microseconds of the Unix clock.
     pub(super) start_us: i64,
 }
 
 impl ArrivalGenerator<'_> {
-    /// All calls, ordered by time. Thinning: candidates arrive at the highest rate, and each is accepted with the
-    /// probability of its time.
+    /// Returns all calls, ordered by time. Uses thinning: candidates arrive at the highest rate, and each is
+    /// accepted with the ratio of the rate at its time to the highest rate as probability.
     pub(super) fn generate(&self) -> Vec<Arrival> {
         let load = &self.script.load;
         let mut random = Pcg64Mcg::seed_from_u64(self.seed);
@@ -65,7 +66,7 @@
         arrivals
     }
 
-    /// Draws one call; none where the settings lack its class.
+    /// Draws one call; `None` if the settings do not define its class.
     fn draw(
         &self,
         at_s: f64,
@@ -124,8 +125,8 @@
     mix.last().map(|entry| entry.class.clone()).unwrap_or_default()
 }
 
-/// Draws a function with a Zipf distribution: the n-th function in proportion to 1/n. A share of the calls is for functions
-/// that are called once.
+/// Draws a function from a Zipf distribution: the n-th function has a weight of 1/n. A share of the calls is
+/// for functions that are called only once.
 fn draw_function(load: &Load, class: &str, number: usize, random: &mut Pcg64Mcg) -> String {
     if load.scan_share > 0.0 && random.random_bool(load.scan_share.min(1.0)) {
         return format!("{class}-once-{number}");
@@ -140,7 +141,7 @@
     format!("{class}-{rank}")
 }
 
-/// Adds the repeated publications of a call.
+/// Adds the repeated publications of a call, if it is drawn to be repeated.
 fn push_repeats(load: &Load, arrival: &Arrival, random: &mut Pcg64Mcg, arrivals: &mut Vec<Arrival>) {
     let is_drawn = |share: f64, random: &mut Pcg64Mcg| random.random_bool(share.clamp(0.0, 1.0));
     let Some(repeats) = load.repeats.filter(|repeats| is_drawn(repeats.share, random)) else { return };
--- a/crates/gateway/src/chaos_test/error.rs
+++ b/crates/gateway/src/chaos_test/error.rs
@@ -1,4 +1,4 @@
-//! The errors of a chaos test.
+//! Errors of a chaos test.
 
 use crate::plugins::folder::FolderError;
 use slatevalve_sexpr::FormError;
@@ -8,26 +8,26 @@
 use std::io;
 use std::path::PathBuf;
 
-/// The reason why a chaos test could not be run.
+/// Why a chaos test could not be run.
 #[derive(Debug)]
 pub enum ChaosTestError {
-    /// The script or the settings in it have an error.
+    /// The script, or the settings that it contains, are invalid.
     Settings(FormError),
-    /// The script's mix of calls names a class that the settings lack.
+    /// The script's mix of calls names a class that its settings do not define.
     UnknownClass(String),
-    /// The processes did not start by the script's time 0.
+    /// The processes were not running by second 0 of the script.
     StartTooSlow,
-    /// The directory for the output is not empty.
+    /// The output directory contains files.
     NotEmpty(PathBuf),
-    /// A process or a file failed.
+    /// A process could not be started, or a file could not be read or written.
     Io(io::Error),
-    /// The folder of plug-ins failed.
+    /// The plug-in folder of the run could not be written.
     Plugins(FolderError),
-    /// A file is not a trace.
+    /// A trace file contains an invalid line.
     Trace {
-        /// The file.
+        /// Path of the trace file.
         file: PathBuf,
-        /// The cause.
+        /// The line and why it is invalid.
         source: TraceError,
     },
 }
@@ -37,10 +37,14 @@
         match self {
             ChaosTestError::Settings(error) => error.fmt(f),
             ChaosTestError::UnknownClass(class) => {
-                write!(f, "the mix names no class of the settings: {class}")
+                write!(f, "the mix names class {class}, which the settings do not define")
+            }
+            ChaosTestError::StartTooSlow => {
+                f.write_str("the processes were not running by second 0 of the script")
+            }
+            ChaosTestError::NotEmpty(directory) => {
+                write!(f, "output directory {} is not empty", directory.display())
             }
-            ChaosTestError::StartTooSlow => f.write_str("the processes took too long to start"),
-            ChaosTestError::NotEmpty(directory) => write!(f, "{} is not empty", directory.display()),
             ChaosTestError::Io(error) => error.fmt(f),
             ChaosTestError::Plugins(error) => error.fmt(f),
             ChaosTestError::Trace { file, source } => write!(f, "{}: {source}", file.display()),
--- a/crates/gateway/src/chaos_test/mod.rs
+++ b/crates/gateway/src/chaos_test/mod.rs
@@ -1,5 +1,5 @@
-//! The chaos test: gateways and test workers as processes on loopback, faults and events by a script, and the rules checked
-//! from the recorded traffic. The command line calls [`run`].
+//! The chaos test: starts gateways and test workers as processes on loopback, injects the faults and events
+//! of a script, and checks the rules from the recorded traffic. The command line calls [`run`].
 
 mod arrivals;
 mod error;
@@ -17,21 +17,23 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The options of a run.
+/// Options of a run, from the command line.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The seed of calls, workers and gateways.
+    /// Seed from which calls, workers and gateways derive theirs.
     pub seed: u64,
-    /// The directory for settings, logs and traces, which must be empty or new; without one they are removed after the run.
+    /// Directory for settings, logs and traces, which must be empty or not exist; `None` removes these files
+    /// after the run.
     pub keep: Option<PathBuf>,
-    /// The gateways' log level.
+    /// Log filter of the gateways, which log to `gateway-N.log`.
     pub log_level: String,
 }
 
-/// Runs a script and checks the rules. `progress` is called with the seconds since the start and the number of open calls.
+/// Runs a script and checks the rules. `progress` is called with the seconds since the start and the number
+/// of open calls.
 ///
 /// # Errors
-/// When a process, a file or the script fails; a violated rule is not an error but part of the report.
+/// If a process or a file fails or the script is invalid. The report contains violated rules.
 pub fn run(
     script: &Script,
     options: &Options,
@@ -49,7 +51,7 @@
     Ok(Report::new(&script.name, options.seed, &record))
 }
 
-/// Creates the directory; files of an earlier run in it would be read as part of this one.
+/// Creates the output directory. Files of an earlier run in it would be read as part of this one.
 fn prepare_output(directory: &Path) -> Result<&Path, ChaosTestError> {
     fs::create_dir_all(directory)?;
     match fs::read_dir(directory)?.next() {
@@ -58,7 +60,7 @@
     }
 }
 
-/// Writes the files that `slatevalve rules` reads.
+/// Writes the trace and the terms, which `slatevalve rules` reads.
 fn write_record(directory: &Path, record: &RunRecord) -> Result<(), ChaosTestError> {
     let text: String = record.lines.iter().map(|line| trace::write(line) + "\n").collect();
     fs::write(directory.join("all.jsonl"), text)?;
--- a/crates/gateway/src/chaos_test/report/mod.rs
+++ b/crates/gateway/src/chaos_test/report/mod.rs
@@ -1,4 +1,4 @@
-//! The report of a chaos test: outcomes, weights, latencies and violated rules.
+//! The report of a chaos test: outcomes, weights, latencies and violations.
 
 mod text;
 
@@ -10,69 +10,69 @@
 use slatevalve_trace_checker::{check, ClassTerms, EffectTerms, Rule, Violation};
 use std::collections::BTreeMap;
 
-/// The largest latency that is recorded exactly, in microseconds.
+/// Upper bound of recorded latencies, in microseconds; larger ones count as this value.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant digits of latencies.
+/// Significant digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
-/// The report. Its JSON is read by operators' scripts, so `serde` keeps the names in it.
+/// The report of a run. Operators' scripts read its JSON, so `serde` attributes keep the outer names.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// The script's name.
+    /// Name of the script.
     pub name: String,
-    /// The seed of calls, workers and gateways.
+    /// Seed from which calls, workers and gateways derive theirs.
     pub seed: u64,
-    /// Calls that clients made.
+    /// Calls that clients published, each counted once.
     pub calls: u64,
     /// Calls whose first answer was `served`.
     pub served: u64,
     /// Calls whose first answer was `refused`.
     pub refused: u64,
-    /// Calls whose first answer was another one.
+    /// Calls whose first answer had another outcome.
     pub failed: u64,
-    /// Calls whose gateway was killed, or whose session was lost with it, and which are owed no answer.
+    /// Calls without an answer whose gateway was killed or whose session was lost, so that none was required.
     #[serde(rename = "left")]
     pub disconnected: u64,
-    /// Calls that were owed an answer and got none.
+    /// Calls that required an answer and received none.
     pub unanswered: u64,
     /// Non-idempotent calls that ran more than once.
     pub ran_twice: u64,
-    /// Gateways that did not stop by themselves and without an error at the end.
+    /// Gateways that at the end did not stop on request without an error.
     #[serde(rename = "stopped_badly")]
     pub unclean_stops: u64,
-    /// The violated rules.
+    /// All violations, ordered by time.
     pub violations: Vec<Violation>,
-    /// The weight of all calls.
+    /// Total priority weight of all calls.
     #[serde(rename = "worth_asked")]
     pub requested_weight: f64,
-    /// The weight of the calls that were served in time; late ones count with their late value.
+    /// Total priority weight of served calls; those beyond the latency objective count with the late value.
     #[serde(rename = "worth_in_time")]
     pub weight_in_time: f64,
-    /// The calls of the script's window.
+    /// Statistics of the calls that were published in the script's window, if it has one.
     pub window: Option<WindowReport>,
-    /// Load requests that reached workers.
+    /// Load requests that arrived at workers.
     #[serde(rename = "orders")]
     pub load_requests: u64,
-    /// Loads that workers began, each a fetch from the store.
+    /// Loads that workers began, each of which fetches from the store.
     pub fetches: u64,
-    /// Load requests and fetches within the script's window.
+    /// Numbers of load requests and of fetches in the script's window, if it has one.
     #[serde(rename = "window_orders")]
     pub window_loads: Option<(u64, u64)>,
-    /// The median latency of served calls, in microseconds.
+    /// Median latency of served calls, in microseconds.
     pub p50_us: u64,
-    /// The 99th percentile of the latency of served calls, in microseconds.
+    /// 99th percentile of the latency of served calls, in microseconds.
     pub p99_us: u64,
 }
 
-/// The calls of the script's window. In JSON it is an array.
+/// Statistics of the calls published in the script's window. Serialized as an array in field order.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(f64, f64, u64)")]
 pub struct WindowReport {
-    /// The weight of all calls.
+    /// Total priority weight of all calls.
     pub requested_weight: f64,
-    /// The weight of the calls that were served in time; late ones count with their late value.
+    /// Total priority weight of served calls; those beyond the latency objective count with the late value.
     pub weight_in_time: f64,
-    /// The 99th percentile of the latency of served calls, in microseconds.
+    /// 99th percentile of the latency of served calls, in microseconds.
     pub p99_us: u64,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// The sums and latencies of a set of calls.
+/// Accumulated weights and latencies of a set of calls.
 struct CallStatistics {
     requested_weight: f64,
     weight_in_time: f64,
@@ -109,7 +109,7 @@
     }
 }
 
-/// What one call counts for.
+/// The contribution of one call to the statistics.
 struct CallResult {
     weight: f64,
     served: Option<ServedCall>,
@@ -117,7 +117,7 @@
 
 struct ServedCall {
     latency_us: i64,
-    /// The weight that it earns, by its latency.
+    /// Weight according to the latency.
     weight: f64,
 }
 
@@ -203,14 +203,15 @@
         }
     }
 
-    /// Whether no rule was violated, every call was answered, and every gateway stopped by itself and without an error.
+    /// Whether no rule was violated, every call was answered, and every gateway stopped cleanly.
     #[must_use]
     pub fn is_good(&self) -> bool {
         self.violations.is_empty() && self.unanswered == 0 && self.ran_twice == 0 && self.unclean_stops == 0
     }
 }
 
-/// Whether a violation is a call without any answer; a late answer violates the same rule.
+/// Whether a violation is a call without any answer. A late answer violates the same rule, so this checks the
+/// description.
 fn is_unanswered(violation: &Violation) -> bool {
     violation.rule == Rule::Answered && violation.what.contains("never")
 }
--- a/crates/gateway/src/chaos_test/report/text.rs
+++ b/crates/gateway/src/chaos_test/report/text.rs
@@ -1,9 +1,9 @@
-//! The report as text.
+//! Formats the report as text.
 
 use super::Report;
 use std::fmt;
 
-/// The number of violations that are printed.
+/// Maximum number of violations that are printed.
 const MAX_PRINTED_VIOLATIONS: usize = 20;
 
 impl fmt::Display for Report {
@@ -21,17 +21,17 @@
         let share = if *requested_weight > 0.0 { weight_in_time / requested_weight } else { 0.0 };
         writeln!(
             f,
-            "  calls {}: served {}, refused {}, failed {}, left {}, unanswered {}",
+            "  calls {}: served {}, refused {}, failed {}, disconnected {}, unanswered {}",
             self.calls, self.served, self.refused, self.failed, self.disconnected, self.unanswered
         )?;
         writeln!(
             f,
-            "  worth in time {weight_in_time:.1} of {requested_weight:.1} asked ({share:.3}); served calls took {p50_us} us (median), {p99_us} us (99%)"
+            "  weight in time {weight_in_time:.1} of {requested_weight:.1} requested ({share:.3}); latency of served calls {p50_us} us (median), {p99_us} us (99th percentile)"
         )?;
         if let Some(window) = &self.window {
             writeln!(
                 f,
-                "  in the window: worth in time {:.1} of {:.1}, {} us (99%)",
+                "  in the window: weight in time {:.1} of {:.1}, latency {} us (99th percentile)",
                 window.weight_in_time, window.requested_weight, window.p99_us
             )?;
         }
@@ -39,17 +39,22 @@
     }
 
     fn write_loads(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "  orders for copies: {}; fetches from the store: {}", self.load_requests, self.fetches)?;
+        writeln!(f, "  load requests: {}; fetches from the store: {}", self.load_requests, self.fetches)?;
         if let Some((load_requests, fetches)) = self.window_loads {
-            writeln!(f, "  in the window: orders {load_requests}, fetches {fetches}")?;
+            writeln!(f, "  in the window: load requests {load_requests}, fetches {fetches}")?;
         }
         Ok(())
     }
 
     fn write_violations(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "  charges that ran twice: {}; rules broken: {}", self.ran_twice, self.violations.len())?;
+        writeln!(
+            f,
+            "  non-idempotent calls that ran more than once: {}; violations: {}",
+            self.ran_twice,
+            self.violations.len()
+        )?;
         if self.unclean_stops > 0 {
-            writeln!(f, "  gateways that did not stop in order: {}", self.unclean_stops)?;
+            writeln!(f, "  gateways that did not stop cleanly: {}", self.unclean_stops)?;
         }
         for violation in self.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
             writeln!(f, "    {:?} at {}: {}", violation.rule, violation.at_us, violation.what)?;
--- a/crates/gateway/src/chaos_test/runner/mod.rs
+++ b/crates/gateway/src/chaos_test/runner/mod.rs
@@ -1,5 +1,5 @@
-//! Runs a script: starts its processes on loopback, drives the clients, executes the steps by the clock, and collects the
-//! recorded traffic.
+//! Runs a script: starts its processes on loopback, drives the clients, executes the steps when they are due,
+//! and collects the recorded traffic.
 
 mod plugins;
 mod processes;
@@ -24,26 +24,26 @@
 use std::time::Duration;
 use timeline::timeline;
 
-/// Time for the start of the processes, beside [`START_PER_PROCESS_US`]. Plans state faults as times of the clock, so the time
-/// of second 0 is fixed before the first process is started.
+/// Time allowed for starting all processes, in addition to [`START_PER_PROCESS_US`]. Workers are started with
+/// the absolute times of their faults, so the time of second 0 is fixed before the first process starts.
 const START_US: i64 = 1_000_000;
-/// Additional time for the start of each process.
+/// Additional time allowed for starting each process.
 const START_PER_PROCESS_US: i64 = 40_000;
-/// The time within which a gateway stops by itself.
-const STOP_WITHIN: Duration = Duration::from_secs(10);
-/// The longest time that the clients wait for events before the next steps are executed.
-const POLL: Duration = Duration::from_millis(2);
+/// Time within which a gateway must stop on request.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time that the clients wait for events before due steps are executed.
+const POLL_TIMEOUT: Duration = Duration::from_millis(2);
 
-/// What a run left behind.
+/// The recorded results of a run.
 pub(super) struct RunRecord {
-    /// The result of each call, by its name.
+    /// The result of each call by its name.
     pub(super) calls: BTreeMap<String, ClientReport>,
     /// The lines of all traces, ordered by time.
     pub(super) lines: Vec<Line>,
     pub(super) terms: Terms,
-    /// The period that is reported by itself.
+    /// Period with separate statistics in the report.
     pub(super) window: Option<ClockWindow>,
-    /// The number of gateways that did not stop by themselves and without an error.
+    /// Number of gateways that did not stop on request without an error.
     pub(super) unclean_stops: usize,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// A run; its processes are killed when it is dropped.
+/// A run. Its processes are killed when it is dropped.
 pub(super) struct Runner<'a> {
     script: &'a Script,
     directory: &'a Path,
@@ -107,19 +107,19 @@
         Ok(runner)
     }
 
-    /// A second of the test as microseconds of the Unix clock.
+    /// Converts a time of the script to microseconds of the Unix clock.
     fn clock_us(&self, seconds: f64) -> i64 {
         self.start_us.saturating_add((seconds * 1e6) as i64)
     }
 
-    /// Runs the test to its end; `progress` is called with the seconds since the start and the number of open calls.
+    /// Runs the test to its end; `progress` receives the seconds since the start and the number of open calls.
     pub(super) fn run(mut self, progress: impl FnMut(f64, usize)) -> Result<RunRecord, ChaosTestError> {
         let clock = Clock::start();
         let site = Site::parse("(settings ...)", &self.settings_file(0), &clock, Named::default())?;
         let terms = self.terms(&site);
         let requirements = class_requirements(&site);
-        let known = |class: &String| requirements.iter().any(|known| known.name == *class);
-        if let Some(unknown) = self.script.load.mix.iter().find(|entry| !known(&entry.class)) {
+        let is_known = |class: &String| requirements.iter().any(|known| known.name == *class);
+        if let Some(unknown) = self.script.load.mix.iter().find(|entry| !is_known(&entry.class)) {
             return Err(ChaosTestError::UnknownClass(unknown.class.clone()));
         }
         let mut driver = self.clients(&requirements)?;
@@ -132,7 +132,7 @@
         let unclean_stops = self.stop_gateways();
         let calls = driver.reports().clone();
         drop(driver);
-        // The workers end before their traces are read.
+        // Killed here, so that the traces are complete when they are read.
         self.workers.clear();
         let window = self.script.window.map(|window| ClockWindow {
             from_us: self.clock_us(window.from_s),
@@ -158,7 +158,7 @@
         Ok(Driver::new(plan)?)
     }
 
-    /// Executes the steps and drives the clients until all calls are answered, or until every client has given up.
+    /// Executes the steps and drives the clients until all calls are answered or all deadlines have passed.
     fn drive(
         &mut self,
         driver: &mut Driver,
@@ -166,7 +166,7 @@
         mut progress: impl FnMut(f64, usize),
     ) -> Result<(), ChaosTestError> {
         let end_us = self.start_us + (self.script.seconds * 1e6) as i64;
-        let give_up_us = end_us + 2 * longest_budget_us;
+        let timeout_us = end_us + 2 * longest_budget_us;
         let mut steps = timeline(self.script, self.start_us).into_iter().peekable();
         loop {
             let now = unix_micros();
@@ -174,19 +174,19 @@
                 self.execute(timed.step, driver)?;
             }
             let is_done = driver.is_done() && steps.peek().is_none();
-            if now > end_us && (is_done || now > give_up_us) {
+            if now > end_us && (is_done || now > timeout_us) {
                 return Ok(());
             }
-            driver.poll(POLL)?;
+            driver.poll(POLL_TIMEOUT)?;
             progress((now - self.start_us) as f64 / 1e6, driver.open_calls());
         }
     }
 
-    /// Stops all gateways; returns how many did not stop by themselves and without an error.
+    /// Stops all gateways; returns how many did not stop on request without an error.
     fn stop_gateways(&mut self) -> usize {
         let mut unclean_stops = 0;
         for process in self.gateways.iter_mut().filter_map(|gateway| gateway.process.as_mut()) {
-            if !process.stop(STOP_WITHIN) {
+            if !process.stop(STOP_TIMEOUT) {
                 unclean_stops += 1;
             }
         }
--- a/crates/gateway/src/chaos_test/runner/plugins.rs
+++ b/crates/gateway/src/chaos_test/runner/plugins.rs
@@ -1,4 +1,4 @@
-//! The plug-ins of a run: every function is one, with two versions.
+//! Creates the plug-ins of a run: one with two versions for every function.
 
 use super::Runner;
 use crate::chaos_test::ChaosTestError;
@@ -11,7 +11,7 @@
 const FIRST_VERSION: &str = "1";
 pub(super) const SECOND_VERSION: &str = "2";
 
-/// A function that calls are made for.
+/// A function that the script's calls name.
 struct Function {
     name: String,
     class: String,
@@ -32,7 +32,7 @@
         functions.collect()
     }
 
-    /// Pushes two versions of every function, with the alias `current` for the first.
+    /// Pushes two versions of every function and sets the alias `current` to the first.
     pub(super) fn push_plugins(&mut self) -> Result<(), ChaosTestError> {
         let mut folder = PluginFolder::open(&self.plugin_folder())?;
         let (manifest_file, layer_file) =
--- a/crates/gateway/src/chaos_test/runner/processes.rs
+++ b/crates/gateway/src/chaos_test/runner/processes.rs
@@ -1,4 +1,4 @@
-//! The workers and gateways of a run.
+//! The worker and gateway processes of a run.
 
 use super::Runner;
 use crate::chaos_test::ChaosTestError;
@@ -20,7 +20,7 @@
 }
 
 impl WorkerState {
-    /// Its name in settings and traces.
+    /// The state's name in settings and traces.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             WorkerState::Ready => "ready",
@@ -35,12 +35,12 @@
     plan: WorkerPlan,
     pub(super) address: SocketAddr,
     pub(super) state: WorkerState,
-    /// The time of its last restart, in milliseconds of the Unix clock.
+    /// Time of the last restart, in milliseconds of the Unix clock; `None` if never restarted.
     pub(super) restarted_ms: Option<i64>,
 }
 
 impl Worker {
-    /// Starts its process again, at the same address and without loaded functions.
+    /// Restarts the process at the same address, without loaded functions.
     pub(super) fn restart(&mut self) -> Result<(), ChaosTestError> {
         self.plan.listen = self.address;
         self.plan.is_restart = true;
@@ -53,11 +53,11 @@
 pub(super) struct Gateway {
     pub(super) process: Option<Process>,
     pub(super) name: String,
-    /// Its settings file.
+    /// Path of the settings file.
     pub(super) settings: PathBuf,
     pub(super) address: SocketAddr,
     pub(super) is_paused: bool,
-    /// Workers whose states changed during the pause.
+    /// Workers whose states changed while the gateway was paused.
     pub(super) pending_notices: Vec<usize>,
 }
 
@@ -108,7 +108,7 @@
         self.start_gateway(index)
     }
 
-    /// Starts a gateway, at its earlier address where it had one.
+    /// Starts a gateway, at its previous address if it had one.
     pub(super) fn start_gateway(&mut self, index: usize) -> Result<(), ChaosTestError> {
         let settings = &self.gateways[index].settings;
         fs::write(settings, self.settings_file(index))?;
--- a/crates/gateway/src/chaos_test/runner/settings_file.rs
+++ b/crates/gateway/src/chaos_test/runner/settings_file.rs
@@ -1,10 +1,10 @@
-//! The settings files of the gateways.
+//! Generates the settings files of the gateways.
 
 use super::processes::{Gateway, Worker};
 use super::Runner;
 
 impl Runner<'_> {
-    /// The settings file of a gateway with the current states of the workers.
+    /// The content of a gateway's settings file, with the current states of the workers.
     pub(super) fn settings_file(&self, index: usize) -> String {
         let mut text = self.gateway_forms(index, &self.gateways[index]);
         if let Some(fields) = &self.script.plugins {
--- a/crates/gateway/src/chaos_test/runner/steps.rs
+++ b/crates/gateway/src/chaos_test/runner/steps.rs
@@ -1,4 +1,4 @@
-//! Executes the steps of a run.
+//! Executes the steps of a run: publishes worker states, and kills, starts and pauses processes.
 
 use super::plugins::SECOND_VERSION;
 use super::processes::WorkerState;
@@ -49,7 +49,7 @@
         self.workers[worker].state = state;
         for index in 0..self.gateways.len() {
             let file = &self.gateways[index].settings;
-            // The rename is atomic, so that no gateway reads half a file.
+            // A rename is atomic, so no gateway reads an incomplete file.
             let temporary = file.with_extension("new");
             fs::write(&temporary, self.settings_file(index))?;
             fs::rename(&temporary, file)?;
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// Resumes a gateway, which reads the worker list then.
+    /// Resumes a gateway, which then reads the worker list.
     fn resume_gateway(&mut self, gateway: usize) {
         self.gateways[gateway].is_paused = false;
         self.gateways[gateway].signal(Signal::CONT);
--- a/crates/gateway/src/chaos_test/runner/terms.rs
+++ b/crates/gateway/src/chaos_test/runner/terms.rs
@@ -1,4 +1,4 @@
-//! The terms that the trace of a run is checked against, by the gateways' settings.
+//! Derives the terms that the trace of a run is checked against from the gateways' settings.
 
 use super::Runner;
 use crate::settings::Site;
--- a/crates/gateway/src/chaos_test/runner/timeline.rs
+++ b/crates/gateway/src/chaos_test/runner/timeline.rs
@@ -8,7 +8,7 @@
 /// Seconds between the stop of a replaced worker and the update of the worker list.
 const REPLACEMENT_READY_S: f64 = 0.1;
 
-/// One step of the runner. Workers and gateways are numbered from 0.
+/// One action of the runner. Workers and gateways are numbered from 0.
 #[derive(Clone, Debug)]
 pub(super) enum Step {
     PublishState { worker: usize, state: WorkerState },
@@ -23,7 +23,7 @@
 }
 
 pub(super) struct TimedStep {
-    /// Microseconds of the Unix clock.
+    /// When the step is due, in microseconds of the Unix clock.
     pub(super) at_us: i64,
     pub(super) step: Step,
 }
@@ -40,7 +40,7 @@
     timeline
 }
 
-/// The steps of an event, each with the seconds after it.
+/// The steps of an event, each with its delay after the event in seconds.
 fn steps_of(event: &ScriptedEvent, workers: usize) -> Vec<(f64, Step)> {
     let publish = |worker, state| Step::PublishState { worker, state };
     match *event {
--- a/crates/gateway/src/chaos_test/script/mod.rs
+++ b/crates/gateway/src/chaos_test/script/mod.rs
@@ -1,177 +1,177 @@
-//! Scripts of chaos tests, as S-expressions: the workers, the load, the faults and the events. The forms are listed in
-//! `docs/operators/chaos-test.md`.
+//! Scripts of chaos tests: workers, load, faults and events, written as S-expressions. The forms are
+//! documented in `docs/operators/chaos-test.md`.
 
 mod parser;
 
 use slatevalve_test_servers::{FaultKind, ServicePlan};
 
-/// A script.
+/// A parsed script of a chaos test.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// Its name, for the report.
+    /// Name in the report.
     pub name: String,
-    /// The time during which calls are made, in seconds.
+    /// Time during which calls are published, in seconds from 0.1 to 3,600.
     pub seconds: f64,
-    /// The number of gateways, which share nothing.
+    /// Number of gateways, at least 1. They share no state.
     pub gateways: usize,
-    /// The number of client connections.
+    /// Number of client connections, at least 1.
     pub clients: usize,
-    /// Each gateway's settings without workers, listener, routes and name.
+    /// Source text of the settings of all gateways, without workers, listener, routes and name.
     pub settings: String,
-    /// The calls.
+    /// The calls that clients publish.
     pub load: Load,
-    /// The workers.
+    /// The workers and their capacity.
     pub fleet: Fleet,
-    /// Fields of the gateways' `plugins` form. With it every function is a plug-in with versions 1 and 2, and `current`
-    /// refers to 1 until the aliases move.
+    /// Source text of further fields of the gateways' `plugins` form. If set, every function is a plug-in
+    /// with versions 1 and 2, and the alias `current` refers to 1 until the event `move-aliases`.
     pub plugins: Option<String>,
-    /// A period that is reported by itself.
+    /// Period with separate statistics in the report.
     pub window: Option<Window>,
-    /// The faults of workers.
+    /// Faults that the workers inject into themselves.
     pub faults: Vec<WorkerFault>,
-    /// The events outside the workers, ordered by time.
+    /// Events that the runner executes, ordered by time.
     pub events: Vec<TimedEvent>,
 }
 
-/// A period of the test, in seconds.
+/// A period of the test.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
-    /// Its start.
+    /// Start in seconds of the test, inclusive.
     pub from_s: f64,
-    /// Its end, exclusive.
+    /// End in seconds of the test, exclusive.
     pub to_s: f64,
 }
 
-/// The calls that the clients make.
+/// Rate, mix and repetition of the calls that clients publish.
 #[derive(Clone, Debug)]
 pub struct Load {
     /// Calls per second, outside bursts.
     pub per_second: f64,
-    /// The number of functions of each class.
+    /// Number of functions of each class, at least 1.
     pub functions: usize,
-    /// The mean work of a call, in milliseconds at full capacity.
+    /// Mean work of a call at full capacity, in milliseconds.
     pub work_ms: f64,
-    /// The classes of the calls.
+    /// Shares of the classes; their sum is greater than 0.
     pub mix: Vec<ClassShare>,
-    /// Periods with more calls.
+    /// Periods with a different rate; the first one that covers a time applies.
     pub bursts: Vec<Burst>,
-    /// Repeated publications of calls by their clients.
+    /// Repeated publications by clients, if any.
     pub repeats: Option<Repeats>,
-    /// The share of calls for functions that are called once.
+    /// Share of calls that each name a function of their own, from 0 to 1.
     pub scan_share: f64,
 }
 
-/// A class and its share of the calls, relative to the sum of all shares.
+/// The share of a class in the calls.
 #[derive(Clone, Debug)]
 pub struct ClassShare {
-    /// The class.
+    /// Name of the class, which the settings must define.
     pub class: String,
-    /// The share.
+    /// Share relative to the sum of all shares.
     pub share: f64,
 }
 
-/// A period with more calls.
+/// A period with a different rate of calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Burst {
-    /// Its start, in seconds of the test.
+    /// Start, in seconds of the test.
     pub at_s: f64,
-    /// Its duration, in seconds.
+    /// Duration, in seconds.
     pub duration_s: f64,
-    /// The rate of calls, as a factor of the usual one.
+    /// Factor by which the rate is multiplied.
     pub times: f64,
-    /// Whether all additional calls belong to one tenant.
+    /// Whether all calls beyond the normal rate belong to the first tenant.
     pub one_tenant: bool,
 }
 
 /// Repeated publications of calls by their clients.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeats {
-    /// The share of calls that are repeated.
+    /// Share of calls that are repeated, from 0 to 1.
     pub share: f64,
-    /// The number of repetitions of each.
+    /// Number of repetitions of each repeated call.
     pub times: usize,
-    /// The time between them, in milliseconds.
+    /// Time between publications of a repeated call, in milliseconds.
     pub after_ms: f64,
 }
 
-/// The workers.
+/// Number, location and capacity of the workers.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// Their number.
+    /// Number of workers, at least 1.
     pub workers: usize,
-    /// The number of cells.
+    /// Number of cells, at least 1; each holds a contiguous range of workers.
     pub cells: usize,
-    /// The number of zones.
+    /// Number of zones, at least 1; workers and gateways are assigned to them in turn.
     pub zones: usize,
-    /// The capacity of each.
+    /// Capacity of each worker.
     pub service: ServicePlan,
 }
 
-/// A fault of a worker.
+/// A fault that a worker injects into itself for a time.
 #[derive(Clone, Debug)]
 pub struct WorkerFault {
-    /// Its start, in seconds of the test.
+    /// Start, in seconds of the test.
     pub at_s: f64,
-    /// Its duration, in seconds.
+    /// Duration, in seconds.
     pub duration_s: f64,
-    /// The worker's number, from 0.
+    /// Number of the worker, from 0.
     pub worker: usize,
-    /// The fault.
+    /// What the worker does during the fault.
     pub kind: FaultKind,
 }
 
-/// An event with its time.
+/// An event of a script with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedEvent {
-    /// Its time, in seconds of the test.
+    /// When the runner executes the event, in seconds of the test.
     pub at_s: f64,
-    /// The event.
+    /// What the runner does.
     pub event: ScriptedEvent,
 }
 
-/// An event outside the workers. Workers and gateways are numbered from 0.
+/// An event that the runner executes. Workers and gateways are numbered from 0.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScriptedEvent {
-    /// The worker list states that a worker drains.
+    /// Publishes the state `draining` of a worker.
     Drain(usize),
-    /// The worker list states that a worker is gone.
+    /// Publishes the state `gone` of a worker.
     Gone(usize),
-    /// The worker list states that a worker is ready.
+    /// Publishes the state `ready` of a worker.
     Ready(usize),
-    /// A worker's process is killed and started again; the worker list is updated later.
+    /// Kills and restarts a worker's process; the worker list is updated later.
     CrashWorker {
-        /// The worker.
+        /// Number of the worker.
         worker: usize,
-        /// Seconds until the process is started again.
+        /// Seconds from the kill to the restart.
         down_s: f64,
-        /// Seconds from that start to the update of the worker list.
+        /// Seconds from the restart to the update of the worker list.
         notified_after_s: f64,
     },
-    /// A share of the workers is replaced one by one: drained, stopped and started again.
+    /// Replaces a share of the workers one by one: drains, stops and restarts each.
     Deploy {
-        /// The share of the workers.
+        /// Share of the workers, from 0 to 1; those with the lowest numbers are replaced.
         share: f64,
-        /// Seconds between one worker and the next.
+        /// Seconds between the drains of one worker and the next.
         interval_s: f64,
-        /// Seconds between the drain and the stop of a worker.
+        /// Seconds between the drain and the kill of a worker.
         drain_s: f64,
     },
-    /// A gateway is killed and started again.
+    /// Kills and restarts a gateway.
     CrashGateway {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// Seconds until it is started again.
+        /// Seconds from the kill to the restart.
         down_s: f64,
     },
-    /// A gateway's process is paused.
+    /// Pauses a gateway's process with SIGSTOP.
     PauseGateway {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// The duration of the pause, in seconds.
+        /// Duration of the pause, in seconds.
         duration_s: f64,
     },
-    /// The connection of every n-th client is closed.
+    /// Closes the connection of every n-th client.
     DropConnections(usize),
-    /// The alias `current` of every plug-in moves to version 2.
+    /// Moves the alias `current` of every plug-in to version 2.
     MoveAliases,
 }
--- a/crates/gateway/src/chaos_test/script/parser.rs
+++ b/crates/gateway/src/chaos_test/script/parser.rs
@@ -1,4 +1,4 @@
-//! The parser of scripts. The order in which forms are read decides which of several errors is reported.
+//! Parses scripts. The order in which forms are read determines which of several errors is reported.
 
 use super::{
     Burst, ClassShare, Fleet, Load, Repeats, Script, ScriptedEvent, TimedEvent, Window, WorkerFault,
@@ -8,7 +8,7 @@
 
 type FormResult<T> = Result<T, FormError>;
 
-/// The allowed duration of a script, in seconds.
+/// Allowed duration of a script, in seconds.
 const DURATIONS_S: std::ops::RangeInclusive<f64> = 0.1..=3_600.0;
 const MAX_GATEWAYS: u64 = 16;
 const MAX_CLIENTS: u64 = 1_000;
@@ -19,14 +19,14 @@
 const MAX_COPIES: u64 = 100_000;
 const MAX_REPEATS: u64 = 100;
 const DEFAULT_CLIENTS: usize = 16;
-/// The duration of a fault whose form states none: beyond the end of every script, in seconds.
+/// Default duration of a fault, in seconds; longer than any script.
 const UNLIMITED_S: f64 = 1e6;
 
 impl Script {
     /// Parses a script; `file` is its name in error messages.
     ///
     /// # Errors
-    /// [`FormError`] with file, line and form of the first error.
+    /// [`FormError`] with the file, line and form of the first error.
     pub fn parse(file: &str, text: &str) -> FormResult<Self> {
         let file = File::parse(file, text)?;
         let mut top = file.forms()?;
@@ -48,7 +48,7 @@
         }
         top.finish()?;
         if !DURATIONS_S.contains(&seconds) {
-            return Err(file.error("(seconds ...) lies between 0.1 and 3,600"));
+            return Err(file.error(format!("(seconds ...) must be between 0.1 and 3,600, found {seconds}")));
         }
         events.sort_by(|left: &TimedEvent, right| left.at_s.total_cmp(&right.at_s));
         Ok(Script {
@@ -102,7 +102,7 @@
     let share = |class: &Form<'_>| Ok(ClassShare { class: class.name().to_string(), share: class.number()? });
     let mix = classes.iter().map(share).collect::<FormResult<Vec<_>>>()?;
     if mix.iter().map(|entry| entry.share).sum::<f64>() <= 0.0 {
-        return Err(load.error("the mix has no calls"));
+        return Err(load.error("the shares in (mix ...) add up to 0"));
     }
     Ok(mix)
 }
@@ -173,7 +173,9 @@
         None => parse_worker_set(&fields.need("workers")?, workers)?,
     };
     let kinds = fields.take_rest();
-    let [kind] = kinds.as_slice() else { return Err(form.error("a fault has one kind")) };
+    let [kind] = kinds.as_slice() else {
+        return Err(form.error(format!("expected one kind of fault, found {}", kinds.len())));
+    };
     let kind = parse_fault_kind(kind)?;
     let fault = |worker| WorkerFault { at_s, duration_s, worker, kind: kind.clone() };
     Ok(affected.into_iter().map(fault).collect())
@@ -207,7 +209,7 @@
         "slow-loads" => FaultKind::SlowLoads { factor: form.number()? },
         "corrupt-copies" => FaultKind::CorruptCopies,
         "old-reports-ms" => FaultKind::OldReports { by_us: form.millis()?.0 },
-        other => return Err(form.error(format!("there is no fault {other}"))),
+        other => return Err(form.error(format!("unknown kind of fault: {other}"))),
     })
 }
 
@@ -215,7 +217,9 @@
     let mut fields = form.fields()?;
     let at_s = fields.need("at-s")?.number()?;
     let kinds = fields.take_rest();
-    let [kind] = kinds.as_slice() else { return Err(form.error("an event has one kind")) };
+    let [kind] = kinds.as_slice() else {
+        return Err(form.error(format!("expected one kind of event, found {}", kinds.len())));
+    };
     let event = match kind.name() {
         "drain" => ScriptedEvent::Drain(parse_index(kind, workers)?),
         "gone" => ScriptedEvent::Gone(parse_index(kind, workers)?),
@@ -248,7 +252,7 @@
             gateway: parse_gateway(&mut fields, gateways)?,
             duration_s: parse_seconds(&mut fields, "for-ms", 1.0)?,
         },
-        other => return Err(kind.error(format!("there is no event {other}"))),
+        other => return Err(kind.error(format!("unknown kind of event: {other}"))),
     };
     fields.finish()?;
     Ok(event)
--- a/crates/trace-checker/src/draining.rs
+++ b/crates/trace-checker/src/draining.rs
@@ -1,14 +1,15 @@
-//! Rule 3: later than the grace after a gateway was notified that a worker drains or is gone, it sends that worker nothing new.
+//! Rule 3: once the grace period has passed after a gateway was notified that a worker is draining or gone,
+//! the gateway sends that worker no new work.
 
 use crate::trace::{Line, TraceEvent};
 use crate::{Rule, Terms, Violation};
 use std::collections::BTreeMap;
 
-/// One gateway's view of one worker.
+/// Names of a worker and of a gateway that was notified of its state.
 type WorkerAndGateway<'a> = (&'a str, &'a str);
 
 pub(crate) fn check(terms: &Terms, lines: &[&Line], violations: &mut Vec<Violation>) {
-    // The time of the notification since which the worker is unavailable to the gateway.
+    // Time of the notification from which on the worker is unavailable to the gateway.
     let mut unavailable_since: BTreeMap<WorkerAndGateway, i64> = BTreeMap::new();
     for line in lines {
         let (gateway, request) = match &line.event {
@@ -22,15 +23,17 @@
             }
             TraceEvent::Received { call, gateway, .. } => (gateway, format!("call {call}")),
             TraceEvent::LoadRequested { function, copies, gateway } if *copies > 0 => {
-                (gateway, format!("an order for {function}"))
+                (gateway, format!("a load request for {function}"))
             }
             _ => continue,
         };
         let Some(since_us) = unavailable_since.get(&(line.who.as_str(), gateway.as_str())) else { continue };
         let after_us = line.at_us - since_us;
         if after_us > terms.drain_grace_us {
-            let what =
-                format!("{gateway} sent {} {request} {after_us} us after it was told of its end", line.who);
+            let what = format!(
+                "{gateway} sent {} {request} {after_us} us after the worker became unavailable",
+                line.who
+            );
             violations.push(Violation { rule: Rule::Drains, at_us: line.at_us, what });
         }
     }
--- a/crates/trace-checker/src/effects.rs
+++ b/crates/trace-checker/src/effects.rs
@@ -1,11 +1,11 @@
-//! Rule 2: an effect of a non-idempotent class happens at most once; one with a key is retried only inside its group and
-//! window; and a call is refused only where no attempt may have run.
+//! Rule 2: an effect of a non-idempotent class happens at most once; a call with a key is retried only within
+//! its group and window; and a call is refused only if no attempt may have run.
 
 use crate::trace::{Line, TraceEvent};
 use crate::{EffectTerms, GroupTerms, Rule, Terms, Violation};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt, as its gateway numbers it.
+/// Identifies an attempt by the number that its gateway gave it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptId<'a> {
     gateway: &'a str,
@@ -19,13 +19,14 @@
     id: AttemptId<'a>,
 }
 
-/// Everything recorded about one call, which all its repeated publications share.
+/// The recorded events of one call, including all its repeated publications.
 #[derive(Default)]
 struct Effect<'a> {
     class: &'a str,
     received: Vec<ReceivedAttempt<'a>>,
+    /// Attempts that a worker reported as not run.
     unexecuted: BTreeSet<AttemptId<'a>>,
-    /// Times at which the effect happened.
+    /// Times at which the effect happened, in microseconds.
     runs_us: Vec<i64>,
     refused_us: Option<i64>,
 }
@@ -53,7 +54,7 @@
     }
 }
 
-/// Collects what was recorded about each call, by its name.
+/// Collects the events of each call by its name.
 fn collect<'a>(lines: &[&'a Line]) -> BTreeMap<&'a str, Effect<'a>> {
     let mut effects: BTreeMap<&str, Effect> = BTreeMap::new();
     for line in lines {
@@ -84,7 +85,8 @@
     effects
 }
 
-/// A refusal of a repeated publication as a duplicate is no statement about the attempts of the first one.
+/// Refusing a repeated publication as a duplicate does not claim that the attempts of the first publication
+/// never ran.
 fn is_duplicate_refusal(reason: Option<&str>) -> bool {
     reason.is_some_and(|text| text.contains("repeat"))
 }
@@ -100,7 +102,7 @@
     let mut possibly_executed_at: Option<&str> = None;
     for attempt in &effect.received {
         if let Some(first) = possibly_executed_at {
-            let what = format!("{call} came to {} though it may have run at {first}", attempt.worker);
+            let what = format!("{call} was sent to {} although it may have run at {first}", attempt.worker);
             violations.push(Violation { rule: Rule::Effects, at_us: attempt.at_us, what });
         }
         if effect.is_possibly_executed(attempt) {
@@ -109,8 +111,8 @@
     }
 }
 
-/// Checks that retries stay in the group of the first worker where the call may have run, and within the window from that
-/// attempt.
+/// Checks that retries stay in the group of the first worker at which the call may have run, and within the
+/// window that starts with that attempt.
 fn check_keyed_retries(
     terms: &Terms,
     call: &str,
@@ -126,9 +128,9 @@
         let (worker, first_worker) = (retry.worker, first.worker);
         let after_us = retry.at_us - first.at_us;
         let what = if group_of(terms, group, worker) != group_of(terms, group, first_worker) {
-            format!("{call} came to {worker} outside the group of {first_worker}, where it may have run")
+            format!("{call} was sent to {worker}, outside the group of {first_worker}, where it may have run")
         } else if after_us > window_us {
-            format!("{call} came to {worker} {after_us} us after {first_worker}, past its window")
+            format!("{call} was sent to {worker} {after_us} us after {first_worker}, which exceeds the window of {window_us} us")
         } else {
             continue;
         };
@@ -136,7 +138,7 @@
     }
 }
 
-/// The name of the worker's group; empty for an unknown worker.
+/// Name of the worker's group; empty for an unknown worker.
 fn group_of(terms: &Terms, group: GroupTerms, worker: &str) -> String {
     let worker = terms.workers.get(worker);
     match group {
@@ -152,6 +154,6 @@
     before.any(|attempt| effect.is_possibly_executed(attempt)).then(|| Violation {
         rule: Rule::Effects,
         at_us,
-        what: format!("{call} was refused though it may have run"),
+        what: format!("{call} was refused although it may have run"),
     })
 }
--- a/crates/trace-checker/src/final_answers.rs
+++ b/crates/trace-checker/src/final_answers.rs
@@ -1,4 +1,4 @@
-//! Rule 1: each call gets one final answer before its client's deadline, and no second one that contradicts it.
+//! Rule 1: each call is answered before its client's deadline, and at most once for each publication.
 
 use crate::trace::{Line, TraceEvent};
 use crate::{Rule, Terms, Violation};
@@ -8,7 +8,7 @@
 struct Call<'a> {
     publications: usize,
     last_published_us: i64,
-    /// The latest deadline of all publications.
+    /// The latest deadline among all publications.
     deadline_us: i64,
     answers: Vec<Answer<'a>>,
     client_disconnected: bool,
@@ -42,7 +42,7 @@
                 None => violations.push(Violation {
                     rule: Rule::Once,
                     at_us: line.at_us,
-                    what: format!("{}: an answer to {call}, which was never asked", line.who),
+                    what: format!("{} received an answer to {call}, which was not published", line.who),
                 }),
             },
             TraceEvent::Disconnected { call } => {
@@ -54,7 +54,7 @@
     calls
 }
 
-/// The violation of a call without an answer in time, unless its client disconnected.
+/// The violation of a call without an answer before its deadline, unless its client disconnected.
 fn unanswered(terms: &Terms, name: &str, call: &Call) -> Option<Violation> {
     if call.client_disconnected {
         return None;
@@ -63,20 +63,21 @@
         None => (call.deadline_us, format!("{name} was never answered")),
         Some(answer) if answer.at_us > call.deadline_us + terms.answer_slack_us => {
             let late_us = answer.at_us - call.deadline_us;
-            (answer.at_us, format!("{name} was {} {late_us} us after its client gave up", answer.outcome))
+            (answer.at_us, format!("{name} was {} {late_us} us after its client's deadline", answer.outcome))
         }
         Some(_) => return None,
     };
     Some(Violation { rule: Rule::Answered, at_us, what })
 }
 
-/// The violation of a call with more answers than publications. Each publication may be answered, so three answers to a call
-/// that was published three times are correct.
+/// The violation of a call with more answers than publications. Each publication may be answered once, so
+/// three answers to a call that was published three times are correct.
 fn answered_too_often(name: &str, call: &Call) -> Option<Violation> {
     if call.answers.len() <= call.publications {
         return None;
     }
     let at_us = call.answers.last().map_or(call.last_published_us, |answer| answer.at_us);
-    let what = format!("{name} was asked {} times and answered {}", call.publications, call.answers.len());
+    let what =
+        format!("{name} was published {} times and answered {} times", call.publications, call.answers.len());
     Some(Violation { rule: Rule::Once, at_us, what })
 }
--- a/crates/trace-checker/src/lib.rs
+++ b/crates/trace-checker/src/lib.rs
@@ -1,9 +1,9 @@
-//! Checks the five rules of the operators against a recorded trace.
+//! Checks a recorded trace against the operators' five rules.
 //!
-//! The checker depends on no other crate of the project and computes every bound by itself, so that it cannot share a
-//! mistake with the gateway. Its only input is what was recorded at the clients, at the workers and where the worker
-//! list is published. Test servers write [`trace::Line`]s; the chaos test and its tests call [`check`]. The format is
-//! described in `docs/trace.md`.
+//! The checker depends on no other crate of the project and computes every bound itself, so that it cannot
+//! share a defect with the gateway. Its only input is the events recorded at the clients, at the workers and
+//! where the worker list is published. Test servers write [`trace::Line`]s; the chaos test and its tests call
+//! [`check`]. The format is described in `docs/trace.md`.
 #![forbid(unsafe_code)]
 
 mod draining;
@@ -20,7 +20,8 @@
 use serde::Serialize;
 use trace::Line;
 
-/// A rule, by the operators' numbers. Reports print the variants' names, so these are part of the output.
+/// The violated rule, with the operators' number. Reports print the names of the variants, so these are part
+/// of the output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
@@ -30,24 +31,24 @@
     Once,
     /// Rule 2: an effect happens only as often as its class allows.
     Effects,
-    /// Rule 3: no new work for a worker that drains or is gone.
+    /// Rule 3: no new work for a worker that is draining or gone.
     Drains,
     /// Rule 4: a worker in slow start is not overloaded.
     Cold,
     /// Rule 5: load requests stay within their quota.
     Orders,
-    /// Beside the five: gateways do not act by contradicting settings documents for longer than the stated bound.
+    /// In addition to the five: contradicting settings documents are not in use for longer than the bound.
     Agreement,
 }
 
-/// One violation of a rule, with its place in the trace.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// Microseconds of the Unix clock.
+    /// Time of the violating line, or of the deadline that passed, in microseconds of the Unix clock.
     pub at_us: i64,
-    /// A description for the reader of a report.
+    /// Human-readable description that names the call, worker or gateway.
     pub what: String,
 }
 
--- a/crates/trace-checker/src/load_quota.rs
+++ b/crates/trace-checker/src/load_quota.rs
@@ -1,10 +1,11 @@
-//! Rule 5: a gateway's load requests within any window stay within a free number and a share of the calls published in it.
+//! Rule 5: within any window, a gateway sends no more load requests than a free number plus a share of the
+//! calls published to it in the window.
 
 use crate::trace::{Line, TraceEvent};
 use crate::{Rule, Terms, Violation};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A gateway's events within the window, as times in microseconds.
+/// Times of a gateway's events within the window, in microseconds.
 #[derive(Default)]
 struct Gateway {
     calls: VecDeque<i64>,
@@ -40,7 +41,8 @@
                 let quota = terms.load_quota_free + terms.load_quota_share * counted.calls.len() as f64;
                 let requested = counted.load_requests.len();
                 if requested as f64 > quota {
-                    let what = format!("{gateway} ordered {requested} loads in a window, {quota:.1} allowed");
+                    let what =
+                        format!("{gateway} sent {requested} load requests in a window, {quota:.1} allowed");
                     violations.push(Violation { rule: Rule::Orders, at_us: line.at_us, what });
                 }
             }
--- a/crates/trace-checker/src/settings_conflicts.rs
+++ b/crates/trace-checker/src/settings_conflicts.rs
@@ -1,12 +1,12 @@
-//! Consistency of settings between gateways: once an attempt was sent by one document, no attempt may be sent by an older,
-//! contradicting document later than the bound. Attempts of idempotent classes are exempt, because a gateway whose lease
-//! is uncertain may still send those.
+//! Consistency of settings between gateways: after the first attempt under a document, no attempt may be sent
+//! under an older, contradicting document later than the bound. Attempts of idempotent classes are exempt,
+//! because a gateway whose lease is uncertain may still send them.
 
 use crate::trace::{Line, TraceEvent};
 use crate::{EffectTerms, Rule, SettingsTerms, Terms, Violation};
 use std::collections::BTreeMap;
 
-/// The first attempt that was sent by one set of documents.
+/// The first attempt sent under one set of documents.
 struct FirstAttempt<'a> {
     at_us: i64,
     gateway: &'a str,
@@ -29,7 +29,7 @@
         if let Some((other, first)) = conflict {
             let after_us = line.at_us - first.at_us;
             let what = format!(
-                "{gateway} sent {call} by settings {documents:?}, {after_us} us after {} had sent by {other:?}, which contradict them",
+                "{gateway} sent {call} under settings {documents:?}, {after_us} us after {} first used the contradicting {other:?}",
                 first.gateway
             );
             violations.push(Violation { rule: Rule::Agreement, at_us: line.at_us, what });
@@ -38,8 +38,8 @@
     }
 }
 
-/// Whether two sets of documents contradict each other. A gateway that acts by two documents at a time does only what both
-/// allow, so it contradicts no gateway that acts by one of them.
+/// Whether two sets of documents contradict each other. A gateway that applies two documents at a time does
+/// only what both allow, so it does not contradict a gateway that applies one of them.
 fn are_contradicting(settings: &SettingsTerms, left: &[u64], right: &[u64]) -> bool {
     let is_listed =
         |a: u64, b: u64| settings.contradictions.iter().any(|pair| *pair == (a, b) || *pair == (b, a));
--- a/crates/trace-checker/src/slow_start.rs
+++ b/crates/trace-checker/src/slow_start.rs
@@ -1,4 +1,5 @@
-//! Rule 4: the work sent to a worker in slow start within any window stays below a multiple of its capacity in that window.
+//! Rule 4: within any window, the work sent to a worker in slow start does not exceed a multiple of its
+//! capacity in the window.
 
 use crate::trace::{Line, TraceEvent};
 use crate::{Rule, Terms, Violation};
@@ -7,14 +8,14 @@
 /// A worker in slow start.
 struct Worker {
     started_us: i64,
-    /// Share of the full capacity at the start.
+    /// Share of the full capacity at the start, from 0 to 1.
     start_capacity: f64,
     slow_start_us: i64,
-    /// Calls at a time at full capacity.
+    /// Concurrent calls at full capacity.
     concurrency: f64,
     /// Attempts within the window.
     recent: VecDeque<ReceivedWork>,
-    /// Whether a violation was reported already; one is reported for each start.
+    /// Whether a violation was already reported; only one is reported for each start.
     reported: bool,
 }
 
@@ -24,13 +25,13 @@
 }
 
 impl Worker {
-    /// Calls that run at a time: a straight line from the capacity at the start to the full one.
+    /// Concurrent calls at a time of the slow start, which grow linearly to the full capacity.
     fn concurrency_at(&self, at_us: i64) -> f64 {
-        let part = (at_us - self.started_us) as f64 / self.slow_start_us.max(1) as f64;
-        self.concurrency * (self.start_capacity + (1.0 - self.start_capacity) * part.clamp(0.0, 1.0))
+        let progress = (at_us - self.started_us) as f64 / self.slow_start_us.max(1) as f64;
+        self.concurrency * (self.start_capacity + (1.0 - self.start_capacity) * progress.clamp(0.0, 1.0))
     }
 
-    /// Counts an attempt; returns the violation when it exceeds the capacity for the first time.
+    /// Counts an attempt; returns a violation when the work exceeds the capacity for the first time.
     fn receive(&mut self, terms: &Terms, line: &Line, work_us: i64) -> Option<Violation> {
         self.recent.push_back(ReceivedWork { at_us: line.at_us, work_us });
         while self.recent.front().is_some_and(|oldest| line.at_us - oldest.at_us > terms.overload_window_us) {
@@ -44,7 +45,7 @@
         self.reported = true;
         let after_us = line.at_us - self.started_us;
         let what = format!(
-            "{} was sent {sent_us} us of work in a window, {after_us} us after its start, and can do {capacity_us:.0}",
+            "{} was sent {sent_us} us of work in a window, {after_us} us after its start; its capacity is {capacity_us:.0} us",
             line.who
         );
         Some(Violation { rule: Rule::Cold, at_us: line.at_us, what })
@@ -55,7 +56,7 @@
     let mut workers: BTreeMap<&str, Worker> = BTreeMap::new();
     for line in lines {
         match &line.event {
-            // The first start comes before the first call; no gateway was notified of it.
+            // The first start precedes the first call, and no gateway is notified of it.
             TraceEvent::Started { first: true, .. } => {}
             TraceEvent::Started { start_capacity, slow_start_us, concurrency, .. } => {
                 let worker = Worker {
--- a/crates/trace-checker/src/terms.rs
+++ b/crates/trace-checker/src/terms.rs
@@ -1,9 +1,9 @@
-//! The terms that a trace is checked against: classes, workers and the rules' bounds. Stored as `terms.json`.
+//! The parameters of the checks: classes, workers and the bounds of the rules. Stored as `terms.json`.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The workers that share their records of keys, so that a repeated key has no second effect there.
+/// The workers that share records of idempotency keys, so that a repeated key has no second effect there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GroupTerms {
@@ -11,7 +11,7 @@
     All,
     /// The workers of one zone.
     Zone,
-    /// The workers of one cell (a rack).
+    /// The workers of one cell, such as a rack.
     Cell,
 }
 
@@ -21,18 +21,19 @@
 pub enum EffectTerms {
     /// Idempotent: any number of times.
     Safe,
-    /// Idempotent with a key: retried only within a group and a time from the first attempt that may have run.
+    /// Idempotent with a key: may be retried only within a group, and within a window from the first attempt
+    /// that may have run.
     Keyed {
-        /// The group.
+        /// Workers that a retry may be sent to, relative to the worker of that first attempt.
         group: GroupTerms,
-        /// Microseconds from the first attempt that may have run.
+        /// Length of the window, in microseconds.
         window_us: i64,
     },
     /// Non-idempotent: at most once.
     Unsafe,
 }
 
-/// The terms of a class of calls.
+/// Parameters of a class of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassTerms {
     /// How often its effect may happen.
@@ -40,50 +41,50 @@
     /// Latency objective in microseconds: an answer within it earns the full weight.
     #[serde(rename = "aim_us")]
     pub latency_objective_us: i64,
-    /// Priority weight of an answer.
+    /// Priority weight of a served call.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Share of the weight that a late answer earns.
+    /// Share of the weight that a served call earns after the latency objective but within its budget.
     #[serde(rename = "late_worth")]
     pub late_value: f64,
 }
 
-/// The place of a worker.
+/// Location of a worker, which determines its group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerTerms {
-    /// Its zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Its cell.
+    /// Number of the cell.
     pub cell: u64,
 }
 
-/// Everything that a trace is checked against.
+/// All parameters that a trace is checked against.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Terms {
-    /// The classes by name.
+    /// Classes by name. Rule 2 does not apply to classes that are missing here.
     pub classes: BTreeMap<String, ClassTerms>,
-    /// The workers by name.
+    /// Workers by name, as traces record them.
     pub workers: BTreeMap<String, WorkerTerms>,
-    /// Microseconds after a client's deadline within which a final answer still counts.
+    /// Microseconds after a client's deadline within which an answer still counts as in time.
     pub answer_slack_us: i64,
-    /// Microseconds after the notification of a drain within which new work may still reach the worker.
+    /// Microseconds after the notification of a drain within which new work may still arrive at the worker.
     pub drain_grace_us: i64,
-    /// Multiple of a worker's capacity beyond which the work sent in one window overloads it during slow start.
+    /// Limit of the work sent to a worker in slow start, as a multiple of its capacity in one window.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// The window of that overload, in microseconds.
+    /// Window for `overload_multiple`, in microseconds.
     #[serde(rename = "fall_window_us")]
     pub overload_window_us: i64,
-    /// The window of the load quota, in microseconds; 0 for no quota.
+    /// Window of the load quota, in microseconds; 0 disables the check.
     #[serde(rename = "ration_window_us")]
     pub load_quota_window_us: i64,
-    /// Load requests that are free in each window.
+    /// Load requests that each gateway may send in a window regardless of its calls.
     #[serde(rename = "ration_free")]
     pub load_quota_free: f64,
-    /// Further load requests for each call that was published in the window.
+    /// Additional load requests for each call that was published to the gateway in the window.
     #[serde(rename = "ration_share")]
     pub load_quota_share: f64,
-    /// The settings documents that must not be in use together; none where gateways do not act by documents.
+    /// Settings documents that must not be in use together; `None` without versioned settings.
     #[serde(default)]
     pub settings: Option<SettingsTerms>,
 }
@@ -91,9 +92,9 @@
 /// Settings documents that contradict each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsTerms {
-    /// Pairs of the documents' numbers, in either order.
+    /// Pairs of numbers of contradicting documents, in either order.
     #[serde(rename = "contradict")]
     pub contradictions: Vec<(u64, u64)>,
-    /// Microseconds after the first attempt by a newer document within which an older one may still be in use.
+    /// Microseconds for which an older document may be in use after the first attempt under a newer one.
     pub bound_us: i64,
 }
--- a/crates/trace-checker/src/trace.rs
+++ b/crates/trace-checker/src/trace.rs
@@ -1,4 +1,4 @@
-//! The recorded trace: one JSON object a line for each event at a tracing point. Test servers write it; the checker reads it.
+//! The format of traces: one JSON object per line and event. Test servers write them, the checker reads them.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -8,129 +8,129 @@
 pub struct Line {
     /// Microseconds of the Unix clock, which all processes on one machine share.
     pub at_us: i64,
-    /// The recording process: the name of a client, a worker or the worker list.
+    /// Name of the client or worker that recorded the event, or `list` for the worker list.
     pub who: String,
-    /// The recorded event.
+    /// Its kind and fields are part of the same JSON object.
     #[serde(flatten)]
     pub event: TraceEvent,
 }
 
-/// An event. In the trace, the field "seen" states its kind.
+/// An event, by the process that records it. In the trace, the field `seen` holds the kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "seen", rename_all = "kebab-case")]
 pub enum TraceEvent {
-    /// Client: a call was published. A call that is published repeatedly keeps its name.
+    /// Client: a call was published. Repeated publications of a call have the same name.
     #[serde(rename = "asked")]
     Published {
-        /// The call's name, which its payload contains as well.
+        /// Name of the call, which its payload contains as well.
         call: String,
-        /// Its class.
+        /// Name of the call's class.
         class: String,
-        /// Its idempotency key, if any.
+        /// Idempotency key that the client set, if any.
         key: Option<String>,
-        /// Microseconds until the client's deadline.
+        /// Microseconds from the publication to the client's deadline.
         budget_us: i64,
-        /// The gateway that it was published to.
+        /// Name of the gateway that the call was published to.
         gateway: String,
-        /// Whether the same call was published before.
+        /// Whether the client published the same call before.
         #[serde(rename = "again")]
         republished: bool,
     },
     /// Client: an answer arrived.
     Answered {
-        /// The call's name.
+        /// Name of the call.
         call: String,
         /// `served`, `refused` or `failed`.
         outcome: String,
-        /// The reason in the answer, if any.
+        /// Reason in the answer; `None` for `served`.
         reason: Option<String>,
     },
-    /// Client: its connection was closed or its gateway was killed, so no answer to this call is owed.
+    /// Client: its connection was closed or its gateway was killed, so this call need not be answered.
     #[serde(rename = "left")]
     Disconnected {
-        /// The call's name.
+        /// Name of the call.
         call: String,
     },
-    /// Worker: the process started, with this capacity from then on.
+    /// Worker: the process started.
     Started {
-        /// Share of its full capacity at the start.
+        /// Share of the full capacity at the start, from 0 to 1.
         start_capacity: f64,
-        /// Duration of its slow start, in microseconds.
+        /// Duration of the slow start, in microseconds.
         #[serde(rename = "warm_us")]
         slow_start_us: i64,
-        /// Calls that run at a time at full capacity.
+        /// Concurrent calls at full capacity.
         #[serde(rename = "lanes")]
         concurrency: f64,
-        /// Whether it is the first start, before the first call; it is exempt from the check of slow start.
+        /// Whether this is the first start, before any call, which is exempt from the check of slow start.
         first: bool,
     },
     /// Worker: an attempt of a call arrived.
     Received {
-        /// The call's name.
+        /// Name of the call.
         call: String,
-        /// Its class.
+        /// Name of the call's class.
         class: String,
-        /// Its idempotency key, as the client stated it.
+        /// Idempotency key that the client set, if any.
         key: Option<String>,
-        /// The gateway that sent it.
+        /// Name of the gateway that sent the attempt.
         gateway: String,
-        /// The attempt's number at that gateway.
+        /// Number of the attempt at that gateway.
         attempt: usize,
-        /// Microseconds of work at full capacity.
+        /// Work of the call at full capacity, in microseconds.
         work_us: i64,
-        /// Numbers of the settings documents that it was sent by; empty where the gateway has none.
+        /// Numbers of the settings documents that the gateway applied; empty without versioned settings.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         settings: Vec<u64>,
     },
-    /// Worker: it answered that an attempt did not run and will not run.
+    /// Worker: it responded that an attempt did not run and will not run.
     NeverRan {
-        /// The call's name.
+        /// Name of the call.
         call: String,
-        /// The gateway that sent it.
+        /// Name of the gateway that sent the attempt.
         gateway: String,
-        /// The attempt's number at that gateway.
+        /// Number of the attempt at that gateway.
         attempt: usize,
     },
     /// Worker: a call's effect happened.
     Ran {
-        /// The call's name.
+        /// Name of the call.
         call: String,
-        /// Its class.
+        /// Name of the call's class.
         class: String,
-        /// Its idempotency key, if any.
+        /// Idempotency key that the client set, if any.
         key: Option<String>,
     },
     /// Worker: a load request arrived.
     #[serde(rename = "ordered")]
     LoadRequested {
-        /// The function.
+        /// Name of the function.
         function: String,
-        /// Copies to hold; 0 for a query that changes nothing.
+        /// Number of copies to hold; 0 for a query that changes nothing.
         copies: u32,
-        /// The gateway that sent it.
+        /// Name of the gateway that sent the load request.
         gateway: String,
     },
-    /// Worker: a load began, so the function's content is fetched from the store.
+    /// Worker: a load began, which fetches the function's content from the store.
     Fetched {
-        /// The function.
+        /// Name of the function.
         function: String,
     },
     /// Worker list: a gateway was notified of a worker's state.
     #[serde(rename = "told")]
     StateNotified {
-        /// The worker.
+        /// Name of the worker.
         worker: String,
         /// `ready`, `draining` or `gone`.
         state: String,
-        /// The gateway.
+        /// Name of the notified gateway.
         gateway: String,
     },
 }
 
-/// A line of a text that is not a line of a trace.
+/// A line that cannot be parsed.
 #[derive(Debug)]
 pub struct TraceError {
-    /// The line's number, from 1.
+    /// Line number, from 1.
     pub line: usize,
     source: serde_json::Error,
 }
@@ -147,7 +147,8 @@
     }
 }
 
-/// Parses a trace. Empty lines are skipped, and so is an incomplete last line, which a killed process leaves behind.
+/// Parses a trace. Empty lines are skipped, and so is an incomplete last line, which a killed process leaves
+/// behind.
 ///
 /// # Errors
 /// [`TraceError`] for any other line that cannot be parsed.
@@ -165,7 +166,7 @@
     Ok(lines)
 }
 
-/// Formats a line as JSON, without the line end.
+/// Formats a line as JSON, without a line terminator.
 #[must_use]
 pub fn write(line: &Line) -> String {
     serde_json::to_string(line).unwrap_or_default()
