--- a/crates/gateway/tests/agreed/main.rs
+++ b/crates/gateway/tests/agreed/main.rs
@@ -352,7 +352,7 @@
         ask_registry(&fleet.registry_address(), "/v3/kv/put", &json!({"key": key, "value": value}));
     }
     until("the router to report the unknown form", || {
-        router.log().contains("(of-a-later-program ...) is not known here")
+        router.log().contains("unknown form (of-a-later-program ...)")
     });
     let (code, output) = fleet.settings(&["drive", "--wait-s", "1"]);
     assert_eq!((code, output["awaited"].clone()), (Some(3), json!(["a"])));
--- a/crates/gateway/tests/operations.rs
+++ b/crates/gateway/tests/operations.rs
@@ -150,7 +150,7 @@
         bad.raw(bytes);
         assert_eq!(good.call("quote/fare", n as u16 + 1, None, "q").outcome, "served");
     }
-    assert!(gateway.log().contains("closed: what the peer sent cannot be taken"));
+    assert!(gateway.log().contains("closed: the peer sent an invalid packet"));
 }
 
 #[test]
@@ -160,7 +160,7 @@
     let good = format!("(gateway (name \"g\"))\n(mqtt (listen \"127.0.0.1:0\"))\n{SITE}");
     let cases = [
         (good.clone(), ""),
-        (good.clone() + "(wrker \"w\")", "(wrker ...) is not known here"),
+        (good.clone() + "(wrker \"w\")", "unknown form (wrker ...)"),
         (good.clone() + "(worker \"w\" (address \"nowhere\"))", "(address ...): expected an address"),
         (good.clone() + "(worker \"w\"", "site.scm"),
         (good.replace("(effect safe)", "(effect twice)"), ":4: (effect ...): expected safe, unsafe or keyed"),
@@ -168,7 +168,7 @@
             good.replace("quote/+\" (class \"quote\")", "quote/+\" (class \"quota\")"),
             "there is no class \"quota\"",
         ),
-        (good.replace("{2}", "{3}"), "level 3 is asked for"),
+        (good.replace("{2}", "{3}"), "a template uses level 3"),
         (good.replace("(aim-ms 300)", "(aim-ms 900)"), "the aim lies between"),
         (
             good + "(bridge (broker \"127.0.0.1:1\") (client-id \"c\") (group \"g\"))",
--- a/crates/gateway/tests/repeats.rs
+++ b/crates/gateway/tests/repeats.rs
@@ -113,7 +113,7 @@
         broker.address
     );
     let gateway = Gateway::start(&site, &[("w", worker.address, "")]);
-    until("the bridge to come up", || gateway.log().contains("the broker took the connection"));
+    until("the bridge to come up", || gateway.log().contains("the broker accepted the connection"));
     let mut app = Client::connect(broker.address, "app", true);
     app.subscribe("replies/me");
     app.publish("charge/card", 7, Some("k"), "c1", false);
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -114,7 +114,7 @@
         ),
         (whole.replace("600", "1"), "wrong.scm:5: (agreement ...): a right lasts for 100 ms at least"),
         (whole.replace("go-on", "perhaps"), "expected go-on or give-up, found perhaps"),
-        (whole.clone() + "(later-form 1)", "(later-form ...) is not known here"),
+        (whole.clone() + "(later-form 1)", "unknown form (later-form ...)"),
         (whole.clone() + "(class \"open\"", "wrong.scm"),
     ] {
         let path = fleet.directory.path().join("wrong.scm");
--- a/crates/mqtt/src/bridge.rs
+++ b/crates/mqtt/src/bridge.rs
@@ -1,10 +1,10 @@
-//! The bridge: a client of a broker, which takes calls from shared subscriptions and publishes the answers.
+//! The bridge: a client of a broker that receives calls from shared subscriptions and publishes answers.
 //!
 //! Invariants, each with a test:
-//! - A publish is acknowledged to the broker only after its answer was handed to the same broker's session, so that no
-//!   accepted call is lost with a connection.
+//! - A publish is acknowledged to the broker only after its answer was sent in the same broker session, so a
+//!   lost connection loses no accepted call.
 //! - Acknowledgements are sent in the order of the publishes (section 4.6).
-//! - A redelivery on a resumed session is known by its packet id and starts no call.
+//! - A redelivery on a resumed session is detected by its packet id and starts no call.
 //! - A lost connection is retried with exponential backoff and seeded jitter.
 
 mod connection;
@@ -30,36 +30,36 @@
     Connect,
     /// Write bytes to the connection.
     Write(Vec<u8>),
-    /// Close the connection once all is written; to the bridge it is closed already.
+    /// Close the connection after writing all pending bytes; the bridge already treats it as closed.
     Finish,
     /// Pass a call to the engine.
     Call(Box<Call>),
 }
 
-/// The settings of the bridge.
+/// Settings of the bridge.
 #[derive(Clone, Debug)]
 pub struct BridgeSettings {
-    /// The number of this front among those of its engine.
+    /// Distinguishes the tickets of this bridge from those of the engine's other fronts.
     pub number: u8,
-    /// The client id at the broker; the session is resumed only under the same one.
+    /// The client id at the broker. The broker resumes a session only for the same id.
     pub client_id: String,
     /// The group of the shared subscriptions; `None` for subscriptions that are not shared.
     pub group: Option<String>,
-    /// The routes of calls, whose filters are subscribed to.
+    /// Maps topics to calls; the bridge subscribes to the routes' filters.
     pub routes: Routes,
-    /// The most publishes without acknowledgement; the broker keeps the rest.
+    /// Maximum number of publishes that the broker sends without acknowledgement; it keeps the rest.
     pub receive_maximum: u16,
-    /// The longest packet that is accepted, in bytes.
+    /// Maximum size of a received packet, in bytes.
     pub max_packet: u32,
-    /// How long the broker keeps the session without a connection, in seconds.
+    /// Seconds for which the broker keeps the session without a connection.
     pub session_expiry_s: u32,
-    /// Keep-alive, in seconds.
+    /// Keep-alive interval, in seconds.
     pub keep_alive_s: u16,
-    /// The shortest and the longest backoff before a lost connection is retried.
+    /// Minimum and maximum backoff before a lost connection is retried.
     pub backoff: (Micros, Micros),
-    /// The time in which a connection must be established and accepted by the broker.
+    /// Time within which a connection must be established and accepted by the broker.
     pub connect_timeout: Micros,
-    /// The seed of the backoff.
+    /// Seed of the backoff's jitter.
     pub seed: u64,
 }
 
@@ -86,7 +86,7 @@
     Disconnected {
         retry_at: Micros,
     },
-    /// The event loop is connecting, or the CONNACK has not come.
+    /// The event loop is connecting, or the CONNACK has not arrived.
     Connecting {
         deadline: Micros,
     },
@@ -103,12 +103,12 @@
 
 /// Where the answer to an open call goes.
 struct PendingReply {
-    /// The packet id of the call's publish; `None` for QoS 0, or where its session was lost.
+    /// The packet id of the call's publish; `None` for QoS 0 or after the broker lost the session.
     packet_id: Option<u16>,
     address: ReplyAddress,
 }
 
-/// A client of a broker; see the module's documentation.
+/// A client of a broker, without I/O; see the module documentation.
 pub struct Bridge {
     settings: BridgeSettings,
     stage: Stage,
@@ -116,35 +116,35 @@
     /// The bytes of an incomplete CONNACK; `None` once it is complete.
     opening: Option<Vec<u8>>,
     random: Pcg64Mcg,
-    /// Consecutive connections that the broker did not accept.
+    /// Number of consecutive connections that the broker did not accept.
     failures: u32,
-    /// Timers of the library, by the number of their kind.
+    /// Timers of the library by `TimerKind` as a number.
     timers: BTreeMap<u8, LibraryTimer>,
     ticket_source: TicketSource,
     /// Open calls.
     pending: BTreeMap<Ticket, PendingReply>,
     deliveries: Deliveries,
-    /// Answers that wait for the connection or for the broker's receive maximum.
+    /// Answers queued until there is a connection and the broker's receive maximum permits them.
     outbox: VecDeque<OutboundPublish>,
     /// Answers that the broker has not acknowledged, by packet id.
     unacknowledged: BTreeMap<u16, OutboundPublish>,
-    /// The broker's receive maximum.
+    /// The broker's receive maximum: the number of unacknowledged answers that it accepts.
     send_maximum: usize,
-    /// When the connection, or else the last one, was accepted.
+    /// When the current connection, or without one the previous connection, was accepted.
     connected_at: Micros,
-    /// When the connection before was accepted, if its session was resumed.
+    /// When the connection before the current one was accepted; `None` if its session was not resumed.
     covered_since: Option<Micros>,
     is_resumed: bool,
-    /// Whether received publishes are left to the broker.
+    /// Whether received publishes are ignored, so that the broker keeps them.
     stopped_accepting: bool,
 }
 
 impl Bridge {
-    /// A bridge that connects at its first [`Bridge::advance`].
+    /// Creates a bridge that connects at its first [`Bridge::advance`].
     #[must_use]
     pub fn new(settings: BridgeSettings) -> Self {
         Bridge {
-            mqtt: connection::library(&settings),
+            mqtt: connection::new_library_connection(&settings),
             stage: Stage::Disconnected { retry_at: Micros(i64::MIN) },
             opening: None,
             random: Pcg64Mcg::seed_from_u64(settings.seed),
@@ -170,18 +170,18 @@
         self.stage == Stage::Connected
     }
 
-    /// Accepts no further publishes. They are not acknowledged, so that the broker keeps them.
+    /// Stops accepting publishes. They are not acknowledged, so the broker keeps them.
     pub fn stop_accepting(&mut self) {
         self.stopped_accepting = true;
     }
 
-    /// The number of answers that the broker has not acknowledged.
+    /// Number of answers that the broker has not acknowledged, including those not yet sent.
     #[must_use]
     pub fn unacknowledged_answers(&self) -> usize {
         self.outbox.len() + self.unacknowledged.len()
     }
 
-    /// Publishes the answer to a call and, after it, acknowledges the call's publish.
+    /// Publishes the answer to a call and then acknowledges the call's publish.
     pub fn answer(&mut self, now: Micros, ticket: Ticket, answer: &Answer, out: &mut Vec<BridgeOutput>) {
         let Some(reply) = self.pending.remove(&ticket) else { return };
         let topic = reply.address.response_topic.filter(|topic| crate::topics::is_topic_name(topic));
@@ -198,7 +198,7 @@
         self.complete(now, reply.packet_id, ticket, out);
     }
 
-    /// A ticket gets no answer, as its call was repeated.
+    /// Drops a ticket that gets no answer because its call was repeated, and acknowledges its publish.
     pub fn superseded(&mut self, now: Micros, ticket: Ticket, out: &mut Vec<BridgeOutput>) {
         if let Some(reply) = self.pending.remove(&ticket) {
             self.complete(now, reply.packet_id, ticket, out);
--- a/crates/mqtt/src/bridge/connection.rs
+++ b/crates/mqtt/src/bridge/connection.rs
@@ -15,11 +15,11 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use tracing::{error, info, warn};
 
-/// The most doublings of the backoff.
+/// Limits the doublings of the backoff, so that the shift cannot overflow.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// A connection of the protocol library.
-pub(super) fn library(settings: &BridgeSettings) -> Connection<role::Client> {
+/// Creates a connection of the protocol library.
+pub(super) fn new_library_connection(settings: &BridgeSettings) -> Connection<role::Client> {
     let options = ConnectionOptions::new()
         .maximum_packet_size_recv(settings.max_packet)
         .receive_maximum(settings.receive_maximum);
@@ -27,21 +27,21 @@
 }
 
 impl Bridge {
-    /// The connection is established.
+    /// Handles an established connection by sending CONNECT.
     pub fn connected(&mut self, now: Micros, out: &mut Vec<BridgeOutput>) {
         self.opening = Some(Vec::new());
         let connect = connect_packet(&self.settings);
         self.send_required(now, connect, out);
     }
 
-    /// The connection ended or could not be established.
+    /// Handles a connection that ended or could not be established.
     pub fn closed(&mut self, now: Micros) {
         if !matches!(self.stage, Stage::Disconnected { .. }) {
             self.connection_lost(now);
         }
     }
 
-    /// When [`Bridge::advance`] is due next.
+    /// The time of the next timer, when [`Bridge::advance`] must be called.
     #[must_use]
     pub fn next_wake(&self) -> Option<Micros> {
         let stage = match self.stage {
@@ -59,7 +59,7 @@
                 return out.push(BridgeOutput::Connect);
             }
             Stage::Connecting { deadline } if deadline <= now => {
-                warn!("the broker did not take the connection in time");
+                warn!("the broker did not accept the connection within the connect timeout");
                 return self.close(now, out);
             }
             _ => {}
@@ -81,11 +81,11 @@
         buffer.extend_from_slice(bytes);
         match first_packet(Expected::Connack, buffer, limit) {
             FirstPacket::Partial => {}
-            FirstPacket::Refused => {
-                warn!("the broker's first packet is no CONNACK");
+            FirstPacket::Rejected => {
+                warn!("the broker's first packet is not a valid CONNACK");
                 self.close(now, out);
             }
-            FirstPacket::Whole { packet, receive_maximum, length } => {
+            FirstPacket::Complete { packet, receive_maximum, length } => {
                 let rest = buffer.split_off(length);
                 self.opening = None;
                 self.send_maximum = usize::from(receive_maximum.unwrap_or(u16::MAX));
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Closes the connection from this side.
+    /// Closes the connection and schedules a retry.
     pub(super) fn close(&mut self, now: Micros, out: &mut Vec<BridgeOutput>) {
         if !matches!(self.stage, Stage::Disconnected { .. }) {
             out.push(BridgeOutput::Finish);
@@ -112,23 +112,24 @@
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let backoff = shortest.0.saturating_mul(1 << doublings).min(longest.0).max(1);
         self.failures += 1;
-        // Jitter over the upper half, so that gateways that lost a broker together do not reconnect together.
+        // Jitter over the upper half keeps gateways that lost a broker at the same time from reconnecting at
+        // the same time.
         let backoff = self.random.random_range(backoff / 2..=backoff);
         self.stage = Stage::Disconnected { retry_at: after(now, Micros(backoff)) };
     }
 
-    /// Passes bytes to the library and handles what they contain.
+    /// Passes received bytes to the library and handles the packets in them.
     fn feed(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<BridgeOutput>) {
         let mut cursor = Cursor::new(bytes);
         while (cursor.position() as usize) < bytes.len() && !matches!(self.stage, Stage::Disconnected { .. })
         {
             let mqtt = &mut self.mqtt;
             let Ok(events) = catch_unwind(AssertUnwindSafe(|| mqtt.recv(&mut cursor))) else {
-                warn!("the protocol library failed on what the broker sent");
+                warn!("the protocol library panicked on the broker's bytes");
                 return self.close(now, out);
             };
             if let Some(error) = self.execute(now, events, out) {
-                warn!(%error, "what the broker sent cannot be taken");
+                warn!(%error, "the broker sent an invalid packet");
                 return self.close(now, out);
             }
         }
@@ -161,7 +162,7 @@
     /// Sends a packet.
     ///
     /// # Errors
-    /// Where the packet could not be encoded or the library does not accept it.
+    /// If the packet could not be encoded or the library rejects it.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -172,7 +173,7 @@
         self.execute(now, events, out).map_or(Ok(()), Err)
     }
 
-    /// Sends a packet that the protocol requires; the connection is closed where that fails.
+    /// Sends a packet that the protocol requires, and closes the connection if that fails.
     pub(super) fn send_required(
         &mut self,
         now: Micros,
@@ -180,7 +181,7 @@
         out: &mut Vec<BridgeOutput>,
     ) {
         if let Err(error) = self.send(now, packet, out) {
-            warn!(%error, "a packet for the broker cannot be sent");
+            warn!(%error, "cannot send a required packet to the broker");
             self.close(now, out);
         }
     }
@@ -211,15 +212,15 @@
     }
 
     fn session_accepted(&mut self, now: Micros, is_resumed: bool, out: &mut Vec<BridgeOutput>) {
-        info!(resumed = is_resumed, "the broker took the connection");
+        info!(resumed = is_resumed, "the broker accepted the connection");
         self.stage = Stage::Connected;
         self.failures = 0;
         self.is_resumed = is_resumed;
         self.covered_since = is_resumed.then_some(self.connected_at);
         self.connected_at = now;
         if !is_resumed {
-            // The packet ids of the lost session are void. Unacknowledged answers are sent again here, as the library
-            // dropped them with the session.
+            // Packet ids of the lost session are invalid. The library dropped unacknowledged answers with the
+            // session, so they are queued again here.
             self.deliveries.session_lost();
             self.pending.values_mut().for_each(|reply| reply.packet_id = None);
             for (_, publish) in std::mem::take(&mut self.unacknowledged).into_iter().rev() {
@@ -244,7 +245,7 @@
     Ok(builder.build()?.into())
 }
 
-/// A SUBSCRIBE to the filters of all routes, shared where a group is set (section 4.8.2).
+/// A SUBSCRIBE to the filters of all routes, as shared subscriptions if a group is set (section 4.8.2).
 fn subscribe_packet(settings: &BridgeSettings, packet_id: u16) -> Result<Packet, MqttError> {
     let options = SubOpts::new().set_qos(Qos::AtLeastOnce);
     let entries = settings.routes.routes.iter().map(|route| match &settings.group {
--- a/crates/mqtt/src/bridge/deliveries.rs
+++ b/crates/mqtt/src/bridge/deliveries.rs
@@ -1,4 +1,4 @@
-//! Publishes from the broker and answers to it: which publishes were accepted, and when each is acknowledged.
+//! Tracks which of the broker's publishes were accepted and when each is acknowledged, and sends the answers.
 
 use super::{Bridge, BridgeOutput, PendingReply, Stage};
 use crate::packets;
@@ -11,30 +11,29 @@
 use std::collections::{BTreeMap, VecDeque};
 use tracing::{info, warn};
 
-/// An accepted publish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Delivery {
-    /// Tells the publish from a later one with the same packet id.
+    /// Distinguishes the publish from a later one with the same packet id.
     fingerprint: u64,
     state: DeliveryState,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DeliveryState {
-    /// Its call is open under this ticket.
+    /// The call is open under this ticket.
     Open(Ticket),
-    /// Its call is answered, but the publish is not acknowledged.
+    /// The call is answered, but the publish is not acknowledged.
     Answered,
-    /// It was acknowledged; the broker may not have received that.
+    /// The acknowledgement was sent; the broker may not have received it.
     Acknowledged,
 }
 
 /// The accepted publishes with packet ids.
 #[derive(Default)]
 pub(super) struct Deliveries {
-    /// By packet id; kept when a session is resumed.
+    /// Kept when a session is resumed.
     by_packet_id: BTreeMap<u16, Delivery>,
-    /// Packet ids without acknowledgement, in the order in which this connection brought them.
+    /// Packet ids without acknowledgement, in order of receipt on this connection.
     unacknowledged: VecDeque<u16>,
 }
 
@@ -47,7 +46,7 @@
         self.by_packet_id.clear();
     }
 
-    /// Notes a received packet id and returns whether it is a redelivery of an accepted publish.
+    /// Records a received packet id and returns whether it is a redelivery of an accepted publish.
     fn receive(&mut self, id: u16, publish: &InboundPublish, is_resumed: bool) -> bool {
         self.unacknowledged.push_back(id);
         let fingerprint = publish.fingerprint();
@@ -105,7 +104,7 @@
             Ok(request) => return self.start_call(publish, request, out),
             Err(Declined::Refused(reason)) => reason,
             Err(Declined::Rejected(rejection)) => {
-                info!(topic = %publish.topic, why = %rejection, "publish refused");
+                info!(topic = %publish.topic, why = %rejection, "publish rejected");
                 match rejection {
                     Rejection::Quota => Reason::TooManyOpen,
                     _ => Reason::NoRoute,
@@ -142,7 +141,7 @@
         self.answer(now, ticket, &answer, out);
     }
 
-    /// A call is over; its answer, if any, is in the outbox.
+    /// Completes a call whose answer, if any, is in the outbox.
     pub(super) fn complete(
         &mut self,
         now: Micros,
@@ -155,7 +154,7 @@
         self.acknowledge(now, out);
     }
 
-    /// Acknowledges publishes in their order, as far as they are answered and the answers were sent.
+    /// Acknowledges publishes in order of receipt, as far as their answers were sent.
     fn acknowledge(&mut self, now: Micros, out: &mut Vec<BridgeOutput>) {
         while self.stage == Stage::Connected && self.outbox.is_empty() {
             let Some(id) = self.deliveries.take_answered() else { return };
@@ -163,7 +162,8 @@
         }
     }
 
-    /// Sends waiting answers, as far as the broker's receive maximum allows, and acknowledges what that permits.
+    /// Sends queued answers, as far as the broker's receive maximum permits, and acknowledges the publishes
+    /// that they answer.
     pub(super) fn send_outbox(&mut self, now: Micros, out: &mut Vec<BridgeOutput>) {
         while self.stage == Stage::Connected && self.unacknowledged.len() < self.send_maximum {
             let Some(publish) = self.outbox.pop_front() else { break };
@@ -175,7 +175,7 @@
         self.acknowledge(now, out);
     }
 
-    /// Sends one answer, without its result where the broker does not take a packet of that size.
+    /// Sends one answer, without its result if the packet exceeds the broker's maximum packet size.
     fn send_answer(
         &mut self,
         now: Micros,
@@ -192,7 +192,7 @@
                 self.unacknowledged.insert(packet_id, publish);
             }
             Err(error) => {
-                warn!(topic = %publish.topic, %error, "an answer cannot be sent to the broker");
+                warn!(topic = %publish.topic, %error, "cannot send an answer to the broker");
                 let _ = self.mqtt.release_packet_id(packet_id);
             }
         }
--- a/crates/mqtt/src/first_packet.rs
+++ b/crates/mqtt/src/first_packet.rs
@@ -1,38 +1,39 @@
-//! The first packet of a connection, CONNECT or CONNACK, collected before the protocol library receives it.
+//! Buffers the first packet of a connection, CONNECT or CONNACK, before passing it to the protocol library.
 //!
-//! A peer that never completes it costs a bounded buffer. The receive maximum is removed from it and counted by front and
-//! bridge instead: the library counts answers in flight against it, but subtracts answers that it sends again after a
-//! session was resumed without having added them, so that its count would go below zero and block the session.
+//! The buffer is bounded, for peers that never complete the packet. The receive maximum is removed from the
+//! packet and enforced by front and bridge instead: the library counts answers in flight against it, but
+//! after a session was resumed it subtracts retransmitted answers that it never added, so its count would go
+//! below zero and block the session.
 
 use mqtt_protocol_core::mqtt::packet::{Property, VariableByteInteger};
 
-/// The most bytes of a fixed header: the packet type and a variable byte integer.
+/// Maximum size of a fixed header: the packet type and a variable byte integer.
 const MAX_FIXED_HEADER: usize = 5;
-/// The most bytes of a variable byte integer (section 1.5.5).
+/// Maximum size of a variable byte integer (section 1.5.5).
 const MAX_VARIABLE_INTEGER: usize = 4;
-/// The index of the protocol level in a CONNECT, behind the protocol name (section 3.1.2).
+/// Offset of the protocol level in a CONNECT, after the protocol name (section 3.1.2).
 const CONNECT_LEVEL: usize = 6;
-/// The bytes before the properties of a CONNECT: protocol name, level, flags and keep-alive.
+/// Bytes before the properties of a CONNECT: protocol name, level, flags and keep-alive.
 const CONNECT_HEADER: usize = 10;
-/// The bytes before the properties of a CONNACK: flags and reason code (section 3.2.2).
+/// Bytes before the properties of a CONNACK: flags and reason code (section 3.2.2).
 const CONNACK_HEADER: usize = 2;
 /// The protocol level of version 5.
 const LEVEL_V5: u8 = 5;
 
-/// What the bytes received so far are.
+/// The result of parsing the bytes received so far.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum FirstPacket {
-    /// The start of a packet of the expected kind.
+    /// The bytes are the beginning of a packet of the expected kind.
     Partial,
-    /// Another packet, or one beyond the limit.
-    Refused,
-    /// A whole packet of the expected kind.
-    Whole {
-        /// Its bytes, without the receive maximum.
+    /// The packet is of another kind, malformed or larger than the limit.
+    Rejected,
+    /// A complete packet of the expected kind.
+    Complete {
+        /// The encoded packet without the receive maximum.
         packet: Vec<u8>,
-        /// The receive maximum that it stated.
+        /// The removed receive maximum, if the packet contained one.
         receive_maximum: Option<u16>,
-        /// The index of the next packet.
+        /// Length of the packet as received, which is the offset of the next one.
         length: usize,
     },
 }
@@ -46,20 +47,20 @@
     Connack = 0x20,
 }
 
-/// Looks for a whole packet of the expected kind, at most `limit` bytes long, at the start of the bytes.
+/// Parses a packet of the expected kind, at most `limit` bytes long, at the start of `bytes`.
 pub(crate) fn first_packet(expected: Expected, bytes: &[u8], limit: usize) -> FirstPacket {
     match bytes.first() {
         None => return FirstPacket::Partial,
         Some(first) if *first == expected as u8 => {}
-        Some(_) => return FirstPacket::Refused,
+        Some(_) => return FirstPacket::Rejected,
     }
     let Some(body_length) = VariableInteger::read(&bytes[1..]) else {
-        return if bytes.len() < MAX_FIXED_HEADER { FirstPacket::Partial } else { FirstPacket::Refused };
+        return if bytes.len() < MAX_FIXED_HEADER { FirstPacket::Partial } else { FirstPacket::Rejected };
     };
     let start = 1 + body_length.size;
     let length = start + body_length.value;
     if length > limit {
-        return FirstPacket::Refused;
+        return FirstPacket::Rejected;
     }
     if bytes.len() < length {
         return FirstPacket::Partial;
@@ -69,21 +70,21 @@
             let mut packet = vec![expected as u8];
             packet.extend(encode_variable_integer(body.len()));
             packet.extend(body);
-            FirstPacket::Whole { packet, receive_maximum: Some(receive_maximum), length }
+            FirstPacket::Complete { packet, receive_maximum: Some(receive_maximum), length }
         }
-        None => FirstPacket::Whole { packet: bytes[..length].to_vec(), receive_maximum: None, length },
+        None => FirstPacket::Complete { packet: bytes[..length].to_vec(), receive_maximum: None, length },
     }
 }
 
 /// A variable byte integer (section 1.5.5).
 struct VariableInteger {
     value: usize,
-    /// Its encoded length in bytes.
+    /// Encoded length in bytes.
     size: usize,
 }
 
 impl VariableInteger {
-    /// The integer at the start of `bytes`; `None` where it is incomplete or malformed.
+    /// Reads the integer at the start of `bytes`; `None` if it is incomplete or malformed.
     fn read(bytes: &[u8]) -> Option<Self> {
         let mut value = 0usize;
         for (index, byte) in bytes.iter().take(MAX_VARIABLE_INTEGER).enumerate() {
@@ -108,8 +109,8 @@
     receive_maximum: u16,
 }
 
-/// Removes the receive maximum from the variable header of a version 5 packet. `None` where there is none, or where the
-/// packet is malformed, which the library then reports.
+/// Removes the receive maximum from the variable header of a version 5 packet. `None` where there is none, or
+/// where the packet is malformed, which the library then reports.
 fn without_receive_maximum(expected: Expected, body: &[u8]) -> Option<Stripped> {
     let header = match expected {
         Expected::Connect if body.get(CONNECT_LEVEL) == Some(&LEVEL_V5) => CONNECT_HEADER,
--- a/crates/mqtt/src/front.rs
+++ b/crates/mqtt/src/front.rs
@@ -1,9 +1,10 @@
-//! The server side: clients connect here, without a broker.
+//! The MQTT server, to which clients connect directly, without a broker.
 //!
 //! Invariants, each with a test:
 //! - A ticket is answered to its session once, on the connection that the session has at that time.
-//! - A session without a connection keeps its answers until it expires; the calls that are then still open are abandoned.
-//! - Bytes that are not MQTT close their own connection and affect nothing else.
+//! - A session without a connection keeps its answers until it expires; calls that are still open then are
+//!   abandoned.
+//! - Bytes that are not MQTT close the connection that they arrived on and affect no other.
 
 mod calls;
 mod connection;
@@ -32,38 +33,39 @@
 pub enum FrontOutput {
     /// Write bytes to a connection.
     Write(LinkId, Vec<u8>),
-    /// Close a connection once all is written; the front has removed it.
+    /// Close a connection after writing all pending bytes; the front has already removed it.
     Finish(LinkId),
     /// Pass a call to the engine.
     Call(Box<Call>),
-    /// The session of a ticket ended before its answer.
+    /// The session that a ticket belongs to ended before the answer arrived.
     ClientDisconnected(Ticket),
 }
 
-/// The settings of the front.
+/// Settings of the front. CONNACK announces the limits for which the protocol has a property.
 #[derive(Clone, Debug)]
 pub struct FrontSettings {
-    /// The number of this front among those of its engine.
+    /// Distinguishes the tickets of this front from those of the engine's other fronts.
     pub number: u8,
-    /// The routes of calls.
+    /// Maps topics to classes, functions, tenants and keys.
     pub routes: Routes,
-    /// The numbers of the settings documents that routes and classes come from; stated in answers.
+    /// Numbers of the settings documents that define routes and classes, for the answers' `settings`
+    /// property; `None` without versioned settings.
     pub documents: Option<String>,
-    /// The longest packet that is accepted, in bytes.
+    /// Maximum size of a received packet, in bytes.
     pub max_packet: u32,
-    /// The most unacknowledged publishes of one client.
+    /// Maximum number of unacknowledged publishes of one client.
     pub receive_maximum: u16,
-    /// The most topic aliases of one connection.
+    /// Maximum number of topic aliases of one connection.
     pub topic_alias_maximum: u16,
-    /// The longest time that a session lives without a connection.
+    /// Maximum time for which a session is kept without a connection.
     pub max_session_expiry: Micros,
-    /// The most sessions at a time.
+    /// Maximum number of concurrent sessions, with and without a connection.
     pub max_sessions: usize,
-    /// The most open calls and waiting answers of one session.
+    /// Maximum number of open calls and queued answers of one session.
     pub session_quota: usize,
-    /// The time in which a connection must have sent its CONNECT.
+    /// Time within which a new connection must send its CONNECT.
     pub connect_timeout: Micros,
-    /// The longest keep-alive, in seconds; also applies to clients that request none.
+    /// Maximum keep-alive, in seconds; also applies to clients that request none.
     pub max_keep_alive: u16,
 }
 
@@ -90,22 +92,22 @@
     Session(ClientRef),
 }
 
-/// The server side of MQTT; see the module's documentation.
+/// An MQTT server without I/O; see the module documentation.
 pub struct Front {
     settings: FrontSettings,
     connections: HashMap<LinkId, ClientConnection>,
     sessions: HashMap<ClientRef, Session>,
     clients_by_id: HashMap<String, ClientRef>,
-    /// The clients of open calls.
+    /// Clients by the tickets of their open calls.
     tickets: HashMap<Ticket, ClientRef>,
     ticket_source: TicketSource,
-    /// Client ids that were assigned to clients without one.
+    /// Number of client ids that were assigned to clients without one.
     assigned_ids: u64,
     timers: Timers<Timer>,
 }
 
 impl Front {
-    /// A front without connections.
+    /// Creates a front without connections.
     #[must_use]
     pub fn new(settings: FrontSettings) -> Self {
         Front {
@@ -120,13 +122,14 @@
         }
     }
 
-    /// Replaces the routes, for publishes that come from now on, and the numbers of the settings documents.
+    /// Replaces the routes and the numbers of the settings documents. Open calls keep the route that they
+    /// were made by.
     pub fn set_routes(&mut self, routes: Routes, documents: Option<String>) {
         self.settings.routes = routes;
         self.settings.documents = documents;
     }
 
-    /// A client connected.
+    /// Handles a new connection.
     pub fn opened(&mut self, now: Micros, id: LinkId) {
         self.connections.insert(id, ClientConnection::new(now, &self.settings));
         self.set_timer(id);
@@ -140,11 +143,11 @@
         buffer.extend_from_slice(bytes);
         match first_packet(Expected::Connect, buffer, limit) {
             FirstPacket::Partial => {}
-            FirstPacket::Refused => {
-                info!(link = id.0, "closed: the first packet is no CONNECT that can be taken");
+            FirstPacket::Rejected => {
+                info!(link = id.0, "closed: the first packet is not a valid CONNECT");
                 self.close(now, id, out);
             }
-            FirstPacket::Whole { packet, receive_maximum, length } => {
+            FirstPacket::Complete { packet, receive_maximum, length } => {
                 let rest = buffer.split_off(length);
                 connection.receive_maximum = usize::from(receive_maximum.unwrap_or(u16::MAX));
                 self.feed(now, id, &packet, out);
@@ -153,12 +156,12 @@
         }
     }
 
-    /// A client disconnected.
+    /// Handles the end of a connection.
     pub fn closed(&mut self, now: Micros, id: LinkId, out: &mut Vec<FrontOutput>) {
         self.remove_connection(now, id, out);
     }
 
-    /// Sends the answer to a call, now or once its session has a connection that takes it.
+    /// Sends the answer to a call, or queues it until its session has a connection that permits it.
     pub fn answer(&mut self, now: Micros, ticket: Ticket, answer: &Answer, out: &mut Vec<FrontOutput>) {
         let Some(client) = self.tickets.remove(&ticket) else { return };
         let Some(session) = self.sessions.get_mut(&client) else { return };
@@ -171,7 +174,7 @@
         self.send_outbox(now, client, out);
     }
 
-    /// A ticket gets no answer, as its client repeated the call.
+    /// Drops a ticket that gets no answer because its client repeated the call.
     pub fn superseded(&mut self, ticket: Ticket) {
         let client = self.tickets.remove(&ticket);
         if let Some(session) = client.and_then(|client| self.sessions.get_mut(&client)) {
@@ -179,7 +182,7 @@
         }
     }
 
-    /// When [`Front::advance`] is due next.
+    /// The time of the next timer, when [`Front::advance`] must be called.
     #[must_use]
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.next()
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Closes all connections, as the gateway shuts down.
+    /// Closes all connections because the gateway shuts down.
     pub fn stop(&mut self, now: Micros, out: &mut Vec<FrontOutput>) {
         let ids: Vec<LinkId> = self.connections.keys().copied().collect();
         for id in ids {
@@ -209,13 +212,13 @@
         }
     }
 
-    /// The numbers of connections and sessions, for logs and metrics.
+    /// Numbers of connections and of sessions, for logs and metrics.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         (self.connections.len(), self.sessions.len())
     }
 
-    /// Sets the timer of a connection for its deadline, unless one is set.
+    /// Sets the timer of a connection to its deadline, unless a timer is already set.
     fn set_timer(&mut self, id: LinkId) {
         let Some(connection) = self.connections.get_mut(&id).filter(|connection| !connection.timer_set)
         else {
@@ -236,18 +239,18 @@
         connection.deadline = None;
         match deadline.kind {
             DeadlineKind::Connect => {
-                info!(link = id.0, "closed: no CONNECT in time");
+                info!(link = id.0, "closed: no CONNECT within the connect timeout");
                 self.close(now, id, out);
             }
             DeadlineKind::Library(timer) => {
-                info!(link = id.0, "keep-alive: nothing heard in time");
+                info!(link = id.0, "keep-alive timeout: no packet received");
                 let events = connection.mqtt.notify_timer_fired(timer);
                 self.execute(now, id, events, out);
             }
         }
     }
 
-    /// Removes a connection. Its session remains until it expires.
+    /// Removes a connection. Its session is kept until it expires.
     fn remove_connection(&mut self, now: Micros, id: LinkId, out: &mut Vec<FrontOutput>) {
         let Some(connection) = self.connections.remove(&id) else { return };
         let Stage::Open(client) = connection.stage else { return };
@@ -264,7 +267,7 @@
         self.timers.set(expires_at, Timer::Session(client));
     }
 
-    /// Removes a session; its open calls are abandoned.
+    /// Removes a session and abandons its open calls.
     fn remove_session(&mut self, client: ClientRef, out: &mut Vec<FrontOutput>) {
         let Some(session) = self.sessions.remove(&client) else { return };
         self.clients_by_id.remove(&session.client_id);
@@ -274,7 +277,6 @@
         }
     }
 
-    /// The session on a connection.
     fn session_of(&self, id: LinkId) -> Option<&Session> {
         match self.connections.get(&id)?.stage {
             Stage::Open(client) => self.sessions.get(&client),
--- a/crates/mqtt/src/front/calls.rs
+++ b/crates/mqtt/src/front/calls.rs
@@ -1,5 +1,5 @@
-//! Calls and answers: a publish becomes a call or is refused; answers are sent as far as the client's connection and
-//! receive maximum allow.
+//! Turns publishes into calls or refuses them, and sends answers as far as the client's connection and
+//! receive maximum permit.
 
 use super::{Front, FrontOutput, LinkId};
 use crate::packets;
@@ -25,10 +25,10 @@
         let Some(session) = self.sessions.get(&client) else { return };
         let version = session.version;
         if publish.retain && version == Version::V5 {
-            // CONNACK stated that retained messages are not supported (section 3.2.2.3.5).
+            // CONNACK announced that retained messages are not supported (section 3.2.2.3.5).
             return self.disconnect(now, id, DisconnectReasonCode::RetainNotSupported, out);
         }
-        let request = match session.load() < self.settings.session_quota {
+        let request = match session.open_calls_and_answers() < self.settings.session_quota {
             true => CallRequest::read(&self.settings.routes, Some(&session.client_id), &publish),
             false => Err(Rejection::Quota.into()),
         };
@@ -36,9 +36,9 @@
         if let Some(packet) = packets::acknowledge(version, &publish, rejection).transpose() {
             self.send_required(now, id, packet, out);
         }
-        // A publish that is sent again, as its acknowledgement was lost, has its call or its answer already.
+        // A publish that is sent again because its acknowledgement was lost already has a call or an answer.
         if rejection.is_none()
-            && self.sessions.get_mut(&client).is_some_and(|session| session.note_accepted(&publish))
+            && self.sessions.get_mut(&client).is_some_and(|session| session.record_accepted(&publish))
         {
             return;
         }
@@ -46,8 +46,8 @@
             Ok(request) => self.start_call(client, publish, request, out),
             Err(Declined::Refused(reason)) => self.refuse_call(now, client, &publish, reason, out),
             Err(Declined::Rejected(rejection)) => {
-                info!(link = id.0, topic = %publish.topic, why = %rejection, "publish refused");
-                // Version 3.1.1 has no reason codes, so that only an answer can state the refusal.
+                info!(link = id.0, topic = %publish.topic, why = %rejection, "publish rejected");
+                // Version 3.1.1 has no reason codes, so only an answer can report the rejection.
                 if version == Version::V3 && rejection != Rejection::Quota {
                     self.refuse_call(now, client, &publish, Reason::NoRoute, out);
                 }
@@ -94,7 +94,7 @@
         self.send_outbox(now, client, out);
     }
 
-    /// The client acknowledged an answer.
+    /// Handles the client's acknowledgement of an answer.
     pub(super) fn answer_acknowledged(
         &mut self,
         now: Micros,
@@ -108,7 +108,7 @@
         self.send_outbox(now, client, out);
     }
 
-    /// Sends waiting answers, as far as the connection and the client's receive maximum allow.
+    /// Sends queued answers, as far as the connection and the client's receive maximum permit.
     pub(super) fn send_outbox(&mut self, now: Micros, client: ClientRef, out: &mut Vec<FrontOutput>) {
         loop {
             let Some(session) = self.sessions.get_mut(&client) else { return };
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Sends one answer, without its result where the client does not take a packet of that size.
+    /// Sends one answer, without its result if the packet exceeds the client's maximum packet size.
     fn send_answer(
         &mut self,
         now: Micros,
@@ -144,7 +144,7 @@
             sent = self.send(now, id, publish.without_result().packet(version, packet_id), out);
         }
         let Err(error) = sent else { return };
-        warn!(link = id.0, topic = %publish.topic, %error, "an answer cannot be sent to its client");
+        warn!(link = id.0, topic = %publish.topic, %error, "cannot send an answer to its client");
         if let (Some(packet_id), Some(session)) = (packet_id, self.sessions.get_mut(&client)) {
             session.unacknowledged.remove(&packet_id);
             if let Some(connection) = self.connections.get_mut(&id) {
@@ -154,7 +154,7 @@
     }
 }
 
-/// The call in a reply topic without properties: the packet id of its publish, 0 for QoS 0.
+/// Identifies the call in a generated reply topic: the packet id of its publish, 0 for QoS 0.
 fn call_name(publish: &InboundPublish) -> String {
     publish.packet_id.unwrap_or(0).to_string()
 }
--- a/crates/mqtt/src/front/connection.rs
+++ b/crates/mqtt/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! The connections of clients: bytes and packets through the protocol library, whose events are executed here.
+//! Client connections: passes bytes and packets to the protocol library and executes its events.
 
 use super::{Front, FrontOutput, FrontSettings, LinkId};
 use crate::packets;
@@ -13,18 +13,18 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use tracing::{info, warn};
 
-/// How far a connection has come.
+/// The state of a connection.
 pub(super) enum Stage {
-    /// The CONNECT is incomplete; its bytes so far.
+    /// The CONNECT is incomplete; holds the bytes received so far.
     Opening(Vec<u8>),
-    /// A session is on the connection.
+    /// The connection carries the session of this client.
     Open(ClientRef),
 }
 
 /// What is due at a deadline.
 #[derive(Clone, Copy)]
 pub(super) enum DeadlineKind {
-    /// The CONNECT must have come.
+    /// The CONNECT must have arrived.
     Connect,
     /// A timer of the protocol library.
     Library(TimerKind),
@@ -36,21 +36,20 @@
     pub at: Micros,
 }
 
-/// A client's connection.
 pub(super) struct ClientConnection {
     pub mqtt: Connection<role::Server>,
     pub stage: Stage,
     pub opened_at: Micros,
-    /// The most unacknowledged answers that the client takes.
+    /// Maximum number of unacknowledged answers that the client accepts.
     pub receive_maximum: usize,
     pub deadline: Option<Deadline>,
-    /// Whether a timer is set for the connection; there is at most one, which may be earlier than the deadline.
+    /// Whether a timer is set for the connection. There is at most one, and it may fire before the deadline.
     pub timer_set: bool,
 }
 
 impl ClientConnection {
     pub(super) fn new(now: Micros, settings: &FrontSettings) -> Self {
-        // The library takes 0 for none; 65,535 applies where nothing is stated (section 3.2.2.3.3).
+        // To the library, 0 means no receive maximum, in which case 65,535 applies (section 3.2.2.3.3).
         let receive_maximum = if settings.receive_maximum < u16::MAX { settings.receive_maximum } else { 0 };
         let options = ConnectionOptions::new()
             .maximum_packet_size_recv(settings.max_packet)
@@ -71,7 +70,7 @@
     }
 }
 
-/// What the library's events left to be handled.
+/// Packets and errors from the library's events, for the caller to handle.
 #[derive(Default)]
 pub(super) struct Executed {
     packets: Vec<Packet>,
@@ -79,15 +78,15 @@
 }
 
 impl Front {
-    /// Passes bytes to the library and handles the packets in them.
+    /// Passes received bytes to the library and handles the packets in them.
     pub(super) fn feed(&mut self, now: Micros, id: LinkId, bytes: &[u8], out: &mut Vec<FrontOutput>) {
         let mut cursor = Cursor::new(bytes);
         while (cursor.position() as usize) < bytes.len() {
             let Some(connection) = self.connections.get_mut(&id) else { return };
-            // If the library panics on what a peer sends, only that peer's connection is closed.
+            // If the library panics on a peer's bytes, only that peer's connection is closed.
             let events = catch_unwind(AssertUnwindSafe(|| connection.mqtt.recv(&mut cursor)));
             let Ok(events) = events else {
-                warn!(link = id.0, "closed: the protocol library failed on what the peer sent");
+                warn!(link = id.0, "closed: the protocol library panicked on the peer's bytes");
                 return self.close(now, id, out);
             };
             let Executed { packets, error } = self.execute(now, id, events, out);
@@ -95,13 +94,13 @@
                 self.handle_packet(now, id, &packet, out);
             }
             if let Some(error) = error {
-                info!(link = id.0, %error, "closed: what the peer sent cannot be taken");
+                info!(link = id.0, %error, "closed: the peer sent an invalid packet");
                 return self.close(now, id, out);
             }
         }
     }
 
-    /// Executes the library's events.
+    /// Executes the library's events and returns received packets and the last error.
     pub(super) fn execute(
         &mut self,
         now: Micros,
@@ -140,7 +139,7 @@
     /// Sends a packet.
     ///
     /// # Errors
-    /// Where the packet could not be encoded or the library does not accept it.
+    /// If the packet could not be encoded or the library rejects it.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -153,7 +152,7 @@
         self.execute(now, id, events, out).error.map_or(Ok(()), Err)
     }
 
-    /// Sends a packet that the protocol requires; the connection is closed where that fails.
+    /// Sends a packet that the protocol requires, and closes the connection if that fails.
     pub(super) fn send_required(
         &mut self,
         now: Micros,
@@ -162,12 +161,12 @@
         out: &mut Vec<FrontOutput>,
     ) {
         if let Err(error) = self.send(now, id, packet, out) {
-            warn!(link = id.0, %error, "closed: a reply cannot be sent");
+            warn!(link = id.0, %error, "closed: cannot send a required packet");
             self.close(now, id, out);
         }
     }
 
-    /// Closes a connection from this side.
+    /// Closes a connection without a DISCONNECT.
     pub(super) fn close(&mut self, now: Micros, id: LinkId, out: &mut Vec<FrontOutput>) {
         if self.connections.contains_key(&id) {
             out.push(FrontOutput::Finish(id));
@@ -175,7 +174,7 @@
         }
     }
 
-    /// Closes a connection with a reason, where its version has reasons.
+    /// Closes a connection, with a DISCONNECT that states the reason if the protocol version has one.
     pub(super) fn disconnect(
         &mut self,
         now: Micros,
--- a/crates/mqtt/src/front/dispatch.rs
+++ b/crates/mqtt/src/front/dispatch.rs
@@ -1,4 +1,4 @@
-//! Received packets, dispatched by type.
+//! Dispatches received packets by type.
 
 use super::{Front, FrontOutput, LinkId};
 use crate::packets::{self, RequestedFilter};
@@ -8,7 +8,7 @@
 use slatevalve::Micros;
 use slatevalve_engine::ClientRef;
 
-/// The connection, session and client that a packet came from.
+/// The source of a packet.
 #[derive(Clone, Copy)]
 struct Sender {
     connection: LinkId,
@@ -117,7 +117,7 @@
             Property::SessionExpiryInterval(seconds) => Some(Micros(i64::from(seconds.val()) * 1_000_000)),
             _ => None,
         });
-        // A session that was to end with its connection cannot be prolonged (section 3.14.2.2.2).
+        // DISCONNECT cannot extend a session whose expiry was 0 in CONNECT (section 3.14.2.2.2).
         let session = self.sessions.get_mut(&sender.client).filter(|session| session.expiry.0 > 0);
         if let Some(session) = session {
             session.expiry = expiry.unwrap_or(session.expiry).min(self.settings.max_session_expiry);
--- a/crates/mqtt/src/front/handshake.rs
+++ b/crates/mqtt/src/front/handshake.rs
@@ -1,4 +1,4 @@
-//! CONNECT and CONNACK: a session is created, resumed or taken over, or the connection is refused.
+//! CONNECT and CONNACK: creates, resumes or takes over a session, or refuses the connection.
 
 use super::connection::{DeadlineKind, Stage};
 use super::{Front, FrontOutput, LinkId};
@@ -19,9 +19,9 @@
 /// A CONNECT of either version.
 pub(super) struct ConnectRequest {
     version: Version,
-    /// Empty where the server is to assign one.
+    /// Empty if the server must assign one.
     client_id: String,
-    /// Whether an earlier session is to be discarded.
+    /// Whether to discard an earlier session.
     clean: bool,
     expiry: Micros,
     /// In seconds; 0 for none.
@@ -61,35 +61,35 @@
 
 /// Why a connection is refused.
 #[derive(Clone, Copy, Debug)]
-enum Refused {
-    /// The client id is empty where the version does not allow it.
+enum RefusalReason {
+    /// The client id is empty, which version 3.1.1 allows only with a clean session.
     ClientId,
-    /// There are as many sessions as there may be.
+    /// The maximum number of sessions is reached.
     Full,
 }
 
-impl Refused {
+impl RefusalReason {
     fn v5_code(self) -> ConnectReasonCode {
         match self {
-            Refused::ClientId => ConnectReasonCode::ClientIdentifierNotValid,
-            Refused::Full => ConnectReasonCode::ServerBusy,
+            RefusalReason::ClientId => ConnectReasonCode::ClientIdentifierNotValid,
+            RefusalReason::Full => ConnectReasonCode::ServerBusy,
         }
     }
 
     fn v3_code(self) -> ConnectReturnCode {
         match self {
-            Refused::ClientId => ConnectReturnCode::IdentifierRejected,
-            Refused::Full => ConnectReturnCode::ServerUnavailable,
+            RefusalReason::ClientId => ConnectReturnCode::IdentifierRejected,
+            RefusalReason::Full => ConnectReturnCode::ServerUnavailable,
         }
     }
 }
 
-/// What a CONNACK states besides the settings of the front.
+/// The parts of a CONNACK that depend on the session.
 struct Accepted<'a> {
     session_present: bool,
-    /// The client id, where the server assigned it.
+    /// The client id, if the server assigned it.
     assigned_id: Option<&'a str>,
-    /// The expiry of the session, as it was limited.
+    /// The session's expiry after applying the maximum.
     expiry: Micros,
 }
 
@@ -103,14 +103,14 @@
     ) {
         let is_assigned = request.client_id.is_empty();
         if is_assigned && request.version == Version::V3 && !request.clean {
-            return self.refuse_connection(now, id, request.version, Refused::ClientId, out);
+            return self.refuse_connection(now, id, request.version, RefusalReason::ClientId, out);
         }
         let client_id = if is_assigned { self.assign_client_id() } else { request.client_id.clone() };
         if !self.clients_by_id.contains_key(&client_id) && self.sessions.len() >= self.settings.max_sessions {
-            return self.refuse_connection(now, id, request.version, Refused::Full, out);
+            return self.refuse_connection(now, id, request.version, RefusalReason::Full, out);
         }
         if request.has_will {
-            debug!(link = id.0, "a will was sent; wills are not kept");
+            debug!(link = id.0, "will message ignored: wills are not supported");
         }
         self.disconnect_predecessor(now, &client_id, out);
         let resumed = self.resumable_session(&client_id, request, out);
@@ -124,7 +124,7 @@
         };
         let connack = self.connack(request, &accepted);
         self.send_required(now, id, connack, out);
-        // Version 3.1.1 cannot state another keep-alive; the client's own, or none, applies.
+        // Version 3.1.1 has no server keep-alive; the client's own applies, or none.
         self.send_outbox(now, client, out);
     }
 
@@ -133,7 +133,7 @@
         format!("slatevalve-{}", self.assigned_ids)
     }
 
-    /// Closes the connection that the client has, as the new one takes over its session (section 3.1.4).
+    /// Closes the client's existing connection, because the new one takes over its session (section 3.1.4).
     fn disconnect_predecessor(&mut self, now: Micros, client_id: &str, out: &mut Vec<FrontOutput>) {
         let client = self.clients_by_id.get(client_id);
         let session = client.and_then(|client| self.sessions.get(client));
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The client's session, if the request resumes it; a session that is not resumed is removed.
+    /// Returns the client's session if the request resumes it; removes a session that is not resumed.
     fn resumable_session(
         &mut self,
         client_id: &str,
@@ -166,7 +166,7 @@
         client
     }
 
-    /// Puts a session on a connection.
+    /// Attaches a session to a connection.
     fn attach(&mut self, now: Micros, id: LinkId, client: ClientRef, is_resumed: bool, expiry: Micros) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
         session.covered_since = is_resumed.then_some(session.opened_at);
@@ -235,7 +235,7 @@
         now: Micros,
         id: LinkId,
         version: Version,
-        reason: Refused,
+        reason: RefusalReason,
         out: &mut Vec<FrontOutput>,
     ) {
         info!(link = id.0, why = ?reason, "connection refused");
--- a/crates/mqtt/src/lib.rs
+++ b/crates/mqtt/src/lib.rs
@@ -1,12 +1,12 @@
-//! MQTT for calls: publishes become calls, answers become publishes. A front for clients that connect here ([`Front`]) and a
-//! bridge to a broker ([`Bridge`]), both without I/O.
+//! Maps MQTT publishes to calls and answers to publishes. [`Front`] is a server for clients that connect
+//! directly, [`Bridge`] a client of a broker. Neither does I/O.
 //!
-//! A publish that was acknowledged is answered once, on the connection that the session has when the answer is there, as
-//! long as the session lives. A publish that is not accepted is rejected with a reason code. The event loop passes bytes
-//! and connection events in and executes the outputs; the engine executes the calls.
+//! An acknowledged publish is answered once, on the connection that its session has when the answer arrives,
+//! unless the session has expired. A publish that is not accepted is rejected with a reason code. The event
+//! loop passes bytes and connection events in and executes the outputs; the engine executes the calls.
 //!
-//! Packets are encoded and checked by `mqtt-protocol-core`. Section numbers refer to MQTT 5.0 (OASIS, 2019) unless 3.1.1
-//! is named.
+//! Packets are encoded and checked by `mqtt-protocol-core`. Section numbers refer to MQTT 5.0 (OASIS, 2019)
+//! unless 3.1.1 is named.
 #![forbid(unsafe_code)]
 
 mod bridge;
@@ -31,12 +31,12 @@
 
 use slatevalve::Micros;
 
-/// The time that is `duration` after `now`.
+/// Adds a duration to a time, saturating.
 fn after(now: Micros, duration: Micros) -> Micros {
     Micros(now.0.saturating_add(duration.0))
 }
 
-/// The time that is this many milliseconds after `now`, as the protocol library states its timers.
+/// Adds milliseconds, the unit of the protocol library's timers, to a time.
 fn after_millis(now: Micros, millis: u64) -> Micros {
     after(now, Micros(i64::try_from(millis).unwrap_or(i64::MAX).saturating_mul(1_000)))
 }
--- a/crates/mqtt/src/packets.rs
+++ b/crates/mqtt/src/packets.rs
@@ -1,4 +1,4 @@
-//! Packets without a message, encoded in either version: acknowledgements and DISCONNECT.
+//! Builds acknowledgements and DISCONNECT packets of both protocol versions.
 
 use crate::publish::{InboundPublish, Version};
 use crate::rejection::Rejection;
@@ -7,10 +7,10 @@
     DisconnectReasonCode, MqttError, SubackReasonCode, SubackReturnCode, UnsubackReasonCode,
 };
 
-/// The prefix of a shared subscription's filter (section 4.8.2).
+/// Prefix of the filter of a shared subscription (section 4.8.2).
 const SHARED_PREFIX: &str = "$share/";
 
-/// The first acknowledgement of a publish, PUBACK or PUBREC, with a reason where it is rejected; `None` for QoS 0.
+/// The first acknowledgement of a publish, PUBACK or PUBREC, with any rejection; `None` for QoS 0.
 pub(crate) fn acknowledge(
     version: Version,
     publish: &InboundPublish,
@@ -18,7 +18,7 @@
 ) -> Result<Option<Packet>, MqttError> {
     let Some(id) = publish.packet_id else { return Ok(None) };
     let packet = match (version, publish.qos) {
-        // Version 3.1.1 can only accept (3.1.1 section 3.3.5.2).
+        // Acknowledgements of version 3.1.1 have no reason code (3.1.1 section 3.3.5.2).
         (Version::V3, Qos::ExactlyOnce) => v3_1_1::Pubrec::builder().packet_id(id).build()?.into(),
         (Version::V3, _) => v3_1_1::Puback::builder().packet_id(id).build()?.into(),
         (Version::V5, Qos::ExactlyOnce) => v5_pubrec(id, rejection)?,
@@ -35,7 +35,7 @@
     Ok(builder.build()?.into())
 }
 
-/// A PUBACK of version 5, with a reason where the publish is rejected.
+/// A PUBACK of version 5, with a reason if the publish is rejected.
 pub(crate) fn v5_puback(id: u16, rejection: Option<Rejection>) -> Result<Packet, MqttError> {
     let mut builder = v5_0::Puback::builder().packet_id(id);
     if let Some(rejection) = rejection {
@@ -48,7 +48,7 @@
     Ok(vec![ReasonString::new(rejection.as_str())?.into()])
 }
 
-/// PUBCOMP, the last packet of a received publish with QoS 2.
+/// PUBCOMP, which completes a received publish with QoS 2.
 pub(crate) fn pubcomp(version: Version, id: u16) -> Result<Packet, MqttError> {
     Ok(match version {
         Version::V3 => v3_1_1::Pubcomp::builder().packet_id(id).build()?.into(),
@@ -56,7 +56,7 @@
     })
 }
 
-/// PUBREL, the second packet of a sent publish with QoS 2.
+/// PUBREL, the reply to the PUBREC of a sent publish with QoS 2.
 pub(crate) fn pubrel(version: Version, id: u16) -> Result<Packet, MqttError> {
     Ok(match version {
         Version::V3 => v3_1_1::Pubrel::builder().packet_id(id).build()?.into(),
@@ -99,8 +99,9 @@
     }
 }
 
-/// SUBACK. Exact topics are granted, wildcards and shared subscriptions are not: answers go to the client that called,
-/// not to subscribers, so that a subscription has no effect; some clients need one before they publish.
+/// SUBACK. Grants exact topics and refuses wildcards and shared subscriptions. A granted subscription has no
+/// effect, because answers go to the calling client and not to subscribers; it is granted because some
+/// clients require one before they publish.
 pub(crate) fn suback(version: Version, id: u16, filters: &[RequestedFilter]) -> Result<Packet, MqttError> {
     Ok(match version {
         Version::V3 => {
@@ -114,7 +115,7 @@
     })
 }
 
-/// UNSUBACK for this number of topic filters.
+/// UNSUBACK for a number of topic filters.
 pub(crate) fn unsuback(version: Version, id: u16, filters: usize) -> Result<Packet, MqttError> {
     Ok(match version {
         Version::V3 => v3_1_1::Unsuback::builder().packet_id(id).build()?.into(),
--- a/crates/mqtt/src/publish.rs
+++ b/crates/mqtt/src/publish.rs
@@ -1,4 +1,4 @@
-//! PUBLISH packets of both protocol versions: received ones with their properties, and the ones that carry answers.
+//! PUBLISH packets of both protocol versions, received with calls or sent with answers.
 
 use mqtt_protocol_core::mqtt::packet::{v3_1_1, v5_0, CorrelationData, Packet, Property, Qos, UserProperty};
 use mqtt_protocol_core::mqtt::result_code::MqttError;
@@ -58,7 +58,7 @@
 }
 
 impl InboundPublish {
-    /// A hash that tells this message from another one with the same packet id.
+    /// A hash that distinguishes this message from another one with the same packet id.
     pub(crate) fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         (&self.topic, &self.payload).hash(&mut hasher);
@@ -66,7 +66,7 @@
         hasher.finish()
     }
 
-    /// Where the client expects the answer.
+    /// Reads the response topic and correlation data.
     pub(crate) fn reply_address(&self) -> ReplyAddress {
         let mut address = ReplyAddress::default();
         for property in &self.properties {
@@ -80,7 +80,7 @@
     }
 }
 
-/// The properties of a PUBLISH that say where its answer goes (section 4.10); version 5 only.
+/// The request/response properties of a PUBLISH (section 4.10); empty in version 3.1.1.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ReplyAddress {
     pub(crate) response_topic: Option<String>,
@@ -99,7 +99,7 @@
 }
 
 impl OutboundPublish {
-    /// The message for an answer; `documents` are the numbers of the settings documents that it is by.
+    /// Creates the message for an answer; `documents` are the numbers of the settings documents in effect.
     pub(crate) fn answer(
         topic: String,
         qos: Qos,
@@ -123,13 +123,13 @@
                 properties.extend(ran.iter().map(|ran| ("ran", ran.to_string())));
                 payload.clone()
             }
-            // Version 3.1.1 has no properties, so the payload states the reason.
+            // Version 3.1.1 has no properties, so the payload holds the reason.
             Verdict::Refused(reason) | Verdict::Failed(reason) => reason.description().as_bytes().into(),
         };
         OutboundPublish { topic, qos, payload, correlation, user_properties: properties }
     }
 
-    /// The same answer without its result, for a client that cannot take a packet of that size.
+    /// The same answer without its result, for a client whose maximum packet size it exceeds.
     pub(crate) fn without_result(&self) -> Self {
         let mut user_properties = self.user_properties.clone();
         user_properties.push(("result", "omitted: larger than the client takes".into()));
--- a/crates/mqtt/src/rejection.rs
+++ b/crates/mqtt/src/rejection.rs
@@ -1,25 +1,25 @@
-//! Why a publish is rejected at the level of the protocol.
+//! Reasons for which a publish is rejected by its acknowledgement.
 
 use mqtt_protocol_core::mqtt::result_code::{PubackReasonCode, PubrecReasonCode};
 use std::fmt;
 
-/// Why a publish is rejected by its acknowledgement: there is no topic for an answer, or no call to answer.
+/// Why a publish is rejected by its acknowledgement: an answer has no valid topic, or no call to refer to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// No route matches the topic.
     NoRoute,
     /// The response topic is not a topic name (section 3.3.2.3.5: no wildcards).
     ResponseTopic,
-    /// A property is malformed: the budget is no number, the key too long or given twice.
+    /// A property is malformed: the budget is not a number, or the key is empty, too long or given twice.
     Property,
-    /// A name made from the topic is empty or too long.
+    /// The function or tenant name derived from the topic is empty or too long.
     Name,
-    /// The session has as many open calls and waiting answers as it may have.
+    /// The session has reached its quota of open calls and queued answers.
     Quota,
 }
 
 impl Rejection {
-    /// The reason string of the acknowledgement, also for logs.
+    /// The reason string of the acknowledgement, also used in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -31,7 +31,6 @@
         }
     }
 
-    /// The reason code of a PUBACK.
     pub(crate) fn puback_code(self) -> PubackReasonCode {
         match self {
             Rejection::NoRoute | Rejection::Name | Rejection::ResponseTopic => {
@@ -42,7 +41,6 @@
         }
     }
 
-    /// The reason code of a PUBREC.
     pub(crate) fn pubrec_code(self) -> PubrecReasonCode {
         match self {
             Rejection::NoRoute | Rejection::Name | Rejection::ResponseTopic => {
--- a/crates/mqtt/src/request.rs
+++ b/crates/mqtt/src/request.rs
@@ -1,5 +1,5 @@
-//! Calls made from publishes: class, function, tenant, key, budget and repeat. Front and bridge share this, so that a call
-//! means the same whichever way it came.
+//! Reads class, function, tenant, key, budget and repeat mark of a call from its publish. Front and bridge
+//! share this code, so a call has the same meaning in both.
 
 use crate::publish::{InboundPublish, ReplyAddress};
 use crate::rejection::Rejection;
@@ -10,42 +10,42 @@
 use slatevalve_engine::{Call, ClientRef, Reason, Repeat, Ticket};
 use std::sync::Arc;
 
-/// User property: the key of the call, the same in every connection and for every client.
+/// User property: the idempotency key of the call. Its scope is all connections and clients.
 pub const KEY_PROPERTY: &str = "key";
-/// User property: milliseconds until the client stops waiting.
+/// User property: milliseconds until the client's deadline.
 pub const BUDGET_PROPERTY: &str = "budget-ms";
-/// User property: `true` where the client itself sends the call again.
+/// User property: `true` if the client itself repeats the call.
 pub const REPEAT_PROPERTY: &str = "repeat";
 
-/// The longest key, in bytes.
+/// Maximum length of a key with its prefix, in bytes.
 const MAX_KEY: usize = 256;
-/// The longest function or tenant name made from a topic, in bytes.
+/// Maximum length of a function or tenant name derived from a topic, in bytes.
 const MAX_NAME: usize = 256;
-/// Marks a key that the client stated.
-const STATED_KEY_PREFIX: &[u8] = b"k:";
-/// Marks a key made from the client's id and its correlation data.
+/// Prefix of a key from the key property or the topic.
+const EXPLICIT_KEY_PREFIX: &[u8] = b"k:";
+/// Prefix of a key made of client id and correlation data.
 const CORRELATION_KEY_PREFIX: &[u8] = b"c:";
 
-/// A call as its publish states it.
+/// A call as read from its publish.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CallRequest {
     pub(crate) class: ClassId,
     pub(crate) tenant: Option<TenantId>,
     pub(crate) function: Arc<str>,
     pub(crate) key: Option<Arc<[u8]>>,
-    /// `None` where the client states none.
+    /// `None` if the publish has neither a budget nor a message expiry.
     pub(crate) budget: Option<Micros>,
-    /// Whether the client marked it as a repeat, or its publish has the DUP flag.
+    /// Whether the client marked the call as a repeat or its publish has the DUP flag.
     pub(crate) repeat: bool,
     pub(crate) reply_address: ReplyAddress,
 }
 
-/// Why a publish makes no call.
+/// Why a publish does not result in a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Declined {
     /// The publish is rejected by its acknowledgement.
     Rejected(Rejection),
-    /// The publish is accepted, and the call refused by an answer.
+    /// The publish is accepted, but the call is refused by an answer.
     Refused(Reason),
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl CallRequest {
-    /// The call for the engine; `covered_since` is described at [`Repeat::Marked`].
+    /// Builds the call for the engine; for `covered_since` see [`Repeat::Marked`].
     pub(crate) fn call(
         self,
         ticket: Ticket,
@@ -96,10 +96,10 @@
         }
     }
 
-    /// Reads a publish. `client_id` is `None` behind a broker, where the response topic identifies the client.
+    /// Reads a publish. Behind a broker, `client_id` is `None` and the response topic identifies the client.
     ///
     /// # Errors
-    /// Where the publish makes no call.
+    /// If the publish does not result in a call.
     pub(crate) fn read(
         routes: &Routes,
         client_id: Option<&str>,
@@ -119,8 +119,8 @@
         }
         let function = checked_name(route.function.fill(&publish.topic))?;
         let client = client_id.or(response_topic);
-        let stated_key = properties.key.or_else(|| topic_key(route, &publish.topic));
-        let key = duplicate_key(stated_key, reply_address.correlation.as_deref(), client);
+        let explicit_key = properties.key.or_else(|| topic_key(route, &publish.topic));
+        let key = duplicate_key(explicit_key, reply_address.correlation.as_deref(), client);
         if key.as_ref().is_some_and(|key| key.len() > MAX_KEY) {
             return Err(Rejection::Property.into());
         }
@@ -140,7 +140,7 @@
 #[derive(Default)]
 struct CallProperties {
     key: Option<String>,
-    /// The stated budget; it has precedence over the expiry, which has whole seconds only.
+    /// Takes precedence over `expiry`, which has a resolution of one second.
     budget: Option<Micros>,
     expiry: Option<Micros>,
     is_repeat: bool,
@@ -193,21 +193,21 @@
     Ok(Some(*tenant))
 }
 
-/// The key that a route takes from the topic, unless it is empty.
+/// The key that a route derives from the topic; `None` if it is empty.
 fn topic_key(route: &Route, topic: &str) -> Option<String> {
     route.key.as_ref().map(|template| template.fill(topic)).filter(|key| !key.is_empty())
 }
 
-/// The key by which repeats of a call are known. A stated key is the same for all clients. Correlation data is counted by
-/// each client for itself, so it is a key only together with the client: two clients that both begin at 1 must not get
-/// each other's answers.
+/// The key by which repeats of a call are detected. An explicit key has the same meaning for all clients.
+/// Correlation data is unique only per client, so the key includes the client: two clients that both count
+/// from 1 must not get each other's answers.
 fn duplicate_key(
-    stated: Option<String>,
+    explicit: Option<String>,
     correlation: Option<&[u8]>,
     client: Option<&str>,
 ) -> Option<Vec<u8>> {
-    match (stated, correlation, client) {
-        (Some(key), _, _) => Some([STATED_KEY_PREFIX, key.as_bytes()].concat()),
+    match (explicit, correlation, client) {
+        (Some(key), _, _) => Some([EXPLICIT_KEY_PREFIX, key.as_bytes()].concat()),
         (None, Some(data), Some(client)) if !data.is_empty() => {
             Some([CORRELATION_KEY_PREFIX, client.as_bytes(), b"\0", data].concat())
         }
--- a/crates/mqtt/src/routes.rs
+++ b/crates/mqtt/src/routes.rs
@@ -1,31 +1,31 @@
-//! Routes: the class, tenant, function and key that a topic gives a call.
+//! Routes map a topic to the class, tenant, function and key of a call.
 
 use crate::topics::{Template, TopicFilter};
 use slatevalve::{ClassId, TenantId};
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
 
-/// One route. Of the routes whose filter matches a topic, the first applies.
+/// One route. The first route whose filter matches a topic applies.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The topics of the route.
+    /// Selects the topics that the route applies to.
     pub filter: TopicFilter,
-    /// The class of their calls.
+    /// Class of the calls on these topics.
     pub class: ClassId,
-    /// The tenant's name, where the site has tenants.
+    /// Derives the tenant's name; `None` if the site has no tenants.
     pub tenant: Option<Template>,
-    /// The function's name.
+    /// Derives the function's name.
     pub function: Template,
-    /// The key of the call, for clients whose protocol version has no properties.
+    /// Derives the key of a call without a key property, as in version 3.1.1; `None` for no such key.
     pub key: Option<Template>,
 }
 
 /// Why a route is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteError {
-    /// A template uses a level that not every matching topic has.
+    /// A template uses a topic level that not every matching topic has.
     Level {
-        /// The level that is used.
+        /// The level that the template uses, from 1.
         level: usize,
         /// The number of levels that every matching topic has.
         min_levels: usize,
@@ -35,24 +35,24 @@
 impl fmt::Display for RouteError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let RouteError::Level { level, min_levels } = self;
-        write!(f, "level {level} is asked for, but a matching topic may have only {min_levels}")
+        write!(f, "a template uses level {level}, but a matching topic may have only {min_levels}")
     }
 }
 
 impl std::error::Error for RouteError {}
 
 impl Route {
-    /// Whether a topic gives the same call by this route as by `other`.
+    /// Whether this route and `other` map a topic to the same call.
     #[must_use]
     pub fn is_equivalent(&self, other: &Route) -> bool {
         (self.class, &self.tenant, &self.function, &self.key)
             == (other.class, &other.tenant, &other.function, &other.key)
     }
 
-    /// Checks that every matching topic has all levels that are used.
+    /// Checks that every matching topic has all levels that the templates use.
     ///
     /// # Errors
-    /// Where a matching topic may lack a level.
+    /// If a matching topic may lack a level.
     pub fn check(&self) -> Result<(), RouteError> {
         let templates = [Some(&self.function), self.tenant.as_ref(), self.key.as_ref()];
         let level = templates.into_iter().flatten().map(Template::highest_level).max().unwrap_or(0);
@@ -64,17 +64,17 @@
     }
 }
 
-/// The routes of a site and the tenants that they name.
+/// The routes of a site and its tenants.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     /// The routes, in order of precedence.
     pub routes: Vec<Route>,
-    /// Other lists of routes that must agree with `routes`, while one list is being replaced by another: a topic is accepted
-    /// only if it gives the same call by each of them.
+    /// Other lists of routes that must agree with `routes` while one settings document replaces another: a
+    /// topic is accepted only if each list maps it to the same call.
     pub others: Vec<Vec<Route>>,
-    /// Idempotent classes, of which only the class must agree.
+    /// Idempotent classes. For their calls, the lists of routes need to agree on the class only.
     pub idempotent_classes: BTreeSet<ClassId>,
-    /// The site's tenants.
+    /// Tenant ids by name.
     pub tenants: HashMap<String, TenantId>,
 }
 
@@ -86,7 +86,7 @@
         routes.any(|route| route.filter.matches(topic))
     }
 
-    /// The route that applies to a topic; `None` where there is none or the lists do not agree.
+    /// The route that applies to a topic; `None` if there is none or the lists do not agree.
     #[must_use]
     pub fn find(&self, topic: &str) -> Option<&Route> {
         let route = first_match(&self.routes, topic)?;
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -7,45 +7,45 @@
 use slatevalve_engine::{ClientRef, Ticket};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// The most packet ids for which a session remembers the message.
-const MAX_REMEMBERED: usize = 2_048;
+/// Maximum number of packet ids for which a session stores the fingerprint of the message.
+const MAX_FINGERPRINTS: usize = 2_048;
 
 /// Where the answer to an open call goes.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingReply {
-    /// Without a response topic, as in version 3.1.1, the topic is made from client, outcome and call.
+    /// Without a response topic, as in version 3.1.1, one is generated from client, outcome and call.
     pub(crate) address: ReplyAddress,
     pub(crate) qos: Qos,
-    /// The call in a topic that is made: the packet id of its publish, 0 for QoS 0.
+    /// The call in a generated reply topic: the packet id of its publish, 0 for QoS 0.
     pub(crate) call_name: String,
 }
 
-/// A client's session.
 #[derive(Debug)]
 pub(crate) struct Session {
     pub(crate) client: ClientRef,
     pub(crate) client_id: String,
     pub(crate) version: Version,
-    /// The connection, if any.
+    /// `None` while the client is disconnected.
     pub(crate) connection: Option<LinkId>,
-    /// How long the session lives without a connection.
+    /// Time for which the session is kept without a connection.
     pub(crate) expiry: Micros,
+    /// Set while the session has no connection.
     pub(crate) expires_at: Option<Micros>,
-    /// When the connection, or else the last one, was opened.
+    /// When the current connection, or without one the previous connection, was opened.
     pub(crate) opened_at: Micros,
-    /// Since when this gateway knows every publish that was accepted in this session; see
+    /// Time from which this gateway has a record of every publish accepted in this session; see
     /// [`slatevalve_engine::Repeat::Marked`].
     pub(crate) covered_since: Option<Micros>,
-    /// Fingerprints of the publishes that were accepted, by packet id. A publish that is sent again, as its
-    /// acknowledgement was lost, is known by them even if it has no key.
+    /// Fingerprints of the accepted publishes by packet id. They identify a publish that is sent again
+    /// because its acknowledgement was lost, even if it has no key.
     accepted: HashMap<u16, u64>,
-    /// What the library had in flight when the connection ended.
+    /// Packets that the library had in flight when the connection ended.
     pub(crate) stored: Vec<StorePacket>,
-    /// Packet ids of received publishes with QoS 2 whose PUBREL has not come.
+    /// Packet ids of received publishes with QoS 2 whose PUBREL has not arrived.
     pub(crate) received_qos2: Vec<u16>,
     /// Open calls.
     pub(crate) pending: BTreeMap<Ticket, PendingReply>,
-    /// Answers that wait for a connection or for the client's receive maximum.
+    /// Answers queued until there is a connection and the client's receive maximum permits them.
     pub(crate) outbox: VecDeque<OutboundPublish>,
     /// Packet ids of answers that were sent and not yet acknowledged.
     pub(crate) unacknowledged: HashSet<u16>,
@@ -71,26 +71,26 @@
         }
     }
 
-    /// Notes an accepted publish and returns whether it was accepted before and is sent again.
-    pub(crate) fn note_accepted(&mut self, publish: &InboundPublish) -> bool {
+    /// Records an accepted publish and returns whether it is a retransmission of one accepted before.
+    pub(crate) fn record_accepted(&mut self, publish: &InboundPublish) -> bool {
         let Some(id) = publish.packet_id else { return false };
         let fingerprint = publish.fingerprint();
         if publish.dup && self.covered_since.is_some() && self.accepted.get(&id) == Some(&fingerprint) {
             return true;
         }
-        // Beyond the bound, repeats are known by their keys only, in the classes that have keys.
-        if self.accepted.len() < MAX_REMEMBERED || self.accepted.contains_key(&id) {
+        // Beyond the limit, repeats are detected by their keys only, in classes that have keys.
+        if self.accepted.len() < MAX_FINGERPRINTS || self.accepted.contains_key(&id) {
             self.accepted.insert(id, fingerprint);
         }
         false
     }
 
-    /// Open calls and waiting answers, which count against the session's quota.
-    pub(crate) fn load(&self) -> usize {
+    /// Number of open calls and queued answers, which the session's quota limits.
+    pub(crate) fn open_calls_and_answers(&self) -> usize {
         self.pending.len() + self.outbox.len()
     }
 
-    /// The topic of an answer with this outcome.
+    /// The topic of an answer: the response topic, or else one generated from client, outcome and call.
     pub(crate) fn reply_topic(&self, reply: &PendingReply, outcome: &str) -> String {
         match &reply.address.response_topic {
             Some(topic) => topic.clone(),
@@ -102,7 +102,7 @@
     }
 }
 
-/// Percent-encodes what may not occur in one level of a topic.
+/// Percent-encodes characters that may not occur in one level of a topic.
 fn escape_level(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for character in text.chars() {
--- a/crates/mqtt/src/ticket.rs
+++ b/crates/mqtt/src/ticket.rs
@@ -1,12 +1,12 @@
-//! Ids of calls and clients, distinct among all fronts of one engine.
+//! Ids of calls and clients, unique among all fronts of one engine.
 
 use slatevalve_engine::{ClientRef, Ticket};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The bits below the number of the front in an id.
+/// Number of low bits of an id that hold the counter; the bits above hold the number of the front.
 const COUNTER_BITS: u32 = 56;
 
-/// The source of the ids of one front.
+/// Generates the ids of one front.
 #[derive(Clone, Debug)]
 pub struct TicketSource {
     front: u8,
@@ -14,7 +14,7 @@
 }
 
 impl TicketSource {
-    /// The source of the front with this number, which no other front of the engine may have.
+    /// Creates the source of a front. Its number must be unique among the fronts of the engine.
     #[must_use]
     pub fn new(front: u8) -> Self {
         TicketSource { front, last: 0 }
@@ -45,9 +45,9 @@
         ClientRef(self.next_id())
     }
 
-    /// The client with this name, the same each time.
+    /// The client id for a name, which is the same each time.
     pub(crate) fn client_named(&self, name: &str) -> ClientRef {
-        // A hasher made by `new` has fixed keys, so that a name always gives the same hash.
+        // `DefaultHasher::new` uses fixed keys, so a name always has the same hash.
         let mut hasher = DefaultHasher::new();
         name.hash(&mut hasher);
         ClientRef(self.with_front(hasher.finish() >> (u64::BITS - COUNTER_BITS)))
--- a/crates/mqtt/src/topics.rs
+++ b/crates/mqtt/src/topics.rs
@@ -1,4 +1,4 @@
-//! Topic filters (section 4.7), and templates for names made from the levels of a topic.
+//! Topic filters (section 4.7), and templates that derive names from the levels of a topic.
 
 use std::fmt;
 
@@ -20,11 +20,11 @@
 /// Why a text is not a topic filter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TopicFilterError {
-    /// It is empty.
+    /// The text is empty.
     Empty,
     /// `#` is not alone in the last level, or `+` is not alone in its level.
     Wildcard,
-    /// It begins with `$`, which is reserved for servers and shared subscriptions.
+    /// The text begins with `$`, which is reserved for servers and shared subscriptions.
     Dollar,
 }
 
@@ -33,7 +33,7 @@
         f.write_str(match self {
             TopicFilterError::Empty => "a topic filter may not be empty",
             TopicFilterError::Wildcard => {
-                "'#' may only be the last level, and '+' and '#' fill a level alone"
+                "'#' may only be the last level, and '+' and '#' must be the only character of their level"
             }
             TopicFilterError::Dollar => "a route's filter may not begin with '$'",
         })
@@ -46,7 +46,7 @@
     /// Parses a filter.
     ///
     /// # Errors
-    /// Where section 4.7.1 does not allow it.
+    /// If section 4.7.1 does not allow the text, or it begins with `$`.
     pub fn parse(text: &str) -> Result<Self, TopicFilterError> {
         if text.is_empty() {
             return Err(TopicFilterError::Empty);
@@ -64,8 +64,8 @@
         Ok(TopicFilter { levels: text.split('/').enumerate().map(level).collect::<Result<_, _>>()? })
     }
 
-    /// Whether a topic name matches. A name that begins with `$` matches no wildcard (section 4.7.2) and, as no filter of a
-    /// route begins with `$`, no filter at all.
+    /// Whether a topic name matches. A name that begins with `$` matches no wildcard (section 4.7.2) and, as
+    /// no filter of a route begins with `$`, no filter at all.
     #[must_use]
     pub fn matches(&self, topic: &str) -> bool {
         if topic.starts_with('$') {
@@ -83,7 +83,7 @@
         parts.next().is_none()
     }
 
-    /// The number of levels that every matching topic has at least.
+    /// Minimum number of levels of a matching topic.
     #[must_use]
     pub fn min_levels(&self) -> usize {
         self.levels.iter().filter(|level| **level != Level::Rest).count()
@@ -120,13 +120,13 @@
 /// Why a text is not a template.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TemplateError {
-    /// A brace is not matched, or holds something else than a number from 1.
+    /// A brace is unmatched, or braces contain anything but a number from 1.
     Brace,
 }
 
 impl fmt::Display for TemplateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("braces hold the number of a topic level, from 1 on, as in 'rules-{2}'")
+        f.write_str("braces must contain the number of a topic level, from 1, as in 'rules-{2}'")
     }
 }
 
@@ -145,7 +145,7 @@
     /// Parses a template.
     ///
     /// # Errors
-    /// Where braces do not hold the number of a level.
+    /// If braces do not contain the number of a level.
     pub fn parse(text: &str) -> Result<Self, TemplateError> {
         let mut parts = Vec::new();
         let mut rest = text;
@@ -163,7 +163,7 @@
         Ok(Template { parts })
     }
 
-    /// The text for a topic; a level that the topic lacks is empty.
+    /// Fills in the levels of a topic; a level that the topic lacks is empty.
     #[must_use]
     pub fn fill(&self, topic: &str) -> String {
         let fill = |part: &Part| match part {
@@ -173,7 +173,7 @@
         self.parts.iter().map(fill).collect()
     }
 
-    /// The highest level that is used; 0 for none.
+    /// The highest level in a placeholder; 0 without placeholders.
     #[must_use]
     pub fn highest_level(&self) -> usize {
         let levels = self.parts.iter().map(|part| match part {
@@ -184,10 +184,10 @@
     }
 }
 
-/// The longest topic name, in bytes.
+/// Maximum length of a topic name, in bytes (section 1.5.4).
 const MAX_TOPIC_NAME: usize = 65_535;
 
-/// Whether a text may be the name of a topic (section 4.7.3).
+/// Whether a text is a valid topic name (section 4.7.3).
 pub(crate) fn is_topic_name(text: &str) -> bool {
     !text.is_empty() && text.len() <= MAX_TOPIC_NAME && !text.contains(['+', '#', '\0'])
 }
--- a/crates/mqtt/tests/bridge.rs
+++ b/crates/mqtt/tests/bridge.rs
@@ -1,4 +1,4 @@
-//! The bridge against a broker made of the protocol library's server side.
+//! The bridge with a broker that uses the server side of the protocol library.
 
 use mqtt_protocol_core::mqtt::common::Cursor;
 use mqtt_protocol_core::mqtt::connection::{Connection, Event};
@@ -13,14 +13,14 @@
     bridge: Bridge,
     now: Micros,
     broker: Connection<role::Server>,
-    heard: Vec<Packet>,
-    /// Ids of publishes that the bridge acknowledged, and `answer` for each of its own, in order.
+    received: Vec<Packet>,
+    /// In order: the packet id of each publish that the bridge acknowledged, and `answer` for each answer.
     sent: Vec<String>,
     calls: Vec<Call>,
     connects: usize,
     finished: usize,
-    /// Whether the bridge's packets still reach the broker.
-    cut: bool,
+    /// Whether the bridge's packets are lost instead of reaching the broker.
+    is_link_down: bool,
 }
 
 impl Bench {
@@ -34,42 +34,42 @@
         };
         let routes = Routes { routes: vec![route], ..Routes::default() };
         let settings = BridgeSettings { routes, group: Some("g".into()), ..BridgeSettings::default() };
-        let (heard, sent, calls) = (Vec::new(), Vec::new(), Vec::new());
+        let (received, sent, calls) = (Vec::new(), Vec::new(), Vec::new());
         let broker = Connection::new(Version::V5_0);
         let bridge = Bridge::new(settings);
         Bench {
             bridge,
             now: Micros(1_000_000),
             broker,
-            heard,
+            received,
             sent,
             calls,
             connects: 0,
             finished: 0,
-            cut: false,
+            is_link_down: false,
         }
     }
 
-    fn act(&mut self, act: impl FnOnce(&mut Bridge, Micros, &mut Vec<BridgeOutput>)) {
+    fn drive(&mut self, action: impl FnOnce(&mut Bridge, Micros, &mut Vec<BridgeOutput>)) {
         let mut out = Vec::new();
-        act(&mut self.bridge, self.now, &mut out);
+        action(&mut self.bridge, self.now, &mut out);
         for output in out {
             match output {
                 BridgeOutput::Connect => self.connects += 1,
                 BridgeOutput::Finish => self.finished += 1,
                 BridgeOutput::Call(call) => self.calls.push(*call),
-                // Acknowledgements are read here: the broker's library did not send what they are for.
+                // Acknowledgements are not passed to the broker's library, which did not send the publishes.
                 BridgeOutput::Write(bytes) if bytes[0] == 0x40 => {
                     self.sent.push(u16::from_be_bytes([bytes[2], bytes[3]]).to_string());
                 }
-                BridgeOutput::Write(bytes) if !self.cut => {
+                BridgeOutput::Write(bytes) if !self.is_link_down => {
                     if bytes[0] >> 4 == 3 {
                         self.sent.push("answer".into());
                     }
                     let mut cursor = Cursor::new(bytes.as_slice());
                     while (cursor.position() as usize) < bytes.len() {
                         let events = self.broker.recv(&mut cursor);
-                        self.broker_events(events);
+                        self.execute_broker_events(events);
                     }
                 }
                 BridgeOutput::Write(_) => {}
@@ -77,13 +77,13 @@
         }
     }
 
-    fn broker_events(&mut self, events: Vec<Event>) {
+    fn execute_broker_events(&mut self, events: Vec<Event>) {
         for event in events {
             match event {
-                Event::NotifyPacketReceived(packet) => self.heard.push(packet),
+                Event::NotifyPacketReceived(packet) => self.received.push(packet),
                 Event::RequestSendPacket { packet, .. } => {
                     let bytes = packet.to_continuous_buffer();
-                    self.act(|b, now, out| b.received(now, &bytes, out));
+                    self.drive(|b, now, out| b.received(now, &bytes, out));
                 }
                 _ => {}
             }
@@ -92,20 +92,20 @@
 
     fn broker_send(&mut self, packet: Packet) {
         let events = self.broker.send(packet);
-        self.broker_events(events);
+        self.execute_broker_events(events);
     }
 
-    /// Connects; the broker resumes the session or not.
-    fn come_up(&mut self, resumed: bool, properties: Vec<Property>) {
+    /// Connects to the broker, which resumes the session if `resumed` is set.
+    fn connect(&mut self, resumed: bool, properties: Vec<Property>) {
         self.now.0 += 20_000_000;
-        self.cut = false;
-        self.act(|b, now, out| b.advance(now, out));
+        self.is_link_down = false;
+        self.drive(|b, now, out| b.advance(now, out));
         self.broker = Connection::new(Version::V5_0);
-        self.act(|b, now, out| b.connected(now, out));
+        self.drive(|b, now, out| b.connected(now, out));
         let connack =
             v5_0::Connack::builder().reason_code(ConnectReasonCode::Success).session_present(resumed);
         self.broker_send(connack.props(properties).build().unwrap().into());
-        let subscribe = self.heard.iter().rev().find_map(|p| match p {
+        let subscribe = self.received.iter().rev().find_map(|p| match p {
             Packet::V5_0Subscribe(p) => Some(p.packet_id()),
             _ => None,
         });
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A publish from the broker, as bytes, so that ids and flags are the test's.
+    /// Delivers a publish from the broker, without its library so that the test sets packet id and DUP flag.
     fn deliver(&mut self, id: u16, key: &str, dup: bool) {
         let properties = vec![
             ResponseTopic::new("replies/app").unwrap().into(),
@@ -126,32 +126,32 @@
         let builder = v5_0::Publish::builder().topic_name("charge/card").unwrap().qos(Qos::AtLeastOnce);
         let publish = builder.packet_id(id).dup(dup).props(properties).payload("p").build().unwrap();
         let bytes = publish.to_continuous_buffer();
-        self.act(|b, now, out| b.received(now, &bytes, out));
+        self.drive(|b, now, out| b.received(now, &bytes, out));
     }
 
     fn answer(&mut self, call: usize) {
         let verdict = Verdict::Served { payload: b"ok".as_slice().into(), ran: None };
         let (ticket, answer) =
             (self.calls[call].ticket, Answer { verdict, attempts: 1, recorded: false, version: None });
-        self.act(|b, now, out| b.answer(now, ticket, &answer, out));
+        self.drive(|b, now, out| b.answer(now, ticket, &answer, out));
     }
 
-    fn lose(&mut self) {
-        self.cut = true;
-        self.act(|b, now, _| b.closed(now));
+    fn lose_connection(&mut self) {
+        self.is_link_down = true;
+        self.drive(|b, now, _| b.closed(now));
     }
 
-    /// What the bridge sent since the last time.
-    fn sent(&mut self) -> Vec<String> {
+    /// Acknowledgements and answers that the bridge sent since the last call.
+    fn take_sent(&mut self) -> Vec<String> {
         std::mem::take(&mut self.sent)
     }
 }
 
 #[test]
-fn publishes_are_acknowledged_in_their_order_and_behind_their_answers() {
+fn publishes_are_acknowledged_in_order_and_after_their_answers() {
     let mut b = Bench::new();
-    b.come_up(false, vec![]);
-    let filters = b.heard.iter().find_map(|p| match p {
+    b.connect(false, vec![]);
+    let filters = b.received.iter().find_map(|p| match p {
         Packet::V5_0Subscribe(p) => Some(p.entries()[0].topic_filter().to_string()),
         _ => None,
     });
@@ -159,73 +159,77 @@
     b.deliver(1, "a", false);
     b.deliver(2, "b", false);
     b.answer(1);
-    assert_eq!(b.sent(), ["answer"], "the first is not answered yet");
+    assert_eq!(b.take_sent(), ["answer"], "the first publish is not answered yet");
     b.answer(0);
-    assert_eq!(b.sent(), ["answer", "1", "2"]);
+    assert_eq!(b.take_sent(), ["answer", "1", "2"]);
 }
 
 #[test]
-fn a_redelivery_on_the_resumed_session_starts_nothing_and_is_answered_once() {
+fn a_redelivery_on_a_resumed_session_starts_no_call_and_is_answered_once() {
     let mut b = Bench::new();
-    b.come_up(false, vec![]);
+    b.connect(false, vec![]);
     b.deliver(1, "a", false);
-    b.lose();
+    b.lose_connection();
     b.answer(0);
-    b.come_up(true, vec![]);
-    assert_eq!(b.sent(), ["answer"]);
+    b.connect(true, vec![]);
+    assert_eq!(b.take_sent(), ["answer"]);
     b.deliver(1, "a", true);
-    assert_eq!((b.calls.len(), b.sent()), (1, vec!["1".to_string()]));
-    // Its acknowledgement is lost as well: it is acknowledged again, and not answered again.
-    b.lose();
-    b.come_up(true, vec![]);
-    b.sent();
+    assert_eq!((b.calls.len(), b.take_sent()), (1, vec!["1".to_string()]));
+    // The acknowledgement is lost as well: the publish is acknowledged again but not answered again.
+    b.lose_connection();
+    b.connect(true, vec![]);
+    b.take_sent();
     b.deliver(1, "a", true);
-    assert_eq!((b.calls.len(), b.sent()), (1, vec!["1".to_string()]));
-    // The id used again for another message is a new call.
+    assert_eq!((b.calls.len(), b.take_sent()), (1, vec!["1".to_string()]));
+    // The packet id is reused for another message, which is a new call.
     b.deliver(1, "b", true);
     assert_eq!(b.calls.len(), 2);
 }
 
 #[test]
-fn what_the_lost_session_had_not_acknowledged_is_published_again() {
+fn unacknowledged_answers_of_a_lost_session_are_published_again() {
     let mut b = Bench::new();
-    b.come_up(false, vec![ReceiveMaximum::new(1).unwrap().into()]);
+    b.connect(false, vec![ReceiveMaximum::new(1).unwrap().into()]);
     b.deliver(1, "a", false);
     b.deliver(2, "b", false);
     b.answer(0);
     b.answer(1);
-    assert_eq!(b.sent(), ["answer", "1"], "one answer at a time, as the broker's receive maximum says");
-    b.lose();
-    b.come_up(false, vec![]);
-    assert_eq!(b.sent(), ["answer", "answer"]);
+    assert_eq!(
+        b.take_sent(),
+        ["answer", "1"],
+        "the broker's receive maximum permits one unacknowledged answer"
+    );
+    b.lose_connection();
+    b.connect(false, vec![]);
+    assert_eq!(b.take_sent(), ["answer", "answer"]);
     assert_eq!(b.bridge.unacknowledged_answers(), 2);
 }
 
 #[test]
-fn a_broker_that_is_not_there_is_tried_again_after_growing_waits() {
+fn an_unreachable_broker_is_retried_with_growing_backoff() {
     let mut b = Bench::new();
-    let mut waits = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..10 {
-        b.act(|b, now, out| b.advance(now, out));
-        b.act(|b, now, _| b.closed(now));
+        b.drive(|b, now, out| b.advance(now, out));
+        b.drive(|b, now, _| b.closed(now));
         let next = b.bridge.next_wake().unwrap();
-        waits.push(next.0 - b.now.0);
+        backoffs.push(next.0 - b.now.0);
         b.now = next;
     }
     assert_eq!(b.connects, 10);
-    let (least, most) = BridgeSettings::default().backoff;
-    assert!(waits.iter().all(|w| (least.0 / 2..=most.0).contains(w)), "{waits:?}");
-    assert!(waits[9] > waits[0] * 10, "{waits:?}");
+    let (min, max) = BridgeSettings::default().backoff;
+    assert!(backoffs.iter().all(|w| (min.0 / 2..=max.0).contains(w)), "{backoffs:?}");
+    assert!(backoffs[9] > backoffs[0] * 10, "{backoffs:?}");
 }
 
 #[test]
-fn bytes_that_are_no_mqtt_close_the_connection_and_nothing_more() {
+fn non_mqtt_bytes_from_the_broker_close_only_the_connection() {
     let mut b = Bench::new();
     b.now.0 += 1;
-    b.act(|b, now, out| b.advance(now, out));
-    b.act(|b, now, out| b.connected(now, out));
-    b.act(|b, now, out| b.received(now, b"HTTP/1.1 400 Bad Request\r\n\r\n", out));
+    b.drive(|b, now, out| b.advance(now, out));
+    b.drive(|b, now, out| b.connected(now, out));
+    b.drive(|b, now, out| b.received(now, b"HTTP/1.1 400 Bad Request\r\n\r\n", out));
     assert_eq!(b.finished, 1);
-    b.come_up(false, vec![]);
+    b.connect(false, vec![]);
     assert!(b.bridge.is_connected());
 }
--- a/crates/mqtt/tests/front/bench.rs
+++ b/crates/mqtt/tests/front/bench.rs
@@ -1,4 +1,4 @@
-//! A front with clients made of the protocol library, and packets for them.
+//! Test fixture: a front with clients that use the protocol library, and packets for them.
 
 use mqtt_protocol_core::mqtt::common::Cursor;
 use mqtt_protocol_core::mqtt::connection::{Connection, Event};
@@ -9,18 +9,20 @@
 use slatevalve_mqtt::*;
 use std::collections::BTreeMap;
 
-/// A front, its clock, and one library connection for each link.
+/// A front with a simulated clock and one client connection of the protocol library for each link.
 pub(crate) struct Bench {
     pub front: Front,
     pub now: Micros,
     pub clients: BTreeMap<LinkId, Connection<role::Client>>,
-    pub heard: BTreeMap<LinkId, Vec<Packet>>,
+    /// Packets that each client received since the last call of `take_received`.
+    pub received: BTreeMap<LinkId, Vec<Packet>>,
     /// All bytes that the front wrote.
     pub written: Vec<u8>,
     pub closed: Vec<LinkId>,
     pub calls: Vec<Call>,
-    pub left: Vec<Ticket>,
-    /// Whether clients acknowledge by themselves.
+    /// Tickets of calls whose sessions ended.
+    pub disconnected: Vec<Ticket>,
+    /// Whether clients that connect from now on acknowledge answers automatically.
     pub acknowledge: bool,
 }
 
@@ -76,11 +78,11 @@
             front: Front::new(settings),
             now: Micros(1_000_000),
             clients: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            received: BTreeMap::new(),
             written: Vec::new(),
             closed: Vec::new(),
             calls: Vec::new(),
-            left: Vec::new(),
+            disconnected: Vec::new(),
             acknowledge: true,
         }
     }
@@ -94,10 +96,10 @@
         self.send(link, packet);
     }
 
-    /// Sends through the client's library.
+    /// Sends a packet through the client's library.
     pub(crate) fn send(&mut self, link: u64, packet: Packet) {
         let events = self.clients.get_mut(&LinkId(link)).unwrap().send(packet);
-        self.client_events(LinkId(link), events);
+        self.execute_client_events(LinkId(link), events);
     }
 
     pub(crate) fn publish(&mut self, link: u64, publish: v5_0::Publish) {
@@ -107,29 +109,29 @@
         self.send(link, publish.into());
     }
 
-    /// Sends bytes as they are.
-    pub(crate) fn raw(&mut self, link: u64, bytes: &[u8]) {
+    /// Sends raw bytes, without the client's library.
+    pub(crate) fn send_bytes(&mut self, link: u64, bytes: &[u8]) {
         let mut out = Vec::new();
         self.front.received(self.now, LinkId(link), bytes, &mut out);
-        self.carry(out);
+        self.execute(out);
     }
 
-    pub(crate) fn client_events(&mut self, id: LinkId, events: Vec<Event>) {
+    pub(crate) fn execute_client_events(&mut self, id: LinkId, events: Vec<Event>) {
         for event in events {
             match event {
                 Event::RequestSendPacket { packet, .. } => {
                     let bytes = packet.to_continuous_buffer();
                     let mut out = Vec::new();
                     self.front.received(self.now, id, &bytes, &mut out);
-                    self.carry(out);
+                    self.execute(out);
                 }
-                Event::NotifyPacketReceived(packet) => self.heard.entry(id).or_default().push(packet),
+                Event::NotifyPacketReceived(packet) => self.received.entry(id).or_default().push(packet),
                 _ => {}
             }
         }
     }
 
-    pub(crate) fn carry(&mut self, out: Vec<FrontOutput>) {
+    pub(crate) fn execute(&mut self, out: Vec<FrontOutput>) {
         for output in out {
             match output {
                 FrontOutput::Write(id, bytes) => {
@@ -138,51 +140,53 @@
                     while (cursor.position() as usize) < bytes.len() {
                         let Some(client) = self.clients.get_mut(&id) else { break };
                         let events = client.recv(&mut cursor);
-                        self.client_events(id, events);
+                        self.execute_client_events(id, events);
                     }
                 }
                 FrontOutput::Finish(id) => self.closed.push(id),
                 FrontOutput::Call(call) => self.calls.push(*call),
-                FrontOutput::ClientDisconnected(ticket) => self.left.push(ticket),
+                FrontOutput::ClientDisconnected(ticket) => self.disconnected.push(ticket),
             }
         }
     }
 
-    pub(crate) fn drop_link(&mut self, link: u64) {
+    pub(crate) fn disconnect(&mut self, link: u64) {
         self.clients.remove(&LinkId(link));
         let mut out = Vec::new();
         self.front.closed(self.now, LinkId(link), &mut out);
-        self.carry(out);
+        self.execute(out);
     }
 
     pub(crate) fn answer(&mut self, call: usize, answer: &Answer) {
         let mut out = Vec::new();
         self.front.answer(self.now, self.calls[call].ticket, answer, &mut out);
-        self.carry(out);
+        self.execute(out);
     }
 
-    pub(crate) fn pass(&mut self, seconds: i64) {
+    /// Moves the clock forward and fires the timers that are due.
+    pub(crate) fn advance_by(&mut self, seconds: i64) {
         self.now.0 += seconds * 1_000_000;
         let mut out = Vec::new();
         self.front.advance(self.now, &mut out);
-        self.carry(out);
+        self.execute(out);
     }
 
-    pub(crate) fn heard(&mut self, link: u64) -> Vec<Packet> {
-        self.heard.remove(&LinkId(link)).unwrap_or_default()
+    pub(crate) fn take_received(&mut self, link: u64) -> Vec<Packet> {
+        self.received.remove(&LinkId(link)).unwrap_or_default()
     }
 
+    /// The outcomes in the answers that a client received since the last call.
     pub(crate) fn outcomes(&mut self, link: u64) -> Vec<String> {
-        let told = |p: &v5_0::Publish, name: &str| {
+        let user_property = |p: &v5_0::Publish, name: &str| {
             p.props().iter().find_map(|p| match p {
                 Property::UserProperty(p) if p.key() == name => Some(p.val().to_string()),
                 _ => None,
             })
         };
-        let publishes = self.heard(link).into_iter().filter_map(|p| match p {
+        let publishes = self.take_received(link).into_iter().filter_map(|p| match p {
             Packet::V5_0Publish(p) => Some(p),
             _ => None,
         });
-        publishes.map(|p| told(&p, "outcome").unwrap_or_default()).collect()
+        publishes.map(|p| user_property(&p, "outcome").unwrap_or_default()).collect()
     }
 }
--- a/crates/mqtt/tests/front/main.rs
+++ b/crates/mqtt/tests/front/main.rs
@@ -1,4 +1,4 @@
-//! The front against clients made of the protocol library: sessions, quality of service, and what it refuses.
+//! The front with clients that use the protocol library: sessions, quality of service, and rejected input.
 
 mod bench;
 
@@ -13,7 +13,7 @@
 use slatevalve_mqtt::*;
 
 #[test]
-fn a_call_goes_through_and_its_answer_carries_what_the_client_needs_to_know_it_by() {
+fn an_answer_is_published_to_the_response_topic_with_the_correlation_data() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", true, vec![]));
     let properties = vec![
@@ -26,44 +26,44 @@
     assert_eq!((&*call.function, call.class, call.budget), ("fare", ClassId(0), Micros(250_000)));
     assert_eq!(call.repeat, Repeat::Unmarked);
     b.answer(0, &served(3));
-    let heard = b.heard(1);
-    assert!(matches!(&heard[..2], [Packet::V5_0Connack(_), Packet::V5_0Puback(p)] if p.packet_id() == 7));
-    let Packet::V5_0Publish(answer) = &heard[2] else { panic!("{heard:?}") };
+    let received = b.take_received(1);
+    assert!(matches!(&received[..2], [Packet::V5_0Connack(_), Packet::V5_0Puback(p)] if p.packet_id() == 7));
+    let Packet::V5_0Publish(answer) = &received[2] else { panic!("{received:?}") };
     assert_eq!((answer.topic_name(), answer.payload().as_slice()), ("replies/a", &b"xxx"[..]));
     assert!(answer.props().iter().any(|p| matches!(p, Property::CorrelationData(d) if d.val() == b"c1")));
 }
 
 #[test]
-fn a_resumed_session_gets_the_answer_that_came_meanwhile_and_one_that_expired_has_left() {
+fn a_resumed_session_receives_queued_answers_and_an_expired_one_abandons_its_calls() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", true, vec![expiry(30)]));
     b.publish(1, v5_publish("charge/card", Qos::AtLeastOnce, 1, vec![key("k")]));
     b.publish(1, v5_publish("charge/card", Qos::AtLeastOnce, 2, vec![key("l")]));
-    b.drop_link(1);
+    b.disconnect(1);
     b.answer(0, &served(1));
     b.connect(2, Version::V5_0, v5_connect("a", false, vec![expiry(30)]));
-    assert!(matches!(&b.heard[&LinkId(2)][0], Packet::V5_0Connack(p) if p.session_present()));
+    assert!(matches!(&b.received[&LinkId(2)][0], Packet::V5_0Connack(p) if p.session_present()));
     assert_eq!(b.outcomes(2), ["served"]);
-    b.drop_link(2);
-    b.pass(31);
-    assert_eq!(b.left, [b.calls[1].ticket]);
+    b.disconnect(2);
+    b.advance_by(31);
+    assert_eq!(b.disconnected, [b.calls[1].ticket]);
     b.connect(3, Version::V5_0, v5_connect("a", false, vec![]));
-    assert!(matches!(&b.heard(3)[0], Packet::V5_0Connack(p) if !p.session_present()));
+    assert!(matches!(&b.take_received(3)[0], Packet::V5_0Connack(p) if !p.session_present()));
 }
 
 #[test]
-fn a_call_of_a_session_that_ends_with_its_connection_has_left() {
+fn a_session_without_expiry_abandons_its_calls_when_its_connection_ends() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", true, vec![]));
     b.publish(1, v5_publish("quote/fare", Qos::AtMostOnce, 0, vec![]));
-    b.drop_link(1);
-    assert_eq!(b.left, [b.calls[0].ticket]);
+    b.disconnect(1);
+    assert_eq!(b.disconnected, [b.calls[0].ticket]);
     b.answer(0, &served(1));
-    assert!(b.heard(1).iter().all(|p| !matches!(p, Packet::V5_0Publish(_))));
+    assert!(b.take_received(1).iter().all(|p| !matches!(p, Packet::V5_0Publish(_))));
 }
 
 #[test]
-fn an_answer_that_was_not_acknowledged_comes_again_with_the_same_id_on_the_resumed_session() {
+fn an_unacknowledged_answer_is_resent_with_the_same_id_on_the_resumed_session() {
     let mut b = Bench::new(settings());
     b.acknowledge = false;
     let limit = || vec![expiry(30), ReceiveMaximum::new(1).unwrap().into()];
@@ -74,41 +74,41 @@
     b.answer(0, &served(1));
     b.answer(1, &served(1));
     let sent: Vec<Option<u16>> = b
-        .heard(1)
+        .take_received(1)
         .iter()
         .filter_map(|p| match p {
             Packet::V5_0Publish(p) => Some(p.packet_id()),
             _ => None,
         })
         .collect();
-    assert_eq!(sent.len(), 1, "one answer at a time, as the client's receive maximum says");
+    assert_eq!(sent.len(), 1, "the client's receive maximum permits one unacknowledged answer");
     let first = sent[0];
-    b.drop_link(1);
+    b.disconnect(1);
     b.acknowledge = true;
     b.connect(2, Version::V5_0, v5_connect("a", false, limit()));
-    let heard = b.heard(2);
-    let answers = heard.iter().filter_map(|p| match p {
+    let received = b.take_received(2);
+    let answers = received.iter().filter_map(|p| match p {
         Packet::V5_0Publish(p) => Some((p.dup(), p.packet_id())),
         _ => None,
     });
     let mut answers: Vec<(bool, Option<u16>)> = answers.collect();
     answers.sort_unstable();
     assert!(matches!(answers[..], [(false, _), (true, id)] if id == first), "{answers:?}");
-    // The count of unacknowledged answers is whole again: further ones come.
+    // The retransmission left the count of unacknowledged answers correct: further answers are sent.
     b.publish(2, v5_publish("quote/fare", Qos::AtLeastOnce, 9, vec![]));
     b.answer(2, &served(1));
     assert_eq!(b.outcomes(2), ["served"]);
 }
 
 #[test]
-fn a_second_connection_of_the_same_client_takes_over_and_gets_the_answer() {
+fn a_second_connection_of_a_client_takes_over_its_session_and_receives_the_answer() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", true, vec![expiry(30)]));
     b.publish(1, v5_publish("quote/fare", Qos::AtLeastOnce, 1, vec![]));
     b.connect(2, Version::V5_0, v5_connect("a", false, vec![expiry(30)]));
     assert_eq!(b.closed, [LinkId(1)]);
-    let told = b.heard(1);
-    let code = told.iter().find_map(|p| match p {
+    let received = b.take_received(1);
+    let code = received.iter().find_map(|p| match p {
         Packet::V5_0Disconnect(p) => p.reason_code(),
         _ => None,
     });
@@ -118,14 +118,14 @@
 }
 
 #[test]
-fn a_repeated_publish_is_marked_and_covered_only_on_a_session_known_here() {
+fn a_repeated_publish_is_marked_and_covered_only_on_a_resumed_session() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", false, vec![expiry(30)]));
     let opened = b.now;
     b.publish(1, v5_publish("charge/card", Qos::AtLeastOnce, 1, vec![key("k")]).set_dup(true));
     assert_eq!(b.calls[0].repeat, Repeat::Marked { covered_since: None });
-    b.drop_link(1);
-    b.pass(5);
+    b.disconnect(1);
+    b.advance_by(5);
     b.connect(2, Version::V5_0, v5_connect("a", false, vec![expiry(30)]));
     b.publish(2, v5_publish("charge/card", Qos::AtLeastOnce, 2, vec![key("k")]).set_dup(true));
     assert_eq!(b.calls[1].repeat, Repeat::Marked { covered_since: Some(opened) });
@@ -133,41 +133,41 @@
 }
 
 #[test]
-fn a_publish_sent_again_for_want_of_its_acknowledgement_makes_no_second_call_with_or_without_a_key() {
+fn a_publish_without_a_key_that_is_resent_on_a_resumed_session_starts_no_second_call() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", false, vec![expiry(30)]));
     b.publish(1, v5_publish("quote/fare", Qos::AtLeastOnce, 1, vec![]));
-    b.drop_link(1);
+    b.disconnect(1);
     b.connect(2, Version::V5_0, v5_connect("a", false, vec![expiry(30)]));
     b.publish(2, v5_publish("quote/fare", Qos::AtLeastOnce, 1, vec![]).set_dup(true));
     assert_eq!(b.calls.len(), 1);
     b.answer(0, &served(1));
     assert_eq!(b.outcomes(2), ["served"]);
-    // The id used again for another message, which was lost before it came: that is a new call.
+    // The id is reused for another message, whose first transmission was lost: that is a new call.
     b.publish(2, v5_publish("quote/trip", Qos::AtLeastOnce, 1, vec![]).set_dup(true));
     assert_eq!(b.calls.len(), 2);
 }
 
 #[test]
-fn a_publish_with_qos_2_makes_one_call_however_often_it_is_sent_before_its_release() {
+fn a_qos_2_publish_starts_one_call_however_often_it_is_sent_before_its_pubrel() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", true, vec![]));
     let publish = v5_publish("charge/card", Qos::ExactlyOnce, 5, vec![key("k")]);
-    // As bytes and without its library, which would not send the same twice on one connection.
+    // Sent as raw bytes, because the library would not send the same packet twice on one connection.
     b.clients.clear();
-    b.raw(1, &publish.to_continuous_buffer());
-    b.raw(1, &publish.clone().set_dup(true).to_continuous_buffer());
+    b.send_bytes(1, &publish.to_continuous_buffer());
+    b.send_bytes(1, &publish.clone().set_dup(true).to_continuous_buffer());
     assert_eq!(b.calls.len(), 1);
     let released = |b: &Bench| b.written.windows(4).any(|w| w == [0x70, 2, 0, 5]);
     assert!(!released(&b));
-    b.raw(1, &v5_0::Pubrel::builder().packet_id(5).build().unwrap().to_continuous_buffer());
+    b.send_bytes(1, &v5_0::Pubrel::builder().packet_id(5).build().unwrap().to_continuous_buffer());
     assert!(released(&b), "no PUBCOMP");
-    b.raw(1, &publish.to_continuous_buffer());
-    assert_eq!(b.calls.len(), 2, "after its release the id is a new message's");
+    b.send_bytes(1, &publish.to_continuous_buffer());
+    assert_eq!(b.calls.len(), 2, "after PUBREL the id belongs to a new message");
 }
 
 #[test]
-fn keys_from_correlation_data_are_one_clients_own_and_stated_keys_are_everybodys() {
+fn keys_from_correlation_data_are_scoped_to_the_client_and_explicit_keys_are_global() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", true, vec![]));
     b.connect(2, Version::V5_0, v5_connect("b", true, vec![]));
@@ -181,18 +181,18 @@
 }
 
 #[test]
-fn what_cannot_be_taken_is_refused_with_its_reason_code() {
+fn rejected_publishes_are_acknowledged_with_their_reason_codes() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", true, vec![]));
-    let wild = vec![UserProperty::new("budget-ms", "soon").unwrap().into()];
+    let invalid_budget = vec![UserProperty::new("budget-ms", "soon").unwrap().into()];
     b.publish(1, v5_publish("nowhere/x", Qos::AtLeastOnce, 1, vec![]));
-    b.publish(1, v5_publish("quote/fare", Qos::AtLeastOnce, 2, wild));
+    b.publish(1, v5_publish("quote/fare", Qos::AtLeastOnce, 2, invalid_budget));
     b.publish(1, v5_publish("nowhere/x", Qos::ExactlyOnce, 3, vec![]));
     for n in 4..=8 {
         b.publish(1, v5_publish("quote/fare", Qos::AtLeastOnce, n, vec![]));
     }
     let codes: Vec<u8> = b
-        .heard(1)
+        .take_received(1)
         .iter()
         .filter_map(|p| match p {
             Packet::V5_0Puback(p) => Some(p.reason_code().map_or(0, |c| c as u8)),
@@ -205,25 +205,25 @@
 }
 
 #[test]
-fn a_wildcard_in_the_response_topic_is_refused_and_a_retained_publish_ends_the_connection() {
+fn a_wildcard_in_the_response_topic_is_rejected_and_a_retained_publish_closes_the_connection() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", true, vec![]));
-    // The library would not write such a packet, so its bytes are made from a good one.
-    let good =
+    // The library does not encode such a packet, so the test modifies the bytes of a valid one.
+    let valid =
         v5_publish("quote/fare", Qos::AtLeastOnce, 1, vec![ResponseTopic::new("replies/a").unwrap().into()]);
-    let mut bytes = good.to_continuous_buffer();
+    let mut bytes = valid.to_continuous_buffer();
     let at = bytes.windows(9).position(|w| w == b"replies/a").unwrap();
     bytes[at + 8] = b'#';
-    b.raw(1, &bytes);
+    b.send_bytes(1, &bytes);
     assert!(b.calls.is_empty());
     b.connect(2, Version::V5_0, v5_connect("b", true, vec![]));
     let retained = v5_0::Publish::builder().topic_name("quote/x").unwrap().retain(true).build().unwrap();
-    b.raw(2, &retained.to_continuous_buffer());
+    b.send_bytes(2, &retained.to_continuous_buffer());
     assert!(b.calls.is_empty() && b.closed.contains(&LinkId(2)));
 }
 
 #[test]
-fn an_answer_too_large_for_its_client_comes_without_the_result() {
+fn an_answer_beyond_the_clients_maximum_packet_size_is_sent_without_the_result() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", true, vec![MaximumPacketSize::new(200).unwrap().into()]));
     b.publish(1, v5_publish("quote/fare", Qos::AtLeastOnce, 1, vec![]));
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn topic_aliases_stand_for_their_topic() {
+fn topic_aliases_are_resolved() {
     let mut b = Bench::new(settings());
     b.connect(1, Version::V5_0, v5_connect("a", true, vec![]));
     let alias = || -> Property { TopicAlias::new(3).unwrap().into() };
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn version_3_1_1_gets_its_answer_on_a_topic_made_from_its_id_and_the_outcome() {
+fn version_3_1_1_receives_answers_on_a_topic_generated_from_client_id_and_outcome() {
     let mut b = Bench::new(settings());
     let connect =
         v3_1_1::Connect::builder().client_id("old/app").unwrap().clean_session(true).build().unwrap();
@@ -261,7 +261,7 @@
         Answer { verdict: Verdict::Refused(Reason::NoCapacity), attempts: 0, recorded: false, version: None };
     b.answer(0, &refused);
     let topics: Vec<String> = b
-        .heard(1)
+        .take_received(1)
         .iter()
         .filter_map(|p| match p {
             Packet::V3_1_1Publish(p) => Some(p.topic_name().to_string()),
@@ -272,14 +272,14 @@
 }
 
 #[test]
-fn silent_connections_are_closed_before_and_after_their_connect() {
+fn silent_connections_are_closed_before_and_after_connect() {
     let mut b = Bench::new(settings());
     b.front.opened(b.now, LinkId(1));
     let keep_alive = v5_0::Connect::builder().client_id("a").unwrap().keep_alive(10).build().unwrap();
     b.connect(2, Version::V5_0, keep_alive.into());
-    b.pass(6);
+    b.advance_by(6);
     assert_eq!(b.closed, [LinkId(1)]);
-    b.pass(10);
+    b.advance_by(10);
     assert_eq!(b.closed, [LinkId(1), LinkId(2)]);
 }
 
@@ -291,7 +291,7 @@
     let entry = |f: &str| SubEntry::new(f, SubOpts::new()).unwrap();
     let entries = vec![entry("replies/a"), entry("replies/#"), entry("$share/g/x")];
     b.send(1, v5_0::Subscribe::builder().packet_id(1).entries(entries).build().unwrap().into());
-    let codes = b.heard(1).into_iter().find_map(|p| match p {
+    let codes = b.take_received(1).into_iter().find_map(|p| match p {
         Packet::V5_0Suback(p) => Some(p.reason_codes()),
         _ => None,
     });
@@ -304,9 +304,9 @@
         cases: 400, rng_seed: RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Whatever one client sends, another one's call still goes through.
+    /// Arbitrary bytes from one client do not affect the calls of another.
     #[test]
-    fn no_bytes_of_one_client_reach_another(
+    fn bytes_from_one_client_do_not_affect_another(
         start in 0usize..4,
         pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..60), 1..8),
         flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..4),
@@ -329,9 +329,9 @@
             }
         }
         b.front.opened(b.now, LinkId(2));
-        b.raw(2, &bytes);
+        b.send_bytes(2, &bytes);
         for piece in pieces {
-            b.raw(2, &piece);
+            b.send_bytes(2, &piece);
         }
         prop_assert!(!b.closed.contains(&LinkId(1)));
         let before = b.calls.len();
--- a/crates/sexpr/src/lib.rs
+++ b/crates/sexpr/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings files and scripts written as S-expressions, read as named forms.
+//! Reads settings files and scripts that are written as S-expressions.
 //!
-//! A form is a list that begins with its name, `(name value ... (field ...) ...)`. Each field is taken once, and a field that
-//! is left over is an error, so that a misspelt name cannot pass unnoticed. Every error names file, line and form. The crate
-//! does no I/O: callers pass the text of a file.
+//! A form is a list that begins with its name, `(name value ... (field ...) ...)`. The reader takes each
+//! field once, and remaining fields are an error, so that a misspelt name does not go unnoticed. Every error
+//! contains file, line and form. The crate does no I/O: callers pass the text of a file.
 #![forbid(unsafe_code)]
 
 use lexpr::datum::{Datum, Ref};
@@ -10,16 +10,16 @@
 use slatevalve::Micros;
 use std::fmt;
 
-/// What is wrong in a file, and where.
+/// An error in a file, with its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FormError {
-    /// The file's name, as the caller gave it.
+    /// File name that the caller passed to [`File::parse`].
     pub file: String,
-    /// The line, from 1; 0 for the file as a whole.
+    /// Line number from 1, or 0 for the file as a whole.
     pub line: usize,
-    /// The name of the form; empty at the top level.
+    /// Name of the form that contains the error; empty at the top level.
     pub form: String,
-    /// What is wrong.
+    /// Description of the error, without the location.
     pub problem: String,
 }
 
@@ -38,22 +38,22 @@
 
 impl std::error::Error for FormError {}
 
-/// The largest number that a file may hold; microseconds made from milliseconds of this size still fit 64 bits.
+/// Maximum number in a file. As milliseconds, it can be converted to microseconds in 64 bits.
 const MAX_NUMBER: f64 = 1e15;
 
 type Result<T> = std::result::Result<T, FormError>;
 
-/// A parsed file.
+/// A parsed file, as a sequence of S-expressions.
 pub struct File {
     name: String,
     data: Vec<Datum>,
 }
 
 impl File {
-    /// Parses the text of a file.
+    /// Parses the text of a file; `name` is used in errors.
     ///
     /// # Errors
-    /// Where the text is not a sequence of S-expressions.
+    /// If the text is not a sequence of S-expressions.
     pub fn parse(name: &str, text: &str) -> Result<Self> {
         let mut parser = lexpr::Parser::from_str(text);
         let data: std::result::Result<Vec<Datum>, _> = parser.datum_iter().collect();
@@ -69,7 +69,7 @@
     /// The forms at the top level.
     ///
     /// # Errors
-    /// Where a value at the top level is not a form.
+    /// If a value at the top level is not a form.
     pub fn forms(&self) -> Result<Fields<'_>> {
         let forms = self.data.iter().map(|datum| Form::read(&self.name, datum.as_ref()));
         let forms = forms.collect::<Result<Vec<_>>>()?;
@@ -77,7 +77,7 @@
         Ok(Fields { file: &self.name, line, form: String::new(), forms })
     }
 
-    /// An error about the file as a whole.
+    /// Creates an error about the file as a whole.
     #[must_use]
     pub fn error(&self, problem: impl Into<String>) -> FormError {
         FormError { file: self.name.clone(), line: 0, form: String::new(), problem: problem.into() }
@@ -102,23 +102,23 @@
         let head = items.remove(0);
         let name = head.value().as_symbol().map(str::to_string);
         let name =
-            name.ok_or_else(|| error(format!("a form begins with its name, found {}", head.value())))?;
+            name.ok_or_else(|| error(format!("expected the name of a form, found {}", head.value())))?;
         Ok(Form { file, name, line, values: items })
     }
 
-    /// The form's name.
+    /// The symbol at the beginning of the list.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The line on which the form begins, from 1.
+    /// Number of the line on which the form begins, from 1.
     #[must_use]
     pub fn line(&self) -> usize {
         self.line
     }
 
-    /// An error about the form.
+    /// Creates an error about the form.
     #[must_use]
     pub fn error(&self, problem: impl Into<String>) -> FormError {
         FormError {
@@ -136,40 +136,44 @@
     /// The form's only value, a string or a symbol.
     ///
     /// # Errors
-    /// Where the form has not exactly one value, or it is of another type.
+    /// If the form does not have exactly one value, or the value is of another type.
     pub fn text(&self) -> Result<String> {
         match self.values.as_slice() {
-            [value] => Self::text_of(value.value()).ok_or_else(|| self.error("expected a text")),
-            _ => Err(self.error("expected one text")),
+            [value] => Self::text_of(value.value())
+                .ok_or_else(|| self.error(format!("expected a string or symbol, found {}", value.value()))),
+            _ => Err(self.error("expected exactly one string or symbol")),
         }
     }
 
     /// The form's values, strings or symbols.
     ///
     /// # Errors
-    /// Where a value is of another type.
+    /// If a value is of another type.
     pub fn texts(&self) -> Result<Vec<String>> {
-        let text = |value: &Ref<'a>| Self::text_of(value.value()).ok_or_else(|| self.error("expected texts"));
+        let text = |value: &Ref<'a>| {
+            Self::text_of(value.value())
+                .ok_or_else(|| self.error(format!("expected strings or symbols, found {}", value.value())))
+        };
         self.values.iter().map(text).collect()
     }
 
     /// The form's only value, a finite number from 0 to 10^15.
     ///
     /// # Errors
-    /// Where the form has not exactly one value, or it is not such a number.
+    /// If the form does not have exactly one value, or the value is not such a number.
     pub fn number(&self) -> Result<f64> {
         let value = match self.values.as_slice() {
             [value] => value.value().as_f64(),
             _ => None,
         };
         let in_range = value.filter(|number| number.is_finite() && *number >= 0.0 && *number <= MAX_NUMBER);
-        in_range.ok_or_else(|| self.error("expected one number that is not negative"))
+        in_range.ok_or_else(|| self.error("expected exactly one number from 0 to 10^15"))
     }
 
     /// The form's only value, a whole number from 0 to `max`.
     ///
     /// # Errors
-    /// Where the form has not exactly one value, or it is not such a number.
+    /// If the form does not have exactly one value, or the value is not such a number.
     pub fn whole(&self, max: u64) -> Result<u64> {
         let number = self.number()?;
         if number.fract() != 0.0 || number > max as f64 {
@@ -181,23 +185,23 @@
     /// The form's values, whole numbers from 0 to `max`.
     ///
     /// # Errors
-    /// Where a value is not such a number.
+    /// If a value is not such a number.
     pub fn wholes(&self, max: u64) -> Result<Vec<u64>> {
         let whole = |value: &Ref<'a>| value.value().as_u64().filter(|number| *number <= max);
         let numbers: Option<Vec<u64>> = self.values.iter().map(whole).collect();
         numbers.ok_or_else(|| self.error(format!("expected whole numbers from 0 to {max}")))
     }
 
-    /// The source text of the form's values, one a line, to be parsed as a file of its own.
+    /// The source text of the form's values, one per line, which can be parsed as a separate file.
     ///
     /// # Errors
-    /// Where a value cannot be written as text.
+    /// If a value cannot be formatted.
     pub fn source(&self) -> Result<String> {
         let text = |value: &Ref<'a>| lexpr::to_string(value.value()).map_err(|e| self.error(e.to_string()));
         Ok(self.values.iter().map(text).collect::<Result<Vec<_>>>()?.join("\n"))
     }
 
-    /// The form's only value, a time in milliseconds with fractions.
+    /// The form's only value, a time in milliseconds, possibly with a fraction.
     ///
     /// # Errors
     /// As [`Form::number`].
@@ -208,7 +212,7 @@
     /// The form's only value, `yes` or `no`.
     ///
     /// # Errors
-    /// Where the form has not exactly one value, or it is neither.
+    /// If the form does not have exactly one value, or the value is neither.
     pub fn flag(&self) -> Result<bool> {
         match self.text()?.as_str() {
             "yes" => Ok(true),
@@ -220,17 +224,17 @@
     /// The form's first value, a string or a symbol, and the forms that follow it.
     ///
     /// # Errors
-    /// Where the first value is of another type or missing, or a further value is not a form.
+    /// If the first value is missing or of another type, or a further value is not a form.
     pub fn named_fields(&self) -> Result<(String, Fields<'a>)> {
         let name = self.values.first().and_then(|value| Self::text_of(value.value()));
-        let name = name.ok_or_else(|| self.error("expected a text first"))?;
+        let name = name.ok_or_else(|| self.error("expected a string or symbol as the first value"))?;
         Ok((name, self.fields_from(1)?))
     }
 
     /// The forms within this form.
     ///
     /// # Errors
-    /// Where a value is not a form.
+    /// If a value is not a form.
     pub fn fields(&self) -> Result<Fields<'a>> {
         self.fields_from(0)
     }
@@ -243,7 +247,8 @@
     }
 }
 
-/// The forms within a form or at the top level of a file. Each is taken once; [`Fields::finish`] reports those left over.
+/// The forms within a form or at the top level of a file. Each is taken once; [`Fields::finish`] checks that
+/// none remain.
 pub struct Fields<'a> {
     file: &'a str,
     line: usize,
@@ -252,21 +257,21 @@
 }
 
 impl<'a> Fields<'a> {
-    /// An error about the form that holds these.
+    /// Creates an error about the enclosing form or file.
     #[must_use]
     pub fn error(&self, problem: impl Into<String>) -> FormError {
         let (file, line, form) = (self.file.into(), self.line, self.form.clone());
         FormError { file, line, form, problem: problem.into() }
     }
 
-    /// Takes the form with this name; `None` where there is none.
+    /// Takes the form with this name; `None` if there is none.
     ///
     /// # Errors
-    /// Where there are several.
+    /// If there are several.
     pub fn take(&mut self, name: &str) -> Result<Option<Form<'a>>> {
         let mut found = self.take_all(name);
         if let [first, second, ..] = found.as_slice() {
-            return Err(second.error(format!("stands twice; first in line {}", first.line)));
+            return Err(second.error(format!("appears more than once; first in line {}", first.line)));
         }
         Ok(found.pop())
     }
@@ -274,7 +279,7 @@
     /// Takes the form with this name.
     ///
     /// # Errors
-    /// Where there is none, or several.
+    /// If there is none or several.
     pub fn need(&mut self, name: &str) -> Result<Form<'a>> {
         self.take(name)?.ok_or_else(|| self.error(format!("({name} ...) is missing")))
     }
@@ -286,29 +291,29 @@
         found
     }
 
-    /// Takes all forms that are left, in order.
+    /// Takes all remaining forms, in order.
     pub fn take_rest(&mut self) -> Vec<Form<'a>> {
         std::mem::take(&mut self.forms)
     }
 
-    /// Takes the form with this name and reads its value; `default` where there is none.
+    /// Takes the form with this name and reads its value with `read`; returns `default` if there is none.
     ///
     /// # Errors
-    /// Where there are several forms with this name, or `read` fails.
+    /// If there are several forms with this name, or `read` fails.
     pub fn or<T>(&mut self, name: &str, default: T, read: impl FnOnce(&Form<'a>) -> Result<T>) -> Result<T> {
         self.take(name)?.map_or(Ok(default), |form| read(&form))
     }
 
-    /// Checks that all forms were taken.
+    /// Checks that no forms remain.
     ///
     /// # Errors
-    /// Names the first form that was not taken.
+    /// If forms remain; the error names the first one.
     pub fn finish(self) -> Result<()> {
         match self.forms.first() {
             None => Ok(()),
             Some(form) => Err(FormError {
                 form: self.form.clone(),
-                ..form.error(format!("({} ...) is not known here", form.name))
+                ..form.error(format!("unknown form ({} ...)", form.name))
             }),
         }
     }
--- a/crates/sexpr/tests/places.rs
+++ b/crates/sexpr/tests/places.rs
@@ -1,4 +1,4 @@
-//! What an author of a file is told: the file, the line and the form in which something is wrong.
+//! Errors in a file contain its name, the line and the form.
 
 use slatevalve_sexpr::{File, FormError};
 
@@ -15,20 +15,23 @@
 }
 
 #[test]
-fn a_file_is_read_whole_or_its_first_error_names_the_place() {
+fn a_valid_file_is_read_and_the_first_error_of_an_invalid_one_has_its_location() {
     assert_eq!(read("(pool (idle-ms 2.5))"), Ok((2_500, 8)));
     assert_eq!(read("(pool (idle-ms 1)\n (most 64))"), Ok((1_000, 64)));
     let cases = [
         ("(pool (idle-ms 1)\n (most 65))", "site.scm:2: (most ...): expected a whole number from 0 to 64"),
         ("(pool\n (most 3))", "site.scm:1: (pool ...): (idle-ms ...) is missing"),
-        ("(pool (idle-ms 1) (idle-ms 2))", "site.scm:1: (idle-ms ...): stands twice; first in line 1"),
-        ("(pool (idle-ms -1))", "site.scm:1: (idle-ms ...): expected one number that is not negative"),
-        ("(pool (idle-ms 1)\n\n (speed 3))", "site.scm:3: (pool ...): (speed ...) is not known here"),
+        (
+            "(pool (idle-ms 1) (idle-ms 2))",
+            "site.scm:1: (idle-ms ...): appears more than once; first in line 1",
+        ),
+        ("(pool (idle-ms -1))", "site.scm:1: (idle-ms ...): expected exactly one number from 0 to 10^15"),
+        ("(pool (idle-ms 1)\n\n (speed 3))", "site.scm:3: (pool ...): unknown form (speed ...)"),
         ("(pool (idle-ms 1))\n7", "site.scm:2: expected a form, found 7"),
     ];
-    for (text, words) in cases {
-        assert_eq!(read(text).map_err(|e| e.to_string()), Err(words.to_string()), "{text}");
+    for (text, message) in cases {
+        assert_eq!(read(text).map_err(|e| e.to_string()), Err(message.to_string()), "{text}");
     }
-    let cut = read("(pool (idle-ms 1)").expect_err("the file ends within a form");
-    assert!(cut.line > 0 && cut.form.is_empty(), "{cut}");
+    let incomplete = read("(pool (idle-ms 1)").expect_err("the file ends within a form");
+    assert!(incomplete.line > 0 && incomplete.form.is_empty(), "{incomplete}");
 }
