--- a/crates/gateway/src/server/bridge.rs
+++ b/crates/gateway/src/server/bridge.rs
@@ -30,7 +30,7 @@
 
     /// Whether the bridge is connected and has bytes that are not yet sent to the broker.
     pub(super) fn has_unsent(&self) -> bool {
-        self.bridge.is_up() && self.bridge.unsent() > 0
+        self.bridge.is_connected() && self.bridge.unacknowledged_answers() > 0
     }
 
     /// Executes an output of the bridge; returns the call if the output is one.
