--- a/crates/gateway/src/plugins/link.rs
+++ b/crates/gateway/src/plugins/link.rs
@@ -190,7 +190,7 @@
                 match (busy, ended) {
                     (false, _) => Ok(()),
                     (true, Ok(true)) => self.job.response_event(now, MessageEvent::End),
-                    (true, _) if connected => self.job.attempt_failed(now, AttemptFailure::Cut),
+                    (true, _) if connected => self.job.attempt_failed(now, AttemptFailure::ConnectionClosed),
                     (true, _) => self.job.attempt_failed(now, AttemptFailure::Connect),
                 }
             }
--- a/crates/gateway/src/settings/plugins.rs
+++ b/crates/gateway/src/settings/plugins.rs
@@ -126,12 +126,12 @@
 fn policy(fields: &mut Fields<'_>) -> Res<Policy> {
     let base = Policy::default();
     Ok(Policy {
-        stall_us: millis_as_us(fields, "stall-ms", base.stall_us)?,
-        first_wait_us: millis_as_us(fields, "first-wait-ms", base.first_wait_us)?,
-        longest_wait_us: millis_as_us(fields, "longest-wait-ms", base.longest_wait_us)?,
-        tries: whole(fields, "tries", base.tries, 1_000)?.max(1),
-        within_us: millis_as_us(fields, "within-ms", base.within_us)?,
-        redirects: base.redirects,
+        stall_timeout_us: millis_as_us(fields, "stall-ms", base.stall_timeout_us)?,
+        initial_backoff_us: millis_as_us(fields, "first-wait-ms", base.initial_backoff_us)?,
+        max_backoff_us: millis_as_us(fields, "longest-wait-ms", base.max_backoff_us)?,
+        max_attempts: whole(fields, "tries", base.max_attempts, 1_000)?.max(1),
+        job_timeout_us: millis_as_us(fields, "within-ms", base.job_timeout_us)?,
+        max_redirects: base.max_redirects,
         hosts: fields.or("hosts", Vec::new(), Form::texts)?,
     })
 }
--- a/crates/gateway/tests/stored_forms.rs
+++ b/crates/gateway/tests/stored_forms.rs
@@ -233,8 +233,11 @@
     let login = pull.credentials.unwrap();
     assert_eq!((login.user.as_str(), login.password.as_str()), ("reader", "secret"));
     let policy = pull.policy;
-    assert_eq!((policy.stall_us, policy.first_wait_us, policy.longest_wait_us), (81_000, 82_000, 8_083_000));
-    assert_eq!((policy.tries, policy.within_us), (84, 85_086_000));
+    assert_eq!(
+        (policy.stall_timeout_us, policy.initial_backoff_us, policy.max_backoff_us),
+        (81_000, 82_000, 8_083_000)
+    );
+    assert_eq!((policy.max_attempts, policy.job_timeout_us), (84, 85_086_000));
     assert_eq!(policy.hosts, ["a.example", "b.example"]);
     assert_eq!((pull.range, pull.max_size), (86 * 1_024, 87_000_000));
 }
--- a/crates/oci/src/document.rs
+++ b/crates/oci/src/document.rs
@@ -80,31 +80,31 @@
 
 /// An encoded image manifest.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Packed {
+pub struct EncodedManifest {
     /// The bytes that are pushed.
     pub bytes: Vec<u8>,
     /// Their digest.
     pub digest: Digest,
 }
 
-impl Packed {
+impl EncodedManifest {
     fn of(manifest: &ImageManifest) -> Result<Self, DocumentError> {
         let bytes = serde_json::to_vec(manifest).map_err(syntax)?;
         let digest = Digest::of(&bytes);
-        Ok(Packed { bytes, digest })
+        Ok(EncodedManifest { bytes, digest })
     }
 }
 
 /// The blobs that a plug-in's image manifest references.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unpacked {
+pub struct ImageContent {
     /// The config: the plug-in's own manifest.
     pub config: LayerRef,
     /// The layers: the plug-in's content.
     pub layers: Vec<LayerRef>,
 }
 
-impl Unpacked {
+impl ImageContent {
     /// Checks that the layers are those of the plug-in's own manifest, in the same order.
     ///
     /// # Errors
@@ -141,7 +141,7 @@
 ///
 /// # Errors
 /// When it cannot be encoded.
-pub fn pack(manifest: &Manifest, bytes: &[u8]) -> Result<Packed, DocumentError> {
+pub fn pack(manifest: &Manifest, bytes: &[u8]) -> Result<EncodedManifest, DocumentError> {
     let layers = manifest.layers.iter().map(|layer| descriptor(LAYER_TYPE, &layer.digest, layer.size));
     let image = ImageManifestBuilder::default()
         .schema_version(SCHEMA_VERSION)
@@ -151,14 +151,14 @@
         .layers(layers.collect::<Result<Vec<_>, _>>()?)
         .build()
         .map_err(syntax)?;
-    Packed::of(&image)
+    EncodedManifest::of(&image)
 }
 
 /// Parses the image manifest of a plug-in.
 ///
 /// # Errors
 /// When it is malformed or another artifact's, or has a digest of an unsupported algorithm.
-pub fn unpack(bytes: &[u8]) -> Result<Unpacked, DocumentError> {
+pub fn unpack(bytes: &[u8]) -> Result<ImageContent, DocumentError> {
     let image: ImageManifest = serde_json::from_slice(bytes).map_err(syntax)?;
     if image.schema_version() != SCHEMA_VERSION {
         return Err(syntax(format!("schema version {}", image.schema_version())));
@@ -171,14 +171,17 @@
         return Err(DocumentError::TooMany(image.layers().len()));
     }
     let layers = image.layers().iter().map(layer_ref).collect::<Result<_, _>>()?;
-    Ok(Unpacked { config: layer_ref(image.config())?, layers })
+    Ok(ImageContent { config: layer_ref(image.config())?, layers })
 }
 
 /// Encodes the manifest of an artifact that carries a signature of a plug-in; `subject` is the plug-in's image manifest.
 ///
 /// # Errors
 /// When it cannot be encoded.
-pub fn sign_document(subject: &Packed, signature: &Signature) -> Result<Packed, DocumentError> {
+pub fn pack_signature(
+    subject: &EncodedManifest,
+    signature: &Signature,
+) -> Result<EncodedManifest, DocumentError> {
     let subject_type = MediaType::ImageManifest.to_string();
     let annotations = HashMap::from([
         (KEY_ANNOTATION.to_string(), signature.key.clone()),
@@ -198,7 +201,7 @@
         .annotations(annotations)
         .build()
         .map_err(syntax)?;
-    Packed::of(&image)
+    EncodedManifest::of(&image)
 }
 
 /// Parses the signatures in a registry's list of referrers; other entries are skipped, as anybody may add referrers.
--- a/crates/oci/src/document/tests.rs
+++ b/crates/oci/src/document/tests.rs
@@ -15,7 +15,7 @@
     let unpacked = unpack(&pack(&manifest, &bytes).unwrap().bytes).unwrap();
     assert_eq!(unpacked.config, LayerRef { digest: Digest::of(&bytes), size: bytes.len() as u64 });
     assert_eq!(unpacked.matches(&manifest), Ok(()));
-    let fewer = Unpacked { layers: Vec::new(), ..unpacked };
+    let fewer = ImageContent { layers: Vec::new(), ..unpacked };
     assert_eq!(fewer.matches(&manifest), Err(DocumentError::Layers));
 }
 
--- a/crates/oci/src/exchange.rs
+++ b/crates/oci/src/exchange.rs
@@ -108,7 +108,7 @@
 }
 
 impl Exchange {
-    /// An exchange whose deadline is [`Policy::within_us`] from now; `seed` is that of the backoff's jitter.
+    /// An exchange whose deadline is [`Policy::job_timeout_us`] from now; `seed` is that of the backoff's jitter.
     pub(crate) fn new(
         now_us: i64,
         policy: Policy,
@@ -117,7 +117,7 @@
         request: RegistryRequest,
     ) -> Self {
         Exchange {
-            deadline_us: now_us.saturating_add(policy.within_us),
+            deadline_us: now_us.saturating_add(policy.job_timeout_us),
             policy,
             credentials,
             origin: authority(&request.url),
@@ -157,10 +157,10 @@
     /// What the driver is to do.
     ///
     /// # Errors
-    /// [`ExchangeError::TimeUp`] after the deadline.
+    /// [`ExchangeError::DeadlineExceeded`] after the deadline.
     pub(crate) fn next(&mut self, now_us: i64) -> Result<Next, ExchangeError> {
         if now_us >= self.deadline_us {
-            return Err(ExchangeError::TimeUp(self.last_failure));
+            return Err(ExchangeError::DeadlineExceeded(self.last_failure));
         }
         match self.state {
             State::Backoff(until_us) if now_us < until_us => Ok(Next::Wait(until_us.min(self.deadline_us))),
@@ -169,7 +169,7 @@
                 Ok(Next::Send(self.encode()))
             }
             State::Receiving { since_us, .. } => {
-                let stalled_us = since_us.saturating_add(self.policy.stall_us);
+                let stalled_us = since_us.saturating_add(self.policy.stall_timeout_us);
                 Ok(Next::Receive(stalled_us.min(self.deadline_us)))
             }
         }
@@ -271,17 +271,17 @@
         let address = authority(url);
         match url.scheme() == "http" && (address == self.origin || self.policy.hosts.contains(&address)) {
             true => Ok(()),
-            false => Err(ExchangeError::Elsewhere(format!("{}://{address}", url.scheme()))),
+            false => Err(ExchangeError::AddressNotAllowed(format!("{}://{address}", url.scheme()))),
         }
     }
 
     fn follow_redirect(&mut self, head: &Head) -> Result<(), ExchangeError> {
         self.redirects += 1;
-        if self.redirects > self.policy.redirects {
-            return Err(ExchangeError::Redirects);
+        if self.redirects > self.policy.max_redirects {
+            return Err(ExchangeError::InvalidRedirect);
         }
         let target = head.header("Location").and_then(|location| self.target.join(location).ok());
-        let target = target.ok_or(ExchangeError::Redirects)?;
+        let target = target.ok_or(ExchangeError::InvalidRedirect)?;
         self.check_allowed(&target)?;
         self.target = target;
         Ok(())
@@ -331,7 +331,7 @@
     /// Handles a failed attempt: the next one follows after a backoff.
     ///
     /// # Errors
-    /// [`ExchangeError::GaveUp`] when it was the last attempt.
+    /// [`ExchangeError::AttemptsExhausted`] when it was the last attempt.
     pub(crate) fn attempt_failed(
         &mut self,
         now_us: i64,
@@ -352,12 +352,12 @@
     ) -> Result<(), ExchangeError> {
         self.last_failure = Some(failure);
         self.failed_attempts += 1;
-        if self.failed_attempts >= self.policy.tries {
-            return Err(ExchangeError::GaveUp(failure));
+        if self.failed_attempts >= self.policy.max_attempts {
+            return Err(ExchangeError::AttemptsExhausted(failure));
         }
         let doublings = (self.failed_attempts - 1).min(MAX_BACKOFF_DOUBLINGS);
-        let doubled = self.policy.first_wait_us.saturating_mul(1 << doublings);
-        let longest = self.policy.longest_wait_us;
+        let doubled = self.policy.initial_backoff_us.saturating_mul(1 << doublings);
+        let longest = self.policy.max_backoff_us;
         // Jitter from half to all of it: gateways that failed together do not retry together.
         let backoff = (doubled.min(longest) as f64 * self.random.random_range(0.5..1.0)) as i64;
         self.state = State::Backoff(now_us.saturating_add(backoff.max(min_us.min(longest))));
--- a/crates/oci/src/exchange/error.rs
+++ b/crates/oci/src/exchange/error.rs
@@ -9,8 +9,8 @@
     /// No connection was established.
     Connect,
     /// The connection was closed within a response.
-    Cut,
-    /// No bytes arrived within [`crate::Policy::stall_us`].
+    ConnectionClosed,
+    /// No bytes arrived within [`crate::Policy::stall_timeout_us`].
     Stalled,
     /// The response is not HTTP, or its content does not match its digest.
     MalformedResponse,
@@ -24,7 +24,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             AttemptFailure::Connect => f.write_str("it cannot be reached"),
-            AttemptFailure::Cut => f.write_str("the connection ended within an answer"),
+            AttemptFailure::ConnectionClosed => f.write_str("the connection ended within an answer"),
             AttemptFailure::Stalled => f.write_str("nothing came for too long"),
             AttemptFailure::MalformedResponse => f.write_str("it did not answer in HTTP"),
             AttemptFailure::Range => f.write_str("it sent another range than was asked for"),
@@ -39,15 +39,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
     /// The attempts are used up; holds the failure of the last one.
-    GaveUp(AttemptFailure),
+    AttemptsExhausted(AttemptFailure),
     /// The deadline of the job has passed; holds the failure of the last attempt, if one failed.
-    TimeUp(Option<AttemptFailure>),
+    DeadlineExceeded(Option<AttemptFailure>),
     /// The registry or its token service rejects the credentials, or requires some and there are none.
     Unauthorized,
     /// A redirect or a token service at an address that the policy does not allow; holds scheme, host and port.
-    Elsewhere(String),
+    AddressNotAllowed(String),
     /// Too many redirects, or one without a usable `Location`.
-    Redirects,
+    InvalidRedirect,
     /// The token service's response holds no usable token.
     Token,
 }
@@ -55,14 +55,14 @@
 impl fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ExchangeError::GaveUp(failure) => write!(f, "given up: {failure}"),
-            ExchangeError::TimeUp(None) => f.write_str("the time for it is up"),
-            ExchangeError::TimeUp(Some(failure)) => write!(f, "the time for it is up: {failure}"),
+            ExchangeError::AttemptsExhausted(failure) => write!(f, "given up: {failure}"),
+            ExchangeError::DeadlineExceeded(None) => f.write_str("the time for it is up"),
+            ExchangeError::DeadlineExceeded(Some(failure)) => write!(f, "the time for it is up: {failure}"),
             ExchangeError::Unauthorized => f.write_str("the registry does not take these credentials"),
-            ExchangeError::Elsewhere(address) => {
+            ExchangeError::AddressNotAllowed(address) => {
                 write!(f, "the registry sends to {address}, which (hosts ...) does not name")
             }
-            ExchangeError::Redirects => f.write_str("the registry sends round and round"),
+            ExchangeError::InvalidRedirect => f.write_str("the registry sends round and round"),
             ExchangeError::Token => f.write_str("the token service gave no token"),
         }
     }
@@ -71,11 +71,13 @@
 impl Error for ExchangeError {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
-            ExchangeError::GaveUp(failure) | ExchangeError::TimeUp(Some(failure)) => Some(failure),
-            ExchangeError::TimeUp(None)
+            ExchangeError::AttemptsExhausted(failure) | ExchangeError::DeadlineExceeded(Some(failure)) => {
+                Some(failure)
+            }
+            ExchangeError::DeadlineExceeded(None)
             | ExchangeError::Unauthorized
-            | ExchangeError::Elsewhere(_)
-            | ExchangeError::Redirects
+            | ExchangeError::AddressNotAllowed(_)
+            | ExchangeError::InvalidRedirect
             | ExchangeError::Token => None,
         }
     }
--- a/crates/oci/src/exchange/policy.rs
+++ b/crates/oci/src/exchange/policy.rs
@@ -4,17 +4,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
     /// An attempt fails when its connection is not established, or brings no bytes, for this long.
-    pub stall_us: i64,
+    pub stall_timeout_us: i64,
     /// Backoff after the first failed attempt; it doubles with each further one.
-    pub first_wait_us: i64,
+    pub initial_backoff_us: i64,
     /// Upper limit of the backoff, also of one that the registry requests by `Retry-After`.
-    pub longest_wait_us: i64,
+    pub max_backoff_us: i64,
     /// Consecutive attempts without progress before the job fails.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Time for the whole job.
-    pub within_us: i64,
+    pub job_timeout_us: i64,
     /// Redirects followed for one request.
-    pub redirects: u32,
+    pub max_redirects: u32,
     /// `HOST:PORT` of further allowed targets of redirects; the registry's own address is always allowed.
     pub hosts: Vec<String>,
 }
@@ -22,12 +22,12 @@
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            stall_us: 10_000_000,
-            first_wait_us: 200_000,
-            longest_wait_us: 10_000_000,
-            tries: 6,
-            within_us: 600_000_000,
-            redirects: 5,
+            stall_timeout_us: 10_000_000,
+            initial_backoff_us: 200_000,
+            max_backoff_us: 10_000_000,
+            max_attempts: 6,
+            job_timeout_us: 600_000_000,
+            max_redirects: 5,
             hosts: Vec::new(),
         }
     }
--- a/crates/oci/src/exchange/tests.rs
+++ b/crates/oci/src/exchange/tests.rs
@@ -23,13 +23,14 @@
 
 #[test]
 fn waits_grow_keep_to_what_the_registry_asks_and_end() {
-    let policy = Policy { first_wait_us: 100, longest_wait_us: 1_000_000, tries: 4, ..Policy::default() };
+    let policy =
+        Policy { initial_backoff_us: 100, max_backoff_us: 1_000_000, max_attempts: 4, ..Policy::default() };
     let mut e = exchange(policy);
     sent(&mut e, 0);
     assert_eq!(e.head(0, &head(503, &[("Retry-After", "1")])), Ok(HeadOutcome::Consumed));
     assert_eq!(e.next(10), Ok(Next::Wait(1_000_000)));
     sent(&mut e, 1_000_000);
-    e.attempt_failed(1_000_000, AttemptFailure::Cut).unwrap();
+    e.attempt_failed(1_000_000, AttemptFailure::ConnectionClosed).unwrap();
     let Ok(Next::Wait(at)) = e.next(1_000_000) else { panic!() };
     assert!((1_000_100..=1_000_200).contains(&at), "{at}");
     sent(&mut e, at);
@@ -39,7 +40,7 @@
     sent(&mut e, at + 1_000_000);
     assert_eq!(
         e.attempt_failed(at + 1_000_000, AttemptFailure::Stalled),
-        Err(ExchangeError::GaveUp(AttemptFailure::Stalled))
+        Err(ExchangeError::AttemptsExhausted(AttemptFailure::Stalled))
     );
 }
 
@@ -70,8 +71,8 @@
     sent(&mut e, 0);
     let to = |place: &str| head(302, &[("Location", place)]);
     let elsewhere = e.head(0, &to("http://169.254.169.254/secrets"));
-    assert_eq!(elsewhere, Err(ExchangeError::Elsewhere("http://169.254.169.254:80".into())));
-    assert!(matches!(e.head(0, &to("file:///etc/passwd")), Err(ExchangeError::Elsewhere(_))));
+    assert_eq!(elsewhere, Err(ExchangeError::AddressNotAllowed("http://169.254.169.254:80".into())));
+    assert!(matches!(e.head(0, &to("file:///etc/passwd")), Err(ExchangeError::AddressNotAllowed(_))));
     let mut e = exchange(Policy::default());
     for _ in 0..5 {
         sent(&mut e, 0);
@@ -79,19 +80,22 @@
         e.ended().unwrap();
     }
     sent(&mut e, 0);
-    assert_eq!(e.head(0, &to("/v2/a/blobs/y")), Err(ExchangeError::Redirects));
+    assert_eq!(e.head(0, &to("/v2/a/blobs/y")), Err(ExchangeError::InvalidRedirect));
     let mut e = exchange(Policy::default());
     sent(&mut e, 0);
     let spy = r#"Bearer realm="http://spy/token""#;
     let asked = e.head(0, &head(401, &[("WWW-Authenticate", spy)]));
-    assert_eq!(asked, Err(ExchangeError::Elsewhere("http://spy:80".into())));
+    assert_eq!(asked, Err(ExchangeError::AddressNotAllowed("http://spy:80".into())));
 }
 
 #[test]
 fn a_clock_that_jumps_ends_it_or_lets_it_go_on_and_nothing_else() {
-    let mut e = exchange(Policy { within_us: 1_000, ..Policy::default() });
+    let mut e = exchange(Policy { job_timeout_us: 1_000, ..Policy::default() });
     sent(&mut e, 0);
-    e.attempt_failed(-5_000_000, AttemptFailure::Cut).unwrap();
+    e.attempt_failed(-5_000_000, AttemptFailure::ConnectionClosed).unwrap();
     assert!(matches!(e.next(-5_000_000), Ok(Next::Wait(_))));
-    assert_eq!(e.next(i64::MAX), Err(ExchangeError::TimeUp(Some(AttemptFailure::Cut))));
+    assert_eq!(
+        e.next(i64::MAX),
+        Err(ExchangeError::DeadlineExceeded(Some(AttemptFailure::ConnectionClosed)))
+    );
 }
--- a/crates/oci/src/lib.rs
+++ b/crates/oci/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use challenge::{Challenge, Credentials};
 pub use document::{
-    pack, read_signatures, sign_document, unpack, DocumentError, Packed, Unpacked, CONFIG_TYPE,
+    pack, pack_signature, read_signatures, unpack, DocumentError, EncodedManifest, ImageContent, CONFIG_TYPE,
     SIGNATURE_TYPE,
 };
 pub use exchange::{AttemptFailure, ExchangeError, Next, Policy, Request};
--- a/crates/oci/src/pull.rs
+++ b/crates/oci/src/pull.rs
@@ -14,7 +14,7 @@
 pub use job::PullJob;
 
 use crate::challenge::Credentials;
-use crate::document::{read_signatures, unpack, Unpacked};
+use crate::document::{read_signatures, unpack, ImageContent};
 use crate::exchange::{
     AttemptFailure, EndOutcome, Exchange, HeadOutcome, Next, Policy, RegistryRequest, IMAGE_MANIFEST_TYPE,
 };
@@ -80,7 +80,7 @@
 /// The image manifest of the plug-in that is pulled.
 struct Image {
     digest: Digest,
-    content: Unpacked,
+    content: ImageContent,
 }
 
 /// How a blob of the image is brought into the store.
@@ -189,7 +189,7 @@
         match &mut self.phase {
             Phase::ImageManifest(_) if head.status != 200 => {
                 let subject = format!("{}:{}", self.repository, self.reference);
-                Err(PullError::Refused(subject, head.status))
+                Err(PullError::Rejected(subject, head.status))
             }
             // A registry without the referrers API answers 404: then there are no signatures.
             Phase::ImageManifest(bytes) | Phase::Referrers(bytes) => {
@@ -219,8 +219,8 @@
             ContentHead::RangeUnsatisfiable => {
                 return self.restart_corrupt(now_us, store, VerifyError::TooLong);
             }
-            ContentHead::Refused(status) => {
-                return Err(PullError::Refused(download.blob.digest.to_string(), status));
+            ContentHead::Rejected(status) => {
+                return Err(PullError::Rejected(download.blob.digest.to_string(), status));
             }
         }
         Ok(())
@@ -385,7 +385,7 @@
             self.exchange.start(request);
         } else {
             // An empty response is a failed attempt, so that a registry cannot go on with them without end.
-            self.exchange.attempt_failed(now_us, AttemptFailure::Cut)?;
+            self.exchange.attempt_failed(now_us, AttemptFailure::ConnectionClosed)?;
             self.exchange.replace(request);
         }
         Ok(())
--- a/crates/oci/src/pull/download.rs
+++ b/crates/oci/src/pull/download.rs
@@ -36,7 +36,7 @@
     /// The blob has no such range: what is stored cannot be a part of it.
     RangeUnsatisfiable,
     /// The registry does not serve the blob.
-    Refused(u16),
+    Rejected(u16),
 }
 
 impl Download {
@@ -79,7 +79,7 @@
             206 if content_range_start(head) == Some(stored) => ContentHead::Continues,
             206 => ContentHead::WrongRange,
             416 => ContentHead::RangeUnsatisfiable,
-            status => ContentHead::Refused(status),
+            status => ContentHead::Rejected(status),
         };
         self.accepting = matches!(content, ContentHead::Continues | ContentHead::Restarts);
         content
--- a/crates/oci/src/pull/error.rs
+++ b/crates/oci/src/pull/error.rs
@@ -16,7 +16,7 @@
     /// A request got no response.
     Exchange(ExchangeError),
     /// The registry does not have, or does not serve, what was requested; holds its name and the status.
-    Refused(String, u16),
+    Rejected(String, u16),
     /// The registry served content that does not match its digest, twice.
     Corrupt(Digest, VerifyError),
     /// The image manifest is not that of a plug-in.
@@ -51,7 +51,7 @@
         match self {
             PullError::Name(e) => e.fmt(f),
             PullError::Exchange(e) => e.fmt(f),
-            PullError::Refused(subject, status) => {
+            PullError::Rejected(subject, status) => {
                 write!(f, "the registry answered {status} for {subject}")
             }
             PullError::Corrupt(digest, reason) => {
@@ -79,7 +79,7 @@
             PullError::Corrupt(_, e) => Some(e),
             PullError::Document(e) => Some(e),
             PullError::Store(e) => Some(e),
-            PullError::Refused(..)
+            PullError::Rejected(..)
             | PullError::Manifest(_)
             | PullError::OtherVersion { .. }
             | PullError::TooLarge(_) => None,
--- a/crates/oci/src/pull_queue.rs
+++ b/crates/oci/src/pull_queue.rs
@@ -19,14 +19,14 @@
     /// Limit of the queued names, and of the failed names that are remembered.
     pub capacity: usize,
     /// Backoff after a name's first failure, before jitter.
-    pub first_wait_us: i64,
+    pub initial_backoff_us: i64,
     /// Upper limit of the backoff, before jitter.
-    pub longest_wait_us: i64,
+    pub max_backoff_us: i64,
 }
 
 impl Default for PullQueueSettings {
     fn default() -> Self {
-        PullQueueSettings { capacity: 1_024, first_wait_us: 1_000_000, longest_wait_us: 300_000_000 }
+        PullQueueSettings { capacity: 1_024, initial_backoff_us: 1_000_000, max_backoff_us: 300_000_000 }
     }
 }
 
@@ -115,8 +115,8 @@
     /// The doubled backoff with a jitter of a quarter to both sides.
     fn backoff_us(&mut self, consecutive_failures: u32) -> i64 {
         let doublings = (consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
-        let doubled = self.settings.first_wait_us.saturating_mul(1 << doublings);
-        let limited = doubled.min(self.settings.longest_wait_us);
+        let doubled = self.settings.initial_backoff_us.saturating_mul(1 << doublings);
+        let limited = doubled.min(self.settings.max_backoff_us);
         (limited as f64 * self.random.random_range(0.75..1.25)) as i64
     }
 
--- a/crates/oci/src/pull_queue/tests.rs
+++ b/crates/oci/src/pull_queue/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 fn pull_queue(capacity: usize) -> PullQueue {
-    PullQueue::new(PullQueueSettings { capacity, first_wait_us: 1_000, longest_wait_us: 60_000 }, 1)
+    PullQueue::new(PullQueueSettings { capacity, initial_backoff_us: 1_000, max_backoff_us: 60_000 }, 1)
 }
 
 #[test]
--- a/crates/oci/src/push.rs
+++ b/crates/oci/src/push.rs
@@ -7,7 +7,7 @@
 pub use error::PushError;
 
 use crate::challenge::Credentials;
-use crate::document::{pack, sign_document, Packed, EMPTY_CONFIG};
+use crate::document::{pack, pack_signature, EncodedManifest, EMPTY_CONFIG};
 use crate::exchange::{
     AttemptFailure, EndOutcome, Exchange, HeadOutcome, Next, Policy, RegistryRequest, IMAGE_MANIFEST_TYPE,
 };
@@ -83,7 +83,7 @@
 /// A manifest and the tag or digest that it is pushed by.
 struct TaggedManifest {
     reference: String,
-    packed: Packed,
+    packed: EncodedManifest,
 }
 
 /// A push of one version; see the module's documentation.
@@ -183,7 +183,7 @@
     fn handle_manifest_response(&mut self, head: &Head) -> Result<(), PushError> {
         let Some(TaggedManifest { reference, packed }) = self.current_manifest() else { return Ok(()) };
         if head.status != 201 {
-            return Err(PushError::Refused(format!("{}:{reference}", self.repository), head.status));
+            return Err(PushError::Rejected(format!("{}:{reference}", self.repository), head.status));
         }
         let reported = head.header("Docker-Content-Digest");
         if let Some(other) = reported.filter(|digest| *digest != packed.digest.to_string()) {
@@ -209,7 +209,7 @@
     fn next_step(&mut self, now_us: i64, head: &Head) -> Result<Option<UploadStep>, PushError> {
         let blob = &self.blobs[self.position];
         let size = blob.size();
-        let refused = || PushError::Refused(blob.digest.to_string(), head.status);
+        let refused = || PushError::Rejected(blob.digest.to_string(), head.status);
         Ok(Some(match (&self.step, head.status) {
             (UploadStep::CheckExistence, 200) => {
                 self.present_bytes += size;
@@ -234,7 +234,7 @@
             (UploadStep::SendChunk(_), 416) => UploadStep::QueryOffset,
             // The upload session is gone.
             (UploadStep::QueryOffset | UploadStep::SendChunk(_) | UploadStep::Close, 404) => {
-                self.exchange.attempt_failed(now_us, AttemptFailure::Cut)?;
+                self.exchange.attempt_failed(now_us, AttemptFailure::ConnectionClosed)?;
                 UploadStep::Open
             }
             (UploadStep::Close, 201) => return Ok(None),
@@ -358,7 +358,7 @@
     let image = pack(&package.manifest, &package.config)?;
     let mut manifests = Vec::new();
     for signature in &package.signatures {
-        let packed = sign_document(&image, signature)?;
+        let packed = pack_signature(&image, signature)?;
         manifests.push(TaggedManifest { reference: packed.digest.to_string(), packed });
     }
     manifests.insert(0, TaggedManifest { reference: package.manifest.version.clone(), packed: image });
--- a/crates/oci/src/push/error.rs
+++ b/crates/oci/src/push/error.rs
@@ -14,7 +14,7 @@
     /// A request got no response.
     Exchange(ExchangeError),
     /// The registry rejected a blob or manifest; holds its name and the status.
-    Refused(String, u16),
+    Rejected(String, u16),
     /// A manifest could not be encoded.
     Document(DocumentError),
     /// The registry reports another digest for a manifest than the pushed one.
@@ -28,7 +28,7 @@
         match self {
             PushError::Name(e) => e.fmt(f),
             PushError::Exchange(e) => e.fmt(f),
-            PushError::Refused(subject, status) => {
+            PushError::Rejected(subject, status) => {
                 write!(f, "the registry answered {status} to {subject}")
             }
             PushError::Document(e) => e.fmt(f),
@@ -44,7 +44,7 @@
             PushError::Name(e) => Some(e),
             PushError::Exchange(e) => Some(e),
             PushError::Document(e) => Some(e),
-            PushError::Refused(..) | PushError::OtherDigest(_) | PushError::Upload => None,
+            PushError::Rejected(..) | PushError::OtherDigest(_) | PushError::Upload => None,
         }
     }
 }
--- a/crates/oci/tests/pulls.rs
+++ b/crates/oci/tests/pulls.rs
@@ -108,7 +108,7 @@
         match fault {
             Some(Fault::Cut(at)) => {
                 bytes.truncate(at);
-                cut = Some(AttemptFailure::Cut);
+                cut = Some(AttemptFailure::ConnectionClosed);
             }
             Some(Fault::Stall) => {
                 bytes.clear();
@@ -120,7 +120,7 @@
             Some(Fault::Endless) => {
                 bytes = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
                 bytes.extend(vec![b'x'; 100_000]);
-                cut = Some(AttemptFailure::Cut);
+                cut = Some(AttemptFailure::ConnectionClosed);
             }
             _ => {}
         }
@@ -141,7 +141,7 @@
                 }
             }
         }
-        job.attempt_failed(self.now_us, cut.unwrap_or(AttemptFailure::Cut))
+        job.attempt_failed(self.now_us, cut.unwrap_or(AttemptFailure::ConnectionClosed))
     }
 }
 
@@ -271,15 +271,18 @@
         Fault::Instead("HTTP/1.1 503 Busy\r\nRetry-After: 99999\r\nContent-Length: 0\r\n\r\n".into()),
     ] {
         let error = pull(&|n, _| (n > 1).then(|| fault.clone())).unwrap_err();
-        assert!(matches!(error, PullError::Exchange(ExchangeError::GaveUp(_))), "{fault:?}: {error}");
+        assert!(
+            matches!(error, PullError::Exchange(ExchangeError::AttemptsExhausted(_))),
+            "{fault:?}: {error}"
+        );
     }
     // One that drips brings something new with each try, and still ends with the time for it all.
     let drip = |n: usize, _: &str| (n > 1).then_some(Fault::Cut(700));
     let mut slow = settings();
-    (slow.policy.first_wait_us, slow.policy.within_us) = (2_000_000, 3_000_000);
+    (slow.policy.initial_backoff_us, slow.policy.job_timeout_us) = (2_000_000, 3_000_000);
     let mut store = BlobStore::new(MemoryFiles::default());
     let error = pull_into(&mut pushed(), &mut store, slow, &drip).0.unwrap_err();
-    assert!(matches!(error, PullError::Exchange(ExchangeError::TimeUp(_))), "{error}");
+    assert!(matches!(error, PullError::Exchange(ExchangeError::DeadlineExceeded(_))), "{error}");
     // A byte or so for each connection is nothing new.
     let byte = |n: usize, _: &str| {
         let answer = "HTTP/1.1 206 P\r\nContent-Length: 1000\r\nContent-Range: bytes 0-999/2500\r\n\r\na";
@@ -287,7 +290,7 @@
     };
     let mut store = BlobStore::new(MemoryFiles::default());
     let (done, asked) = pull_into(&mut pushed(), &mut store, settings(), &byte);
-    assert!(matches!(done, Err(PullError::Exchange(ExchangeError::GaveUp(_)))), "{done:?}");
+    assert!(matches!(done, Err(PullError::Exchange(ExchangeError::AttemptsExhausted(_)))), "{done:?}");
     assert!(asked.len() < 12, "{asked:?}");
 }
 
@@ -295,10 +298,10 @@
 fn what_the_registry_says_no_to_or_what_is_no_plug_in_names_what_it_was() {
     let instead =
         |status: &str| Some(Fault::Instead(format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n")));
-    assert!(matches!(pull(&|_, _| instead("404")), Err(PullError::Refused(what, 404)) if what == "fare:1"));
+    assert!(matches!(pull(&|_, _| instead("404")), Err(PullError::Rejected(what, 404)) if what == "fare:1"));
     assert!(matches!(
         pull(&|n, _| if n == 2 { instead("403") } else { None }),
-        Err(PullError::Refused(_, 403))
+        Err(PullError::Rejected(_, 403))
     ));
     let mut small = settings();
     small.max_size = 100;
