--- a/crates/blobs/src/error.rs
+++ b/crates/blobs/src/error.rs
@@ -1,4 +1,4 @@
-//! Why content cannot be read or stored.
+//! Errors of the store.
 
 use slatevalve_plugins::VerifyError;
 use std::error::Error;
@@ -8,20 +8,21 @@
 /// Why a blob or document cannot be read or stored.
 #[derive(Debug)]
 pub enum BlobError {
-    /// There is no such blob or document.
+    /// The blob or document does not exist.
     Missing,
     /// The content does not match its digest or size.
     Corrupt(VerifyError),
-    /// A file operation failed. After one that failed for lack of space, what was written before it can be resumed.
+    /// A file operation failed. If it failed for lack of space, the bytes written before are kept and the
+    /// blob can be resumed.
     Disk(io::Error),
 }
 
 impl fmt::Display for BlobError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BlobError::Missing => f.write_str("it is not here"),
+            BlobError::Missing => f.write_str("no such blob or document in the store"),
             BlobError::Corrupt(e) => e.fmt(f),
-            BlobError::Disk(e) => write!(f, "the disk: {e}"),
+            BlobError::Disk(e) => write!(f, "a file operation of the store failed: {e}"),
         }
     }
 }
--- a/crates/blobs/src/files.rs
+++ b/crates/blobs/src/files.rs
@@ -1,11 +1,11 @@
-//! The file operations that the store needs, and their implementation on a disk.
+//! The file operations that the store uses, and their implementation on a disk.
 
 use crate::layout::{BLOBS, DOCUMENTS, PARTIAL, STAGED};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// File operations on paths relative to one folder. A crash may come before or after each of them.
+/// File operations on paths relative to one folder. A crash may occur before or after each of them.
 pub trait Files {
     /// Reads a whole file.
     ///
@@ -19,13 +19,13 @@
     /// Those of the file system, such as `StorageFull`; a part of the bytes may be written.
     fn append(&mut self, path: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Returns once a file's content is durable.
+    /// Makes a file's content durable.
     ///
     /// # Errors
     /// Those of the file system.
     fn sync(&mut self, path: &str) -> io::Result<()>;
 
-    /// Renames a file, replacing the target if it exists, and returns once that is durable.
+    /// Renames a file, replacing the target if it exists, and makes that durable.
     ///
     /// # Errors
     /// Those of the file system.
@@ -43,7 +43,7 @@
     /// Those of the file system; `NotFound` where there is no such file.
     fn size(&self, path: &str) -> io::Result<u64>;
 
-    /// The names in a folder; none where the folder does not exist.
+    /// The names of the entries of a folder; none where the folder does not exist.
     ///
     /// # Errors
     /// Those of the file system.
@@ -57,7 +57,7 @@
 }
 
 impl Disk {
-    /// Creates the root folder and the store's folders in it, where they do not exist.
+    /// Creates the root folder and the store's folders in it, if they do not exist.
     ///
     /// # Errors
     /// When a folder cannot be created.
--- a/crates/blobs/src/layout.rs
+++ b/crates/blobs/src/layout.rs
@@ -2,13 +2,13 @@
 
 use slatevalve_plugins::Digest;
 
-/// Verified blobs, named by the hexadecimal digest.
+/// Verified blobs, named by the hexadecimal digits of their digests.
 pub(crate) const BLOBS: &str = "blobs/sha256";
-/// Incomplete blobs of a known digest, by which they are named.
+/// Incomplete blobs whose digest is known, named like blobs.
 pub(crate) const PARTIAL: &str = "partial";
-/// Incomplete content whose digest is not known yet, under a name of the caller's.
+/// Incomplete content whose digest is not known yet, under a name that the caller chooses.
 pub(crate) const STAGED: &str = "staged";
-/// Documents, by name.
+/// Documents, under a name that the caller chooses.
 pub(crate) const DOCUMENTS: &str = "documents";
 
 pub(crate) fn blob_path(digest: &Digest) -> String {
--- a/crates/blobs/src/memory.rs
+++ b/crates/blobs/src/memory.rs
@@ -7,22 +7,22 @@
 /// A file of [`MemoryFiles`].
 #[derive(Clone, Debug, Default)]
 pub struct MemoryFile {
-    /// All that was written.
+    /// All written bytes, durable or not.
     pub content: Vec<u8>,
-    /// Bytes of the content that are durable.
+    /// Number of leading bytes of `content` that are durable.
     pub synced: usize,
 }
 
 /// Files in memory that distinguish synced from unsynced content, and fail from a given step on.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryFiles {
-    /// The files by path.
+    /// By path relative to the store's root.
     pub files: BTreeMap<String, MemoryFile>,
-    /// Modifying operations so far, failed ones included.
+    /// Number of modifying operations so far, including failed ones.
     pub steps: usize,
-    /// Modifying operations that succeed before the power fails; `None` for all.
+    /// Number of modifying operations that succeed before the simulated power failure; `None` without one.
     pub power_fails_after: Option<usize>,
-    /// Whether the disk is full: an append writes half of its bytes and fails.
+    /// Simulates a full disk: an append writes half of its bytes and fails with `StorageFull`.
     pub full: bool,
 }
 
@@ -30,12 +30,13 @@
     fn step(&mut self) -> io::Result<()> {
         self.steps += 1;
         match self.power_fails_after {
-            Some(steps) if self.steps > steps => Err(io::Error::other("the power is gone")),
+            Some(steps) if self.steps > steps => Err(io::Error::other("simulated power failure")),
             _ => Ok(()),
         }
     }
 
-    /// The files after a restart: of each file's unsynced content, only the first `unsynced_kept` bytes remain.
+    /// The files after a power failure and restart: each keeps only the first `unsynced_kept` bytes of its
+    /// unsynced content.
     #[must_use]
     pub fn after_power_failure(mut self, unsynced_kept: usize) -> Self {
         for file in self.files.values_mut() {
--- a/crates/blobs/src/store.rs
+++ b/crates/blobs/src/store.rs
@@ -15,7 +15,7 @@
 }
 
 impl Partial {
-    /// Bytes that are stored, from the start of the blob.
+    /// Number of bytes stored, from the start of the blob.
     #[must_use]
     pub fn stored_bytes(&self) -> u64 {
         self.verifier.seen()
@@ -28,7 +28,7 @@
 }
 
 impl<F: Files> BlobStore<F> {
-    /// A store over files in whatever state a crash left them.
+    /// Creates a store over files, which may be in any state that a crash left.
     pub fn new(files: F) -> Self {
         BlobStore { files }
     }
@@ -38,7 +38,7 @@
         &mut self.files
     }
 
-    /// Whether a blob exists; only reading verifies its content.
+    /// Whether a blob exists. Its content is not verified; [`BlobStore::read`] does that.
     pub fn contains(&self, digest: &Digest) -> bool {
         self.files.size(&blob_path(digest)).is_ok()
     }
@@ -74,7 +74,7 @@
         Ok(content)
     }
 
-    /// Starts writing a blob of `size` bytes, or resumes it with what is stored of it.
+    /// Starts writing a blob of `size` bytes, or resumes it after the bytes that are stored already.
     ///
     /// # Errors
     /// When the disk fails.
@@ -84,7 +84,7 @@
         match self.files.read(&path) {
             Ok(stored) => {
                 if verifier.update(&stored).is_err() {
-                    // It is larger than the blob, so no part of it can be trusted.
+                    // The stored part is larger than the blob, so none of it can be trusted.
                     self.files.remove(&path)?;
                     verifier = Verifier::new(digest, size);
                 }
@@ -98,7 +98,7 @@
     /// Appends a chunk to an incomplete blob.
     ///
     /// # Errors
-    /// When the blob grows beyond its size, in which case all of it is removed, or the disk fails.
+    /// When the blob would exceed its size, in which case the stored part is removed, or the disk fails.
     pub fn append(&mut self, partial: &mut Partial, chunk: &[u8]) -> Result<(), BlobError> {
         if let Err(e) = partial.verifier.update(chunk) {
             self.files.remove(&partial.path)?;
@@ -107,14 +107,14 @@
         Ok(self.files.append(&partial.path, chunk)?)
     }
 
-    /// Completes a blob: verifies, syncs and renames it. Content that does not match its digest is removed; content that is
-    /// too short is kept, to be resumed.
+    /// Completes a blob: verifies, syncs and renames it. Content that does not match its digest is removed.
+    /// Content that is too short is kept and can be resumed.
     ///
     /// # Errors
     /// When it is incomplete or corrupt, or the disk fails.
     pub fn commit(&mut self, partial: Partial) -> Result<(), BlobError> {
         if partial.stored_bytes() == 0 {
-            // An empty blob has no chunk that would have created its file.
+            // Appending creates the file, and an empty blob has no chunk.
             self.files.append(&partial.path, &[])?;
         }
         if let Err(e) = partial.verifier.finish() {
@@ -132,7 +132,7 @@
     /// When the disk fails.
     pub fn put(&mut self, content: &[u8]) -> Result<Digest, BlobError> {
         let digest = Digest::of(content);
-        // All of the content is at hand, so an interrupted earlier attempt is not resumed.
+        // The whole content is available, so an earlier interrupted attempt is discarded instead of resumed.
         self.discard(&digest)?;
         let mut partial = self.open_partial(digest, content.len() as u64)?;
         self.append(&mut partial, content)?;
@@ -140,7 +140,8 @@
         Ok(digest)
     }
 
-    /// Removes what is stored of an incomplete blob, so that the next [`BlobStore::open_partial`] starts at its first byte.
+    /// Removes the stored part of an incomplete blob, so that the next [`BlobStore::open_partial`] starts at
+    /// its first byte.
     ///
     /// # Errors
     /// When the disk fails.
@@ -148,8 +149,8 @@
         Ok(self.files.remove(&partial_path(digest))?)
     }
 
-    /// Appends a chunk to staged content, whose digest is not known yet, under a name of the caller's; returns its size in
-    /// bytes.
+    /// Appends a chunk to staged content, whose digest is not known yet, under a name that the caller
+    /// chooses; returns its total size in bytes.
     ///
     /// # Errors
     /// When the disk fails.
@@ -159,7 +160,8 @@
         Ok(self.files.size(&path)?)
     }
 
-    /// Makes staged content a blob: verifies, syncs and renames it. Content that does not match the digest is removed.
+    /// Makes staged content a blob: verifies, syncs and renames it. Content that does not match the digest is
+    /// removed.
     ///
     /// # Errors
     /// When it does not match the digest or was never staged, or the disk fails.
@@ -180,7 +182,7 @@
         Ok(self.files.remove(&staged_path(name))?)
     }
 
-    /// Removes all staged content: its names do not survive a restart of the caller.
+    /// Removes all staged content, for a caller whose names for it do not survive a restart.
     ///
     /// # Errors
     /// When the disk fails.
@@ -189,8 +191,8 @@
         names.iter().try_for_each(|name| self.discard_staged(name))
     }
 
-    /// Verifies every blob and removes corrupt ones; returns their digests. `progress` is called with the number of verified
-    /// blobs and their total.
+    /// Verifies every blob and removes corrupt ones; returns their digests. `progress` is called with the
+    /// number of verified blobs and their total.
     ///
     /// # Errors
     /// When the disk fails.
@@ -229,7 +231,7 @@
         Ok(self.files.read(&document_path(name))?)
     }
 
-    /// Replaces a document atomically: after a crash it is the old or the new one.
+    /// Replaces a document atomically: after a crash it has its old or its new content.
     ///
     /// # Errors
     /// When the disk fails.
--- a/crates/gateway/tests/registry.rs
+++ b/crates/gateway/tests/registry.rs
@@ -1,5 +1,5 @@
-//! Plug-ins from a registry over real sockets: pulls by a running gateway, the registry's misbehaviours, the admin socket,
-//! signatures, and content that rots while the gateway runs.
+//! Plug-ins from a registry over real sockets: pulls by a running gateway, faults of the registry, the admin
+//! socket, signatures, and content that is corrupted while the gateway runs.
 
 mod support;
 
@@ -19,24 +19,24 @@
 (route "charge/+" (class "charge") (function "{2}"))
 "#;
 
-/// A registry, the folder that a publisher works in, and the folder of a gateway.
-struct Yard {
+/// A registry, the plug-in folder of a publisher, and the plug-in folder of a gateway.
+struct Environment {
     directory: tempfile::TempDir,
     registry: Option<Process>,
     address: String,
 }
 
-impl Yard {
+impl Environment {
     fn new(faults: Value) -> Self {
         let directory = tempfile::tempdir().unwrap();
-        let mut yard = Yard { directory, registry: None, address: String::new() };
-        yard.start_registry("127.0.0.1:0", faults);
-        yard
+        let mut env = Environment { directory, registry: None, address: String::new() };
+        env.start_registry("127.0.0.1:0", faults);
+        env
     }
 
     fn start_registry(&mut self, listen: &str, faults: Value) {
         let plan = json!({"folder": self.path("registry"), "listen": listen, "faults": faults,
-            "trace": self.path("asked.jsonl")});
+            "trace": self.path("requests.jsonl")});
         let registry = Process::start(&["registry", "--plan", &plan.to_string()], None);
         self.address = format!("http://{}/coop", registry.address);
         self.registry = Some(registry);
@@ -46,9 +46,9 @@
         self.directory.path().join(name)
     }
 
-    /// Requests that the registry had, each "METHOD TARGET".
-    fn asked(&self) -> Vec<String> {
-        let text = std::fs::read_to_string(self.path("asked.jsonl")).unwrap_or_default();
+    /// The requests that the registry received, each as "METHOD TARGET".
+    fn requests(&self) -> Vec<String> {
+        let text = std::fs::read_to_string(self.path("requests.jsonl")).unwrap_or_default();
         let line = |l: &str| serde_json::from_str::<Value>(l).unwrap()["asked"].as_str().unwrap().to_string();
         text.lines().map(line).collect()
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A command on the publisher's folder.
+    /// Runs a command on the publisher's folder.
     fn publisher(&self, arguments: &[&str]) -> Result<String, String> {
         let folder = self.path("publisher");
         self.plugin(
@@ -70,13 +70,13 @@
         )
     }
 
-    /// A command by the gateway's admin socket.
+    /// Runs a command through the gateway's admin socket.
     fn admin(&self, arguments: &[&str]) -> Result<String, String> {
         let socket = self.path("admin.sock");
         self.plugin(&[&["--socket", socket.to_str().unwrap()], arguments].concat())
     }
 
-    /// Takes a version into the publisher's folder; gives its digest and its layer's.
+    /// Adds a version to the publisher's folder; returns its digest and that of its layer.
     fn push(&self, version: &str, class: &str, more: Value) -> (String, Digest) {
         let content = format!("rules {version} ").repeat(2_000);
         let digest = Digest::of(content.as_bytes());
@@ -86,9 +86,9 @@
             "layers": [{"digest": digest, "size": content.len()}]});
         more.as_object().into_iter().flatten().for_each(|(k, v)| value[k] = v.clone());
         std::fs::write(&manifest, value.to_string()).unwrap();
-        let said = self.publisher(&["push", manifest.to_str().unwrap(), layer.to_str().unwrap()]).unwrap();
-        let said: Value = serde_json::from_str(&said).unwrap();
-        (said["digest"].as_str().unwrap().to_string(), digest)
+        let output = self.publisher(&["push", manifest.to_str().unwrap(), layer.to_str().unwrap()]).unwrap();
+        let output: Value = serde_json::from_str(&output).unwrap();
+        (output["digest"].as_str().unwrap().to_string(), digest)
     }
 
     fn publish(&self, version: &str) -> (String, Digest) {
@@ -115,61 +115,74 @@
     }
 }
 
-fn honest() -> Worker {
+fn serving_worker() -> Worker {
     Worker::start(|call, _| {
         let digest = call.function.split_once('@').map(|(_, digest)| digest.to_string());
         Act::Answer(Reply::Served { payload: call.function.as_bytes().to_vec(), ran: digest })
     })
 }
 
-fn flip(path: &Path) {
+fn corrupt_file(path: &Path) {
     let mut content = std::fs::read(path).unwrap();
     content[0] ^= 1;
     std::fs::write(path, content).unwrap();
 }
 
 #[test]
-fn a_version_goes_from_a_publisher_through_a_registry_to_calls_that_name_it() {
-    let mut yard = Yard::new(json!([]));
-    let (one, layer) = yard.publish("1");
-    let worker = honest();
-    let gateway = yard.gateway(&worker, "", "");
-    let pulled = yard.admin(&["pull", "fare", "1"]).unwrap();
+fn a_published_version_is_pulled_and_serves_calls_also_while_the_registry_is_down() {
+    let mut env = Environment::new(json!([]));
+    let (one, layer) = env.publish("1");
+    let worker = serving_worker();
+    let gateway = env.gateway(&worker, "", "");
+    let pulled = env.admin(&["pull", "fare", "1"]).unwrap();
     assert!(pulled.contains(&one), "{pulled}");
-    yard.admin(&["alias", "fare", "current", "1", "--who", "anna"]).unwrap();
+    env.admin(&["alias", "fare", "current", "1", "--who", "anna"]).unwrap();
     let mut client = Client::connect(gateway.address(), "a", false);
-    let heard = client.call("quote/fare", 1, None, "q1");
-    assert_eq!((heard.outcome.as_str(), heard.ran.as_ref()), ("served", Some(&one)));
-    // 26 KB in parts of 4 KB; what is here is not asked for again.
-    let of_layer =
-        |asked: &[String]| asked.iter().filter(|a| a.starts_with("GET") && a.contains(&layer.hex())).count();
-    let before = of_layer(&yard.asked());
-    assert!(before >= 4, "{:?}", yard.asked());
-    yard.admin(&["pull", "fare", "1"]).unwrap();
-    assert_eq!(of_layer(&yard.asked()), before);
-    // Started anew with the registry down, it serves what it holds.
+    let answer = client.call("quote/fare", 1, None, "q1");
+    assert_eq!((answer.outcome.as_str(), answer.ran.as_ref()), ("served", Some(&one)));
+    // The layer of 16 KB is pulled in ranges of 4 KB; stored content is not requested again.
+    let layer_requests = |requests: &[String]| {
+        requests.iter().filter(|a| a.starts_with("GET") && a.contains(&layer.hex())).count()
+    };
+    let before = layer_requests(&env.requests());
+    assert!(before >= 4, "{:?}", env.requests());
+    env.admin(&["pull", "fare", "1"]).unwrap();
+    assert_eq!(layer_requests(&env.requests()), before);
+    // A gateway restarted while the registry is down serves the versions in its folder.
     drop(gateway);
-    yard.registry = None;
-    let gateway = yard.gateway(&worker, "", "");
+    env.registry = None;
+    let gateway = env.gateway(&worker, "", "");
     let mut client = Client::connect(gateway.address(), "a", false);
     assert_eq!(client.call("quote/fare", 1, None, "q2").outcome, "served");
-    let down = yard.admin(&["pull", "fare", "2"]).unwrap_err();
+    let down = env.admin(&["pull", "fare", "2"]).unwrap_err();
     assert!(down.contains("cannot be reached"), "{down}");
     assert_eq!(client.call("quote/fare", 2, None, "q3").outcome, "served");
 }
 
 #[test]
-fn what_a_registry_does_wrong_costs_its_pull_and_no_call() {
+fn faults_of_the_registry_fail_the_pull_and_no_call() {
     let on = |text: &str, times: u64, kind: Value| json!({"on": text, "times": times, "kind": kind});
     // The content of version 2, whose digest is the same each time.
     let two = Digest::of("rules 2 ".repeat(2_000).as_bytes()).hex();
-    let elsewhere = "http://127.0.0.1:1/x";
+    let other_address = "http://127.0.0.1:1/x";
     let cases = [
         ("flip", on(&two, 0, json!("flip")), Some("does not match its digest")),
         ("endless", on(&two, 0, json!("endless")), Some("longer than promised")),
-        ("stall", on("GET /v2/coop/fare/blobs", 0, json!("stall")), Some("nothing came for too long")),
-        ("cut", on("GET /v2/coop/fare/blobs", 0, json!({"cut": 100})), Some("the connection ended")),
-        ("redirect", on("GET /v2/coop/fare/blobs", 0, json!({"redirect": elsewhere})), Some("does not name")),
+        (
+            "stall",
+            on("GET /v2/coop/fare/blobs", 0, json!("stall")),
+            Some("no bytes arrived within the stall timeout"),
+        ),
+        (
+            "cut",
+            on("GET /v2/coop/fare/blobs", 0, json!({"cut": 100})),
+            Some("the connection was closed before the end"),
+        ),
+        (
+            "redirect",
+            on("GET /v2/coop/fare/blobs", 0, json!({"redirect": other_address})),
+            Some("does not allow"),
+        ),
         ("429", on("manifests", 0, json!({"status": 429})), Some("429")),
         ("503", on("manifests", 0, json!({"status": 503})), Some("503")),
         ("404", on("manifests", 0, json!({"status": 404})), Some("404")),
@@ -178,37 +191,37 @@
         ("once flipped", on("GET /v2/coop/fare/blobs", 1, json!("flip")), None),
         ("once stalled", on("referrers", 1, json!("stall")), None),
     ];
-    let worker = honest();
-    for (what, fault, refused) in cases {
-        let mut yard = Yard::new(json!([]));
-        yard.publish("1");
-        yard.publish("2");
-        let gateway = yard.gateway(&worker, "", "");
-        yard.admin(&["pull", "fare", "1"]).unwrap();
-        yard.admin(&["alias", "fare", "current", "1"]).unwrap();
-        // The same registry, from now on with its fault.
-        let address = yard.registry.take().unwrap().address.to_string();
-        yard.start_registry(&address, json!([fault]));
+    let worker = serving_worker();
+    for (what, fault, expected_error) in cases {
+        let mut env = Environment::new(json!([]));
+        env.publish("1");
+        env.publish("2");
+        let gateway = env.gateway(&worker, "", "");
+        env.admin(&["pull", "fare", "1"]).unwrap();
+        env.admin(&["alias", "fare", "current", "1"]).unwrap();
+        // Restarts the registry at the same address with the fault.
+        let address = env.registry.take().unwrap().address.to_string();
+        env.start_registry(&address, json!([fault]));
         let mut client = Client::connect(gateway.address(), "a", false);
-        let pulled = yard.admin(&["pull", "fare", "2"]);
-        match refused {
-            Some(words) => {
+        let pulled = env.admin(&["pull", "fare", "2"]);
+        match expected_error {
+            Some(text) => {
                 let error = pulled.unwrap_err();
-                assert!(error.contains(words), "{what}: {error}");
+                assert!(error.contains(text), "{what}: {error}");
                 assert!(
-                    yard.admin(&["alias", "fare", "current", "2"]).is_err(),
-                    "{what}: half there and moved to"
+                    env.admin(&["alias", "fare", "current", "2"]).is_err(),
+                    "{what}: the alias moved to an incomplete version"
                 );
-                let heard = client.call("quote/fare@2", 1, None, "q2");
-                assert_eq!(heard.outcome, "refused", "{what}: {heard:?}");
+                let answer = client.call("quote/fare@2", 1, None, "q2");
+                assert_eq!(answer.outcome, "refused", "{what}: {answer:?}");
             }
             None => {
                 pulled.unwrap_or_else(|e| panic!("{what}: {e}"));
-                yard.admin(&["alias", "fare", "current", "2"]).unwrap();
+                env.admin(&["alias", "fare", "current", "2"]).unwrap();
             }
         }
         if ["flip", "endless"].contains(&what) {
-            let shown = yard.admin(&["show", "fare"]).unwrap();
+            let shown = env.admin(&["show", "fare"]).unwrap();
             assert!(shown.contains("\"quarantine\":{"), "{shown}");
         }
         assert_eq!(client.call("quote/fare", 2, None, "q1").outcome, "served", "{what}");
@@ -216,38 +229,38 @@
 }
 
 #[test]
-fn a_gateway_killed_within_a_pull_goes_on_from_what_came() {
-    let mut yard = Yard::new(json!([]));
-    let (_, layer) = yard.publish("1");
-    let address = yard.registry.take().unwrap().address.to_string();
-    yard.start_registry(&address, json!([{"on": layer.hex(), "times": 0, "kind": {"late": 100}}]));
-    let worker = honest();
-    let gateway = yard.gateway(&worker, "", "");
-    let mut stream = UnixStream::connect(yard.path("admin.sock")).unwrap();
+fn a_gateway_killed_during_a_pull_resumes_it_from_the_stored_part() {
+    let mut env = Environment::new(json!([]));
+    let (_, layer) = env.publish("1");
+    let address = env.registry.take().unwrap().address.to_string();
+    env.start_registry(&address, json!([{"on": layer.hex(), "times": 0, "kind": {"late": 100}}]));
+    let worker = serving_worker();
+    let gateway = env.gateway(&worker, "", "");
+    let mut stream = UnixStream::connect(env.path("admin.sock")).unwrap();
     stream.write_all(b"{\"do\":\"pull\",\"name\":\"fare\",\"version\":\"1\"}\n").unwrap();
-    let partial = yard.path("folder").join("partial").join(layer.hex());
-    until("a part to come", || partial.metadata().is_ok_and(|m| m.len() > 0));
-    // Dropped is killed: by SIGKILL, without an orderly stop.
+    let partial = env.path("folder").join("partial").join(layer.hex());
+    until("a part of the layer to be stored", || partial.metadata().is_ok_and(|m| m.len() > 0));
+    // Dropping the gateway kills it by SIGKILL, without an orderly stop.
     drop(gateway);
-    assert!(!yard.blob(&layer).exists());
-    let _gateway = yard.gateway(&worker, "", "");
-    let pulled: Value = serde_json::from_str(&yard.admin(&["pull", "fare", "1"]).unwrap()).unwrap();
+    assert!(!env.blob(&layer).exists());
+    let _gateway = env.gateway(&worker, "", "");
+    let pulled: Value = serde_json::from_str(&env.admin(&["pull", "fare", "1"]).unwrap()).unwrap();
     assert!(pulled["had"].as_u64().unwrap() >= 4_096, "{pulled}");
-    assert!(yard.admin(&["verify"]).is_ok());
+    assert!(env.admin(&["verify"]).is_ok());
 }
 
 #[test]
-fn content_that_rots_while_the_gateway_runs_is_found_refused_and_had_again() {
-    let yard = Yard::new(json!([]));
-    let (_, layer) = yard.publish("1");
-    let worker = honest();
-    let gateway = yard.gateway(&worker, "", "(scrub-mb-per-s 1000)");
-    yard.admin(&["pull", "fare", "1"]).unwrap();
-    yard.admin(&["alias", "fare", "current", "1"]).unwrap();
-    flip(&yard.blob(&layer));
-    until("the rot to be found", || gateway.log().contains("in quarantine"));
-    until("a clean pull to lift it", || {
-        gateway.log().contains("pulled name=\"fare\"") && yard.blob(&layer).exists()
+fn content_corrupted_while_the_gateway_runs_is_detected_refused_and_pulled_again() {
+    let env = Environment::new(json!([]));
+    let (_, layer) = env.publish("1");
+    let worker = serving_worker();
+    let gateway = env.gateway(&worker, "", "(scrub-mb-per-s 1000)");
+    env.admin(&["pull", "fare", "1"]).unwrap();
+    env.admin(&["alias", "fare", "current", "1"]).unwrap();
+    corrupt_file(&env.blob(&layer));
+    until("the corruption to be detected", || gateway.log().contains("in quarantine"));
+    until("a pull of correct content to end the quarantine", || {
+        gateway.log().contains("pulled name=\"fare\"") && env.blob(&layer).exists()
     });
     let mut client = Client::connect(gateway.address(), "a", false);
     let mut number = 0;
@@ -255,205 +268,208 @@
         number += 1;
         assert!(number < 200, "{}", gateway.log());
     }
-    // What an operator takes out of use is not had again by itself.
-    yard.admin(&["quarantine", "fare@1", "--reason", "wrong fares"]).unwrap();
-    let heard = client.call("quote/fare", 300, None, "q300");
-    assert!(heard.outcome == "refused" && heard.reason.unwrap().contains("quarantine"));
-    flip(&yard.blob(&layer));
-    let asked = yard.asked().len();
-    assert!(client.call("quote/fare", 301, None, "q301").outcome == "refused" && yard.asked().len() == asked);
-    yard.admin(&["pull", "fare", "1"]).unwrap();
+    // A version that an operator put into quarantine is not pulled again automatically.
+    env.admin(&["quarantine", "fare@1", "--reason", "wrong fares"]).unwrap();
+    let answer = client.call("quote/fare", 300, None, "q300");
+    assert!(answer.outcome == "refused" && answer.reason.unwrap().contains("quarantine"));
+    corrupt_file(&env.blob(&layer));
+    let requests = env.requests().len();
+    assert!(
+        client.call("quote/fare", 301, None, "q301").outcome == "refused" && env.requests().len() == requests
+    );
+    env.admin(&["pull", "fare", "1"]).unwrap();
     assert_eq!(client.call("quote/fare", 302, None, "q302").outcome, "served");
 }
 
 #[test]
-fn a_version_that_calls_name_and_is_not_here_is_pulled_once_for_those_that_follow() {
-    let yard = Yard::new(json!([]));
-    yard.publish("1");
-    let (two, _) = yard.publish("2");
-    let worker = honest();
-    let gateway = yard.gateway(&worker, "(on-call yes)", "");
-    yard.admin(&["pull", "fare", "1"]).unwrap();
+fn a_missing_version_that_calls_name_is_pulled_once_and_serves_later_calls() {
+    let env = Environment::new(json!([]));
+    env.publish("1");
+    let (two, _) = env.publish("2");
+    let worker = serving_worker();
+    let gateway = env.gateway(&worker, "(on-call yes)", "");
+    env.admin(&["pull", "fare", "1"]).unwrap();
     let mut client = Client::connect(gateway.address(), "a", false);
     let mut number = 0;
-    let heard = loop {
+    let answer = loop {
         number += 1;
-        let heard = client.call("quote/fare@2", number, None, &format!("q{number}"));
-        if heard.outcome == "served" {
-            break heard;
+        let answer = client.call("quote/fare@2", number, None, &format!("q{number}"));
+        if answer.outcome == "served" {
+            break answer;
         }
         assert!(number < 2_000, "{}", gateway.log());
     };
-    assert_eq!(heard.ran, Some(two));
+    assert_eq!(answer.ran, Some(two));
     let manifests = |version: &str| {
-        yard.asked().iter().filter(|a| **a == format!("GET /v2/coop/fare/manifests/{version}")).count()
+        env.requests().iter().filter(|a| **a == format!("GET /v2/coop/fare/manifests/{version}")).count()
     };
     assert_eq!(manifests("2"), 1);
-    // Names that are nowhere, and functions that nobody pulled, do not bring the registry a request for each call.
+    // Calls of versions that do not exist, and of functions that were never pulled, do not each cause a
+    // request to the registry.
     for n in 0..50 {
         client.call("quote/fare@9", 3_000 + n, None, &format!("r{n}"));
         client.call("quote/stranger@9", 4_000 + n, None, &format!("s{n}"));
     }
-    assert!(manifests("9") < 10 && !yard.asked().iter().any(|a| a.contains("stranger")));
+    assert!(manifests("9") < 10 && !env.requests().iter().any(|a| a.contains("stranger")));
 }
 
 #[test]
-fn only_signed_versions_run_where_keys_are_listed_and_a_key_struck_off_counts_at_once() {
-    let yard = Yard::new(json!([]));
-    let key = yard.path("anna.key");
-    let made = yard.plugin(&["keygen", key.to_str().unwrap()]).unwrap();
+fn only_signed_versions_run_where_keys_are_listed_and_removing_a_key_applies_on_reload() {
+    let env = Environment::new(json!([]));
+    let key = env.path("anna.key");
+    let made = env.plugin(&["keygen", key.to_str().unwrap()]).unwrap();
     assert_eq!(std::fs::metadata(&key).unwrap().permissions().mode() & 0o777, 0o600);
-    assert!(yard.plugin(&["keygen", key.to_str().unwrap()]).is_err(), "a key was written over");
+    assert!(env.plugin(&["keygen", key.to_str().unwrap()]).is_err(), "an existing key file was overwritten");
     let made: Value = serde_json::from_str(&made).unwrap();
     let keys = format!("(signatures (key \"anna\" {}))", made["public"]);
-    yard.publish("1");
-    yard.push("2", "quote", json!({}));
-    yard.publisher(&["sign", "fare", "2", "--key", key.to_str().unwrap(), "--id", "anna"]).unwrap();
-    yard.publisher(&["publish", "fare", "2"]).unwrap();
-    let worker = honest();
-    let gateway = yard.gateway(&worker, "", &keys);
+    env.publish("1");
+    env.push("2", "quote", json!({}));
+    env.publisher(&["sign", "fare", "2", "--key", key.to_str().unwrap(), "--id", "anna"]).unwrap();
+    env.publisher(&["publish", "fare", "2"]).unwrap();
+    let worker = serving_worker();
+    let gateway = env.gateway(&worker, "", &keys);
     for version in ["1", "2"] {
-        yard.admin(&["pull", "fare", version]).unwrap();
+        env.admin(&["pull", "fare", version]).unwrap();
     }
-    let unsigned = yard.admin(&["alias", "fare", "current", "1"]).map(drop);
-    yard.admin(&["alias", "fare", "current", "2"]).unwrap();
+    let unsigned = env.admin(&["alias", "fare", "current", "1"]).map(drop);
+    env.admin(&["alias", "fare", "current", "2"]).unwrap();
     let mut client = Client::connect(gateway.address(), "a", false);
-    let heard = client.call("quote/fare@1", 1, None, "q1");
-    assert!(heard.outcome == "refused" && heard.reason.unwrap().contains("unsigned"), "{unsigned:?}");
+    let answer = client.call("quote/fare@1", 1, None, "q1");
+    assert!(answer.outcome == "refused" && answer.reason.unwrap().contains("unsigned"), "{unsigned:?}");
     assert_eq!(client.call("quote/fare", 2, None, "q2").outcome, "served");
-    assert!(yard.admin(&["status"]).unwrap().contains("no key of the list has signed version 1"));
-    // The key list is read again with the settings.
-    let other = yard.path("other.key");
+    assert!(env.admin(&["status"]).unwrap().contains("no key of the list has signed version 1"));
+    // A reload of the settings reloads the key list.
+    let other = env.path("other.key");
     let other: Value =
-        serde_json::from_str(&yard.plugin(&["keygen", other.to_str().unwrap()]).unwrap()).unwrap();
+        serde_json::from_str(&env.plugin(&["keygen", other.to_str().unwrap()]).unwrap()).unwrap();
     let text = std::fs::read_to_string(gateway.file()).unwrap();
     let changed = text.replace(&made["public"].to_string(), &other["public"].to_string());
     std::fs::write(gateway.file(), changed).unwrap();
     gateway.process.signal("HUP");
-    until("the key list to be read", || gateway.log().contains("worker list read again"));
+    until("the key list to be reloaded", || gateway.log().contains("worker list read again"));
     assert_eq!(client.call("quote/fare", 3, None, "q3").outcome, "refused");
 }
 
 #[test]
-fn a_class_that_a_tenants_plug_in_may_not_claim_is_refused_at_push_pull_and_in_service() {
-    let yard = Yard::new(json!([]));
+fn a_class_that_a_tenants_plugin_may_not_use_is_refused_at_push_at_pull_and_for_calls() {
+    let env = Environment::new(json!([]));
     let tenants = "(tenant \"north\" (plugin-classes \"quote\"))";
     let site = SITE.replace("(function", "(tenant \"north\") (function");
     let settings = format!("(gateway)(mqtt (listen \"127.0.0.1:0\")){site}{tenants}");
-    let file = yard.path("check.scm");
+    let file = env.path("check.scm");
     std::fs::write(&file, settings).unwrap();
-    yard.push("1", "charge", json!({"tenant": "north"}));
-    yard.publisher(&["publish", "fare", "1"]).unwrap();
-    let words = "tenant north may not use class charge";
-    let manifest = yard.path("manifest.json");
-    let refused = yard.publisher(&["push", manifest.to_str().unwrap(), "--settings", file.to_str().unwrap()]);
-    assert!(refused.unwrap_err().contains(words));
-    let worker = honest();
-    let site = yard.site("", "").replace("(function", "(tenant \"north\") (function") + tenants;
+    env.push("1", "charge", json!({"tenant": "north"}));
+    env.publisher(&["publish", "fare", "1"]).unwrap();
+    let text = "tenant north may not use class charge";
+    let manifest = env.path("manifest.json");
+    let refused = env.publisher(&["push", manifest.to_str().unwrap(), "--settings", file.to_str().unwrap()]);
+    assert!(refused.unwrap_err().contains(text));
+    let worker = serving_worker();
+    let site = env.site("", "").replace("(function", "(tenant \"north\") (function") + tenants;
     let gateway = Gateway::start(&site, &[("w", worker.address, "")]);
-    assert!(yard.admin(&["pull", "fare", "1"]).unwrap_err().contains(words));
-    // Taken in by hand, past the check, it does not run all the same.
-    let (folder, layer) = (yard.path("folder"), yard.path("layer"));
-    let by_hand =
-        ["--folder", folder.to_str().unwrap(), "--socket", yard.path("admin.sock").to_str().unwrap()]
-            .map(str::to_string);
-    let by_hand: Vec<&str> = by_hand.iter().map(String::as_str).collect();
-    yard.plugin(&[&by_hand[..], &["push", manifest.to_str().unwrap(), layer.to_str().unwrap()]].concat())
+    assert!(env.admin(&["pull", "fare", "1"]).unwrap_err().contains(text));
+    // A push into the gateway's folder without --settings is not checked; the version still does not run.
+    let (folder, layer) = (env.path("folder"), env.path("layer"));
+    let direct = ["--folder", folder.to_str().unwrap(), "--socket", env.path("admin.sock").to_str().unwrap()]
+        .map(str::to_string);
+    let direct: Vec<&str> = direct.iter().map(String::as_str).collect();
+    env.plugin(&[&direct[..], &["push", manifest.to_str().unwrap(), layer.to_str().unwrap()]].concat())
         .unwrap();
     let mut client = Client::connect(gateway.address(), "a", false);
-    let heard = client.call("charge/fare@1", 1, Some("k"), "c");
-    assert_eq!((heard.outcome.as_str(), worker.calls()), ("refused", 0), "{heard:?}");
+    let answer = client.call("charge/fare@1", 1, Some("k"), "c");
+    assert_eq!((answer.outcome.as_str(), worker.calls()), ("refused", 0), "{answer:?}");
 }
 
 #[test]
 fn a_deleted_version_keeps_its_content_while_a_call_is_open() {
-    let yard = Yard::new(json!([]));
-    let (_, layer) = yard.publish("1");
-    yard.publish("2");
+    let env = Environment::new(json!([]));
+    let (_, layer) = env.publish("1");
+    env.publish("2");
     let worker = Worker::start(|call, _| {
         let digest = call.function.split_once('@').map(|(_, digest)| digest.to_string());
         Act::Later(1_500, Reply::Served { payload: Vec::new(), ran: digest })
     });
-    let gateway = yard.gateway(&worker, "", "");
+    let gateway = env.gateway(&worker, "", "");
     for version in ["1", "2"] {
-        yard.admin(&["pull", "fare", version]).unwrap();
+        env.admin(&["pull", "fare", version]).unwrap();
     }
-    yard.admin(&["alias", "fare", "current", "2"]).unwrap();
+    env.admin(&["alias", "fare", "current", "2"]).unwrap();
     let mut client = Client::connect(gateway.address(), "a", false);
     client.publish("quote/fare@1", 1, None, "q1", false);
     until("the call to reach the worker", || worker.calls() == 1);
-    yard.admin(&["delete", "fare", "1"]).unwrap();
-    yard.admin(&["gc"]).unwrap();
-    assert!(yard.blob(&layer).exists(), "an open call's content went");
+    env.admin(&["delete", "fare", "1"]).unwrap();
+    env.admin(&["gc"]).unwrap();
+    assert!(env.blob(&layer).exists(), "the content was removed while a call was open");
     assert_eq!(client.answer_or(|| gateway.log()).outcome, "served");
     assert_eq!(client.call("quote/fare@1", 2, None, "q2").outcome, "refused");
-    yard.admin(&["gc"]).unwrap();
-    assert!(!yard.blob(&layer).exists());
+    env.admin(&["gc"]).unwrap();
+    assert!(!env.blob(&layer).exists());
 }
 
 #[test]
-fn the_admin_socket_is_its_owners_alone_answers_nonsense_and_lets_one_of_two_operators_win() {
-    let yard = Yard::new(json!([]));
+fn the_admin_socket_is_private_rejects_invalid_commands_and_detects_conflicting_alias_changes() {
+    let env = Environment::new(json!([]));
     for version in ["1", "2", "3"] {
-        yard.publish(version);
+        env.publish(version);
     }
-    let worker = honest();
-    let gateway = yard.gateway(&worker, "", "");
-    let socket = yard.path("admin.sock");
+    let worker = serving_worker();
+    let gateway = env.gateway(&worker, "", "");
+    let socket = env.path("admin.sock");
     assert_eq!(std::fs::metadata(&socket).unwrap().permissions().mode() & 0o777, 0o600);
     for version in ["1", "2", "3"] {
-        yard.admin(&["pull", "fare", version]).unwrap();
+        env.admin(&["pull", "fare", version]).unwrap();
     }
-    yard.admin(&["alias", "fare", "current", "1", "--expect", "0"]).unwrap();
-    let both = ["2", "3"].map(|v| yard.admin(&["alias", "fare", "current", v, "--expect", "1"]));
+    env.admin(&["alias", "fare", "current", "1", "--expect", "0"]).unwrap();
+    let both = ["2", "3"].map(|v| env.admin(&["alias", "fare", "current", v, "--expect", "1"]));
     assert!(both[0].is_ok() && both[1].as_ref().unwrap_err().contains("somebody else moved this alias"));
-    let say = |bytes: &[u8]| {
+    let send = |bytes: &[u8]| {
         let mut stream = UnixStream::connect(&socket).unwrap();
         stream.write_all(bytes).unwrap();
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).unwrap();
         line
     };
-    assert!(say(b"{\"do\":\"dance\"}\n").contains("not a command"));
-    assert!(say(b"\xff\x00\n").contains("not a command"));
-    assert!(say(&[b'x'; 70_000]).contains("too long"));
-    assert!(say(b"{\"do\":\"show\",\"name\":\"nobody\"}\n").contains("there is no plug-in nobody"));
-    // A second gateway does not take the socket from the first; one that died leaves it to be taken.
-    let site = format!("(gateway (name \"h\"))\n(mqtt (listen \"127.0.0.1:0\"))\n{}", yard.site("", ""));
-    let file = yard.path("second.scm");
+    assert!(send(b"{\"do\":\"dance\"}\n").contains("not a command"));
+    assert!(send(b"\xff\x00\n").contains("not a command"));
+    assert!(send(&[b'x'; 70_000]).contains("too long"));
+    assert!(send(b"{\"do\":\"show\",\"name\":\"nobody\"}\n").contains("there is no plug-in nobody"));
+    // A second gateway does not replace the socket of a running one; the socket of a killed gateway is
+    // replaced.
+    let site = format!("(gateway (name \"h\"))\n(mqtt (listen \"127.0.0.1:0\"))\n{}", env.site("", ""));
+    let file = env.path("second.scm");
     std::fs::write(&file, &site).unwrap();
     let second = command(&["run", file.to_str().unwrap()]);
     assert!(String::from_utf8_lossy(&second.stderr).contains("admin socket"));
     drop(gateway);
-    assert!(yard.admin(&["list"]).is_err());
-    let _again = yard.gateway(&worker, "", "");
-    assert!(yard.admin(&["list"]).unwrap().contains("fare"));
+    assert!(env.admin(&["list"]).is_err());
+    let _restarted = env.gateway(&worker, "", "");
+    assert!(env.admin(&["list"]).unwrap().contains("fare"));
 }
 
 #[test]
-fn a_registry_that_asks_who_we_are_gives_only_to_those_it_knows() {
-    let yard = Yard::new(json!([]));
-    let (folder, publisher) = (yard.path("private"), yard.path("publisher"));
-    let (good, bad) = (yard.path("good"), yard.path("bad"));
+fn a_registry_with_access_control_serves_only_valid_credentials() {
+    let env = Environment::new(json!([]));
+    let (folder, publisher) = (env.path("private"), env.path("publisher"));
+    let (good, bad) = (env.path("good"), env.path("bad"));
     std::fs::write(&good, "sesame\n").unwrap();
     std::fs::write(&bad, "guess\n").unwrap();
-    yard.push("1", "quote", json!({}));
+    env.push("1", "quote", json!({}));
     for tokens in [false, true] {
         let mut arguments = vec!["registry", "--folder", folder.to_str().unwrap(), "--user", "coop"];
         arguments.extend(["--password-file", good.to_str().unwrap()]);
         arguments.extend(tokens.then_some("--tokens"));
         let registry = Process::start(&arguments, None);
         let address = format!("http://{}", registry.address);
-        let ask = |file: Option<&Path>, what: &[&str]| {
+        let run = |file: Option<&Path>, arguments: &[&str]| {
             let mut all = vec!["--folder", publisher.to_str().unwrap(), "--registry", &address];
             all.extend(file.iter().flat_map(|f| ["--user", "coop", "--password-file", f.to_str().unwrap()]));
-            yard.plugin(&[&all, what].concat())
+            env.plugin(&[&all, arguments].concat())
         };
-        ask(Some(&good), &["publish", "fare", "1"]).unwrap();
-        ask(Some(&good), &["pull", "fare", "1"]).unwrap();
+        run(Some(&good), &["publish", "fare", "1"]).unwrap();
+        run(Some(&good), &["pull", "fare", "1"]).unwrap();
         for wrong in [Some(bad.as_path()), None] {
-            let error = ask(wrong, &["pull", "fare", "1"]).unwrap_err();
-            assert!(error.contains("does not take these credentials"), "{error}");
+            let error = run(wrong, &["pull", "fare", "1"]).unwrap_err();
+            assert!(error.contains("requires credentials or rejected the given ones"), "{error}");
         }
     }
 }
--- a/crates/oci/src/challenge.rs
+++ b/crates/oci/src/challenge.rs
@@ -1,5 +1,5 @@
-//! Authentication challenges and credentials of registries (RFC 9110 section 11.6.1; RFC 7617; the token protocol of
-//! container registries: `Bearer realm=...,service=...,scope=...`).
+//! Authentication challenges and credentials of registries (RFC 9110 section 11.6.1; RFC 7617; the token
+//! protocol of container registries: `Bearer realm=...,service=...,scope=...`).
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -7,12 +7,12 @@
 use std::fmt;
 use url::Url;
 
-/// Name and password for a registry. `Debug` does not show the password.
+/// Name and password for a registry, set by the operator. `Debug` does not show the password.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Credentials {
-    /// The user's name.
+    /// Sent before the colon of basic authentication, so it must not hold one.
     pub user: String,
-    /// The password.
+    /// Sent to the registry or its token service only.
     pub password: String,
 }
 
@@ -35,19 +35,20 @@
 pub enum Challenge {
     /// Name and password are required.
     Basic,
-    /// A token of a token service is required.
+    /// A token that a token service issues is required.
     Bearer {
         /// The URL of the token service.
         realm: String,
-        /// The service that the token is for.
+        /// Name of the registry, passed on to the token service.
         service: Option<String>,
-        /// The access that the token is for.
+        /// Requested access, such as `repository:fare:pull`, passed on to the token service.
         scope: Option<String>,
     },
 }
 
 impl Challenge {
-    /// Parses a header's value; `None` where its scheme is not supported or it is malformed.
+    /// Parses the value of a `WWW-Authenticate` header; `None` where its scheme is not supported or it is
+    /// malformed.
     pub fn parse(value: &str) -> Option<Self> {
         let (scheme, rest) = value.trim().split_once(' ').unwrap_or((value.trim(), ""));
         if scheme.eq_ignore_ascii_case("basic") {
@@ -68,7 +69,7 @@
         Some(Challenge::Bearer { realm: realm?, service, scope })
     }
 
-    /// The URL to request a token from; `None` unless it is a bearer challenge with an `http` realm.
+    /// The URL of the token request; `None` unless this is a bearer challenge with an `http` realm.
     pub fn token_url(&self) -> Option<Url> {
         let Challenge::Bearer { realm, service, scope } = self else { return None };
         let mut url = Url::parse(realm).ok().filter(|u| u.scheme() == "http" && u.host().is_some())?;
@@ -81,7 +82,8 @@
     }
 }
 
-/// Parses a list of `name=token` and `name="quoted, \"text\""`, separated by commas; stops at what is malformed.
+/// Parses a list of `name=token` and `name="quoted, \"text\""`, separated by commas; stops at the first
+/// malformed parameter.
 fn parameters(text: &str) -> Vec<(String, String)> {
     let (mut parsed, mut remaining) = (Vec::new(), text.trim());
     while let Some((name, after)) = remaining.split_once('=') {
@@ -102,7 +104,7 @@
     parsed
 }
 
-/// The text up to the closing quote, and the text after it.
+/// Returns the unescaped text up to the closing quote, and the text after it; `None` without a closing quote.
 fn unquote(quoted: &str) -> Option<(String, &str)> {
     let (mut value, mut escaped) = (String::new(), false);
     for (index, character) in quoted.char_indices() {
@@ -119,14 +121,14 @@
     None
 }
 
-/// A token service's response; both names are in use.
+/// A token service's response; services use either name for the token.
 #[derive(Deserialize)]
 struct TokenResponse {
     token: Option<String>,
     access_token: Option<String>,
 }
 
-/// The token of a token service's response; `None` where it is not valid in a header.
+/// Parses the token of a token service's response; `None` where there is none or it is not valid in a header.
 pub(crate) fn read_token(body: &[u8]) -> Option<String> {
     let response: TokenResponse = serde_json::from_slice(body).ok()?;
     let token = response.token.or(response.access_token)?;
--- a/crates/oci/src/challenge/tests.rs
+++ b/crates/oci/src/challenge/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn challenges_are_read_with_their_quoted_texts() {
+fn challenges_are_parsed_with_quoted_strings() {
     let value = r#"Bearer realm="http://127.0.0.1:1/token",service="a, \"b\"" , scope="repository:x:pull""#;
     let challenge = Challenge::parse(value).unwrap();
     let url = challenge.token_url().unwrap();
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_token_that_would_break_a_header_is_none() {
+fn a_token_that_is_invalid_in_a_header_is_rejected() {
     assert_eq!(read_token(br#"{"token":"abc"}"#).as_deref(), Some("abc"));
     assert_eq!(read_token(br#"{"access_token":"d"}"#).as_deref(), Some("d"));
     for bad in [&br#"{"token":"a\r\nX: y"}"#[..], b"{}", b"", br#"{"token":""}"#] {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_password_is_not_shown() {
+fn debug_output_does_not_contain_the_password() {
     let credentials = Credentials { user: "a".into(), password: "secret".into() };
     assert!(!format!("{credentials:?}").contains("secret"));
     assert_eq!(credentials.basic(), "Basic YTpzZWNyZXQ=");
--- a/crates/oci/src/document.rs
+++ b/crates/oci/src/document.rs
@@ -1,5 +1,6 @@
-//! Plug-ins as OCI artifacts: an image manifest whose config is the plug-in's own manifest and whose layers are its
-//! content, and signatures as artifacts whose subject is that image manifest (OCI image specification 1.1, "Guidelines for Artifact Usage").
+//! Plug-ins as OCI artifacts: an image manifest whose config is the plug-in's own manifest and whose layers
+//! are its content, and signatures as artifacts whose subject is that image manifest (OCI image specification
+//! 1.1, "Guidelines for Artifact Usage").
 //!
 //! A plug-in's digest is that of its config, so it is the same in every registry and in the folder.
 
@@ -22,39 +23,45 @@
 const KEY_ANNOTATION: &str = "dev.slatevalve.key";
 /// Annotation of a signature: the signature in base64.
 const SIGNATURE_ANNOTATION: &str = "dev.slatevalve.signature";
-/// Limit of one plug-in's layers.
+/// Limit of the layers of one plug-in.
 const MAX_LAYERS: usize = 128;
-/// Limit of one plug-in's signatures that are read.
+/// Limit of the signatures that are read of one plug-in; further ones are ignored.
 const MAX_SIGNATURES: usize = 32;
 /// Content of the config of a signature (image specification, "Guidance for an Empty Descriptor").
 pub(crate) const EMPTY_CONFIG: &[u8] = b"{}";
-/// Schema version of image manifests and indexes (image specification, "Image Manifest Property Descriptions").
+/// Schema version of image manifests and indexes (image specification, "Image Manifest Property
+/// Descriptions").
 const SCHEMA_VERSION: u32 = 2;
 
-/// Why a document is not a plug-in's.
+/// Why a document is not a valid manifest or index of a plug-in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DocumentError {
-    /// Not an OCI image manifest or index.
+    /// Not an OCI image manifest or index of a supported version, or one that cannot be encoded; holds the
+    /// reason.
     Syntax(String),
     /// An artifact of another type; holds its config's media type.
     OtherType(String),
-    /// A digest that is malformed or whose algorithm is not supported.
+    /// A descriptor's digest is malformed or its algorithm is not supported.
     Digest(DigestError),
     /// More layers than a plug-in may have; holds their number.
-    TooMany(usize),
-    /// Other layers than those of the plug-in's own manifest.
-    Layers,
+    TooManyLayers(usize),
+    /// The image manifest's layers differ from those of the plug-in's own manifest.
+    LayerMismatch,
 }
 
 impl fmt::Display for DocumentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DocumentError::Syntax(reason) => write!(f, "no OCI manifest: {reason}"),
-            DocumentError::OtherType(found) => write!(f, "an artifact of type {found}, not a plug-in"),
+            DocumentError::Syntax(reason) => write!(f, "invalid OCI manifest or index: {reason}"),
+            DocumentError::OtherType(found) => {
+                write!(f, "the artifact has config type {found:?}, not that of a plug-in, {CONFIG_TYPE:?}")
+            }
             DocumentError::Digest(e) => e.fmt(f),
-            DocumentError::TooMany(count) => write!(f, "{count} layers; {MAX_LAYERS} at most"),
-            DocumentError::Layers => {
-                f.write_str("its layers are not those that the plug-in's manifest names")
+            DocumentError::TooManyLayers(count) => {
+                write!(f, "the image manifest has {count} layers; the limit is {MAX_LAYERS}")
+            }
+            DocumentError::LayerMismatch => {
+                f.write_str("the layers of the image manifest differ from those of the plug-in's manifest")
             }
         }
     }
@@ -66,8 +73,8 @@
             DocumentError::Digest(e) => Some(e),
             DocumentError::Syntax(_)
             | DocumentError::OtherType(_)
-            | DocumentError::TooMany(_)
-            | DocumentError::Layers => None,
+            | DocumentError::TooManyLayers(_)
+            | DocumentError::LayerMismatch => None,
         }
     }
 }
@@ -81,9 +88,9 @@
 /// An encoded image manifest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedManifest {
-    /// The bytes that are pushed.
+    /// The JSON document, as it is pushed.
     pub bytes: Vec<u8>,
-    /// Their digest.
+    /// The digest of `bytes`, which identifies the manifest in a registry.
     pub digest: Digest,
 }
 
@@ -98,9 +105,9 @@
 /// The blobs that a plug-in's image manifest references.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ImageContent {
-    /// The config: the plug-in's own manifest.
+    /// The config, which is the plug-in's own manifest; its digest identifies the version.
     pub config: LayerRef,
-    /// The layers: the plug-in's content.
+    /// The layers in order, which are the plug-in's content.
     pub layers: Vec<LayerRef>,
 }
 
@@ -108,11 +115,11 @@
     /// Checks that the layers are those of the plug-in's own manifest, in the same order.
     ///
     /// # Errors
-    /// [`DocumentError::Layers`] when they are not.
+    /// [`DocumentError::LayerMismatch`] when they are not.
     pub fn matches(&self, manifest: &Manifest) -> Result<(), DocumentError> {
         match self.layers == manifest.layers {
             true => Ok(()),
-            false => Err(DocumentError::Layers),
+            false => Err(DocumentError::LayerMismatch),
         }
     }
 
@@ -121,7 +128,7 @@
         std::iter::once(&self.config).chain(&self.layers).nth(index).copied()
     }
 
-    /// Bytes of the config and all layers.
+    /// Total size of the config and all layers, in bytes.
     pub(crate) fn size(&self) -> u64 {
         self.layers.iter().fold(self.config.size, |sum, layer| sum.saturating_add(layer.size))
     }
@@ -137,7 +144,7 @@
     Ok(LayerRef { digest, size: descriptor.size() })
 }
 
-/// Encodes the image manifest of a plug-in; `bytes` are those of its own manifest.
+/// Encodes the image manifest of a plug-in; `bytes` is the encoded form of `manifest`.
 ///
 /// # Errors
 /// When it cannot be encoded.
@@ -157,7 +164,8 @@
 /// Parses the image manifest of a plug-in.
 ///
 /// # Errors
-/// When it is malformed or another artifact's, or has a digest of an unsupported algorithm.
+/// When it is malformed, belongs to another kind of artifact, has too many layers or a digest of an
+/// unsupported algorithm.
 pub fn unpack(bytes: &[u8]) -> Result<ImageContent, DocumentError> {
     let image: ImageManifest = serde_json::from_slice(bytes).map_err(syntax)?;
     if image.schema_version() != SCHEMA_VERSION {
@@ -168,13 +176,14 @@
         return Err(DocumentError::OtherType(config_type));
     }
     if image.layers().len() > MAX_LAYERS {
-        return Err(DocumentError::TooMany(image.layers().len()));
+        return Err(DocumentError::TooManyLayers(image.layers().len()));
     }
     let layers = image.layers().iter().map(layer_ref).collect::<Result<_, _>>()?;
     Ok(ImageContent { config: layer_ref(image.config())?, layers })
 }
 
-/// Encodes the manifest of an artifact that carries a signature of a plug-in; `subject` is the plug-in's image manifest.
+/// Encodes the manifest of an artifact that carries a signature of a plug-in; `subject` is the image manifest
+/// of that plug-in.
 ///
 /// # Errors
 /// When it cannot be encoded.
@@ -204,7 +213,8 @@
     EncodedManifest::of(&image)
 }
 
-/// Parses the signatures in a registry's list of referrers; other entries are skipped, as anybody may add referrers.
+/// Parses the signatures in a registry's list of referrers. Other entries are skipped, as anybody may add
+/// referrers.
 ///
 /// # Errors
 /// When it is not an image index.
@@ -213,7 +223,8 @@
     Ok(index.manifests().iter().filter_map(read_signature).take(MAX_SIGNATURES).collect())
 }
 
-/// The signature that a descriptor carries in its annotations; `None` where it is not a signature's.
+/// Parses the signature in a descriptor's annotations; `None` where the artifact is not a signature or is
+/// malformed.
 fn read_signature(descriptor: &Descriptor) -> Option<Signature> {
     let artifact_type = descriptor.artifact_type().as_ref()?;
     if artifact_type.to_string() != SIGNATURE_TYPE {
--- a/crates/oci/src/document/tests.rs
+++ b/crates/oci/src/document/tests.rs
@@ -10,17 +10,17 @@
 }
 
 #[test]
-fn a_plugin_is_packed_with_its_own_digest_as_the_config_and_unpacked_again() {
+fn a_packed_plugin_has_its_own_manifest_as_the_config_and_unpacks_again() {
     let (manifest, bytes) = plugin();
     let unpacked = unpack(&pack(&manifest, &bytes).unwrap().bytes).unwrap();
     assert_eq!(unpacked.config, LayerRef { digest: Digest::of(&bytes), size: bytes.len() as u64 });
     assert_eq!(unpacked.matches(&manifest), Ok(()));
     let fewer = ImageContent { layers: Vec::new(), ..unpacked };
-    assert_eq!(fewer.matches(&manifest), Err(DocumentError::Layers));
+    assert_eq!(fewer.matches(&manifest), Err(DocumentError::LayerMismatch));
 }
 
 #[test]
-fn artifacts_of_something_else_and_unknown_digests_are_refused() {
+fn other_artifacts_and_unsupported_digests_are_rejected() {
     let (manifest, bytes) = plugin();
     let good = String::from_utf8(pack(&manifest, &bytes).unwrap().bytes).unwrap();
     let other = good.replace(CONFIG_TYPE, "application/vnd.oci.image.config.v1+json");
--- a/crates/oci/src/exchange.rs
+++ b/crates/oci/src/exchange.rs
@@ -1,10 +1,10 @@
-//! One request to a registry at a time, until its response: tokens, redirects, retries and backoff.
-//! [`crate::Pull`] and [`crate::Push`] send all their requests through it.
+//! Sends one request at a time to a registry until its response is complete: tokens, redirects, retries and
+//! backoff. [`crate::Pull`] and [`crate::Push`] send all their requests through it.
 //!
-//! It protects the registry from retries that come too fast (exponential backoff with seeded jitter; `Retry-After` is
-//! respected), the gateway from a registry that never finishes (stalls, redirects, attempts and the whole job are
-//! bounded), and the credentials: they are sent to the registry's own address and its token service, never along with a
-//! redirect to another address.
+//! It protects the registry from retries that come too fast (exponential backoff with seeded jitter;
+//! `Retry-After` is respected), the gateway from a registry that never finishes (stalls, redirects, attempts
+//! and the whole job are bounded), and the credentials: they are sent to the registry's own address and its
+//! token service, never along with a redirect to another address.
 
 mod error;
 mod policy;
@@ -23,32 +23,32 @@
 use slatevalve_http::Head;
 use url::Url;
 
-/// Limit, in bytes, of a token service's response, and of a discarded body that is read to its end so that the
-/// connection can be used again.
-const MAX_TOKEN_RESPONSE: usize = 64 * 1024;
+/// Limit, in bytes, of a token service's response, and of a discarded body that is read to its end so that
+/// the connection can be used again.
+const MAX_CONSUMED_BODY: usize = 64 * 1024;
 /// The backoff doubles at most this often, so that the shift does not overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 30;
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// What the driver of a job is to do next. Times in microseconds of the driver's clock.
+/// The next step for the driver of a job. Times are microseconds of the driver's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Send this request, and pass on its response.
+    /// Send this request and pass its response to [`crate::Job::response_event`].
     Send(Request),
-    /// Call again at this time.
+    /// Call [`crate::Job::next`] again at this time.
     Wait(i64),
-    /// A response is outstanding; the attempt is stalled when no bytes arrive by this time.
+    /// A response is outstanding; the attempt fails as stalled when no bytes arrive by this time.
     Receive(i64),
     /// The job is complete.
     Done,
 }
 
-/// Whose response one is, known from its head.
+/// Who handles a response, known from its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeadOutcome {
     /// The response to the caller's request.
     ForCaller,
-    /// Handled by the exchange (token, redirect, challenge, retry); its body is discarded or parsed by it.
+    /// Handled by the exchange (token, redirect, challenge, retry), which discards or parses the body.
     Consumed,
 }
 
@@ -62,11 +62,11 @@
 }
 
 enum State {
-    /// The request is to be sent.
+    /// The request is sent by the next [`Exchange::next`].
     Ready,
-    /// The request is to be sent at this time.
+    /// The request is sent again from this time on.
     Backoff(i64),
-    /// The request is sent; the last bytes arrived at `since_us`.
+    /// A response is outstanding. `since_us` is the time of its last bytes, or of sending the request.
     Receiving { since_us: i64, phase: ResponsePhase },
 }
 
@@ -100,15 +100,17 @@
     token: Option<String>,
     /// Whether the registry requested basic authentication.
     basic: bool,
-    /// Where a token is to be fetched from before the request is sent again.
+    /// URL of the token to be fetched before the request is sent again.
     token_url: Option<Url>,
-    token_response: Vec<u8>,
-    /// Whether the registry accepted a request since its last challenge.
+    /// Body of the token service's response, or the discarded body, as far as received.
+    consumed_body: Vec<u8>,
+    /// Whether the registry accepted a request since its last challenge; true before the first one.
     accepted: bool,
 }
 
 impl Exchange {
-    /// An exchange whose deadline is [`Policy::job_timeout_us`] from now; `seed` is that of the backoff's jitter.
+    /// An exchange whose deadline is [`Policy::job_timeout_us`] from now; `seed` is that of the backoff's
+    /// jitter.
     pub(crate) fn new(
         now_us: i64,
         policy: Policy,
@@ -131,30 +133,30 @@
             token: None,
             basic: false,
             token_url: None,
-            token_response: Vec::new(),
+            consumed_body: Vec::new(),
             accepted: true,
         }
     }
 
-    /// Starts a new request; tokens and failed attempts are kept.
+    /// Starts a new request; the token and the count of failed attempts are kept.
     pub(crate) fn start(&mut self, request: RegistryRequest) {
         self.replace(request);
         self.redirects = 0;
         self.state = State::Ready;
     }
 
-    /// Replaces the request of the next attempt, such as its range; its time is kept.
+    /// Replaces the request of the next attempt, for example to request another range; a backoff is kept.
     pub(crate) fn replace(&mut self, request: RegistryRequest) {
         self.target = request.url.clone();
         self.request = request;
     }
 
-    /// Resets the count of failed attempts, as new content arrived.
+    /// Resets the count of failed attempts after the job progressed.
     pub(crate) fn progress(&mut self) {
         self.failed_attempts = 0;
     }
 
-    /// What the driver is to do.
+    /// The next step for the driver.
     ///
     /// # Errors
     /// [`ExchangeError::DeadlineExceeded`] after the deadline.
@@ -180,10 +182,10 @@
         matches!(self.state, State::Receiving { .. })
     }
 
-    /// The token request if one is due, else the caller's at its present target.
+    /// The token request if one is due, else the caller's request to its current target.
     fn encode(&self) -> Request {
         if let Some(url) = &self.token_url {
-            // The password is meant for the token service.
+            // The token service authenticates the user by name and password.
             let authorization = self.credentials.as_ref().map(Credentials::basic);
             return RegistryRequest::get(url.clone()).encode(authorization.as_deref());
         }
@@ -208,13 +210,14 @@
 
     /// Handles the head of a response.
     pub(crate) fn head(&mut self, now_us: i64, head: &Head) -> Result<HeadOutcome, ExchangeError> {
-        self.token_response.clear();
+        self.consumed_body.clear();
         if self.token_url.is_some() {
             return self.token_head(now_us, head);
         }
         match head.status {
             401 => self.handle_challenge(head)?,
-            // An upload is sent where its own location points; redirects of requests that change something are not followed.
+            // Redirects are followed for GET and HEAD only, not for requests that change something. An upload
+            // is sent to the `Location` of its session.
             301 | 302 | 303 | 307 | 308 if matches!(self.request.method, "GET" | "HEAD") => {
                 self.follow_redirect(head)?;
             }
@@ -240,7 +243,8 @@
     }
 
     fn handle_challenge(&mut self, head: &Head) -> Result<(), ExchangeError> {
-        // No request was accepted since the last challenge: what was sent then is rejected.
+        // No request was accepted since the last challenge, so the registry rejects the credentials or token
+        // sent for it.
         if !self.accepted {
             return Err(ExchangeError::Unauthorized);
         }
@@ -251,7 +255,7 @@
             Challenge::Basic => self.basic = true,
             Challenge::Bearer { .. } => {
                 let url = challenge.token_url().ok_or(ExchangeError::Token)?;
-                // The password is sent there: it must be an address that the operator allowed.
+                // The password is sent to this address, so the operator must have allowed it.
                 self.check_allowed(&url)?;
                 self.token = None;
                 self.token_url = Some(url);
@@ -261,7 +265,7 @@
         Ok(())
     }
 
-    /// Starts from the registry again, as a redirect may point to another address the next time.
+    /// Goes back to the registry's own URL, as its next redirect may point to another address.
     fn reset_target(&mut self) {
         self.target = self.request.url.clone();
         self.redirects = 0;
@@ -287,7 +291,8 @@
         Ok(())
     }
 
-    /// Schedules a retry after the backoff, or `Retry-After` if that is longer, up to the policy's limit.
+    /// Schedules a retry after the backoff, or after `Retry-After` if that is longer, up to the policy's
+    /// limit.
     fn handle_retryable(&mut self, now_us: i64, head: &Head) -> Result<HeadOutcome, ExchangeError> {
         let seconds = head.header("Retry-After").and_then(|value| value.parse::<i64>().ok());
         let retry_after_us = seconds.map_or(0, |seconds| seconds.saturating_mul(MICROS_PER_SECOND));
@@ -300,12 +305,13 @@
         let State::Receiving { phase, .. } = self.state else { return Ok(false) };
         self.enter(now_us, phase);
         if matches!(phase, ResponsePhase::TokenBody | ResponsePhase::DiscardedBody) {
-            self.token_response.extend_from_slice(chunk);
+            self.consumed_body.extend_from_slice(chunk);
         }
-        if self.token_response.len() > MAX_TOKEN_RESPONSE {
+        if self.consumed_body.len() > MAX_CONSUMED_BODY {
             match phase {
                 ResponsePhase::TokenBody => return Err(ExchangeError::Token),
-                // Not read to its end: the driver finds the next request ready and closes the connection.
+                // The rest is not read: the driver finds that no response is outstanding and closes the
+                // connection.
                 ResponsePhase::DiscardedBody => self.state = State::Ready,
                 ResponsePhase::AwaitingHead | ResponsePhase::CallerBody => {}
             }
@@ -319,7 +325,7 @@
         match phase {
             ResponsePhase::CallerBody => return Ok(EndOutcome::Complete),
             ResponsePhase::TokenBody => {
-                self.token = Some(read_token(&self.token_response).ok_or(ExchangeError::Token)?);
+                self.token = Some(read_token(&self.consumed_body).ok_or(ExchangeError::Token)?);
                 self.token_url = None;
             }
             ResponsePhase::AwaitingHead | ResponsePhase::DiscardedBody => {}
@@ -328,7 +334,7 @@
         Ok(EndOutcome::Resend)
     }
 
-    /// Handles a failed attempt: the next one follows after a backoff.
+    /// Handles a failed attempt by scheduling the next one after a backoff.
     ///
     /// # Errors
     /// [`ExchangeError::AttemptsExhausted`] when it was the last attempt.
@@ -337,7 +343,7 @@
         now_us: i64,
         failure: AttemptFailure,
     ) -> Result<(), ExchangeError> {
-        // The attempt failed by its head already, and its retry is scheduled.
+        // The head of the response made the attempt fail already, and its retry is scheduled.
         if matches!(self.state, State::Backoff(_)) {
             return Ok(());
         }
@@ -358,7 +364,7 @@
         let doublings = (self.failed_attempts - 1).min(MAX_BACKOFF_DOUBLINGS);
         let doubled = self.policy.initial_backoff_us.saturating_mul(1 << doublings);
         let longest = self.policy.max_backoff_us;
-        // Jitter from half to all of it: gateways that failed together do not retry together.
+        // Jitter from half to the whole backoff, so that gateways that failed together do not retry together.
         let backoff = (doubled.min(longest) as f64 * self.random.random_range(0.5..1.0)) as i64;
         self.state = State::Backoff(now_us.saturating_add(backoff.max(min_us.min(longest))));
         self.reset_target();
@@ -366,7 +372,7 @@
     }
 }
 
-/// The first challenge of a known scheme.
+/// The first challenge with a supported scheme.
 fn find_challenge(head: &Head) -> Option<Challenge> {
     head.headers
         .iter()
--- a/crates/oci/src/exchange/error.rs
+++ b/crates/oci/src/exchange/error.rs
@@ -1,4 +1,4 @@
-//! Why an attempt, and why a whole request, failed.
+//! Errors of single attempts and of whole requests.
 
 use std::error::Error;
 use std::fmt;
@@ -8,7 +8,7 @@
 pub enum AttemptFailure {
     /// No connection was established.
     Connect,
-    /// The connection was closed within a response.
+    /// The connection was closed before the end of a response.
     ConnectionClosed,
     /// No bytes arrived within [`crate::Policy::stall_timeout_us`].
     Stalled,
@@ -23,12 +23,16 @@
 impl fmt::Display for AttemptFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AttemptFailure::Connect => f.write_str("it cannot be reached"),
-            AttemptFailure::ConnectionClosed => f.write_str("the connection ended within an answer"),
-            AttemptFailure::Stalled => f.write_str("nothing came for too long"),
-            AttemptFailure::MalformedResponse => f.write_str("it did not answer in HTTP"),
-            AttemptFailure::Range => f.write_str("it sent another range than was asked for"),
-            AttemptFailure::Busy(status) => write!(f, "it answered {status}"),
+            AttemptFailure::Connect => f.write_str("the server cannot be reached"),
+            AttemptFailure::ConnectionClosed => {
+                f.write_str("the connection was closed before the end of the response")
+            }
+            AttemptFailure::Stalled => f.write_str("no bytes arrived within the stall timeout"),
+            AttemptFailure::MalformedResponse => {
+                f.write_str("the response is malformed or its content is corrupt")
+            }
+            AttemptFailure::Range => f.write_str("the response holds another range than the requested one"),
+            AttemptFailure::Busy(status) => write!(f, "the server answered with status {status}"),
         }
     }
 }
@@ -44,26 +48,37 @@
     DeadlineExceeded(Option<AttemptFailure>),
     /// The registry or its token service rejects the credentials, or requires some and there are none.
     Unauthorized,
-    /// A redirect or a token service at an address that the policy does not allow; holds scheme, host and port.
+    /// A redirect or a token service at an address that [`crate::Policy::hosts`] does not allow, or with a
+    /// scheme other than `http`; holds scheme, host and port.
     AddressNotAllowed(String),
     /// Too many redirects, or one without a usable `Location`.
     InvalidRedirect,
-    /// The token service's response holds no usable token.
+    /// The challenge names no usable token service, or that returned no usable token.
     Token,
 }
 
 impl fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ExchangeError::AttemptsExhausted(failure) => write!(f, "given up: {failure}"),
-            ExchangeError::DeadlineExceeded(None) => f.write_str("the time for it is up"),
-            ExchangeError::DeadlineExceeded(Some(failure)) => write!(f, "the time for it is up: {failure}"),
-            ExchangeError::Unauthorized => f.write_str("the registry does not take these credentials"),
+            ExchangeError::AttemptsExhausted(failure) => {
+                write!(f, "no attempts left; the last one failed: {failure}")
+            }
+            ExchangeError::DeadlineExceeded(None) => f.write_str("the deadline of the transfer has passed"),
+            ExchangeError::DeadlineExceeded(Some(failure)) => {
+                write!(f, "the deadline of the transfer has passed; the last failed attempt: {failure}")
+            }
+            ExchangeError::Unauthorized => {
+                f.write_str("the registry requires credentials or rejected the given ones")
+            }
             ExchangeError::AddressNotAllowed(address) => {
-                write!(f, "the registry sends to {address}, which (hosts ...) does not name")
+                write!(f, "the registry refers to {address}, which (hosts ...) does not allow")
+            }
+            ExchangeError::InvalidRedirect => {
+                f.write_str("too many redirects, or a redirect without a usable Location")
             }
-            ExchangeError::InvalidRedirect => f.write_str("the registry sends round and round"),
-            ExchangeError::Token => f.write_str("the token service gave no token"),
+            ExchangeError::Token => f.write_str(
+                "the token service returned no usable token, or the registry names no usable service",
+            ),
         }
     }
 }
--- a/crates/oci/src/exchange/policy.rs
+++ b/crates/oci/src/exchange/policy.rs
@@ -1,21 +1,22 @@
-//! Timeouts, retries and redirects of requests to a registry.
+//! Limits of the requests to a registry.
 
-/// Timeouts, retry limits and allowed redirect targets of a job. Times in microseconds.
+/// Timeouts, retry limits and allowed redirect targets of a job, set by the operator. Times are in
+/// microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// An attempt fails when its connection is not established, or brings no bytes, for this long.
+    /// An attempt fails when its connection is not established, or no bytes arrive, for this long.
     pub stall_timeout_us: i64,
     /// Backoff after the first failed attempt; it doubles with each further one.
     pub initial_backoff_us: i64,
-    /// Upper limit of the backoff, also of one that the registry requests by `Retry-After`.
+    /// Upper limit of the backoff, also where the registry requests a longer one by `Retry-After`.
     pub max_backoff_us: i64,
     /// Consecutive attempts without progress before the job fails.
     pub max_attempts: u32,
-    /// Time for the whole job.
+    /// Timeout of the whole job, from its creation.
     pub job_timeout_us: i64,
-    /// Redirects followed for one request.
+    /// Limit of the redirects that are followed for one request.
     pub max_redirects: u32,
-    /// `HOST:PORT` of further allowed targets of redirects; the registry's own address is always allowed.
+    /// `HOST:PORT` of addresses that redirects and challenges may point to, besides the registry's own.
     pub hosts: Vec<String>,
 }
 
--- a/crates/oci/src/exchange/request.rs
+++ b/crates/oci/src/exchange/request.rs
@@ -5,7 +5,7 @@
 /// Media type of an image manifest (image specification, "Media Types").
 pub(crate) const IMAGE_MANIFEST_TYPE: &str = "application/vnd.oci.image.manifest.v1+json";
 const USER_AGENT: &str = "slatevalve";
-/// Port of an `http` URL that names none.
+/// Port of an `http` URL without an explicit one.
 const DEFAULT_PORT: u16 = 80;
 
 /// A request to a registry, before authorization and redirects are applied.
@@ -73,12 +73,12 @@
 /// An encoded request, to be written to a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The host to connect to.
+    /// Name or address of the host to connect to, taken from the URL.
     pub host: String,
-    /// The port to connect to.
+    /// Port to connect to; 80 where the URL names none.
     pub port: u16,
-    /// Whether the response has no body whatever its head announces (HEAD).
+    /// Whether the response has no body, whatever length its head announces, as to HEAD.
     pub bodiless: bool,
-    /// The request, head and body.
+    /// The encoded head and body.
     pub bytes: Vec<u8>,
 }
--- a/crates/oci/src/job.rs
+++ b/crates/oci/src/job.rs
@@ -4,14 +4,15 @@
 use slatevalve_http::MessageEvent;
 use std::error::Error;
 
-/// A job at a registry. Its driver has one connection: it calls [`Job::next`], and after each part of a response
-/// [`Job::is_receiving`]; where that is false within a response, the rest is not needed and the connection is closed.
-/// All times are microseconds of the driver's clock.
+/// A job at a registry. Its driver uses one connection at a time. It calls [`Job::next`], and after each part
+/// of a response [`Job::is_receiving`]; where that returns false before the end of the response, the job does
+/// not need the rest and the driver closes the connection. All times are microseconds of the driver's clock.
 pub trait Job {
     /// Why the job failed.
     type Error: Error + 'static;
 
-    /// What the driver is to do. After [`Next::Send`] the request counts as sent: the next call waits for its response.
+    /// Returns the next step. After [`Next::Send`] the request counts as sent, and the next call waits for
+    /// its response.
     ///
     /// # Errors
     /// When the job's deadline has passed.
@@ -23,7 +24,7 @@
     /// When the response makes the job fail.
     fn response_event(&mut self, now_us: i64, response_part: MessageEvent) -> Result<(), Self::Error>;
 
-    /// Handles a failed attempt: no connection was established, or it failed before the end of the response.
+    /// Handles a failed attempt: no connection was established, or the response did not arrive completely.
     ///
     /// # Errors
     /// When no attempt is left.
@@ -32,6 +33,7 @@
     /// Whether a response is outstanding or being read.
     fn is_receiving(&self) -> bool;
 
-    /// Bytes of content that are transferred or were present, and the total; 0 while that is unknown.
+    /// Bytes of content that were transferred or already present, and the total; the total is 0 while it is
+    /// unknown.
     fn progress(&self) -> (u64, u64);
 }
--- a/crates/oci/src/lib.rs
+++ b/crates/oci/src/lib.rs
@@ -1,12 +1,12 @@
-//! The OCI distribution protocol for plug-ins, client and server, without I/O (OCI distribution specification 1.1, OCI
-//! image specification 1.1).
+//! The OCI distribution protocol for plug-ins, client and server, without I/O (OCI distribution specification
+//! 1.1, OCI image specification 1.1).
 //!
-//! [`Pull`] and [`Push`] are the client's jobs. An event loop drives them through [`Job`]; [`Next`] tells it what to do.
-//! [`Registry`] is the server, over any [`slatevalve_blobs::Files`].
+//! [`Pull`] and [`Push`] are the client's jobs. An event loop drives them through [`Job`]; [`Next`] is the
+//! step that it performs. [`Registry`] is the server, over any [`slatevalve_blobs::Files`].
 //!
-//! The client protects a gateway from a faulty or malicious registry: content counts as present only after it was verified
-//! against its digest, interrupted transfers resume, redirects go to allowed hosts only, and each job fails or completes
-//! before its deadline.
+//! The client protects a gateway from a faulty or malicious registry: content counts as present only after it
+//! was verified against its digest, interrupted transfers resume, redirects go to allowed hosts only, and
+//! each job fails or completes before its deadline.
 #![forbid(unsafe_code)]
 
 mod challenge;
--- a/crates/oci/src/location.rs
+++ b/crates/oci/src/location.rs
@@ -1,13 +1,13 @@
-//! The address of a registry, and the grammar of repository names and tags (distribution specification, "Pulling
-//! manifests").
+//! The address of a registry, and the grammar of repository names and tags (distribution specification,
+//! "Pulling manifests").
 
 use std::error::Error;
 use std::fmt;
 use url::Url;
 
-/// Limit of a tag, in bytes, by the specification.
+/// Limit of a tag's length in bytes, from the specification.
 const MAX_TAG: usize = 128;
-/// Limit of a repository name, in bytes, as common registries have it.
+/// Limit of a repository name's length in bytes, which common registries apply.
 const MAX_NAME: usize = 255;
 
 /// The address of a registry, and the prefix of the repositories of plug-ins in it.
@@ -17,34 +17,41 @@
     prefix: String,
 }
 
-/// Why a registry's address, or a name or tag in a registry, is invalid.
+/// Why the address of a registry, or a repository name or tag, is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LocationError {
     /// Not a URL.
     Url(url::ParseError),
     /// A scheme other than `http`; holds the scheme.
     Scheme(String),
-    /// A query, a fragment, a user, or no host.
-    Extra,
-    /// An invalid repository name.
+    /// The URL has a query, a fragment, a user or password, or no host.
+    UnsupportedPart,
+    /// Violates the grammar of repository names or exceeds their length; holds the name.
     Repository(String),
-    /// An invalid tag.
+    /// Violates the grammar of tags; holds the tag.
     Tag(String),
 }
 
 impl fmt::Display for LocationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LocationError::Url(e) => write!(f, "no address of a registry: {e}"),
-            LocationError::Scheme(scheme) => write!(f, "{scheme} is not spoken to registries, only http"),
-            LocationError::Extra => {
-                f.write_str("a registry's address is http://HOST[:PORT][/PREFIX] and no more")
+            LocationError::Url(e) => write!(f, "invalid registry address: {e}"),
+            LocationError::Scheme(scheme) => {
+                write!(f, "unsupported scheme {scheme:?} of a registry address: only http is supported")
             }
+            LocationError::UnsupportedPart => f.write_str(
+                "a registry address has the form http://HOST[:PORT][/PREFIX], without user, query or fragment",
+            ),
             LocationError::Repository(name) => write!(
                 f,
-                "a registry takes no name {name:?}: lower-case letters and digits, with single . _ - between"
+                "invalid repository name {name:?}: it consists of lower-case letters and digits, separated by \
+                 /, ., _, __ or hyphens, {MAX_NAME} bytes at most"
+            ),
+            LocationError::Tag(tag) => write!(
+                f,
+                "invalid tag {tag:?}: it consists of letters, digits, _, . and -, does not begin with . or - \
+                 and has {MAX_TAG} bytes at most"
             ),
-            LocationError::Tag(tag) => write!(f, "a registry takes no tag {tag:?}"),
         }
     }
 }
@@ -54,7 +61,7 @@
         match self {
             LocationError::Url(e) => Some(e),
             LocationError::Scheme(_)
-            | LocationError::Extra
+            | LocationError::UnsupportedPart
             | LocationError::Repository(_)
             | LocationError::Tag(_) => None,
         }
@@ -79,7 +86,7 @@
         }
         let extra = url.query().is_some() || url.fragment().is_some() || !url.username().is_empty();
         if extra || url.password().is_some() || url.host().is_none() {
-            return Err(LocationError::Extra);
+            return Err(LocationError::UnsupportedPart);
         }
         let prefix = url.path().trim_matches('/').to_string();
         if !prefix.is_empty() && !is_repository(&prefix) {
@@ -90,7 +97,7 @@
         Ok(Location { base, prefix })
     }
 
-    /// The repository of a plug-in.
+    /// The full repository name of a plug-in: the prefix and the plug-in's name.
     ///
     /// # Errors
     /// [`LocationError::Repository`] when the name is not valid in a registry.
@@ -102,7 +109,7 @@
         }
     }
 
-    /// The URL of a path, which may have a query, below `/v2/`.
+    /// The URL of a path below `/v2/`; the path may have a query.
     pub(crate) fn url(&self, path: &str) -> Url {
         let mut url = self.base.clone();
         let (path, query) = path.split_once('?').map_or((path, None), |(path, query)| (path, Some(query)));
--- a/crates/oci/src/location/tests.rs
+++ b/crates/oci/src/location/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn addresses_are_read_and_what_is_no_plain_one_is_refused() {
+fn addresses_are_parsed_and_other_forms_are_rejected() {
     let location = Location::parse("http://127.0.0.1:5000/coop/north").unwrap();
     assert_eq!(location.repository("fare").unwrap(), "coop/north/fare");
     assert_eq!(location.url("x/tags/list?n=2").as_str(), "http://127.0.0.1:5000/v2/x/tags/list?n=2");
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn names_and_tags_follow_the_specifications_grammar() {
+fn names_and_tags_follow_the_grammar_of_the_specification() {
     for good in ["a", "a/b", "a.b_c__d--e/f0", "0"] {
         assert!(is_repository(good), "{good}");
     }
--- a/crates/oci/src/pull.rs
+++ b/crates/oci/src/pull.rs
@@ -1,10 +1,10 @@
 //! A pull: transfers one version of a plug-in from a registry into the blob store, verified and resumable.
 //!
-//! Phases: the image manifest, the plug-in's own manifest (the image's config), each layer, the signatures. Verified
-//! content that is in the store is not requested. A blob is requested in ranges; what arrives is stored, and the next
-//! request continues from there. Content that does not match its digest is discarded and requested once more from its
-//! start, as the part stored by an earlier process may have been corrupt; the second time the registry is at fault, and
-//! the pull fails.
+//! Phases: the image manifest, the plug-in's own manifest (the image's config), each layer, the signatures.
+//! Verified content that is in the store is not requested. A blob is requested in ranges; what arrives is
+//! stored, and the next request continues from there. Content that does not match its digest is discarded and
+//! requested once more from its start, as the part stored by an earlier process may have been corrupt; the
+//! second time the registry is at fault, and the pull fails.
 
 mod download;
 mod error;
@@ -24,9 +24,10 @@
 use slatevalve_http::Head;
 use slatevalve_plugins::{check_manifest, ClassRights, Digest, LayerRef, Manifest, Signature, VerifyError};
 
-/// Limit of an image manifest's or list of referrers' size, in bytes (the specification asks registries to accept 4 MiB).
+/// Limit of an image manifest's or list of referrers' size, in bytes (the specification recommends that
+/// registries accept 4 MiB).
 const MAX_DOCUMENT: usize = 4 * 1024 * 1024;
-/// Limit of a plug-in's own manifest's size, in bytes.
+/// Limit of the size of a plug-in's own manifest, in bytes.
 const MAX_CONFIG: u64 = 1024 * 1024;
 /// Position of the config among an image's blobs.
 const CONFIG_INDEX: usize = 0;
@@ -34,19 +35,20 @@
 /// Settings of a pull.
 #[derive(Clone, Debug)]
 pub struct PullSettings {
-    /// The registry.
+    /// Address of the registry and prefix of its repositories.
     pub location: Location,
-    /// Credentials, where the registry requires them.
+    /// Sent only after a challenge of the registry; `None` for anonymous access.
     pub credentials: Option<Credentials>,
-    /// Timeouts, retries and redirects.
+    /// Timeouts, retries and redirects. The deadline and the count of failed attempts span all requests of
+    /// the pull.
     pub policy: Policy,
-    /// Bytes of content requested at a time.
+    /// Bytes of content requested at a time; 0 counts as 1.
     pub range: u64,
-    /// Limit of one plug-in's content, in bytes.
+    /// Limit of the size of one plug-in's config and layers, in bytes.
     pub max_size: u64,
-    /// The classes and which tenant may claim which; `None` where they are not known.
+    /// The known classes and which tenant may use which; `None` where they are unknown and not checked.
     pub rights: Option<ClassRights>,
-    /// Seed of the backoff's jitter.
+    /// Seed of the random jitter of the backoff.
     pub seed: u64,
 }
 
@@ -68,11 +70,11 @@
 }
 
 enum Phase {
-    /// The image manifest, as far as received.
+    /// Holds the image manifest, as far as received.
     ImageManifest(Vec<u8>),
     /// The config, then the layers in order.
     Content(Box<Download>),
-    /// The list of referrers, as far as received.
+    /// Holds the list of referrers, as far as received.
     Referrers(Vec<u8>),
     Done,
 }
@@ -83,9 +85,9 @@
     content: ImageContent,
 }
 
-/// How a blob of the image is brought into the store.
+/// Whether a blob of the image must be downloaded.
 enum BlobStart {
-    /// It is there, verified; holds its content.
+    /// The store has it, verified; holds its content.
     Present(Vec<u8>),
     Download(Box<Download>),
 }
@@ -139,7 +141,8 @@
         })
     }
 
-    /// The plug-in's manifest and its digest once they are received and checked, whatever becomes of the layers.
+    /// The plug-in's manifest and its digest once they are received and checked, even if the layers fail
+    /// afterwards.
     pub fn checked_manifest(&self) -> Option<(Manifest, Digest)> {
         Some((self.manifest.clone()?, self.image.as_ref()?.content.config.digest))
     }
@@ -191,7 +194,8 @@
                 let subject = format!("{}:{}", self.repository, self.reference);
                 Err(PullError::Rejected(subject, head.status))
             }
-            // A registry without the referrers API answers 404: then there are no signatures.
+            // A registry without the referrers API answers 404; its body is not an image index, so there are
+            // no signatures.
             Phase::ImageManifest(bytes) | Phase::Referrers(bytes) => {
                 bytes.clear();
                 Ok(())
@@ -246,7 +250,7 @@
             Phase::Content(download) if download.is_accepting() => {
                 self.transferred_bytes += chunk.len() as u64;
                 match download.append(store, chunk) {
-                    // An endless body ends here, at the blob's size.
+                    // The body exceeds the blob's size; this also bounds an endless one.
                     Err(BlobError::Corrupt(reason)) => self.restart_corrupt(now_us, store, reason),
                     appended => Ok(appended?),
                 }
@@ -279,7 +283,7 @@
             self.exchange.progress();
         }
         self.exchange.attempt_failed(now_us, failure)?;
-        // The next attempt requests what is still missing.
+        // The next attempt requests only the bytes that are still missing.
         if let Phase::Content(download) = &mut self.phase {
             download.end_attempt();
             self.exchange.replace(download.request(&self.settings, &self.repository));
@@ -309,7 +313,8 @@
         self.start_blobs(store, CONFIG_INDEX)
     }
 
-    /// Requests an image manifest that did not match its digest once more.
+    /// Requests an image manifest that did not match its digest once more; the second mismatch fails the
+    /// pull.
     fn retry_image_manifest(&mut self, now_us: i64, expected: Digest) -> Result<(), PullError> {
         if std::mem::replace(&mut self.manifest_was_corrupt, true) {
             return Err(PullError::Corrupt(expected, VerifyError::Other));
@@ -318,8 +323,8 @@
         Ok(self.exchange.attempt_failed(now_us, AttemptFailure::MalformedResponse)?)
     }
 
-    /// Starts the download of the first blob from an index on that is not in the store, or requests the referrers after the
-    /// last one.
+    /// Starts the download of the first blob from an index on that is not in the store, or requests the
+    /// referrers after the last one.
     fn start_blobs<F: Files>(&mut self, store: &mut BlobStore<F>, first: usize) -> Result<(), PullError> {
         for index in first.. {
             let Some(image) = &self.image else { return Ok(()) };
@@ -347,7 +352,7 @@
         index: usize,
         blob: LayerRef,
     ) -> Result<BlobStart, PullError> {
-        // A stored blob counts only if it is intact: reading verifies it.
+        // Reading verifies a stored blob; a corrupt one is downloaded again.
         match store.read(&blob.digest) {
             Ok(content) if content.len() as u64 == blob.size => {
                 self.present_bytes += blob.size;
@@ -362,7 +367,7 @@
         if partial.stored_bytes() < blob.size {
             return Ok(BlobStart::Download(Box::new(Download::new(index, blob, partial))));
         }
-        // All of it was written but not committed before a crash, or it is empty.
+        // The whole blob was written but not committed before a crash, or the blob is empty.
         match store.commit(partial) {
             Ok(()) => Ok(BlobStart::Present(store.read(&blob.digest)?)),
             Err(BlobError::Corrupt(_)) => {
@@ -384,7 +389,8 @@
             self.exchange.progress();
             self.exchange.start(request);
         } else {
-            // An empty response is a failed attempt, so that a registry cannot go on with them without end.
+            // An empty response counts as a failed attempt, so that a registry cannot keep the pull busy with
+            // them.
             self.exchange.attempt_failed(now_us, AttemptFailure::ConnectionClosed)?;
             self.exchange.replace(request);
         }
@@ -413,7 +419,7 @@
         self.start_blobs(store, index + 1)
     }
 
-    /// Discards the corrupt content of the present download and requests it from its first byte.
+    /// Discards the corrupt content of the current download and requests the blob from its first byte.
     fn restart_corrupt<F: Files>(
         &mut self,
         now_us: i64,
@@ -430,8 +436,8 @@
         Ok(())
     }
 
-    /// Checks the plug-in's own manifest as soon as it is there, so that no layer of a rejected plug-in is pulled. Other
-    /// blobs are passed over.
+    /// Checks the plug-in's own manifest as soon as it is stored, so that no layer of a rejected plug-in is
+    /// pulled. Does nothing for other blobs.
     fn check_config(&mut self, index: usize, bytes: &[u8]) -> Result<(), PullError> {
         if index != CONFIG_INDEX {
             return Ok(());
--- a/crates/oci/src/pull/download.rs
+++ b/crates/oci/src/pull/download.rs
@@ -6,9 +6,10 @@
 use slatevalve_http::Head;
 use slatevalve_plugins::LayerRef;
 
-/// An attempt that brings at least one such fraction of the bytes that it requested counts as progress.
+/// A failed attempt counts as progress if it received at least 1/16 of the bytes that it requested.
 const PROGRESS_FRACTION: u64 = 16;
-/// Times that a blob may be corrupt before the registry is at fault.
+/// The pull fails when a blob is corrupt for this many times. The first time may be due to a corrupt part
+/// that an earlier process stored.
 const MAX_CORRUPTIONS: u32 = 2;
 
 /// A blob that is being downloaded.
@@ -18,14 +19,14 @@
     pub(super) blob: LayerRef,
     /// `None` after a commit was attempted.
     partial: Option<Partial>,
-    /// Whether the body of the present response is content of the blob.
+    /// Whether the body of the current response is content of the blob.
     accepting: bool,
-    /// Bytes that the present attempt brought.
+    /// Bytes received in the current attempt.
     received: u64,
     corruptions: u32,
 }
 
-/// What the head of a response means for a download.
+/// The consequence of a response's head for a download.
 pub(super) enum ContentHead {
     /// The body continues the blob.
     Continues,
@@ -33,9 +34,9 @@
     Restarts,
     /// The body is another range than the requested one.
     WrongRange,
-    /// The blob has no such range: what is stored cannot be a part of it.
+    /// The blob has no such range, so the stored bytes cannot be a part of it.
     RangeUnsatisfiable,
-    /// The registry does not serve the blob.
+    /// The registry does not serve the blob; holds the status.
     Rejected(u16),
 }
 
@@ -44,7 +45,7 @@
         Download { index, blob, partial: Some(partial), accepting: false, received: 0, corruptions: 0 }
     }
 
-    /// Bytes that are stored.
+    /// Bytes stored, from the start of the blob.
     pub(super) fn stored(&self) -> u64 {
         self.partial.as_ref().map_or(0, Partial::stored_bytes)
     }
@@ -57,7 +58,8 @@
         self.missing() == 0
     }
 
-    /// The request for the next range of at most [`PullSettings::range`] bytes; without `Range` where that is the whole blob.
+    /// The request for the next range of at most [`PullSettings::range`] bytes; without `Range` where that is
+    /// the whole blob.
     pub(super) fn request(&self, settings: &PullSettings, repository: &str) -> RegistryRequest {
         let url = settings.location.url(&format!("{repository}/blobs/{}", self.blob.digest));
         let mut request = RegistryRequest::get(url);
@@ -88,8 +90,8 @@
     /// Appends a chunk of a response's body.
     ///
     /// # Errors
-    /// [`BlobError::Corrupt`] when the blob grows beyond its size, after which the rest of the body is ignored, or when the
-    /// store fails.
+    /// [`BlobError::Corrupt`] when the blob grows beyond its size, after which the rest of the body is
+    /// ignored, or when the store fails.
     pub(super) fn append<F: Files>(
         &mut self,
         store: &mut BlobStore<F>,
@@ -104,37 +106,39 @@
         appended
     }
 
-    /// Whether bodies are content of the blob at present.
+    /// Whether the body of the current response is content of the blob.
     pub(super) fn is_accepting(&self) -> bool {
         self.accepting && self.partial.is_some()
     }
 
-    /// Whether the present attempt brought anything.
+    /// Whether the current attempt received any bytes.
     pub(super) fn has_received(&self) -> bool {
         self.received > 0
     }
 
-    /// Whether a failed attempt brought enough of what it requested to count as progress. A few bytes do not: a registry that
-    /// sends one byte a connection would hold the pull until its deadline.
+    /// Whether a failed attempt received enough of the requested bytes to count as progress. A few bytes do
+    /// not suffice, as a registry that sends one byte per connection would otherwise keep the pull busy until
+    /// its deadline.
     pub(super) fn has_progressed(&self, range: u64) -> bool {
         let requested = (self.missing() + self.received).min(range);
         self.has_received() && self.received.saturating_mul(PROGRESS_FRACTION) >= requested
     }
 
-    /// Ends the present attempt; what it brought is kept.
+    /// Ends the current attempt; the bytes it received are kept.
     pub(super) fn end_attempt(&mut self) {
         self.received = 0;
         self.accepting = false;
     }
 
-    /// Discards what is stored and starts from the first byte.
+    /// Discards the stored bytes and starts from the first one.
     pub(super) fn restart<F: Files>(&mut self, store: &mut BlobStore<F>) -> Result<(), BlobError> {
         store.discard(&self.blob.digest)?;
         self.partial = Some(store.open_partial(self.blob.digest, self.blob.size)?);
         Ok(())
     }
 
-    /// Discards corrupt content and starts from the first byte; returns false when the blob was corrupt too often.
+    /// Discards corrupt content and starts from the first byte; returns false when the blob was corrupt too
+    /// often.
     pub(super) fn restart_corrupt<F: Files>(&mut self, store: &mut BlobStore<F>) -> Result<bool, BlobError> {
         self.corruptions += 1;
         if self.corruptions >= MAX_CORRUPTIONS {
--- a/crates/oci/src/pull/error.rs
+++ b/crates/oci/src/pull/error.rs
@@ -1,4 +1,4 @@
-//! Why a pull failed.
+//! Errors of a pull.
 
 use crate::document::DocumentError;
 use crate::exchange::ExchangeError;
@@ -8,14 +8,15 @@
 use std::error::Error;
 use std::fmt;
 
-/// Why a pull ended without a version.
+/// Why a pull failed.
 #[derive(Debug)]
 pub enum PullError {
     /// The name or reference is not valid in a registry.
     Name(LocationError),
-    /// A request got no response.
+    /// A request was not completed.
     Exchange(ExchangeError),
-    /// The registry does not have, or does not serve, what was requested; holds its name and the status.
+    /// The registry does not serve the requested manifest or blob; holds `REPOSITORY:REFERENCE` or the
+    /// digest, and the status.
     Rejected(String, u16),
     /// The registry served content that does not match its digest, twice.
     Corrupt(Digest, VerifyError),
@@ -30,14 +31,14 @@
         /// The `NAME@VERSION` that its manifest names.
         found: String,
     },
-    /// The content is larger than allowed; holds its size in bytes.
+    /// The content or a document exceeds its size limit; holds its size in bytes, as far as known.
     TooLarge(u64),
-    /// The blob store failed. What was received is kept for the next pull.
+    /// The blob store failed. The received content is kept for the next pull.
     Store(BlobError),
 }
 
 impl PullError {
-    /// The digest whose content the registry serves corrupt, where that is the reason.
+    /// The digest of the corrupt content, if that made the pull fail.
     pub fn corrupt_digest(&self) -> Option<Digest> {
         match self {
             PullError::Corrupt(digest, _) => Some(*digest),
@@ -52,8 +53,9 @@
             PullError::Name(e) => e.fmt(f),
             PullError::Exchange(e) => e.fmt(f),
             PullError::Rejected(subject, status) => {
-                write!(f, "the registry answered {status} for {subject}")
+                write!(f, "the registry answered the request for {subject} with status {status}")
             }
+            // The catalogue stores this text as the reason of the quarantine.
             PullError::Corrupt(digest, reason) => {
                 write!(f, "the registry's content of {digest}: {reason}")
             }
@@ -63,10 +65,10 @@
                 f.write_str(&lines.join("\n"))
             }
             PullError::OtherVersion { requested, found } => {
-                write!(f, "{requested} was asked for, and it is {found}")
+                write!(f, "{requested} was requested, but the plug-in's manifest names {found}")
             }
-            PullError::TooLarge(bytes) => write!(f, "its content is {bytes} bytes, more than is taken"),
-            PullError::Store(e) => write!(f, "the folder of plug-ins: {e}"),
+            PullError::TooLarge(bytes) => write!(f, "the content of {bytes} bytes exceeds the size limit"),
+            PullError::Store(e) => write!(f, "the plug-in folder: {e}"),
         }
     }
 }
--- a/crates/oci/src/pull/job.rs
+++ b/crates/oci/src/pull/job.rs
@@ -8,9 +8,9 @@
 
 /// A pull together with the store that it writes to.
 pub struct PullJob<'a, F> {
-    /// The pull.
+    /// Its result can be taken once [`Job::next`] has returned [`Next::Done`].
     pub pull: Pull,
-    /// The store.
+    /// Keeps received content also when the pull fails, so that the next one resumes it.
     pub store: &'a mut BlobStore<F>,
 }
 
--- a/crates/oci/src/pull_queue.rs
+++ b/crates/oci/src/pull_queue.rs
@@ -1,10 +1,11 @@
-//! The queue of pulls that a running gateway starts by itself: versions that calls name and the store does not hold, and
-//! versions whose content was found corrupt. Names and times in, pulls out, no I/O; the gateway's plug-in host owns it.
+//! The queue of pulls that a running gateway starts automatically: versions that calls name and the store
+//! does not hold, and versions whose content was found corrupt. The queue does no I/O; the gateway's plug-in
+//! host owns it, passes it names and times, and runs the pulls.
 //!
-//! It protects the registry, which all gateways share, from calls that name versions that do not exist: one pull at a time,
-//! each name queued once, exponential backoff with seeded jitter after a failure, and a bounded number of names. It protects
-//! the gateway from names that a client makes up: beyond the bound the name that failed longest ago is forgotten, while
-//! queued names are never displaced.
+//! It protects the registry, which all gateways share, from calls that name versions that do not exist: one
+//! pull at a time, each name queued once, exponential backoff with seeded jitter after a failure, and a
+//! bounded number of names. It protects the gateway from invented names in calls: beyond the bound, the
+//! record of the name that failed longest ago is removed, while queued names are never displaced.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -13,10 +14,10 @@
 /// The backoff doubles at most this often, so that the shift does not overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 30;
 
-/// Limits of a [`PullQueue`] queue. Times in microseconds.
+/// Limits of a [`PullQueue`]. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PullQueueSettings {
-    /// Limit of the queued names, and of the failed names that are remembered.
+    /// Limit of the queued names, and separately of the records of failed names.
     pub capacity: usize,
     /// Backoff after a name's first failure, before jitter.
     pub initial_backoff_us: i64,
@@ -30,12 +31,12 @@
     }
 }
 
-/// What is remembered of a name whose pull failed.
+/// The backoff state of a name whose pull failed.
 struct FailureRecord {
     /// End of the backoff.
     retry_at_us: i64,
     consecutive_failures: u32,
-    /// Number of the failure among all, as clocks may jump.
+    /// Number of this failure among all failures. It orders the records, as the clock may jump.
     sequence: u64,
 }
 
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Queues the pull of a name; returns whether it is queued or in progress, which it is not during its backoff or when
-    /// the queue is full.
+    /// Queues the pull of a name. Returns whether the pull is queued or in progress; it is not during the
+    /// name's backoff or when the queue is full.
     pub fn enqueue(&mut self, now_us: i64, name: &str) -> bool {
         if self.in_progress.as_deref() == Some(name) || self.queued.iter().any(|queued| queued == name) {
             return true;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The doubled backoff with a jitter of a quarter to both sides.
+    /// The exponential backoff with a jitter of a quarter in both directions.
     fn backoff_us(&mut self, consecutive_failures: u32) -> i64 {
         let doublings = (consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
         let doubled = self.settings.initial_backoff_us.saturating_mul(1 << doublings);
@@ -120,7 +121,7 @@
         (limited as f64 * self.random.random_range(0.75..1.25)) as i64
     }
 
-    /// Ends all backoffs, for instance when an operator requested a pull or the registry was replaced.
+    /// Ends all backoffs, for example after an operator requested a pull or the registry was replaced.
     pub fn clear_failures(&mut self) {
         self.failed.clear();
     }
--- a/crates/oci/src/push.rs
+++ b/crates/oci/src/push.rs
@@ -1,6 +1,7 @@
-//! A push: transfers one version of a plug-in from the blob store to a registry. Blobs that the registry has are not sent;
-//! an upload that was interrupted continues from the registry's offset (distribution specification, "Pushing a blob in
-//! chunks"); the image manifest is sent last, so that an interrupted push leaves no incomplete version.
+//! A push: transfers one version of a plug-in from the blob store to a registry. Blobs that the registry has
+//! are not sent; an upload that was interrupted continues from the registry's offset (distribution
+//! specification, "Pushing a blob in chunks"); the image manifest is sent last, so that an interrupted push
+//! leaves no incomplete version.
 
 mod error;
 
@@ -18,16 +19,16 @@
 use std::sync::Arc;
 use url::Url;
 
-/// A version with its content, to be pushed.
+/// A version with its content and signatures, to be pushed.
 #[derive(Clone, Debug)]
 pub struct Package {
-    /// The plug-in's manifest.
+    /// The plug-in's manifest; its version becomes the tag.
     pub manifest: Manifest,
-    /// The manifest's bytes.
+    /// The encoded form of `manifest`, whose digest identifies the version.
     pub config: Arc<[u8]>,
     /// The layers' content, in the manifest's order.
     pub layers: Vec<Arc<[u8]>>,
-    /// Signatures to be pushed with it.
+    /// Signatures of the version, pushed as referrers of its image manifest.
     pub signatures: Vec<Signature>,
 }
 
@@ -38,7 +39,7 @@
     pub image: Digest,
     /// Bytes of content that were transferred.
     pub bytes: u64,
-    /// Bytes of content that the registry had already.
+    /// Bytes of content that were not sent, as the registry had them.
     pub present_bytes: u64,
 }
 
@@ -94,9 +95,9 @@
     /// Bytes sent in one request.
     chunk_size: usize,
     blobs: Vec<Blob>,
-    /// The plug-in's image manifest by tag, then the signatures by digest.
+    /// The plug-in's image manifest, pushed by tag, then the signatures, pushed by digest.
     manifests: Vec<TaggedManifest>,
-    /// Position among the blobs, then the manifests.
+    /// Index of the current item among the blobs, followed by the manifests.
     position: usize,
     step: UploadStep,
     upload_url: Option<Url>,
@@ -106,7 +107,8 @@
 }
 
 impl Push {
-    /// A push of a package; its tag is its version. `chunk_size` is the number of bytes sent in one request.
+    /// A push of a package; its tag is its version. `chunk_size` limits the bytes sent in one request; 0
+    /// counts as 1.
     ///
     /// # Errors
     /// [`PushError::Name`] when the name or version is not valid in a registry.
@@ -158,7 +160,7 @@
         self.position >= self.blobs.len() + self.manifests.len()
     }
 
-    /// The manifest that is being pushed; none while blobs are, or when all is done.
+    /// The manifest that is being pushed; `None` while blobs are pushed, or when the push is complete.
     fn current_manifest(&self) -> Option<&TaggedManifest> {
         self.manifests.get(self.position.checked_sub(self.blobs.len())?)
     }
@@ -205,11 +207,11 @@
         Ok(())
     }
 
-    /// The step that follows a response; none when the registry has the blob.
+    /// The step that follows a response; `None` when the registry has the blob.
     fn next_step(&mut self, now_us: i64, head: &Head) -> Result<Option<UploadStep>, PushError> {
         let blob = &self.blobs[self.position];
         let size = blob.size();
-        let refused = || PushError::Rejected(blob.digest.to_string(), head.status);
+        let rejected = || PushError::Rejected(blob.digest.to_string(), head.status);
         Ok(Some(match (&self.step, head.status) {
             (UploadStep::CheckExistence, 200) => {
                 self.present_bytes += size;
@@ -227,22 +229,23 @@
                 blob.step_from(sent)
             }
             (UploadStep::QueryOffset, 204) => match upload_offset(head) {
-                offset if offset > size => return Err(refused()),
+                offset if offset > size => return Err(rejected()),
                 offset => blob.step_from(offset),
             },
-            // The registry's offset is another one than ours.
+            // The registry's offset differs from the chunk's.
             (UploadStep::SendChunk(_), 416) => UploadStep::QueryOffset,
-            // The upload session is gone.
+            // The upload session does not exist any more.
             (UploadStep::QueryOffset | UploadStep::SendChunk(_) | UploadStep::Close, 404) => {
                 self.exchange.attempt_failed(now_us, AttemptFailure::ConnectionClosed)?;
                 UploadStep::Open
             }
             (UploadStep::Close, 201) => return Ok(None),
-            _ => return Err(refused()),
+            _ => return Err(rejected()),
         }))
     }
 
-    /// The `Location` of an upload session. It must be at the registry's own address, as the content is sent there.
+    /// The `Location` of an upload session. It must be at the registry's own address, as the content is sent
+    /// there.
     fn upload_location(&self, head: &Head) -> Result<Url, PushError> {
         let base = self.current_upload_url();
         let location = head.header("Location").and_then(|location| base.join(location).ok());
@@ -261,7 +264,7 @@
         self.upload_url.clone().unwrap_or_else(|| self.location.url(""))
     }
 
-    /// The request of the present position and step; none when all is done.
+    /// The request of the current position and step; `None` when the push is complete.
     fn request(&self) -> Option<RegistryRequest> {
         match self.blobs.get(self.position) {
             Some(blob) => Some(self.blob_request(blob)),
@@ -325,7 +328,7 @@
                 self.response_head = (outcome == HeadOutcome::ForCaller).then_some(head);
                 Ok(())
             }
-            // A push needs no response's body.
+            // A push does not use the bodies of responses.
             MessageEvent::Body(chunk) => Ok(self.exchange.body(now_us, &chunk).map(drop)?),
             MessageEvent::End => self.handle_end(now_us),
         }
@@ -333,7 +336,7 @@
 
     fn attempt_failed(&mut self, now_us: i64, failure: AttemptFailure) -> Result<(), PushError> {
         self.exchange.attempt_failed(now_us, failure)?;
-        // How much of a chunk arrived is known to the registry alone.
+        // Only the registry knows how much of the chunk arrived.
         if matches!(self.step, UploadStep::SendChunk(_)) {
             self.step = UploadStep::QueryOffset;
             if let Some(request) = self.request() {
@@ -353,7 +356,7 @@
     }
 }
 
-/// The image manifest, then the signatures.
+/// Encodes the image manifest, followed by the manifests of the signatures.
 fn pack_manifests(package: &Package) -> Result<Vec<TaggedManifest>, PushError> {
     let image = pack(&package.manifest, &package.config)?;
     let mut manifests = Vec::new();
@@ -369,7 +372,8 @@
     RegistryRequest::new("HEAD", location.url(&format!("{repository}/blobs/{digest}")))
 }
 
-/// Bytes that an upload session holds. `Range` is inclusive, so `0-0` is one byte; it is absent where there is none.
+/// Bytes that an upload session holds. `Range` is inclusive, so `0-0` is one byte; it is absent when no byte
+/// was received.
 fn upload_offset(head: &Head) -> u64 {
     let last = head.header("Range").and_then(|range| range.split_once('-')?.1.parse::<u64>().ok());
     last.map_or(0, |last| last.saturating_add(1))
--- a/crates/oci/src/push/error.rs
+++ b/crates/oci/src/push/error.rs
@@ -1,4 +1,4 @@
-//! Why a push failed.
+//! Errors of a push.
 
 use crate::document::DocumentError;
 use crate::exchange::ExchangeError;
@@ -6,18 +6,19 @@
 use std::error::Error;
 use std::fmt;
 
-/// Why a push ended before all was transferred.
+/// Why a push failed.
 #[derive(Debug)]
 pub enum PushError {
     /// The name or version is not valid in a registry.
     Name(LocationError),
-    /// A request got no response.
+    /// A request was not completed.
     Exchange(ExchangeError),
-    /// The registry rejected a blob or manifest; holds its name and the status.
+    /// The registry rejected a blob or manifest; holds the digest or `REPOSITORY:REFERENCE`, and the status.
     Rejected(String, u16),
     /// A manifest could not be encoded.
     Document(DocumentError),
-    /// The registry reports another digest for a manifest than the pushed one.
+    /// The registry reports another digest for a pushed manifest than that of the sent bytes; holds the
+    /// reported one.
     OtherDigest(String),
     /// The registry opened an upload without a usable `Location`, or with one at another address.
     Upload,
@@ -29,11 +30,16 @@
             PushError::Name(e) => e.fmt(f),
             PushError::Exchange(e) => e.fmt(f),
             PushError::Rejected(subject, status) => {
-                write!(f, "the registry answered {status} to {subject}")
+                write!(f, "the registry rejected {subject} with status {status}")
             }
             PushError::Document(e) => e.fmt(f),
-            PushError::OtherDigest(found) => write!(f, "the registry took it as {found}"),
-            PushError::Upload => f.write_str("the registry does not say where to upload to"),
+            PushError::OtherDigest(found) => write!(
+                f,
+                "the registry reports digest {found} for the pushed manifest, which has another one"
+            ),
+            PushError::Upload => {
+                f.write_str("the registry opened an upload without a usable Location at its own address")
+            }
         }
     }
 }
--- a/crates/oci/src/server.rs
+++ b/crates/oci/src/server.rs
@@ -1,8 +1,8 @@
-//! The server's side of the distribution protocol over a blob store: pulls with ranges, pushes whole and in chunks, tags,
-//! referrers, and access control. The registry's process passes it whole requests.
+//! The server's side of the distribution protocol over a blob store: pulls with ranges, pushes as a whole and
+//! in chunks, tags, referrers, and access control. The registry's process passes it complete requests.
 //!
-//! Invariants: a blob is listed after it was verified and renamed, a manifest after all that it references, a tag after
-//! its manifest. A crash at any step loses the open upload sessions and nothing else.
+//! Invariants: a blob is listed after it was verified and renamed, a manifest after all that it references, a
+//! tag after its manifest. A crash at any step loses the open upload sessions and nothing else.
 
 mod access;
 mod blobs;
@@ -28,7 +28,7 @@
 /// The stored document that holds all [`Repository`]s by name.
 const DOCUMENT: &str = "registry.json";
 
-/// What a repository holds; stored as JSON.
+/// The tags, manifests and blobs of a repository; stored as JSON.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Repository {
     tags: BTreeMap<String, Digest>,
@@ -50,20 +50,20 @@
     access: Access,
     repositories: BTreeMap<String, Repository>,
     uploads: BTreeMap<String, Upload>,
-    /// Number of the upload session that was opened last.
+    /// Number of the upload session opened last; ids count up from 1 in each process.
     last_upload: u64,
     /// The one token that the registry issues; tokens are never revoked.
     token: String,
 }
 
 impl<F: Files> Registry<F> {
-    /// Opens a registry in whatever state a crash left its folder. `token` is the bearer token that it issues; where access
-    /// matters it must not be guessable.
+    /// Opens a registry on a folder, which may be in any state that a crash left. `token` is the bearer token
+    /// that the registry issues; where access is restricted it must not be guessable.
     ///
     /// # Errors
-    /// When the folder cannot be read.
+    /// When the folder cannot be read, or its document of repositories cannot be parsed.
     pub fn open(mut store: BlobStore<F>, access: Access, token: &str) -> Result<Self, RegistryError> {
-        // Upload sessions end with the process that opened them.
+        // Upload sessions do not survive the process that opened them.
         store.discard_all_staged()?;
         let repositories = match store.document(DOCUMENT) {
             Ok(bytes) => serde_json::from_slice(&bytes)?,
--- a/crates/oci/src/server/access.rs
+++ b/crates/oci/src/server/access.rs
@@ -1,4 +1,5 @@
-//! Access control: basic authentication (RFC 7617) and bearer tokens of the container registries' token protocol.
+//! Access control: basic authentication (RFC 7617) and bearer tokens of the container registries' token
+//! protocol.
 
 use super::response::{Response, ServeResult};
 use super::Registry;
@@ -6,18 +7,18 @@
 use oci_spec::distribution::ErrorCode;
 use slatevalve_http::Message;
 
-/// Lifetime of a token as announced, in seconds.
+/// Announced lifetime of a token, in seconds. The registry itself does not expire tokens.
 const TOKEN_EXPIRES_IN_S: u32 = 300;
 
-/// Who may use a registry.
+/// Access control of a registry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Access {
-    /// Everybody.
+    /// No authentication.
     #[default]
     Open,
-    /// Clients with this name and password.
+    /// Basic authentication with this name and password.
     Basic(Credentials),
-    /// Clients with a token, which `/token` of this address issues for this name and password.
+    /// Bearer tokens, which `/token` below this base URL issues for this name and password.
     Token(Credentials, String),
 }
 
--- a/crates/oci/src/server/blobs.rs
+++ b/crates/oci/src/server/blobs.rs
@@ -1,4 +1,5 @@
-//! Pulling blobs, and pushing them whole or in chunks (distribution specification, "Pulling blobs", "Pushing blobs").
+//! Pulling blobs, and pushing them whole or in chunks (distribution specification, "Pulling blobs", "Pushing
+//! blobs").
 
 use super::response::{Response, ServeResult};
 use super::route::{parse_range, Query};
@@ -8,15 +9,15 @@
 use slatevalve_http::Message;
 use slatevalve_plugins::Digest;
 
-/// Upload sessions that may be open at a time.
+/// Limit of the upload sessions that are open at a time.
 const MAX_UPLOADS: usize = 64;
-/// `Retry-After` of a request for one more, in seconds.
+/// `Retry-After` of the response to a request beyond [`MAX_UPLOADS`], in seconds.
 const UPLOADS_RETRY_AFTER_S: u32 = 1;
 
 /// An open upload session.
 pub(super) struct Upload {
     repository: String,
-    /// Bytes received.
+    /// Bytes received so far.
     size: u64,
 }
 
@@ -56,7 +57,8 @@
         self.uploads.get(id).filter(|upload| upload.repository == repository).ok_or_else(unknown)
     }
 
-    /// Mounts a blob of another repository, stores the whole body, or opens an upload session, by the query's parameters.
+    /// Mounts a blob of another repository, stores the body as a blob, or opens an upload session, depending
+    /// on the query.
     pub(super) fn start_upload(&mut self, repository: &str, query: &Query, request: &Message) -> ServeResult {
         if let Some(digest) = self.mountable_blob(query) {
             return self.add_blob(repository, digest);
@@ -75,8 +77,8 @@
         Ok(upload_response(202, repository, &id, 0))
     }
 
-    /// The blob that a request mounts, where the repository that it names has it ("Mounting a blob from another
-    /// repository").
+    /// The blob that a request mounts, if the repository it names has that blob (distribution specification,
+    /// "Mounting a blob from another repository").
     fn mountable_blob(&self, query: &Query) -> Option<Digest> {
         let digest: Digest = query.get("mount")?.parse().ok()?;
         let source = self.repositories.get(query.get("from")?)?;
@@ -110,7 +112,8 @@
         Ok(upload_response(202, repository, id, size))
     }
 
-    /// Closes an upload session: the last chunk, if any, then the content becomes a blob when it matches its digest.
+    /// Closes an upload session: appends the last chunk, if any, and makes the content a blob if it matches
+    /// the digest.
     pub(super) fn finish_upload(
         &mut self,
         repository: &str,
@@ -145,7 +148,7 @@
     }
 }
 
-/// The state of an upload session; `Range` is inclusive, and absent where nothing was received.
+/// Encodes the state of an upload session; `Range` is inclusive, and absent when no byte was received.
 fn upload_response(status: u16, repository: &str, id: &str, size: u64) -> Response {
     let location = format!("/v2/{repository}/blobs/uploads/{id}");
     let response = Response::new(status).with_header("Location", location);
--- a/crates/oci/src/server/error.rs
+++ b/crates/oci/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why a registry's folder cannot be used.
+//! Errors of a registry's folder.
 
 use super::DOCUMENT;
 use slatevalve_blobs::BlobError;
@@ -17,8 +17,8 @@
 impl fmt::Display for RegistryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RegistryError::Store(e) => write!(f, "the folder: {e}"),
-            RegistryError::Document(e) => write!(f, "{DOCUMENT}: {e}"),
+            RegistryError::Store(e) => write!(f, "the registry's folder: {e}"),
+            RegistryError::Document(e) => write!(f, "cannot parse {DOCUMENT}: {e}"),
         }
     }
 }
--- a/crates/oci/src/server/garbage.rs
+++ b/crates/oci/src/server/garbage.rs
@@ -1,4 +1,5 @@
-//! Garbage collection: manifests that no tag needs, and blobs that no manifest references.
+//! Garbage collection of manifests that are not reachable from a tag, and of blobs that no manifest
+//! references.
 
 use super::manifests::{digest_of, referenced_blobs};
 use super::{Registry, RegistryError, Repository};
@@ -8,9 +9,9 @@
 use std::collections::BTreeSet;
 
 impl<F: Files> Registry<F> {
-    /// Removes manifests that have no tag and refer to no tagged manifest, then blobs that no remaining manifest references;
-    /// returns the number of blobs removed. Open uploads are kept. Content pushed for a manifest that is still to come is
-    /// removed, so this is for a registry that serves nobody.
+    /// Removes manifests that have no tag and refer to no tagged manifest, then blobs that no remaining
+    /// manifest references; returns the number of blobs removed. Open uploads are kept. Blobs whose manifest
+    /// was not pushed yet are removed, so this may only run while the registry serves no requests.
     ///
     /// # Errors
     /// When the blob store fails.
@@ -24,14 +25,14 @@
             reachable.extend(referenced);
         }
         self.repositories.retain(|_, repository| !repository.manifests.is_empty());
-        // The document first: whatever it references exists at every moment.
+        // The document is written before blobs are removed, so that all it references exists at every moment.
         self.write_repositories()?;
         Ok(self.store.collect(&reachable)?)
     }
 }
 
 impl Repository {
-    /// Removes manifests without a tag, other than referrers of a tagged one.
+    /// Removes manifests without a tag, except referrers of a tagged one.
     fn remove_untagged(&mut self) {
         let tagged: BTreeSet<Digest> = self.tags.values().copied().collect();
         self.manifests.retain(|digest, subject| {
--- a/crates/oci/src/server/manifests.rs
+++ b/crates/oci/src/server/manifests.rs
@@ -1,5 +1,5 @@
-//! Manifests, tags and referrers (distribution specification, "Pulling manifests", "Pushing manifests", "Listing tags",
-//! "Listing referrers").
+//! Manifests, tags and referrers (distribution specification, "Pulling manifests", "Pushing manifests",
+//! "Listing tags", "Listing referrers").
 
 use super::response::{Response, ServeResult};
 use super::route::Query;
@@ -11,13 +11,13 @@
 use slatevalve_http::Message;
 use slatevalve_plugins::Digest;
 
-/// Limit of a manifest's size, in bytes.
+/// Limit of a manifest's size, in bytes. The specification recommends at least 4 MB.
 const MAX_MANIFEST: usize = 4 * 1024 * 1024;
-/// Limit of the tags in one response, also where the client requests no number.
+/// Limit of the tags in one response; also the default where the client requests no number.
 const MAX_TAGS_PER_RESPONSE: usize = 1_000;
 
 impl<F: Files> Registry<F> {
-    /// The digest that a tag or digest of a repository's manifest stands for.
+    /// Resolves a tag or digest to the digest of a manifest in the repository.
     fn find_manifest(&self, repository: &str, reference: &str) -> Result<Digest, Response> {
         let unknown = |code| Response::error(404, code, "no such manifest");
         let found = self.repositories.get(repository).ok_or_else(|| unknown(ErrorCode::NameUnknown))?;
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Deletes a tag alone, or a manifest together with its tags.
+    /// Deletes a tag only, or by digest a manifest together with its tags.
     pub(super) fn delete_manifest(&mut self, repository: &str, reference: &str) -> ServeResult {
         let digest = self.find_manifest(repository, reference)?;
         let found = self.repositories.entry(repository.into()).or_default();
@@ -78,7 +78,8 @@
         Ok(Response::new(202))
     }
 
-    /// Tags in order, from after `last`, at most `n`; a `Link` header points to the next page.
+    /// Lists the tags in lexical order, those after `last` and at most `n`; a `Link` header points to the
+    /// next page.
     pub(super) fn list_tags(&self, repository: &str, query: &Query) -> ServeResult {
         let unknown = || Response::error(404, ErrorCode::NameUnknown, "no such repository");
         let found = self.repositories.get(repository).ok_or_else(unknown)?;
@@ -99,7 +100,8 @@
         })
     }
 
-    /// The manifests that refer to a digest, as an image index, filtered by artifact type where the query names one.
+    /// Lists the manifests that refer to a digest, as an image index, filtered by artifact type if the query
+    /// names one.
     pub(super) fn list_referrers(&mut self, repository: &str, digest: &str, query: &Query) -> ServeResult {
         let subject: Digest = digest.parse().map_err(Response::invalid_digest)?;
         let referrers = self.repositories.get(repository).map(|found| found.referrers(&subject));
@@ -129,7 +131,7 @@
     }
 }
 
-/// The tag of a reference, or `None` where it is a digest; a digest must be the content's.
+/// Returns the tag of a reference, or `None` if it is a digest, which must then be that of the content.
 fn parse_reference<'a>(reference: &'a str, digest: &Digest) -> Result<Option<&'a str>, Response> {
     match reference.parse::<Digest>() {
         Ok(expected) if expected == *digest => Ok(None),
@@ -150,7 +152,7 @@
     Ok(())
 }
 
-/// The layers, then the config.
+/// The descriptors of a manifest's layers and config.
 pub(super) fn referenced_blobs(image: &ImageManifest) -> impl Iterator<Item = &Descriptor> {
     image.layers().iter().chain([image.config()])
 }
@@ -164,7 +166,7 @@
     Response::error(400, ErrorCode::ManifestInvalid, message)
 }
 
-/// The entry of a manifest in a list of referrers; `None` where it is no image manifest.
+/// The entry of a manifest in a list of referrers; `None` if it is not an image manifest.
 fn describe(digest: &Digest, bytes: &[u8]) -> Option<Descriptor> {
     let image: ImageManifest = serde_json::from_slice(bytes).ok()?;
     let oci_digest = digest.to_string().parse::<oci_spec::image::Digest>().ok()?;
--- a/crates/oci/src/server/response.rs
+++ b/crates/oci/src/server/response.rs
@@ -1,11 +1,12 @@
-//! Responses of the registry, their error bodies and their HTTP/1.1 encoding (distribution specification, "Error Codes").
+//! Responses of the registry, their error bodies and their HTTP/1.1 encoding (distribution specification,
+//! "Error Codes").
 
 use oci_spec::distribution::{ErrorCode, ErrorInfoBuilder, ErrorResponseBuilder};
 use serde::Serialize;
 use slatevalve_blobs::BlobError;
 use std::fmt;
 
-/// A response, before it is encoded.
+/// A response before its encoding.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Response {
     status: u16,
@@ -13,7 +14,7 @@
     body: Vec<u8>,
 }
 
-/// The response to a request; one that reports an error is the `Err`, so that handlers can use `?`.
+/// The response to a request; an error response is the `Err` variant, so that handlers can use `?`.
 pub(super) type ServeResult = Result<Response, Response>;
 
 impl Response {
@@ -38,13 +39,13 @@
         Response::json_as("application/json", status, value)
     }
 
-    /// A JSON document with a media type of its own.
+    /// A JSON document with another media type.
     pub(super) fn json_as(media_type: impl fmt::Display, status: u16, value: &impl Serialize) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_default();
         Response::new(status).with_header("Content-Type", media_type).with_body(body)
     }
 
-    /// An error with the specification's JSON body.
+    /// An error with the JSON body that the specification defines.
     pub(super) fn error(status: u16, code: ErrorCode, message: &str) -> Self {
         let info = ErrorInfoBuilder::default().code(code).message(message).build();
         let body = info.ok().and_then(|info| ErrorResponseBuilder::default().errors(vec![info]).build().ok());
@@ -59,7 +60,7 @@
         Response::error(400, ErrorCode::DigestInvalid, &reason.to_string())
     }
 
-    /// Encodes the response; `with_body` is false in response to HEAD.
+    /// Encodes the response; `with_body` is false for a response to HEAD.
     pub(super) fn encode(&self, with_body: bool) -> Vec<u8> {
         let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         for (name, value) in &self.headers {
--- a/crates/oci/src/server/route.rs
+++ b/crates/oci/src/server/route.rs
@@ -3,7 +3,7 @@
 use crate::location::is_repository;
 use std::collections::BTreeMap;
 
-/// Query parameters by name; of a repeated one the last counts.
+/// Query parameters by name; the last one of a repeated name counts.
 pub(super) type Query = BTreeMap<String, String>;
 
 /// A path below `/v2/` and its query.
@@ -13,18 +13,18 @@
     pub(super) query: Query,
 }
 
-/// What a path below `/v2/<repository>/` names.
+/// The resource that a path below `/v2/<repository>/` identifies.
 pub(super) enum Resource<'a> {
-    /// The blob of a digest.
+    /// A blob, by its digest.
     Blob(&'a str),
     /// The collection of upload sessions.
     Uploads,
-    /// The upload session of an id.
+    /// An upload session, by its id.
     Upload(&'a str),
-    /// The manifest of a tag or digest.
+    /// A manifest, by a tag or its digest.
     Manifest(&'a str),
     Tags,
-    /// The referrers of a digest.
+    /// The referrers of a manifest, by its digest.
     Referrers(&'a str),
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl<'a> Route<'a> {
-    /// Parses a path from its end, as a repository may have a component like `blobs`.
+    /// Parses a path from its end, as a repository name may have a component such as `blobs`.
     pub(super) fn parse(path: &'a str, query: Query) -> Option<Self> {
         let (repository, resource) = split_path(path)?;
         is_repository(repository).then_some(Route { repository, resource, query })
@@ -60,8 +60,8 @@
     resources.into_iter().find_map(|(suffix, resource)| Some((parent.strip_suffix(suffix)?, resource)))
 }
 
-/// `bytes=A-B`, `bytes=A-` and `bytes=-N` within a size (RFC 9110 section 14.1.2), as a half-open range; `None` where it
-/// is malformed or not satisfiable.
+/// Parses `bytes=A-B`, `bytes=A-` or `bytes=-N` for content of a size (RFC 9110 section 14.1.2) into a
+/// half-open range; `None` if it is malformed or not satisfiable.
 pub(super) fn parse_range(text: &str, size: usize) -> Option<std::ops::Range<usize>> {
     let (first, last) = text.strip_prefix("bytes=")?.split_once('-')?;
     let range = match (first, last) {
--- a/crates/oci/tests/pulls.rs
+++ b/crates/oci/tests/pulls.rs
@@ -1,5 +1,5 @@
-//! Pulls and pushes against the registry's own side, over a wire in memory that does what registries and networks do
-//! wrong. Time is an argument: nothing here waits.
+//! Pulls and pushes against the server's side of the protocol, over a network in memory that injects faults
+//! of registries and networks. Time is simulated: no test sleeps.
 
 use serde_json::json;
 use slatevalve_blobs::{BlobError, BlobStore, MemoryFiles};
@@ -10,28 +10,30 @@
 
 const RANGE: u64 = 1_000;
 
-/// What the wire does to one answer.
+/// A fault injected into one response.
 #[derive(Clone, Debug)]
 enum Fault {
-    /// Ends after so many bytes.
+    /// The connection is closed after this many bytes.
     Cut(usize),
-    /// Brings nothing.
+    /// No bytes arrive until the stall timeout.
     Stall,
-    /// Other bytes than promised, at the end of the body.
+    /// A bit of the response's last byte is flipped.
     Flip,
-    /// A body without end.
+    /// The body is far longer than the content and has no length.
     Endless,
-    /// Another answer.
-    Instead(String),
-    /// No connection.
+    /// Another response is sent.
+    Replace(String),
+    /// No connection is established.
     NoConnection,
 }
 
-/// The wire: which fault befalls the nth request, counted from 0, and what was asked.
-struct WorkerProtocol<'a> {
+/// A simulated connection to a registry.
+struct FaultyNetwork<'a> {
     registry: &'a mut Registry<MemoryFiles>,
+    /// Returns the fault for a request, by its number from 0 on and its "METHOD TARGET".
     faults: &'a dyn Fn(usize, &str) -> Option<Fault>,
-    asked: Vec<String>,
+    /// "METHOD TARGET" of each request.
+    requests: Vec<String>,
     now_us: i64,
 }
 
@@ -71,12 +73,12 @@
     }
 }
 
-impl<'a> WorkerProtocol<'a> {
+impl<'a> FaultyNetwork<'a> {
     fn new(
         registry: &'a mut Registry<MemoryFiles>,
         faults: &'a dyn Fn(usize, &str) -> Option<Fault>,
     ) -> Self {
-        WorkerProtocol { registry, faults, asked: Vec::new(), now_us: 0 }
+        FaultyNetwork { registry, faults, requests: Vec::new(), now_us: 0 }
     }
 
     fn drive<J: Job>(&mut self, job: &mut J) -> Result<(), J::Error> {
@@ -84,24 +86,27 @@
             match job.next(self.now_us)? {
                 Next::Done => return Ok(()),
                 Next::Wait(at) => self.now_us = at,
-                Next::Receive(_) => panic!("an answer is under way though none is"),
+                Next::Receive(_) => panic!("the job waits for a response though no request is open"),
                 Next::Send(request) => self.exchange(job, request)?,
             }
         }
-        panic!("no end: {:?}", self.asked.iter().rev().take(5).collect::<Vec<_>>())
+        panic!(
+            "the job does not end; its last requests: {:?}",
+            self.requests.iter().rev().take(5).collect::<Vec<_>>()
+        )
     }
 
     fn exchange<J: Job>(&mut self, job: &mut J, request: Request) -> Result<(), J::Error> {
         let message =
             MessageReader::new(Side::Request, Limits::default()).feed(&request.bytes).unwrap().unwrap();
         let line = format!("{} {}", message.head.method, message.head.target);
-        let fault = (self.faults)(self.asked.len(), &line);
-        self.asked.push(line);
+        let fault = (self.faults)(self.requests.len(), &line);
+        self.requests.push(line);
         if let Some(Fault::NoConnection) = fault {
             return job.attempt_failed(self.now_us, AttemptFailure::Connect);
         }
         let mut bytes = match &fault {
-            Some(Fault::Instead(answer)) => answer.clone().into_bytes(),
+            Some(Fault::Replace(response)) => response.clone().into_bytes(),
             _ => self.registry.answer(&message),
         };
         let mut cut = None;
@@ -112,7 +117,9 @@
             }
             Some(Fault::Stall) => {
                 bytes.clear();
-                let Next::Receive(at) = job.next(self.now_us)? else { panic!("it does not wait") };
+                let Next::Receive(at) = job.next(self.now_us)? else {
+                    panic!("the job does not wait for the response")
+                };
                 self.now_us = at;
                 cut = Some(AttemptFailure::Stalled);
             }
@@ -133,10 +140,10 @@
             let mut parts = Vec::new();
             reader.feed(piece, &mut parts).unwrap();
             for response_event in parts {
-                let whole = response_event == MessageEvent::End;
+                let is_end = response_event == MessageEvent::End;
                 job.response_event(self.now_us, response_event)?;
-                // A job that wants something else leaves the connection, whatever else it would bring.
-                if whole || !job.is_receiving() {
+                // A job that needs no more of the response closes the connection.
+                if is_end || !job.is_receiving() {
                     return Ok(());
                 }
             }
@@ -159,11 +166,11 @@
     faults: Faults<'_>,
 ) -> Result<Pushed, PushError> {
     let mut push = Push::new(0, location(), None, Policy::default(), 1, 600, package)?;
-    WorkerProtocol::new(registry, faults).drive(&mut push)?;
+    FaultyNetwork::new(registry, faults).drive(&mut push)?;
     Ok(push.result().unwrap())
 }
 
-/// Pulls fare 1; gives what was asked as well.
+/// Pulls version 1 of the plug-in `fare`; also returns "METHOD TARGET" of each request.
 fn pull_into(
     registry: &mut Registry<MemoryFiles>,
     store: &mut BlobStore<MemoryFiles>,
@@ -171,49 +178,50 @@
     faults: Faults<'_>,
 ) -> (Result<Pulled, PullError>, Vec<String>) {
     let mut job = PullJob { pull: Pull::new(0, settings, "fare", "1").unwrap(), store };
-    let mut wire = WorkerProtocol::new(registry, faults);
-    let done = wire.drive(&mut job);
-    (done.map(|()| job.pull.result().unwrap()), wire.asked)
+    let mut network = FaultyNetwork::new(registry, faults);
+    let done = network.drive(&mut job);
+    (done.map(|()| job.pull.result().unwrap()), network.requests)
 }
 
 fn pull(faults: Faults<'_>) -> Result<Pulled, PullError> {
     pull_into(&mut pushed(), &mut BlobStore::new(MemoryFiles::default()), settings(), faults).0
 }
 
-fn is_whole(store: &mut BlobStore<MemoryFiles>) -> bool {
+fn is_complete(store: &mut BlobStore<MemoryFiles>) -> bool {
     let package = package();
-    let mut here = |content: &Arc<[u8]>| store.read(&Digest::of(content)).is_ok_and(|r| r[..] == content[..]);
-    package.layers.iter().all(&mut here) && here(&package.config)
+    let mut is_stored =
+        |content: &Arc<[u8]>| store.read(&Digest::of(content)).is_ok_and(|r| r[..] == content[..]);
+    package.layers.iter().all(&mut is_stored) && is_stored(&package.config)
 }
 
 #[test]
-fn a_push_and_a_pull_bring_the_same_content_in_parts_and_nothing_is_sent_twice() {
+fn a_push_and_a_pull_transfer_the_content_in_ranges_and_only_once() {
     let mut registry = registry();
     let first = push(&mut registry, &package(), &|_, _| None).unwrap();
     let again = push(&mut registry, &package(), &|_, _| None).unwrap();
     assert_eq!((first.present_bytes, again.bytes, again.present_bytes), (0, 0, first.bytes));
     let mut store = BlobStore::new(MemoryFiles::default());
-    let (done, asked) = pull_into(&mut registry, &mut store, settings(), &|_, _| None);
+    let (done, sent) = pull_into(&mut registry, &mut store, settings(), &|_, _| None);
     let done = done.unwrap();
-    assert!(is_whole(&mut store));
+    assert!(is_complete(&mut store));
     assert_eq!(
         (done.digest, done.bytes, done.present_bytes),
         (Digest::of(&package().config), first.bytes, 0)
     );
-    // 2,500 bytes are three ranges of 1,000; an empty layer is asked for not at all.
+    // 2,500 bytes are three ranges of 1,000; an empty layer is not requested.
     let large = Digest::of(&[b'a'; 2_500]).to_string();
-    assert_eq!(asked.iter().filter(|a| a.contains(&large)).count(), 3, "{asked:?}");
-    let (done, asked) = pull_into(&mut registry, &mut store, settings(), &|_, _| None);
+    assert_eq!(sent.iter().filter(|a| a.contains(&large)).count(), 3, "{sent:?}");
+    let (done, sent) = pull_into(&mut registry, &mut store, settings(), &|_, _| None);
     assert_eq!(
-        (done.unwrap().bytes, asked.len()),
+        (done.unwrap().bytes, sent.len()),
         (0, 2),
-        "only the manifest and the signatures were asked for"
+        "only the manifest and the signatures are requested"
     );
 }
 
 #[test]
-fn whichever_request_fails_once_and_however_the_pull_ends_whole() {
-    let retried = |fault: &Fault| !matches!(fault, Fault::Flip | Fault::Endless);
+fn a_pull_completes_after_any_fault_of_any_one_request() {
+    let is_retried = |fault: &Fault| !matches!(fault, Fault::Flip | Fault::Endless);
     let busy = "HTTP/1.1 503 Busy\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n";
     let many = "HTTP/1.1 429 Slow\r\nContent-Length: 3\r\n\r\nnow";
     let range = "HTTP/1.1 206 P\r\nContent-Range: bytes 7-9/2500\r\nContent-Length: 3\r\n\r\nabc";
@@ -222,9 +230,9 @@
         Fault::Cut(300),
         Fault::Stall,
         Fault::NoConnection,
-        Fault::Instead(busy.into()),
-        Fault::Instead(many.into()),
-        Fault::Instead(range.into()),
+        Fault::Replace(busy.into()),
+        Fault::Replace(many.into()),
+        Fault::Replace(range.into()),
         Fault::Flip,
         Fault::Endless,
     ];
@@ -233,42 +241,42 @@
     let requests = pull_into(&mut registry, &mut store, settings(), &|_, _| None).1;
     for fault in &faults {
         for at in 0..requests.len() {
-            // A manifest or list by name has no digest to be found wrong by; what it names has.
-            if !retried(fault) && !requests[at].contains("/blobs/") {
+            // A manifest by tag and a list have no digest to detect corruption by; the blobs have.
+            if !is_retried(fault) && !requests[at].contains("/blobs/") {
                 continue;
             }
-            if matches!(fault, Fault::Instead(a) if a.contains("206")) && !requests[at].contains("/blobs/") {
+            if matches!(fault, Fault::Replace(a) if a.contains("206")) && !requests[at].contains("/blobs/") {
                 continue;
             }
             let mut store = BlobStore::new(MemoryFiles::default());
-            let befall = |n: usize, _: &str| (n == at).then(|| fault.clone());
-            let (done, asked) = pull_into(&mut registry, &mut store, settings(), &befall);
-            assert!(done.is_ok() && is_whole(&mut store), "{fault:?} at {}: {done:?}", requests[at]);
-            assert!(asked.len() <= requests.len() + 4, "{fault:?}: {asked:?}");
+            let inject = |n: usize, _: &str| (n == at).then(|| fault.clone());
+            let (done, sent) = pull_into(&mut registry, &mut store, settings(), &inject);
+            assert!(done.is_ok() && is_complete(&mut store), "{fault:?} at {}: {done:?}", requests[at]);
+            assert!(sent.len() <= requests.len() + 4, "{fault:?}: {sent:?}");
         }
     }
 }
 
 #[test]
-fn a_registry_that_serves_other_bytes_again_and_again_is_refused_by_name_and_leaves_nothing() {
+fn repeatedly_corrupt_content_fails_the_pull_with_its_digest_and_is_not_stored() {
     let large = Digest::of(&[b'a'; 2_500]);
     for fault in [Fault::Flip, Fault::Endless] {
         let mut store = BlobStore::new(MemoryFiles::default());
-        let befall = |_: usize, line: &str| line.contains(&large.hex()).then(|| fault.clone());
-        let (done, asked) = pull_into(&mut pushed(), &mut store, settings(), &befall);
+        let inject = |_: usize, line: &str| line.contains(&large.hex()).then(|| fault.clone());
+        let (done, sent) = pull_into(&mut pushed(), &mut store, settings(), &inject);
         let error = done.unwrap_err();
         assert_eq!(error.corrupt_digest(), Some(large), "{error}");
-        assert!(!store.contains(&large) && asked.len() < 12, "{asked:?}");
+        assert!(!store.contains(&large) && sent.len() < 12, "{sent:?}");
     }
 }
 
 #[test]
-fn a_registry_that_stalls_or_is_busy_for_ever_is_given_up_within_its_tries_and_time() {
+fn a_registry_that_always_stalls_or_is_busy_fails_the_pull_within_its_attempts_and_deadline() {
     for fault in [
         Fault::Stall,
         Fault::NoConnection,
         Fault::Cut(0),
-        Fault::Instead("HTTP/1.1 503 Busy\r\nRetry-After: 99999\r\nContent-Length: 0\r\n\r\n".into()),
+        Fault::Replace("HTTP/1.1 503 Busy\r\nRetry-After: 99999\r\nContent-Length: 0\r\n\r\n".into()),
     ] {
         let error = pull(&|n, _| (n > 1).then(|| fault.clone())).unwrap_err();
         assert!(
@@ -276,31 +284,33 @@
             "{fault:?}: {error}"
         );
     }
-    // One that drips brings something new with each try, and still ends with the time for it all.
-    let drip = |n: usize, _: &str| (n > 1).then_some(Fault::Cut(700));
+    // Each attempt makes a little progress, and the pull still ends at its deadline.
+    let slow_progress = |n: usize, _: &str| (n > 1).then_some(Fault::Cut(700));
     let mut slow = settings();
     (slow.policy.initial_backoff_us, slow.policy.job_timeout_us) = (2_000_000, 3_000_000);
     let mut store = BlobStore::new(MemoryFiles::default());
-    let error = pull_into(&mut pushed(), &mut store, slow, &drip).0.unwrap_err();
+    let error = pull_into(&mut pushed(), &mut store, slow, &slow_progress).0.unwrap_err();
     assert!(matches!(error, PullError::Exchange(ExchangeError::DeadlineExceeded(_))), "{error}");
-    // A byte or so for each connection is nothing new.
-    let byte = |n: usize, _: &str| {
-        let answer = "HTTP/1.1 206 P\r\nContent-Length: 1000\r\nContent-Range: bytes 0-999/2500\r\n\r\na";
-        (n > 1).then(|| Fault::Instead(answer.into()))
+    // A single byte per connection does not count as progress.
+    let single_byte = |n: usize, _: &str| {
+        let response = "HTTP/1.1 206 P\r\nContent-Length: 1000\r\nContent-Range: bytes 0-999/2500\r\n\r\na";
+        (n > 1).then(|| Fault::Replace(response.into()))
     };
     let mut store = BlobStore::new(MemoryFiles::default());
-    let (done, asked) = pull_into(&mut pushed(), &mut store, settings(), &byte);
+    let (done, sent) = pull_into(&mut pushed(), &mut store, settings(), &single_byte);
     assert!(matches!(done, Err(PullError::Exchange(ExchangeError::AttemptsExhausted(_)))), "{done:?}");
-    assert!(asked.len() < 12, "{asked:?}");
+    assert!(sent.len() < 12, "{sent:?}");
 }
 
 #[test]
-fn what_the_registry_says_no_to_or_what_is_no_plug_in_names_what_it_was() {
-    let instead =
-        |status: &str| Some(Fault::Instead(format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n")));
-    assert!(matches!(pull(&|_, _| instead("404")), Err(PullError::Rejected(what, 404)) if what == "fare:1"));
+fn rejected_requests_and_invalid_plugins_fail_with_a_specific_error() {
+    let replace_with =
+        |status: &str| Some(Fault::Replace(format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n")));
+    assert!(
+        matches!(pull(&|_, _| replace_with("404")), Err(PullError::Rejected(what, 404)) if what == "fare:1")
+    );
     assert!(matches!(
-        pull(&|n, _| if n == 2 { instead("403") } else { None }),
+        pull(&|n, _| if n == 2 { replace_with("403") } else { None }),
         Err(PullError::Rejected(_, 403))
     ));
     let mut small = settings();
@@ -310,7 +320,10 @@
     assert!(matches!(found, Err(PullError::TooLarge(_))));
     let mut rights = settings();
     rights.rights.as_mut().unwrap().effects = [("quote".to_string(), "unsafe".to_string())].into();
-    assert!(pull_into(&mut pushed(), &mut store, rights, &|_, _| None).0.is_ok(), "it claims no effect");
+    assert!(
+        pull_into(&mut pushed(), &mut store, rights, &|_, _| None).0.is_ok(),
+        "the manifest claims no effect, so that of the class does not matter"
+    );
     let mut none = settings();
     none.rights = Some(ClassRights::default());
     let found = pull_into(&mut pushed(), &mut BlobStore::new(MemoryFiles::default()), none, &|_, _| None).0;
@@ -318,7 +331,7 @@
     for (name, reference) in [("Fare", "1"), ("fare", "a/b"), ("../x", "1")] {
         assert!(matches!(Pull::new(0, settings(), name, reference), Err(PullError::Name(_))));
     }
-    // A tag that means another version than it says.
+    // The tag points to the manifest of another version.
     let image = pack(&package().manifest, &package().config).unwrap();
     let mislabelled = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
@@ -328,13 +341,13 @@
     let mut store = BlobStore::new(MemoryFiles::default());
     let pull = Pull::new(0, settings(), "fare", "2").unwrap();
     let mut job = PullJob { pull, store: &mut store };
-    let befall = |n: usize, _: &str| (n == 0).then(|| Fault::Instead(mislabelled.clone()));
-    let error = WorkerProtocol::new(&mut pushed(), &befall).drive(&mut job).unwrap_err();
+    let inject = |n: usize, _: &str| (n == 0).then(|| Fault::Replace(mislabelled.clone()));
+    let error = FaultyNetwork::new(&mut pushed(), &inject).drive(&mut job).unwrap_err();
     assert!(matches!(error, PullError::OtherVersion { .. }), "{error}");
 }
 
 #[test]
-fn the_power_cut_at_each_step_of_a_pull_leaves_it_to_be_resumed_and_nothing_half_there() {
+fn a_power_failure_at_any_step_of_a_pull_leaves_no_corrupt_blob_and_the_pull_resumes() {
     let mut registry = pushed();
     let mut store = BlobStore::new(MemoryFiles::default());
     let whole = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
@@ -348,18 +361,18 @@
             assert!(matches!(cut, Err(PullError::Store(BlobError::Disk(_)))), "step {until}: {cut:?}");
             let mut store = BlobStore::new(store.files().clone().after_power_failure(keep));
             for digest in store.digests().unwrap() {
-                assert!(store.read(&digest).is_ok(), "step {until}: a blob is not whole");
+                assert!(store.read(&digest).is_ok(), "step {until}: a blob is corrupt");
             }
             let again = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
-            assert!(is_whole(&mut store));
+            assert!(is_complete(&mut store));
             resumed += u64::from(again.bytes < whole.bytes);
         }
     }
-    assert!(resumed > steps as u64, "what came was used: {resumed} of {}", steps * 3);
+    assert!(resumed > steps as u64, "only {resumed} of {} pulls resumed from the stored content", steps * 3);
 }
 
 #[test]
-fn a_full_disk_ends_the_pull_with_its_reason_and_the_next_one_goes_on() {
+fn a_full_disk_fails_the_pull_with_storage_full_and_the_next_pull_resumes() {
     let mut registry = pushed();
     let mut store = BlobStore::new(MemoryFiles { full: true, ..MemoryFiles::default() });
     let full = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0;
@@ -368,25 +381,25 @@
     );
     store.files().full = false;
     let done = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
-    assert!(done.present_bytes > 0 && is_whole(&mut store));
+    assert!(done.present_bytes > 0 && is_complete(&mut store));
 }
 
 #[test]
-fn a_part_that_rotted_on_the_disk_is_found_and_pulled_anew() {
+fn corrupt_partial_and_stored_content_is_detected_and_pulled_again() {
     let mut registry = pushed();
     let mut store = BlobStore::new(MemoryFiles::default());
     let large = Digest::of(&[b'a'; 2_500]);
     let mut partial = store.open_partial(large, 2_500).unwrap();
     store.append(&mut partial, &[b'z'; 1_200]).unwrap();
     pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
-    assert!(is_whole(&mut store));
+    assert!(is_complete(&mut store));
     store.files().corrupt(&format!("blobs/sha256/{}", large.hex()));
     pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
-    assert!(is_whole(&mut store));
+    assert!(is_complete(&mut store));
 }
 
 #[test]
-fn a_push_survives_each_request_failing_once_and_a_killed_one_leaves_no_version() {
+fn a_push_completes_after_a_fault_of_any_one_request_and_an_interrupted_push_leaves_no_incomplete_version() {
     let mut signed = package();
     let secret = SigningSecret::from_random([3; 32]);
     signed.signatures.push(secret.sign("anna", &Digest::of(&signed.config)));
@@ -404,19 +417,22 @@
             push(&mut registry, &signed, &|n, _| (n == at).then(|| fault.clone())).unwrap();
             let mut store = BlobStore::new(MemoryFiles::default());
             let pulled = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
-            assert!(is_whole(&mut store) && pulled.signatures == signed.signatures, "{fault:?} at {at}");
+            assert!(is_complete(&mut store) && pulled.signatures == signed.signatures, "{fault:?} at {at}");
         }
         let mut registry = registry();
-        let killed = push(&mut registry, &signed, &|n, _| (n >= at).then_some(Fault::NoConnection));
-        assert!(killed.is_err());
+        let interrupted = push(&mut registry, &signed, &|n, _| (n >= at).then_some(Fault::NoConnection));
+        assert!(interrupted.is_err());
         let mut store = BlobStore::new(MemoryFiles::default());
         let found = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0;
-        assert!(found.is_ok() == is_whole(&mut store), "a version is half there: {found:?}");
+        assert!(
+            found.is_ok() == is_complete(&mut store),
+            "the registry has an incomplete version: {found:?}"
+        );
     }
 }
 
 #[test]
-fn names_and_passwords_are_asked_for_and_a_token_that_runs_out_is_had_again() {
+fn credentials_are_required_and_an_expired_token_is_replaced() {
     let credentials = Credentials { user: "u".into(), password: "p".into() };
     let wrong = Credentials { user: "u".into(), password: "q".into() };
     for access in
@@ -427,26 +443,27 @@
         let policy = Policy::default;
         let mut push =
             Push::new(0, location(), Some(credentials.clone()), policy(), 1, 600, &package()).unwrap();
-        WorkerProtocol::new(&mut registry, &|_, _| None).drive(&mut push).unwrap();
-        for (shown, good) in [(Some(credentials.clone()), true), (Some(wrong.clone()), false), (None, false)]
+        FaultyNetwork::new(&mut registry, &|_, _| None).drive(&mut push).unwrap();
+        for (given, is_valid) in
+            [(Some(credentials.clone()), true), (Some(wrong.clone()), false), (None, false)]
         {
-            let settings = PullSettings { credentials: shown, ..settings() };
+            let settings = PullSettings { credentials: given, ..settings() };
             let mut store = BlobStore::new(MemoryFiles::default());
-            // In the middle the registry forgets the token that it gave.
-            let forget = "HTTP/1.1 401 X\r\nWWW-Authenticate: Bearer realm=\"http://r:5000/token\"\r\n\
+            // One request fails as if the registry's token had expired.
+            let expired = "HTTP/1.1 401 X\r\nWWW-Authenticate: Bearer realm=\"http://r:5000/token\"\r\n\
                 Content-Length: 0\r\n\r\n";
-            let befall = |n: usize, _: &str| (by_token && n == 5).then(|| Fault::Instead(forget.into()));
-            let (done, asked) = pull_into(&mut registry, &mut store, settings, &befall);
-            let tokens = asked.iter().filter(|a| a.contains("/token")).count();
-            match good {
-                true => assert!(done.is_ok() && tokens == 2 * usize::from(by_token), "{done:?}, {asked:?}"),
+            let inject = |n: usize, _: &str| (by_token && n == 5).then(|| Fault::Replace(expired.into()));
+            let (done, sent) = pull_into(&mut registry, &mut store, settings, &inject);
+            let tokens = sent.iter().filter(|a| a.contains("/token")).count();
+            match is_valid {
+                true => assert!(done.is_ok() && tokens == 2 * usize::from(by_token), "{done:?}, {sent:?}"),
                 false => {
-                    let refused = Err(ExchangeError::Unauthorized);
+                    let rejected = Err(ExchangeError::Unauthorized);
                     let done = done.map(drop).map_err(|e| match e {
                         PullError::Exchange(e) => e,
                         other => panic!("{other}"),
                     });
-                    assert!(done == refused && asked.len() <= 3, "{asked:?}");
+                    assert!(done == rejected && sent.len() <= 3, "{sent:?}");
                 }
             }
         }
@@ -454,7 +471,7 @@
 }
 
 #[test]
-fn signatures_come_with_the_pull_and_strangers_entries_are_passed_over() {
+fn signatures_are_pulled_and_other_referrers_are_skipped() {
     let mut registry = registry();
     let mut signed = package();
     let secret = SigningSecret::from_random([3; 32]);
@@ -463,32 +480,35 @@
     let mut store = BlobStore::new(MemoryFiles::default());
     let pulled = pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.unwrap();
     assert_eq!(pulled.signatures, signed.signatures);
-    let stranger = r#"{"schemaVersion":2,"manifests":[{"mediaType":"a/b","digest":"sha256:0000000000000000000000000000000000000000000000000000000000000000","size":1,"artifactType":"a/b"}]}"#;
-    let index = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{stranger}", stranger.len());
-    let befall = |_: usize, line: &str| line.contains("referrers").then(|| Fault::Instead(index.clone()));
-    let pulled = pull_into(&mut registry, &mut store, settings(), &befall).0.unwrap();
+    let other_referrer = r#"{"schemaVersion":2,"manifests":[{"mediaType":"a/b","digest":"sha256:0000000000000000000000000000000000000000000000000000000000000000","size":1,"artifactType":"a/b"}]}"#;
+    let index =
+        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{other_referrer}", other_referrer.len());
+    let inject = |_: usize, line: &str| line.contains("referrers").then(|| Fault::Replace(index.clone()));
+    let pulled = pull_into(&mut registry, &mut store, settings(), &inject).0.unwrap();
     assert!(pulled.signatures.is_empty());
 }
 
 #[test]
-fn collecting_keeps_what_tags_need_and_a_restart_forgets_open_uploads_only() {
+fn garbage_collection_keeps_tagged_content_and_invalid_requests_are_rejected() {
     let mut registry = pushed();
-    let ask = |registry: &mut Registry<MemoryFiles>, text: &str| {
+    let send = |registry: &mut Registry<MemoryFiles>, text: &str| {
         let message =
             MessageReader::new(Side::Request, Limits::default()).feed(text.as_bytes()).unwrap().unwrap();
         String::from_utf8_lossy(&registry.answer(&message)).into_owned()
     };
-    let begun = ask(&mut registry, "POST /v2/fare/blobs/uploads/ HTTP/1.1\r\n\r\n");
-    assert!(begun.starts_with("HTTP/1.1 202") && begun.contains("Location: /v2/fare/blobs/uploads/upload-"));
-    let listed = ask(&mut registry, "GET /v2/fare/tags/list?n=1 HTTP/1.1\r\n\r\n");
+    let opened = send(&mut registry, "POST /v2/fare/blobs/uploads/ HTTP/1.1\r\n\r\n");
+    assert!(
+        opened.starts_with("HTTP/1.1 202") && opened.contains("Location: /v2/fare/blobs/uploads/upload-")
+    );
+    let listed = send(&mut registry, "GET /v2/fare/tags/list?n=1 HTTP/1.1\r\n\r\n");
     assert!(listed.contains(r#""tags":["1"]"#) && !listed.contains("Link:"), "{listed}");
-    let stray = ask(&mut registry, "POST /v2/fare/blobs/uploads/?digest=sha256:2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae HTTP/1.1\r\nContent-Length: 3\r\n\r\nfoo");
-    assert!(stray.starts_with("HTTP/1.1 201"), "{stray}");
+    let unreferenced = send(&mut registry, "POST /v2/fare/blobs/uploads/?digest=sha256:2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae HTTP/1.1\r\nContent-Length: 3\r\n\r\nfoo");
+    assert!(unreferenced.starts_with("HTTP/1.1 201"), "{unreferenced}");
     assert_eq!(registry.collect().unwrap(), 1);
     let mut store = BlobStore::new(MemoryFiles::default());
     assert!(pull_into(&mut registry, &mut store, settings(), &|_, _| None).0.is_ok());
-    let gone = ask(&mut registry, "DELETE /v2/fare/manifests/1 HTTP/1.1\r\n\r\n");
-    assert!(gone.starts_with("HTTP/1.1 202"));
+    let deleted = send(&mut registry, "DELETE /v2/fare/manifests/1 HTTP/1.1\r\n\r\n");
+    assert!(deleted.starts_with("HTTP/1.1 202"));
     assert!(registry.collect().unwrap() >= 4);
     for (request, status) in [
         ("GET /v2/FARE/tags/list HTTP/1.1\r\n\r\n", 404),
@@ -498,7 +518,7 @@
         ("GET /../etc HTTP/1.1\r\n\r\n", 404),
         ("PUT /v2/fare/blobs/uploads/upload-9?digest=x HTTP/1.1\r\n\r\n", 404),
     ] {
-        let answer = ask(&mut registry, request);
-        assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{request}: {answer}");
+        let response = send(&mut registry, request);
+        assert!(response.starts_with(&format!("HTTP/1.1 {status}")), "{request}: {response}");
     }
 }
