--- a/crates/gateway/tests/agreed/main.rs
+++ b/crates/gateway/tests/agreed/main.rs
@@ -40,7 +40,7 @@
         let bytes = registry_bytes;
         let request =
             json!({"key": bytes("/slatevalve/agreement/"), "range_end": bytes("/slatevalve/agreement0")});
-        let body = ask_registry(&self.registry_address(), "/v3/kv/range", &request);
+        let body = post_to_registry(&self.registry_address(), "/v3/kv/range", &request);
         let answer: Value = serde_json::from_slice(&body).unwrap();
         answer["kvs"].as_array().unwrap().clone()
     }
@@ -49,10 +49,10 @@
     fn restore(&self, older: &[Value]) {
         let address = self.registry_address();
         for entry in self.entries().iter().filter(|e| !older.iter().any(|o| o["key"] == e["key"])) {
-            ask_registry(&address, "/v3/kv/deleterange", &json!({"key": entry["key"]}));
+            post_to_registry(&address, "/v3/kv/deleterange", &json!({"key": entry["key"]}));
         }
         for entry in older {
-            ask_registry(&address, "/v3/kv/put", &json!({"key": entry["key"], "value": entry["value"]}));
+            post_to_registry(&address, "/v3/kv/put", &json!({"key": entry["key"], "value": entry["value"]}));
         }
     }
 
@@ -85,7 +85,7 @@
 }
 
 fn echo_worker() -> Worker {
-    Worker::start(|call, _| Act::Answer(Reply::Served { payload: call.payload.clone(), ran: None }))
+    Worker::start(|call, _| Action::Answer(Reply::Served { payload: call.payload.clone(), ran: None }))
 }
 
 #[test]
@@ -349,7 +349,7 @@
     for (key, value) in [("documents/0000000002", document), ("state", state)] {
         let bytes = registry_bytes;
         let (key, value) = (bytes(&format!("/slatevalve/agreement/{key}")), bytes(&value.to_string()));
-        ask_registry(&fleet.registry_address(), "/v3/kv/put", &json!({"key": key, "value": value}));
+        post_to_registry(&fleet.registry_address(), "/v3/kv/put", &json!({"key": key, "value": value}));
     }
     until("the router to report the unknown form", || {
         router.log().contains("(of-a-later-program ...) is not known here")
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -8,7 +8,7 @@
 
 /// Two workers that do the same; their calls counted together.
 fn pair(
-    act: impl Fn(&slatevalve_worker_protocol::Call, usize) -> Act + Send + Sync + Clone + 'static,
+    act: impl Fn(&slatevalve_worker_protocol::Call, usize) -> Action + Send + Sync + Clone + 'static,
 ) -> [Worker; 2] {
     [Worker::start(act.clone()), Worker::start(act)]
 }
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_worker_that_ends_after_accepting_a_charge_makes_it_fail_and_nothing_is_sent_again() {
-    for act in [Act::Close, Act::Half(Reply::Served { payload: b"paid".to_vec(), ran: None })] {
+    for act in [Action::Close, Action::Half(Reply::Served { payload: b"paid".to_vec(), ran: None })] {
         let workers = pair(move |_, _| act.clone());
         let gateway = before(&workers);
         let mut client = Client::connect(gateway.address(), "a", false);
@@ -48,7 +48,7 @@
 fn an_answer_without_the_profiles_own_header_proves_nothing() {
     for status in ["404 Not Found", "429 Too Many Requests", "503 Service Unavailable"] {
         let bytes = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").into_bytes();
-        let workers = pair(move |_, _| Act::Raw(bytes.clone()));
+        let workers = pair(move |_, _| Action::Raw(bytes.clone()));
         let gateway = before(&workers);
         let mut client = Client::connect(gateway.address(), "a", false);
         assert_eq!(client.call("charge/card", 1, Some("k"), "c1").outcome, "failed", "{status}");
@@ -59,7 +59,7 @@
 #[test]
 fn a_charge_that_never_ran_goes_on_to_another_worker() {
     let workers = pair(|_, _| served("paid"));
-    let full = Worker::start(|_, _| Act::Answer(Reply::Full));
+    let full = Worker::start(|_, _| Action::Answer(Reply::Full));
     let list = [("full", full.address, ""), ("w1", workers[0].address, ""), ("w2", workers[1].address, "")];
     let gateway = Gateway::start(SITE, &list);
     let mut client = Client::connect(gateway.address(), "a", false);
@@ -86,8 +86,13 @@
 
 #[test]
 fn a_booking_that_may_have_run_moves_only_within_its_rack() {
-    let act =
-        |_: &slatevalve_worker_protocol::Call, n: usize| if n == 0 { Act::Close } else { served("booked") };
+    let act = |_: &slatevalve_worker_protocol::Call, n: usize| {
+        if n == 0 {
+            Action::Close
+        } else {
+            served("booked")
+        }
+    };
     let workers: Vec<Worker> = (0..6).map(|_| Worker::start(act)).collect();
     let cells = ["(cell 0)", "(cell 0)", "(cell 1)", "(cell 1)", "(cell 2)", "(cell 2)"];
     let names = ["a", "b", "c", "d", "e", "f"];
@@ -102,7 +107,7 @@
 #[test]
 fn an_answer_after_the_deadline_goes_nowhere_and_the_next_call_is_served() {
     let late = |call: &slatevalve_worker_protocol::Call, _: usize| match call.class.as_str() {
-        "brief" => Act::Later(1_500, Reply::Served { payload: b"late".to_vec(), ran: None }),
+        "brief" => Action::Later(1_500, Reply::Served { payload: b"late".to_vec(), ran: None }),
         _ => served("done"),
     };
     let workers = pair(late);
@@ -116,7 +121,7 @@
 
 #[test]
 fn garbage_from_a_worker_fails_a_charge_and_a_quote_goes_elsewhere() {
-    let bad = Worker::start(|_, _| Act::Raw(b"\x00\x01 what is this\r\n\r\n".to_vec()));
+    let bad = Worker::start(|_, _| Action::Raw(b"\x00\x01 what is this\r\n\r\n".to_vec()));
     let good = Worker::start(|_, _| served("done"));
     let gateway = Gateway::start(SITE, &[("bad", bad.address, ""), ("good", good.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -101,12 +101,12 @@
     }
 
     fn post(&self, path: &str, body: &Value) {
-        ask_registry(&self.address, path, body);
+        post_to_registry(&self.address, path, body);
     }
 }
 
 fn honest() -> Worker {
-    Worker::start(|call, _| Act::Answer(Reply::Served { payload: call.payload.clone(), ran: None }))
+    Worker::start(|call, _| Action::Answer(Reply::Served { payload: call.payload.clone(), ran: None }))
 }
 
 /// Calls that workers which just started serve; a cold one is spared, so some are refused, and none fails.
--- a/crates/gateway/tests/operations.rs
+++ b/crates/gateway/tests/operations.rs
@@ -40,7 +40,7 @@
 #[test]
 fn after_a_drain_told_by_sighup_nothing_new_reaches_the_worker() {
     let slow = |_: &slatevalve_worker_protocol::Call, _: usize| {
-        Act::Later(100, Reply::Served { payload: b"done".to_vec(), ran: None })
+        Action::Later(100, Reply::Served { payload: b"done".to_vec(), ran: None })
     };
     let workers: Vec<Worker> = (0..3).map(|_| Worker::start(slow)).collect();
     let list = |state| {
@@ -58,7 +58,7 @@
     // meanwhile.
     gateway.process.signal("STOP");
     workers[0].settled();
-    let seen = workers[0].all();
+    let seen = workers[0].calls_and_loads();
     gateway.process.signal("CONT");
     for n in 30..60 {
         client.publish(&format!("quote/fare-{n}"), n + 1, None, &format!("q{n}"), false);
@@ -66,14 +66,14 @@
     for _ in 0..60 {
         assert_eq!(client.answer().outcome, "served");
     }
-    assert_eq!(workers[0].all(), seen, "something new came after the list was read");
+    assert_eq!(workers[0].calls_and_loads(), seen, "something new came after the list was read");
     let late = (30..60).map(|n| format!("q{n}")).filter(|q| workers[0].payloads().contains(q));
     assert_eq!(late.count(), 0, "a call that came after the drain was told went there");
     gateway.relist(&list(""));
     for n in 60..90 {
         assert_eq!(client.call(&format!("quote/fare-{n}"), n + 1, None, "q").outcome, "served");
     }
-    assert!(workers[0].all() > seen, "it is used again once it is ready");
+    assert!(workers[0].calls_and_loads() > seen, "it is used again once it is ready");
 }
 
 #[test]
@@ -92,7 +92,7 @@
 #[test]
 fn a_gateway_that_stood_still_finds_the_answers_that_were_there_in_time() {
     let worker =
-        Worker::start(|_, _| Act::Later(200, Reply::Served { payload: b"done".to_vec(), ran: None }));
+        Worker::start(|_, _| Action::Later(200, Reply::Served { payload: b"done".to_vec(), ran: None }));
     let gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
     client.publish("charge/card", 1, Some("k"), "c1", false);
@@ -110,7 +110,7 @@
 #[test]
 fn on_sigterm_open_calls_are_finished_new_ones_refused_and_the_exit_is_in_order() {
     let worker =
-        Worker::start(|_, _| Act::Later(600, Reply::Served { payload: b"done".to_vec(), ran: None }));
+        Worker::start(|_, _| Action::Later(600, Reply::Served { payload: b"done".to_vec(), ran: None }));
     let mut gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
     client.publish("charge/card", 1, Some("k"), "c1", false);
@@ -126,7 +126,7 @@
 
 #[test]
 fn on_sigterm_what_does_not_end_in_time_is_failed_and_not_refused() {
-    let worker = Worker::start(|_, _| Act::Silence);
+    let worker = Worker::start(|_, _| Action::Silence);
     let site = format!("{SITE}\n");
     let mut gateway = Gateway::start_with("(stop-within-ms 300)", &site, &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
--- a/crates/gateway/tests/plugins.rs
+++ b/crates/gateway/tests/plugins.rs
@@ -74,7 +74,7 @@
 
 /// A worker that runs what its copy is called, as workers do.
 fn honest() -> Worker {
-    Worker::start(|call, _| Act::Answer(ran(&call.function)))
+    Worker::start(|call, _| Action::Answer(ran(&call.function)))
 }
 
 fn ran(function: &str) -> Reply {
@@ -154,8 +154,8 @@
     folder.alias("1");
     let bad = three.clone();
     let worker = Worker::start(move |call, _| match call.function.contains(&bad) {
-        true => Act::Answer(Reply::Failed("these rules are broken".into())),
-        false => Act::Answer(ran(&call.function)),
+        true => Action::Answer(Reply::Failed("these rules are broken".into())),
+        false => Action::Answer(ran(&call.function)),
     });
     let gateway = Gateway::start(
         &folder.site("(rollout (step-ms 50) (judged-after 10))"),
@@ -163,7 +163,7 @@
     );
     let mut client = Client::connect(gateway.address(), "a", false);
     let mut number = 0u16;
-    let mut calls = |client: &mut Client, count: usize| -> Vec<Heard> {
+    let mut calls = |client: &mut Client, count: usize| -> Vec<CallAnswer> {
         (0..count)
             .map(|_| {
                 number += 1;
@@ -202,7 +202,7 @@
     folder.push("card", "1", "charge");
     folder.alias("1");
     folder.command(&["alias", "card", "current", "1"]).unwrap();
-    let corrupt = Worker::start(|_, _| Act::Answer(ran(&format!("x@sha256:{}", "0".repeat(64)))));
+    let corrupt = Worker::start(|_, _| Action::Answer(ran(&format!("x@sha256:{}", "0".repeat(64)))));
     let good = honest();
     let list = [("corrupt", corrupt.address, ""), ("good", good.address, "")];
     let gateway = Gateway::start(&folder.site(""), &list);
@@ -231,7 +231,7 @@
     let mut client = Client::connect(gateway.address(), "a", false);
     let heard = client.call("quote/fare", 1, None, "q1");
     assert!(heard.outcome == "refused" && heard.reason.unwrap().contains("quarantine"));
-    assert_eq!(worker.all(), 0, "something of it reached a worker");
+    assert_eq!(worker.calls_and_loads(), 0, "something of it reached a worker");
     assert!(folder.command(&["alias", "fare", "current", "1"]).unwrap_err().contains("quarantine"));
     folder.push("fare", "1", "quote");
     hup(&gateway);
--- a/crates/gateway/tests/registry.rs
+++ b/crates/gateway/tests/registry.rs
@@ -118,7 +118,7 @@
 fn honest() -> Worker {
     Worker::start(|call, _| {
         let digest = call.function.split_once('@').map(|(_, digest)| digest.to_string());
-        Act::Answer(Reply::Served { payload: call.function.as_bytes().to_vec(), ran: digest })
+        Action::Answer(Reply::Served { payload: call.function.as_bytes().to_vec(), ran: digest })
     })
 }
 
@@ -372,7 +372,7 @@
     yard.publish("2");
     let worker = Worker::start(|call, _| {
         let digest = call.function.split_once('@').map(|(_, digest)| digest.to_string());
-        Act::Later(1_500, Reply::Served { payload: Vec::new(), ran: digest })
+        Action::Later(1_500, Reply::Served { payload: Vec::new(), ran: digest })
     });
     let gateway = yard.gateway(&worker, "", "");
     for version in ["1", "2"] {
--- a/crates/gateway/tests/repeats.rs
+++ b/crates/gateway/tests/repeats.rs
@@ -6,7 +6,7 @@
 use support::*;
 
 fn slow(millis: u64) -> Worker {
-    Worker::start(move |_, _| Act::Later(millis, Reply::Served { payload: b"paid".to_vec(), ran: None }))
+    Worker::start(move |_, _| Action::Later(millis, Reply::Served { payload: b"paid".to_vec(), ran: None }))
 }
 
 #[test]
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -54,7 +54,7 @@
     fn read(&self) -> Snapshot {
         let (key, range_end) = (Bytes::of("/slatevalve/agreement/"), Bytes::of("/slatevalve/agreement0"));
         let ask = RangeRequest { key, range_end, ..RangeRequest::default() };
-        let body = ask_registry(&self.fleet.registry_address(), RANGE, &ask);
+        let body = post_to_registry(&self.fleet.registry_address(), RANGE, &ask);
         let answer: RangeResponse = serde_json::from_slice(&body).unwrap();
         snapshot(&Keys::new("/slatevalve/"), &answer.kvs)
     }
@@ -82,7 +82,7 @@
     }
 
     fn write(&self, txn: Txn) -> TxnOutcome {
-        let body = ask_registry(&self.fleet.registry_address(), TXN, &request(&txn));
+        let body = post_to_registry(&self.fleet.registry_address(), TXN, &request(&txn));
         let answer: PlainResponse = serde_json::from_slice(&body).unwrap();
         if answer.succeeded {
             TxnOutcome::Succeeded(answer.header.revision)
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -77,7 +77,7 @@
 }
 
 /// Asks a registry something by its JSON mapping and gives the body of its answer, which must be a good one.
-pub(crate) fn ask_registry(address: &str, path: &str, body: &impl serde::Serialize) -> Vec<u8> {
+pub(crate) fn post_to_registry(address: &str, path: &str, body: &impl serde::Serialize) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     let body = serde_json::to_string(body).unwrap();
@@ -237,7 +237,7 @@
 
 /// What a worker does about a call.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
+pub(crate) enum Action {
     Answer(Reply),
     /// After so many milliseconds.
     Later(u64, Reply),
@@ -251,8 +251,8 @@
     Silence,
 }
 
-pub(crate) fn served(text: &str) -> Act {
-    Act::Answer(Reply::Served { payload: text.into(), ran: Some("7".into()) })
+pub(crate) fn served(text: &str) -> Action {
+    Action::Answer(Reply::Served { payload: text.into(), ran: Some("7".into()) })
 }
 
 /// A worker that answers probes and orders well and calls as a test says.
@@ -269,7 +269,7 @@
 impl Worker {
     /// `act` is given the call and how many calls this worker had before it.
     pub(crate) fn start(
-        act: impl Fn(&slatevalve_worker_protocol::Call, usize) -> Act + Send + Sync + 'static,
+        act: impl Fn(&slatevalve_worker_protocol::Call, usize) -> Action + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let worker = Worker {
@@ -294,7 +294,7 @@
         worker
     }
 
-    fn serve(&self, mut stream: TcpStream, act: &dyn Fn(&slatevalve_worker_protocol::Call, usize) -> Act) {
+    fn serve(&self, mut stream: TcpStream, act: &dyn Fn(&slatevalve_worker_protocol::Call, usize) -> Action) {
         let mut reader = MessageReader::new(Side::Request, Limits::default());
         let mut bytes = [0; 4096];
         loop {
@@ -315,24 +315,24 @@
             let act = match order {
                 None => continue,
                 Some(WorkerRequest::Infer(call)) => act(&call, before),
-                Some(WorkerRequest::Ready) => Act::Answer(Reply::Ready),
-                Some(WorkerRequest::Load { copies, .. }) => Act::Answer(Reply::Copies(copies)),
-                Some(_) => Act::Answer(Reply::Copies(0)),
+                Some(WorkerRequest::Ready) => Action::Answer(Reply::Ready),
+                Some(WorkerRequest::Load { copies, .. }) => Action::Answer(Reply::Copies(copies)),
+                Some(_) => Action::Answer(Reply::Copies(0)),
             };
             let done = match act {
-                Act::Answer(reply) => stream.write_all(&reply.encode(None, None)).is_err(),
-                Act::Later(millis, reply) => {
+                Action::Answer(reply) => stream.write_all(&reply.encode(None, None)).is_err(),
+                Action::Later(millis, reply) => {
                     thread::sleep(Duration::from_millis(millis));
                     stream.write_all(&reply.encode(None, None)).is_err()
                 }
-                Act::Raw(bytes) => stream.write_all(&bytes).is_err(),
-                Act::Half(reply) => {
+                Action::Raw(bytes) => stream.write_all(&bytes).is_err(),
+                Action::Half(reply) => {
                     let bytes = reply.encode(None, None);
                     let _ = stream.write_all(&bytes[..bytes.len() / 2]);
                     true
                 }
-                Act::Close => true,
-                Act::Silence => false,
+                Action::Close => true,
+                Action::Silence => false,
             };
             if done {
                 let _ = stream.shutdown(Shutdown::Both);
@@ -378,14 +378,14 @@
     }
 
     /// Calls and orders to load that came.
-    pub(crate) fn all(&self) -> usize {
+    pub(crate) fn calls_and_loads(&self) -> usize {
         self.calls() + self.orders.lock().unwrap().len()
     }
 }
 
 /// An answer as a client gets it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Heard {
+pub(crate) struct CallAnswer {
     pub outcome: String,
     pub reason: Option<String>,
     pub payload: String,
@@ -400,7 +400,7 @@
 pub(crate) struct Client {
     stream: TcpStream,
     mqtt: Connection<role::Client>,
-    heard: VecDeque<Heard>,
+    heard: VecDeque<CallAnswer>,
     packets: Vec<Packet>,
     pub session_present: bool,
 }
@@ -445,7 +445,7 @@
         }
     }
 
-    fn hear(publish: &v5_0::Publish) -> Heard {
+    fn hear(publish: &v5_0::Publish) -> CallAnswer {
         let told = |name: &str| {
             publish.props().iter().find_map(|p| match p {
                 Property::UserProperty(p) if p.key() == name => Some(p.val().to_string()),
@@ -456,7 +456,7 @@
             Property::CorrelationData(p) => Some(String::from_utf8_lossy(p.val()).into_owned()),
             _ => None,
         });
-        Heard {
+        CallAnswer {
             outcome: told("outcome").unwrap_or_default(),
             reason: told("reason"),
             payload: String::from_utf8_lossy(publish.payload().as_slice()).into_owned(),
@@ -504,12 +504,12 @@
     }
 
     /// The next answer.
-    pub(crate) fn answer(&mut self) -> Heard {
+    pub(crate) fn answer(&mut self) -> CallAnswer {
         self.answer_or(String::new)
     }
 
     /// The next answer; where none comes, what `words` gives is said.
-    pub(crate) fn answer_or(&mut self, words: impl Fn() -> String) -> Heard {
+    pub(crate) fn answer_or(&mut self, words: impl Fn() -> String) -> CallAnswer {
         let start = Instant::now();
         loop {
             if let Some(heard) = self.heard.pop_front() {
@@ -530,7 +530,7 @@
     }
 
     /// Calls and waits for the answer.
-    pub(crate) fn call(&mut self, topic: &str, id: u16, key: Option<&str>, call: &str) -> Heard {
+    pub(crate) fn call(&mut self, topic: &str, id: u16, key: Option<&str>, call: &str) -> CallAnswer {
         self.publish(topic, id, key, call, false);
         self.answer()
     }
