--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -1,4 +1,5 @@
-//! Calls through a running gateway when workers and connections fail, seen at the client and at the workers' sockets.
+//! Calls through a running gateway while workers and connections fail, checked at the client and at the
+//! workers' sockets.
 
 mod support;
 
@@ -6,77 +7,77 @@
 use std::net::TcpListener;
 use support::*;
 
-/// Two workers that do the same; their calls counted together.
+/// Starts two workers with the same script.
 fn pair(
     act: impl Fn(&slatevalve_worker_protocol::Call, usize) -> Action + Send + Sync + Clone + 'static,
 ) -> [Worker; 2] {
     [Worker::start(act.clone()), Worker::start(act)]
 }
 
-fn before(workers: &[Worker; 2]) -> Gateway {
+fn gateway_for(workers: &[Worker; 2]) -> Gateway {
     Gateway::start(SITE, &[("w1", workers[0].address, "(cell 1)"), ("w2", workers[1].address, "(cell 2)")])
 }
 
-fn total(workers: &[Worker]) -> usize {
+fn total_calls(workers: &[Worker]) -> usize {
     workers.iter().map(Worker::calls).sum()
 }
 
 #[test]
 fn a_call_is_served_and_its_answer_names_the_version_that_ran() {
     let workers = pair(|_, _| served("done"));
-    let gateway = before(&workers);
+    let gateway = gateway_for(&workers);
     let mut client = Client::connect(gateway.address(), "a", false);
-    let heard = client.call("quote/fare", 1, None, "q1");
-    assert_eq!((heard.outcome.as_str(), heard.payload.as_str()), ("served", "done"));
-    assert_eq!((heard.ran.as_deref(), heard.call.as_str()), (Some("7"), "q1"));
+    let answer = client.call("quote/fare", 1, None, "q1");
+    assert_eq!((answer.outcome.as_str(), answer.payload.as_str()), ("served", "done"));
+    assert_eq!((answer.ran.as_deref(), answer.call.as_str()), (Some("7"), "q1"));
 }
 
 #[test]
-fn a_worker_that_ends_after_accepting_a_charge_makes_it_fail_and_nothing_is_sent_again() {
+fn a_charge_fails_and_is_not_retried_when_its_worker_closes_the_connection() {
     for act in [Action::Close, Action::Half(Reply::Served { payload: b"paid".to_vec(), ran: None })] {
         let workers = pair(move |_, _| act.clone());
-        let gateway = before(&workers);
+        let gateway = gateway_for(&workers);
         let mut client = Client::connect(gateway.address(), "a", false);
         assert_eq!(client.call("charge/card", 1, Some("k"), "c1").outcome, "failed");
         let again = client.call("charge/card", 2, Some("k"), "c1");
         assert_eq!((again.outcome.as_str(), again.recorded), ("failed", true));
-        assert_eq!(total(&workers), 1);
+        assert_eq!(total_calls(&workers), 1);
     }
 }
 
 #[test]
-fn an_answer_without_the_profiles_own_header_proves_nothing() {
+fn an_error_status_without_the_protocol_header_fails_a_charge_without_a_retry() {
     for status in ["404 Not Found", "429 Too Many Requests", "503 Service Unavailable"] {
         let bytes = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").into_bytes();
         let workers = pair(move |_, _| Action::Raw(bytes.clone()));
-        let gateway = before(&workers);
+        let gateway = gateway_for(&workers);
         let mut client = Client::connect(gateway.address(), "a", false);
         assert_eq!(client.call("charge/card", 1, Some("k"), "c1").outcome, "failed", "{status}");
-        assert_eq!(total(&workers), 1, "{status}");
+        assert_eq!(total_calls(&workers), 1, "{status}");
     }
 }
 
 #[test]
-fn a_charge_that_never_ran_goes_on_to_another_worker() {
+fn a_charge_that_did_not_run_is_retried_on_another_worker() {
     let workers = pair(|_, _| served("paid"));
     let full = Worker::start(|_, _| Action::Answer(Reply::Full));
     let list = [("full", full.address, ""), ("w1", workers[0].address, ""), ("w2", workers[1].address, "")];
     let gateway = Gateway::start(SITE, &list);
     let mut client = Client::connect(gateway.address(), "a", false);
-    // One of these functions has the full worker as its home.
+    // The full worker is the preferred worker of at least one of these functions.
     for n in 0..12 {
         let (topic, key) = (format!("charge/card-{n}"), format!("k{n}"));
         assert_eq!(client.call(&topic, n + 1, Some(&key), "c").outcome, "served");
     }
-    assert!(full.calls() > 0, "no function had the full worker as its home");
+    assert!(full.calls() > 0, "the full worker received no call");
 }
 
 #[test]
-fn a_worker_that_cannot_be_reached_costs_a_charge_nothing() {
-    // Bound and closed again: nobody listens there.
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+fn charges_are_served_when_one_of_two_workers_is_unreachable() {
+    // The listener is dropped at once, so connections to its port are refused.
+    let unreachable = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let worker = Worker::start(|_, _| served("paid"));
-    let gateway = Gateway::start(SITE, &[("down", nobody, ""), ("up", worker.address, "")]);
+    let gateway = Gateway::start(SITE, &[("down", unreachable, ""), ("up", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
     for n in 0..8 {
         let (topic, key) = (format!("charge/card-{n}"), format!("k{n}"));
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn a_booking_that_may_have_run_moves_only_within_its_rack() {
+fn a_booking_that_may_have_run_is_retried_only_within_its_cell() {
     let act = |_: &slatevalve_worker_protocol::Call, n: usize| {
         if n == 0 {
             Action::Close
@@ -105,13 +106,13 @@
 }
 
 #[test]
-fn an_answer_after_the_deadline_goes_nowhere_and_the_next_call_is_served() {
+fn an_answer_after_the_deadline_is_discarded_and_the_next_call_is_served() {
     let late = |call: &slatevalve_worker_protocol::Call, _: usize| match call.class.as_str() {
         "brief" => Action::Later(1_500, Reply::Served { payload: b"late".to_vec(), ran: None }),
         _ => served("done"),
     };
     let workers = pair(late);
-    let gateway = before(&workers);
+    let gateway = gateway_for(&workers);
     let mut client = Client::connect(gateway.address(), "a", false);
     assert_eq!(client.call("brief/card", 1, Some("k"), "c1").outcome, "failed");
     assert!(client.is_quiet(1_500));
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn garbage_from_a_worker_fails_a_charge_and_a_quote_goes_elsewhere() {
+fn a_quote_is_retried_on_another_worker_after_a_malformed_answer() {
     let bad = Worker::start(|_, _| Action::Raw(b"\x00\x01 what is this\r\n\r\n".to_vec()));
     let good = Worker::start(|_, _| served("done"));
     let gateway = Gateway::start(SITE, &[("bad", bad.address, ""), ("good", good.address, "")]);
@@ -128,12 +129,13 @@
     for n in 0..10 {
         assert_eq!(client.call(&format!("quote/fare-{n}"), n + 1, None, "q").outcome, "served");
     }
-    assert!(bad.calls() > 0, "no function had the bad worker as its home");
+    assert!(bad.calls() > 0, "the worker with malformed answers received no call");
 }
 
 #[test]
-fn a_connection_that_breaks_within_the_request_makes_a_charge_fail_and_a_quote_goes_on() {
-    // It takes the head and a part of a large payload, and breaks the connection with the rest unread.
+fn a_connection_reset_within_the_request_fails_a_charge_and_a_quote_is_retried() {
+    // This worker reads the head and part of a large payload, then closes the connection with the rest
+    // unread.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let breaking = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -158,14 +160,15 @@
     let mut outcomes = Vec::new();
     for n in 0..10 {
         let before = good.calls();
-        let heard = client.call(&format!("charge/card-{n}"), n + 1, Some(&format!("k{n}")), &large);
-        // Whatever it ends as, it was not sent on after a part of it had left.
-        assert_eq!(good.calls() - before, usize::from(heard.outcome == "served"));
-        outcomes.push(heard.outcome);
+        let answer = client.call(&format!("charge/card-{n}"), n + 1, Some(&format!("k{n}")), &large);
+        // Whatever the outcome, the charge is not sent to the other worker after part of it was written to
+        // the first.
+        assert_eq!(good.calls() - before, usize::from(answer.outcome == "served"));
+        outcomes.push(answer.outcome);
     }
     assert!(
         outcomes.iter().any(|o| o == "failed"),
-        "no function had the breaking worker as its home: {outcomes:?}"
+        "no charge was sent to the worker that resets connections: {outcomes:?}"
     );
     for n in 0..10 {
         assert_eq!(client.call(&format!("quote/fare-{n}"), n + 20, None, &large).outcome, "served");
--- a/crates/gateway/tests/fleet_test.rs
+++ b/crates/gateway/tests/fleet_test.rs
@@ -1,5 +1,6 @@
-//! Small fleet tests: several processes of the program, faults between them, and the expected results. Bounds are counts and
-//! orders of events; the times in them are wide, so that a busy machine changes no result. The tests run one at a time.
+//! Small fleet tests: several processes of the program, faults between them, and the expected results. Bounds
+//! are counts and orders of events; the times in them are wide, so that a busy machine changes no result. The
+//! tests run one at a time.
 
 mod support;
 
@@ -11,18 +12,18 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Held by the test that runs.
+/// Held by the running test.
 static RUNNING: Mutex<()> = Mutex::new(());
 
 const SITE: &str = r#"(settings (class "quote" (effect safe) (aim-ms 400) (deadline-ms 1500))
     (route "calls/+" (class "quote") (function "{2}")))"#;
 
-/// Waits until no other test runs.
+/// Waits until no other test of this file runs.
 fn run_alone() -> MutexGuard<'static, ()> {
     RUNNING.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Runs a script in which `SITE` stands for [`SITE`].
+/// Runs a script, with `SITE` in it replaced by [`SITE`].
 fn run_script(script: &str, arguments: &[&str]) -> Output {
     let directory = tempfile::tempdir().unwrap();
     let file = directory.path().join("script.scm");
@@ -31,7 +32,7 @@
     command.args(["--log-level", "warn", "fleet-test"]).arg(&file).args(arguments).output().unwrap()
 }
 
-/// The report of a fleet test that met all expectations.
+/// Runs a script whose expectations must all be met, and returns the report.
 fn successful_report(script: &str) -> Value {
     let output = run_script(script, &["--json"]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn routers_started_together_all_list_and_hear_a_drain_and_none_lists_the_others() {
+fn routers_started_together_all_receive_a_drain_with_one_watch_each() {
     let _running = run_alone();
     let report = successful_report(
         r#"(name "together") (seconds 4)
@@ -63,9 +64,10 @@
 }
 
 #[test]
-fn answers_that_a_link_drops_are_asked_for_again_and_a_drain_in_the_gap_is_heard() {
+fn a_drain_while_a_link_drops_answers_is_received_after_a_new_watch() {
     let _running = run_alone();
-    // From 1 to 4 s the service hears and nobody hears it; connections stay open, so nothing ends by itself.
+    // From 1 to 4 s requests reach the service but its answers are dropped. The connections stay open, so
+    // that the routers have to notice the silence by themselves.
     let report = successful_report(
         r#"(name "deaf") (seconds 8)
         (registry "kv" (entries 20)) (link "net" (to "kv"))
@@ -79,7 +81,7 @@
 }
 
 #[test]
-fn routers_that_are_killed_together_come_back_with_their_lists_and_ask_for_what_changed_only() {
+fn restarted_routers_start_from_their_stored_lists_and_fetch_only_the_changes() {
     let _running = run_alone();
     let report = successful_report(
         r#"(name "restart") (seconds 6)
@@ -90,7 +92,7 @@
         (event (at-s 3) (start "r"))
         (expect (listed-within-s 2.5))"#,
     );
-    // A list of 400 workers takes some 70 kB; it was had once by each.
+    // A list of 400 workers takes some 70 kB; each router fetched it once.
     let bytes = report["links"]["net"]["bytes"].as_u64().unwrap();
     assert!((4 * 40_000..8 * 60_000).contains(&bytes), "{bytes} bytes");
     let second: Vec<&Value> =
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn a_service_that_is_silent_at_the_start_and_a_router_that_stood_still_lose_no_drain() {
+fn no_drain_is_missed_after_a_registry_stall_at_startup_or_a_paused_router() {
     let _running = run_alone();
     let report = successful_report(
         r#"(name "late") (seconds 9)
@@ -113,13 +115,13 @@
         (expect (listed-within-s 5))"#,
     );
     for router in report["routers"].as_array().unwrap() {
-        let heard = router["drains"].as_array().unwrap().iter().any(|d| d[0] == "w-3");
-        assert!(heard, "{router}");
+        let received_drain = router["drains"].as_array().unwrap().iter().any(|d| d[0] == "w-3");
+        assert!(received_drain, "{router}");
     }
 }
 
 #[test]
-fn a_relay_that_is_killed_and_one_that_stands_still_cost_no_drain_and_the_registry_is_the_last_resort() {
+fn no_drain_is_missed_after_a_relay_is_killed_and_another_paused_and_routers_fall_back_to_the_registry() {
     let _running = run_alone();
     let report = successful_report(
         r#"(name "relays") (seconds 9)
@@ -132,10 +134,10 @@
         (event (at-s 5) (drain "w-2"))
         (expect (listed-within-s 2) (drains-within-ms 3500))"#,
     );
-    let heard: Vec<usize> =
+    let receivers: Vec<usize> =
         report["drains"].as_array().unwrap().iter().map(|d| d[2].as_array().unwrap().len()).collect();
-    assert_eq!(heard, [6, 6]);
-    // Nobody came to the registry itself while a relay served, and nobody listed again.
+    assert_eq!(receivers, [6, 6]);
+    // No router contacted the registry directly while a relay was available, and none fetched the list again.
     let paused_us = report["start_us"].as_i64().unwrap() + 4_000_000;
     let buckets = report["links"]["direct"]["buckets"].as_array().unwrap();
     assert!(buckets.iter().all(|b| b["at_us"].as_i64().unwrap() >= paused_us - 100_000), "{buckets:?}");
@@ -143,7 +145,7 @@
 }
 
 #[test]
-fn a_relay_that_is_cut_from_its_registry_is_left_before_a_drain_could_be_missed() {
+fn routers_leave_a_relay_that_lost_its_registry_before_they_miss_a_drain() {
     let _running = run_alone();
     let report = successful_report(
         r#"(name "lost") (seconds 8)
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn what_is_expected_and_does_not_come_ends_with_1_and_a_script_with_an_error_starts_nothing() {
+fn a_failed_expectation_exits_with_1_and_an_invalid_script_with_2() {
     let _running = run_alone();
     let output = run_script(
         r#"(name "never") (seconds 2)
@@ -171,14 +173,14 @@
     );
     assert_eq!(output.status.code(), Some(1), "{}", String::from_utf8_lossy(&output.stderr));
     assert!(String::from_utf8_lossy(&output.stdout).contains("2 of 2 lives do not"));
-    let broken = run_script("(name \"x\") (seconds 1)\n(registry \"kv\")\n(link \"net\" (to \"vk\"))", &[]);
-    let words = String::from_utf8_lossy(&broken.stderr).into_owned();
-    assert_eq!(broken.status.code(), Some(2));
-    assert!(words.contains("script.scm:3: (to") && words.contains("vk is not named before"), "{words}");
+    let invalid = run_script("(name \"x\") (seconds 1)\n(registry \"kv\")\n(link \"net\" (to \"vk\"))", &[]);
+    let error = String::from_utf8_lossy(&invalid.stderr).into_owned();
+    assert_eq!(invalid.status.code(), Some(2));
+    assert!(error.contains("script.scm:3: (to") && error.contains("vk is not named before"), "{error}");
 }
 
 #[test]
-fn a_rehearsal_that_is_killed_leaves_no_process_behind() {
+fn a_fleet_test_that_is_killed_leaves_no_process_behind() {
     let _running = run_alone();
     let directory = tempfile::tempdir().unwrap();
     let (file, keep) = (directory.path().join("script.scm"), directory.path().join("kept"));
@@ -188,7 +190,7 @@
     let mut child = command.arg("fleet-test").arg(&file).arg("--keep").arg(&keep).spawn().unwrap();
     let deadline = Instant::now() + Duration::from_secs(20);
     let address = loop {
-        assert!(Instant::now() < deadline, "no router was started");
+        assert!(Instant::now() < deadline, "no router was started within 20 s");
         let settings = fs::read_to_string(keep.join("now/r-0.scm")).unwrap_or_default();
         let found = settings.split("(registry \"").nth(1).and_then(|rest| rest.split('"').next());
         if let Some(address) = found {
@@ -200,7 +202,7 @@
     child.kill().unwrap();
     child.wait().unwrap();
     while TcpStream::connect(address).is_ok() {
-        assert!(Instant::now() < deadline, "the list service outlived its rehearsal");
+        assert!(Instant::now() < deadline, "the registry at {address} outlived its fleet test");
         sleep(Duration::from_millis(20));
     }
 }
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -1,5 +1,5 @@
-//! Workers and routers by the registry, over real sockets: drains within the grace, breaks longer than the history, a
-//! registry that is down at the start, and operators' commands.
+//! Workers and routers that register in a registry, over real sockets: drains within the grace, outages
+//! longer than the registry's history, a registry that is down at startup, and operators' commands.
 
 mod support;
 
@@ -15,7 +15,7 @@
 (route "quote/+" (class "quote") (function "{2}"))
 "#;
 
-/// A registry and gateways that follow it.
+/// A registry process and a directory for the files of the gateways that follow it.
 struct Registry {
     process: Option<Process>,
     address: String,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Names of the listed workers, with their state.
+    /// Names and states of the registered workers.
     fn workers(&self) -> Vec<(String, String)> {
         let rows = self.members(&["list"]).unwrap();
         let row =
@@ -53,11 +53,11 @@
         rows.as_array().unwrap().iter().filter_map(row).collect()
     }
 
-    /// Names of the workers that a gateway knows which records its news in `news.jsonl`, in order.
+    /// Names of the workers known to a gateway that records its membership events in `news.jsonl`.
     fn recorded_workers(&self) -> BTreeSet<String> {
         let text = std::fs::read_to_string(self.path("news.jsonl")).unwrap_or_default();
         let mut known = BTreeSet::new();
-        // The last line may not be whole yet.
+        // The gateway may still be writing the last line.
         for line in text.split_inclusive('\n').filter(|line| line.ends_with('\n')) {
             let line: Value = serde_json::from_str(line).unwrap();
             if let Some(all) = line["news"]["full"].as_object() {
@@ -74,23 +74,23 @@
         known
     }
 
-    fn site(&self, more: &str) -> String {
+    fn site(&self, fields: &str) -> String {
         format!(
-            "{SITE}(rules (drain-grace-ms 250)) (members (registry \"{}\") (ttl-s 3) (timeout-ms 500) (look-ms 200) (silence-ms 1500) {more})",
+            "{SITE}(rules (drain-grace-ms 250)) (members (registry \"{}\") (ttl-s 3) (timeout-ms 500) (look-ms 200) (silence-ms 1500) {fields})",
             self.address
         )
     }
 
-    fn gateway(&self, more: &str) -> Gateway {
-        Gateway::start(&self.site(more), &[])
+    fn gateway(&self, fields: &str) -> Gateway {
+        Gateway::start(&self.site(fields), &[])
     }
 
-    /// A stand-in worker that registers itself.
+    /// Starts the program's own worker command, which registers itself under a lease.
     fn worker(&self, name: &str) -> Process {
         Process::start(&["worker", "--name", name, "--registry", &self.address, "--load-on-call"], None)
     }
 
-    /// A test's own worker, registered by hand: its key has no lease.
+    /// Registers a scripted worker. Its key has no lease.
     fn register(&self, name: &str, worker: &Worker) {
         let record = json!({"address": worker.address});
         self.put(&format!("/slatevalve/workers/{name}"), &record.to_string());
@@ -105,23 +105,25 @@
     }
 }
 
-fn honest() -> Worker {
+fn echo_worker() -> Worker {
     Worker::start(|call, _| Action::Answer(Reply::Served { payload: call.payload.clone(), ran: None }))
 }
 
-/// Calls that workers which just started serve; a cold one is spared, so some are refused, and none fails.
-fn served_some(client: &mut Client, gateway: &Gateway, from: u16, count: u16) {
+/// Makes calls to workers that have just started: some may be refused, as cold workers get fewer calls, but
+/// none may fail.
+fn assert_none_fails(client: &mut Client, gateway: &Gateway, from: u16, count: u16) {
     let mut served = 0;
     for n in from..from + count {
         client.publish(&format!("quote/f{}", n % 7), n, None, &format!("q{n}"), false);
-        let heard = client.answer_or(|| gateway.log());
-        assert_ne!(heard.outcome, "failed", "{heard:?}");
-        served += usize::from(heard.outcome == "served");
+        let answer = client.answer_or(|| gateway.log());
+        assert_ne!(answer.outcome, "failed", "{answer:?}");
+        served += usize::from(answer.outcome == "served");
     }
     assert!(served > 0, "{}", gateway.log());
 }
 
-fn served(client: &mut Client, gateway: &Gateway, from: u16, count: u16) {
+/// Makes calls, each of which must be served.
+fn assert_served(client: &mut Client, gateway: &Gateway, from: u16, count: u16) {
     for n in from..from + count {
         client.publish(&format!("quote/f{}", n % 7), n, None, &format!("q{n}"), false);
         assert_eq!(client.answer_or(|| gateway.log()).outcome, "served", "{}", gateway.log());
@@ -129,129 +131,132 @@
 }
 
 #[test]
-fn workers_that_register_serve_drain_and_leave_and_routers_see_each_other() {
+fn registered_workers_serve_drain_and_leave_and_routers_count_each_other() {
     let registry = Registry::start(json!({}));
     let workers = ["a", "b", "c"].map(|name| registry.worker(name));
     let gateway = registry.gateway(&format!("(record {:?})", registry.path("news.jsonl")));
-    until("all workers to be listed", || registry.workers().len() == 3);
-    until("the gateway to know them", || registry.recorded_workers().into_iter().eq(["a", "b", "c"]));
+    until("all workers to be registered", || registry.workers().len() == 3);
+    until("the gateway to list all workers", || registry.recorded_workers().into_iter().eq(["a", "b", "c"]));
     let mut client = Client::connect(gateway.address(), "a", false);
-    served_some(&mut client, &gateway, 1, 15);
-    // One drains at an operator's word, one by itself, and comes back at an operator's word.
+    assert_none_fails(&mut client, &gateway, 1, 15);
+    // An operator drains `a` and makes it ready again; `b` drains itself on SIGUSR1.
     registry.members(&["drain", "a"]).unwrap();
     workers[1].signal("USR1");
-    until("both to drain", || registry.workers().iter().filter(|w| w.1 == "draining").count() == 2);
-    until("the gateway to hear of both", || gateway.log().matches("state=Draining").count() == 2);
-    served_some(&mut client, &gateway, 100, 15);
+    until("both workers to be registered as draining", || {
+        registry.workers().iter().filter(|w| w.1 == "draining").count() == 2
+    });
+    until("the gateway to receive both drains", || gateway.log().matches("state=Draining").count() == 2);
+    assert_none_fails(&mut client, &gateway, 100, 15);
     registry.members(&["ready", "a"]).unwrap();
-    // One leaves in order: its lease is given back, not waited out.
+    // On SIGTERM `c` revokes its lease, so that it is removed before the lease expires.
     workers[2].signal("TERM");
-    until("it to be gone", || !registry.workers().iter().any(|w| w.0 == "c"));
-    until("the gateway to hear of it", || gateway.log().contains("worker is gone"));
-    served_some(&mut client, &gateway, 200, 15);
+    until("worker c to be unregistered", || !registry.workers().iter().any(|w| w.0 == "c"));
+    until("the gateway to receive the removal", || gateway.log().contains("worker is gone"));
+    assert_none_fails(&mut client, &gateway, 200, 15);
     let second = Gateway::start_named("h", &registry.site(""), &[]);
-    until("the routers to see each other", || {
+    until("a router to count both routers", || {
         gateway.log().contains("routers=2") || second.log().contains("routers=2")
     });
     assert!(registry.members(&["drain", "nobody"]).unwrap_err().contains("no worker nobody"));
 }
 
 #[test]
-fn nothing_new_reaches_a_worker_that_drains_beyond_the_grace() {
+fn a_draining_worker_receives_no_new_call_after_the_grace() {
     let registry = Registry::start(json!({}));
-    let (first, second) = (honest(), honest());
+    let (first, second) = (echo_worker(), echo_worker());
     registry.register("first", &first);
     registry.register("second", &second);
     let gateway = registry.gateway("");
-    until("both to be known", || gateway.log().contains("workers=2"));
+    until("the gateway to list both workers", || gateway.log().contains("workers=2"));
     let mut client = Client::connect(gateway.address(), "a", false);
-    served(&mut client, &gateway, 1, 60);
+    assert_served(&mut client, &gateway, 1, 60);
     assert!(first.calls() > 0 && second.calls() > 0);
-    let (drained, other) =
-        if first.calls() >= second.calls() { ("first", &second) } else { ("second", &first) };
-    let of_drained = if drained == "first" { &first } else { &second };
-    registry.members(&["drain", drained]).unwrap();
-    until("the gateway to hear of it", || gateway.log().contains("state=Draining"));
+    let (name, other) = if first.calls() >= second.calls() { ("first", &second) } else { ("second", &first) };
+    let drained = if name == "first" { &first } else { &second };
+    registry.members(&["drain", name]).unwrap();
+    until("the gateway to receive the drain", || gateway.log().contains("state=Draining"));
     std::thread::sleep(Duration::from_millis(250));
-    let before = (of_drained.calls(), other.calls());
-    served(&mut client, &gateway, 100, 60);
-    assert_eq!((of_drained.calls(), other.calls() >= before.1 + 60), (before.0, true));
+    let before = (drained.calls(), other.calls());
+    assert_served(&mut client, &gateway, 100, 60);
+    assert_eq!((drained.calls(), other.calls() >= before.1 + 60), (before.0, true));
 }
 
 #[test]
-fn a_drain_within_a_break_longer_than_the_history_is_not_missed() {
+fn a_drain_during_an_outage_longer_than_the_history_is_not_missed() {
     let now = unix_us();
-    // Connections break for a while; in the middle all history is forgotten, twice.
+    // The registry stalls for 3 s and compacts its whole history 0.5 s before the end of that.
     let fault =
         |from: i64, to: i64, kind: Value| json!({"from_us": now + from, "to_us": now + to, "kind": kind});
     let registry = Registry::start(json!({"faults": [
         fault(4_000_000, 7_000_000, json!("stall")),
         fault(6_500_000, 6_500_000, json!("compact")),
     ]}));
-    let (first, second) = (honest(), honest());
+    let (first, second) = (echo_worker(), echo_worker());
     registry.register("first", &first);
     registry.register("second", &second);
     let gateway = registry.gateway("");
-    until("both to be known", || gateway.log().contains("workers=2"));
+    until("the gateway to list both workers", || gateway.log().contains("workers=2"));
     let mut client = Client::connect(gateway.address(), "a", false);
-    served(&mut client, &gateway, 1, 40);
-    until("the gateway to lose the registry", || gateway.log().contains("nothing is heard of the registry"));
-    // It goes on with what it knew.
-    served(&mut client, &gateway, 100, 20);
+    assert_served(&mut client, &gateway, 1, 40);
+    until("the gateway to report the registry as silent", || {
+        gateway.log().contains("nothing is heard of the registry")
+    });
+    // The gateway continues with its last list.
+    assert_served(&mut client, &gateway, 100, 20);
     until("the registry to answer again", || registry.members(&["drain", "first"]).is_ok());
-    until("the gateway to hear of it", || {
+    until("the gateway to receive the drain or a full list", || {
         let log = gateway.log();
         log.contains("state=Draining") || log.rfind("scope=Full") > log.find("nothing is heard")
     });
     std::thread::sleep(Duration::from_millis(500));
     let before = first.calls();
-    served(&mut client, &gateway, 200, 40);
+    assert_served(&mut client, &gateway, 200, 40);
     assert_eq!(first.calls(), before, "{}", gateway.log());
 }
 
 #[test]
-fn with_the_registry_down_at_the_start_the_last_list_serves_until_it_is_back() {
+fn a_gateway_uses_its_stored_list_while_the_registry_is_down_at_startup() {
     let mut registry = Registry::start(json!({}));
-    let (first, second) = (honest(), honest());
+    let (first, second) = (echo_worker(), echo_worker());
     registry.register("first", &first);
-    let remember = format!("(remember {:?})", registry.path("list.json"));
-    let gateway = registry.gateway(&remember);
+    let stored_list = format!("(remember {:?})", registry.path("list.json"));
+    let gateway = registry.gateway(&stored_list);
     let mut client = Client::connect(gateway.address(), "a", false);
-    served(&mut client, &gateway, 1, 5);
-    until("the list to be kept", || registry.path("list.json").exists());
+    assert_served(&mut client, &gateway, 1, 5);
+    until("the list to be stored", || registry.path("list.json").exists());
     drop(gateway);
     let address = registry.address.clone();
     registry.process = None;
-    let gateway = registry.gateway(&remember);
+    let gateway = registry.gateway(&stored_list);
     assert!(gateway.log().contains("loaded the worker snapshot"), "{}", gateway.log());
     let mut client = Client::connect(gateway.address(), "a", false);
-    served(&mut client, &gateway, 1, 5);
-    // Back, and empty: who is not in it is gone; who is new serves.
+    assert_served(&mut client, &gateway, 1, 5);
+    // The registry restarts empty: the worker that it no longer lists is removed, and the new one serves.
     registry.process = Some(Process::start(&["kv", "--listen", &address], None));
     registry.register("second", &second);
-    until("the new list", || gateway.log().contains("scope=Full"));
-    until("the new worker to be known", || {
+    until("the gateway to receive the new list", || gateway.log().contains("scope=Full"));
+    until("the gateway to list the new worker", || {
         gateway.log().contains("worker=\"second\"") || gateway.log().contains("workers=1")
     });
     let start = Instant::now();
     let mut number = 100;
     while second.calls() == 0 {
-        served(&mut client, &gateway, number, 1);
+        assert_served(&mut client, &gateway, number, 1);
         number += 1;
-        assert!(start.elapsed() < PATIENCE, "{}", gateway.log());
+        assert!(start.elapsed() < MAX_WAIT, "{}", gateway.log());
     }
     let before = first.calls();
-    served(&mut client, &gateway, 5_000, 20);
+    assert_served(&mut client, &gateway, 5_000, 20);
     assert_eq!(first.calls(), before);
 }
 
 #[test]
-fn what_was_recorded_is_played_again_without_a_registry() {
+fn recorded_membership_events_are_replayed_without_a_registry() {
     let registry = Registry::start(json!({}));
-    let worker = honest();
+    let worker = echo_worker();
     registry.register("first", &worker);
     let gateway = registry.gateway(&format!("(record {:?})", registry.path("news.jsonl")));
-    until("it to be known", || gateway.log().contains("workers=1"));
+    until("the gateway to list the worker", || gateway.log().contains("workers=1"));
     registry.members(&["drain", "first"]).unwrap();
     until("the drain to be recorded", || {
         std::fs::read_to_string(registry.path("news.jsonl")).unwrap_or_default().contains("draining")
@@ -259,25 +264,25 @@
     drop(gateway);
     let site = format!("{SITE}(members (replay {:?}))", registry.path("news.jsonl"));
     let gateway = Gateway::start(&site, &[]);
-    until("the drain to be played", || gateway.log().contains("state=Draining"));
+    until("the drain to be replayed", || gateway.log().contains("state=Draining"));
     std::fs::write(registry.path("news.jsonl"), "{\"at_us\":0}\n").unwrap();
     let file = registry.path("bad.scm");
     std::fs::write(&file, format!("(gateway)(mqtt (listen \"127.0.0.1:0\")){site}")).unwrap();
     let refused = command(&["run", file.to_str().unwrap()]);
-    let words = String::from_utf8_lossy(&refused.stderr).into_owned();
-    assert!(words.contains("news.jsonl: line 1"), "{words}");
+    let error = String::from_utf8_lossy(&refused.stderr).into_owned();
+    assert!(error.contains("news.jsonl: line 1"), "{error}");
 }
 
 #[test]
-fn half_the_routers_losing_their_leases_at_once_makes_nobody_believe_that_it_is_alone() {
+fn no_router_counts_itself_alone_when_half_the_routers_lose_their_leases_at_once() {
     let now = unix_us();
     let expire = json!({"from_us": now + 3_000_000, "to_us": now + 3_000_000, "kind": "expire-half"});
     let registry = Registry::start(json!({"faults": [expire]}));
     let names = ["r1", "r2", "r3", "r4"];
     let routers = names.map(|name| Gateway::start_named(name, &registry.site(""), &[]));
-    until("all to see each other", || routers.iter().any(|r| r.log().contains("routers=4")));
-    until("a lease to be lost", || routers.iter().any(|r| r.log().contains("our lease was lost")));
-    until("all to be registered again", || {
+    until("a router to count all four", || routers.iter().any(|r| r.log().contains("routers=4")));
+    until("a router to lose its lease", || routers.iter().any(|r| r.log().contains("our lease was lost")));
+    until("all routers to be registered again", || {
         registry
             .members(&["list"])
             .unwrap()
@@ -299,18 +304,18 @@
 }
 
 #[test]
-fn a_flood_of_changes_costs_no_call_and_leaves_the_right_list() {
+fn calls_are_served_and_the_list_stays_correct_during_a_flood_of_changes() {
     let registry = Registry::start(json!({"faults": [{"from_us": 0, "to_us": i64::MAX, "kind": "split"}]}));
-    let worker = honest();
+    let worker = echo_worker();
     registry.register("w", &worker);
     let gateway = registry.gateway("");
-    until("it to be known", || gateway.log().contains("workers=1"));
+    until("the gateway to list the worker", || gateway.log().contains("workers=1"));
     let mut client = Client::connect(gateway.address(), "a", false);
     let address = registry.address.clone();
     let flood = std::thread::spawn(move || {
         let registry = Registry { process: None, address, directory: tempfile::tempdir().unwrap() };
         for n in 0..1_500 {
-            // Workers that come and go, none of which could serve.
+            // The workers added and removed are all draining, so that none of them receives a call.
             let key = format!("/slatevalve/workers/x{}", n % 85);
             match n % 3 {
                 0 | 1 => registry.put(&key, "{\"address\":\"127.0.0.1:9\",\"state\":\"draining\"}"),
@@ -320,25 +325,25 @@
     });
     let mut number = 1;
     while !flood.is_finished() {
-        served(&mut client, &gateway, number, 1);
+        assert_served(&mut client, &gateway, number, 1);
         number += 1;
         std::thread::sleep(Duration::from_millis(2));
     }
     flood.join().unwrap();
     let listed = registry.workers();
     registry.register("last", &worker);
-    until("the end of the flood", || gateway.log().contains("worker=\"last\""));
+    until("the gateway to receive the last change", || gateway.log().contains("worker=\"last\""));
     let log = gateway.log();
     assert!(!log.contains("the list is compared anew"), "{log}");
-    // Each that is listed was told last as there, each other one as gone.
-    let state = |name: &str| {
-        let there = log.rfind(&format!("worker=\"{name}\" state"));
+    // The last log line about a worker reports it as present if it is registered, and as gone otherwise.
+    let is_present = |name: &str| {
+        let present = log.rfind(&format!("worker=\"{name}\" state"));
         let gone = log.rfind(&format!("worker is gone worker=\"{name}\""));
-        there > gone
+        present > gone
     };
     let names: Vec<String> = listed.into_iter().map(|w| w.0).collect();
     for n in 0..85 {
         let name = format!("x{n}");
-        assert_eq!(state(&name), names.contains(&name), "{name}");
+        assert_eq!(is_present(&name), names.contains(&name), "{name}");
     }
 }
--- a/crates/gateway/tests/operations.rs
+++ b/crates/gateway/tests/operations.rs
@@ -1,4 +1,5 @@
-//! What operators do to a running gateway, and what strangers send it.
+//! Operator actions on a running gateway (worker lists, signals, settings checks) and malformed input from
+//! clients.
 
 mod support;
 
@@ -7,8 +8,8 @@
 use std::time::Duration;
 use support::*;
 
-/// Connections of this machine to a port that are still coming up.
-fn coming_up(port: u16) -> usize {
+/// Number of this machine's connections to a port that are not yet established (state SYN_SENT).
+fn connecting(port: u16) -> usize {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let rows = table.lines().map(|l| l.split_whitespace().collect::<Vec<_>>());
     let (port, syn_sent) = (format!(":{port:04X}"), "02");
@@ -16,29 +17,29 @@
 }
 
 #[test]
-fn a_drain_takes_back_what_waits_for_a_connection_that_is_coming_up() {
-    // A worker whose queue of connections is full: the kernel drops what the next ones begin with, and they stay under way.
+fn a_drain_cancels_calls_that_wait_for_a_connection_to_be_established() {
+    // The worker's accept queue is full: the kernel drops further SYNs, and the connections stay in SYN_SENT.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     socket.listen(0).unwrap();
     let worker = socket.local_addr().unwrap().as_socket().unwrap();
     let _full = TcpStream::connect(worker).unwrap();
-    let waits = "(limits (probes no))\n(pool (connect-timeout-ms 4000))\n(route \"quote/+\"";
-    let gateway = Gateway::start(&SITE.replace("(route \"quote/+\"", waits), &[("w", worker, "")]);
+    let settings = "(limits (probes no))\n(pool (connect-timeout-ms 4000))\n(route \"quote/+\"";
+    let gateway = Gateway::start(&SITE.replace("(route \"quote/+\"", settings), &[("w", worker, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
     client.publish("charge/card", 1, Some("k"), "c1", false);
-    until("the order to load and the call to wait", || coming_up(worker.port()) == 2);
-    gateway.relist(&[("w", worker, "(state draining)")]);
-    // From here on the worker takes connections again; those that are still under way come up.
+    until("the load request and the call to wait for connections", || connecting(worker.port()) == 2);
+    gateway.reload_workers(&[("w", worker, "(state draining)")]);
+    // The accept queue has room again, so connections that are still pending are established.
     socket.accept().unwrap();
-    until("nothing to be under way any more", || coming_up(worker.port()) == 0);
+    until("no connection to be pending", || connecting(worker.port()) == 0);
     socket.set_nonblocking(true).unwrap();
-    assert!(socket.accept().is_err(), "what waited was given up before it came up");
-    assert_eq!(client.answer().outcome, "refused", "it never ran and goes nowhere");
+    assert!(socket.accept().is_err(), "the gateway established a connection to the draining worker");
+    assert_eq!(client.answer().outcome, "refused", "the call did not run and has no other worker");
 }
 
 #[test]
-fn after_a_drain_told_by_sighup_nothing_new_reaches_the_worker() {
+fn a_worker_drained_by_sighup_receives_no_new_work() {
     let slow = |_: &slatevalve_worker_protocol::Call, _: usize| {
         Action::Later(100, Reply::Served { payload: b"done".to_vec(), ran: None })
     };
@@ -48,17 +49,17 @@
     };
     let gateway = Gateway::start(SITE, &list(""));
     let mut client = Client::connect(gateway.address(), "a", false);
-    // Calls are queued while the drain is told.
+    // Calls are queued when the drain takes effect.
     for n in 0..30 {
         client.publish(&format!("quote/fare-{n}"), n + 1, None, &format!("q{n}"), false);
     }
-    until("the first to have had calls", || workers[0].calls() > 0);
-    gateway.relist(&list("(state draining)"));
-    // What was sent before the list was read may still be on its way to be counted: it is waited for, and nothing can be sent
-    // meanwhile.
+    until("the first worker to receive a call", || workers[0].calls() > 0);
+    gateway.reload_workers(&list("(state draining)"));
+    // Requests sent before the reload may not be counted yet: the gateway is stopped, so that it sends
+    // nothing more, until the worker has counted them.
     gateway.process.signal("STOP");
-    workers[0].settled();
-    let seen = workers[0].calls_and_loads();
+    workers[0].wait_until_idle();
+    let received = workers[0].calls_and_loads();
     gateway.process.signal("CONT");
     for n in 30..60 {
         client.publish(&format!("quote/fare-{n}"), n + 1, None, &format!("q{n}"), false);
@@ -66,18 +67,22 @@
     for _ in 0..60 {
         assert_eq!(client.answer().outcome, "served");
     }
-    assert_eq!(workers[0].calls_and_loads(), seen, "something new came after the list was read");
+    assert_eq!(
+        workers[0].calls_and_loads(),
+        received,
+        "the worker received work after the list was reloaded"
+    );
     let late = (30..60).map(|n| format!("q{n}")).filter(|q| workers[0].payloads().contains(q));
-    assert_eq!(late.count(), 0, "a call that came after the drain was told went there");
-    gateway.relist(&list(""));
+    assert_eq!(late.count(), 0, "a call made after the drain reached the draining worker");
+    gateway.reload_workers(&list(""));
     for n in 60..90 {
         assert_eq!(client.call(&format!("quote/fare-{n}"), n + 1, None, "q").outcome, "served");
     }
-    assert!(workers[0].calls_and_loads() > seen, "it is used again once it is ready");
+    assert!(workers[0].calls_and_loads() > received, "the worker receives work again once it is ready");
 }
 
 #[test]
-fn a_list_with_an_error_changes_nothing_and_the_log_names_the_place() {
+fn an_invalid_worker_list_changes_nothing_and_its_error_is_logged_with_the_file() {
     let worker = Worker::start(|_, _| served("done"));
     let gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
     let text = std::fs::read_to_string(gateway.file()).unwrap();
@@ -90,7 +95,7 @@
 }
 
 #[test]
-fn a_gateway_that_stood_still_finds_the_answers_that_were_there_in_time() {
+fn a_gateway_that_was_stopped_delivers_answers_that_arrived_meanwhile() {
     let worker =
         Worker::start(|_, _| Action::Later(200, Reply::Served { payload: b"done".to_vec(), ran: None }));
     let gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
@@ -108,7 +113,7 @@
 }
 
 #[test]
-fn on_sigterm_open_calls_are_finished_new_ones_refused_and_the_exit_is_in_order() {
+fn on_sigterm_open_calls_are_finished_new_ones_refused_and_the_exit_code_is_0() {
     let worker =
         Worker::start(|_, _| Action::Later(600, Reply::Served { payload: b"done".to_vec(), ran: None }));
     let mut gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
@@ -116,7 +121,7 @@
     client.publish("charge/card", 1, Some("k"), "c1", false);
     until("the charge to reach its worker", || worker.calls() == 1);
     gateway.process.signal("TERM");
-    until("the stop to begin", || gateway.log().contains("stopping"));
+    until("the shutdown to begin", || gateway.log().contains("stopping"));
     client.publish("quote/fare", 2, None, "q1", false);
     let refused = client.answer();
     assert_eq!((refused.call.as_str(), refused.outcome.as_str()), ("q1", "refused"));
@@ -125,7 +130,7 @@
 }
 
 #[test]
-fn on_sigterm_what_does_not_end_in_time_is_failed_and_not_refused() {
+fn on_sigterm_calls_still_open_at_the_time_limit_fail_and_are_not_refused() {
     let worker = Worker::start(|_, _| Action::Silence);
     let site = format!("{SITE}\n");
     let mut gateway = Gateway::start_with("(stop-within-ms 300)", &site, &[("w", worker.address, "")]);
@@ -138,7 +143,7 @@
 }
 
 #[test]
-fn bytes_without_sense_close_their_connection_and_no_other_client_notices() {
+fn malformed_packets_close_only_their_own_connection() {
     let worker = Worker::start(|_, _| served("done"));
     let gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
     let mut good = Client::connect(gateway.address(), "good", false);
@@ -147,14 +152,14 @@
         [b"GET / HTTP/1.1\r\n\r\n", &[0xf0, 0x00], &oversized, &[0x32, 0x05, 0, 9, b'a', 0, 1]];
     for (n, bytes) in broken.iter().enumerate() {
         let mut bad = Client::connect(gateway.address(), "bad", false);
-        bad.raw(bytes);
+        bad.send_raw(bytes);
         assert_eq!(good.call("quote/fare", n as u16 + 1, None, "q").outcome, "served");
     }
     assert!(gateway.log().contains("closed: what the peer sent cannot be taken"));
 }
 
 #[test]
-fn check_names_file_line_and_form_of_what_is_wrong() {
+fn check_reports_file_line_and_form_of_each_error() {
     let directory = tempfile::tempdir().unwrap();
     let file = directory.path().join("site.scm");
     let good = format!("(gateway (name \"g\"))\n(mqtt (listen \"127.0.0.1:0\"))\n{SITE}");
@@ -175,11 +180,11 @@
             "unsafe calls run twice",
         ),
     ];
-    for (text, words) in cases {
+    for (text, expected) in cases {
         std::fs::write(&file, text).unwrap();
         let output = command(&["check", file.to_str().unwrap()]);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.success(), words.is_empty(), "{error}");
-        assert!(error.contains(words), "{words}: {error}");
+        assert_eq!(output.status.success(), expected.is_empty(), "{error}");
+        assert!(error.contains(expected), "expected {expected:?} in {error}");
     }
 }
--- a/crates/gateway/tests/platform/soak/clients.rs
+++ b/crates/gateway/tests/platform/soak/clients.rs
@@ -1,7 +1,7 @@
-//! Clients of a day: they ask by the clock, now and then take a call back or close their connection, and note what became of each
-//! call.
+//! Clients of a run: they send calls at a constant rate, sometimes cancel a call or close their connection,
+//! and record the outcome of each call.
 
-use crate::test_servers::{Client, End};
+use crate::test_servers::{Client, Outcome};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -9,25 +9,25 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Open calls on one connection at most, by the protocol.
+/// The protocol's limit of open calls on one connection.
 const MAX_OPEN: usize = 32;
-/// Calls that a client takes back, and connections that it closes after a call, in per mille.
+/// Share of calls that a client cancels, and after which it closes its connection, in per mille.
 const CANCEL_PER_MILLE: u32 = 40;
 const CLOSE_PER_MILLE: u32 = 10;
-/// The longest time from a call until it is taken back.
-const LONGEST_PATIENCE_MS: u64 = 80;
+/// Upper bound of the time from a call to its cancellation.
+const MAX_CANCEL_DELAY_MS: u64 = 80;
 const FUNCTIONS: u64 = 24;
 
-/// How the connection of a call ended while it was open.
+/// How a call ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Ending {
-    /// By the router.
-    Closed(Instant),
-    /// By the client.
-    Left(Instant),
+    /// The router closed the connection.
+    ByRouter(Instant),
+    /// The client canceled the call or closed the connection.
+    ByClient(Instant),
 }
 
-/// What became of a call.
+/// A sent call and its outcome.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
     pub router: usize,
@@ -39,12 +39,12 @@
     pub ending: Option<Ending>,
 }
 
-/// What the clients of a router share with the day.
-pub(super) struct Terms {
+/// Settings of the clients of one router, shared with the run, which changes the rate and ends them.
+pub(super) struct ClientSettings {
     pub router: usize,
     pub address: SocketAddr,
     pub timeout: Duration,
-    /// Calls a second of one client.
+    /// Calls per second of one client.
     pub rate: AtomicU64,
     pub has_ended: AtomicBool,
 }
@@ -52,31 +52,31 @@
 struct Connection {
     client: Client,
     open: HashMap<u32, usize>,
-    /// Calls to be taken back, and when.
+    /// Scheduled cancellations: time and call number.
     cancels: Vec<(Instant, u32)>,
 }
 
-/// Asks until the day has ended, then waits for the last answers.
-pub(super) fn ask(terms: &Terms, seed: u64) -> Vec<Call> {
+/// Sends calls until the run has ended, then waits for the last answers.
+pub(super) fn run_client(settings: &ClientSettings, seed: u64) -> Vec<Call> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut calls: Vec<Call> = Vec::new();
     let mut connection: Option<Connection> = None;
     let mut next_call = Instant::now();
     let mut ended_at = None;
     loop {
-        if terms.has_ended.load(Ordering::SeqCst) {
+        if settings.has_ended.load(Ordering::SeqCst) {
             let ended_at = *ended_at.get_or_insert_with(Instant::now);
-            if ended_at.elapsed() > terms.timeout + Duration::from_millis(600) {
+            if ended_at.elapsed() > settings.timeout + Duration::from_millis(600) {
                 return calls;
             }
         } else if Instant::now() >= next_call {
-            next_call += Duration::from_micros(1_000_000 / terms.rate.load(Ordering::SeqCst));
-            send_call(terms, &mut random, &mut connection, &mut calls);
+            next_call += Duration::from_micros(1_000_000 / settings.rate.load(Ordering::SeqCst));
+            send_call(settings, &mut random, &mut connection, &mut calls);
         }
         if let Some(open) = &mut connection {
-            let has_ended = open.read_answers(&mut calls);
-            open.take_back_due(&mut calls);
-            if has_ended {
+            let is_closed = open.read_answers(&mut calls);
+            open.cancel_due(&mut calls);
+            if is_closed {
                 connection = None;
             }
         }
@@ -85,14 +85,14 @@
 }
 
 fn send_call(
-    terms: &Terms,
+    settings: &ClientSettings,
     random: &mut Pcg64Mcg,
     connection: &mut Option<Connection>,
     calls: &mut Vec<Call>,
 ) {
     if connection.is_none() {
-        // A router that restarts refuses connections for a moment.
-        let Ok(stream) = TcpStream::connect(terms.address) else { return };
+        // A router refuses connections while it restarts.
+        let Ok(stream) = TcpStream::connect(settings.address) else { return };
         stream.set_nodelay(true).unwrap();
         stream.set_nonblocking(true).unwrap();
         let client = Client::on(stream);
@@ -105,32 +105,32 @@
     let tag = random.next_u64();
     let sent_at = Instant::now();
     let function = random.random_range(0..FUNCTIONS);
-    let number = open.client.send_for(class, function, tag, terms.timeout.as_millis() as u64);
+    let number = open.client.send_for(class, function, tag, settings.timeout.as_millis() as u64);
     open.open.insert(number, calls.len());
-    let (router, timeout) = (terms.router, terms.timeout);
+    let (router, timeout) = (settings.router, settings.timeout);
     let id = format!("{tag:016x}");
     calls.push(Call { router, id, class, sent_at, timeout, answered_at: None, ending: None });
     let drawn = random.random_range(0..1_000);
     if drawn < CANCEL_PER_MILLE {
-        let patience = Duration::from_millis(random.random_range(0..LONGEST_PATIENCE_MS));
-        open.cancels.push((sent_at + patience, number));
+        let delay = Duration::from_millis(random.random_range(0..MAX_CANCEL_DELAY_MS));
+        open.cancels.push((sent_at + delay, number));
     } else if drawn < CANCEL_PER_MILLE + CLOSE_PER_MILLE {
         let left_at = Instant::now();
         for index in open.open.values() {
-            calls[*index].ending = Some(Ending::Left(left_at));
+            calls[*index].ending = Some(Ending::ByClient(left_at));
         }
         *connection = None;
     }
 }
 
 impl Connection {
-    /// Notes the answers that came; returns whether the router ended the connection.
+    /// Records the answers that have arrived; returns whether the router closed the connection.
     fn read_answers(&mut self, calls: &mut [Call]) -> bool {
-        while let Some((number, end)) = self.client.numbered_answer_now() {
+        while let Some((number, outcome)) = self.client.numbered_answer_now() {
             let now = Instant::now();
-            if end == End::Closed {
+            if outcome == Outcome::Closed {
                 for index in self.open.values() {
-                    calls[*index].ending = Some(Ending::Closed(now));
+                    calls[*index].ending = Some(Ending::ByRouter(now));
                 }
                 return true;
             }
@@ -141,14 +141,14 @@
         false
     }
 
-    fn take_back_due(&mut self, calls: &mut [Call]) {
+    fn cancel_due(&mut self, calls: &mut [Call]) {
         let now = Instant::now();
         let (due, later): (Vec<_>, Vec<_>) = self.cancels.drain(..).partition(|(at, _)| *at <= now);
         self.cancels = later;
         for (_, number) in due {
             if let Some(index) = self.open.remove(&number) {
                 self.client.interrupt(number);
-                calls[index].ending = Some(Ending::Left(Instant::now()));
+                calls[index].ending = Some(Ending::ByClient(Instant::now()));
             }
         }
     }
--- a/crates/gateway/tests/platform/soak/mod.rs
+++ b/crates/gateway/tests/platform/soak/mod.rs
@@ -1,52 +1,55 @@
-//! Short days of whole routers as processes, with faults drawn from a seed, judged by what clients and workers recorded.
+//! Soak test: short runs of routers as processes, with random faults from a seed. The platform's rules are
+//! checked on the records of clients and workers.
 //!
-//! `SLATEVALVE_SOAK_SEEDS=1..50 cargo test -p slatevalve-gateway --test platform soak -- --nocapture` plays other seeds.
+//! To run other seeds:
+//! `SLATEVALVE_SOAK_SEEDS=1..50 cargo test -p slatevalve-gateway --test platform soak -- --nocapture`
 
 mod clients;
-mod day;
-mod verdict;
+mod rules;
+mod run;
 
 use std::ops::Range;
 
-/// Played without the variable; few, as each takes some seconds.
+/// Seeds without the environment variable; few, as each run takes several seconds.
 const DEFAULT_SEEDS: Range<u64> = 1..9;
 const SEEDS_VARIABLE: &str = "SLATEVALVE_SOAK_SEEDS";
-/// Days at a time.
-const PARALLEL_DAYS: usize = 4;
+/// Number of concurrent runs.
+const PARALLEL_RUNS: usize = 4;
 
 fn seeds() -> Range<u64> {
     let Ok(text) = std::env::var(SEEDS_VARIABLE) else { return DEFAULT_SEEDS };
-    let (first, end) = text.split_once("..").expect("seeds as FIRST..END");
-    first.parse().expect("a first seed")..end.parse().expect("an end")
+    let (first, end) = text.split_once("..").expect("SLATEVALVE_SOAK_SEEDS is FIRST..END");
+    first.parse().expect("FIRST is a number")..end.parse().expect("END is a number")
 }
 
-/// Guards the platform's rules on days of drawn faults: one answer in time, unsafe calls run once, drains kept, nothing sent for
-/// clients that left, no time beyond what clients have, restarts that are ready soon.
+/// Guards the platform's rules under random faults: each call gets one answer in time, unsafe calls run once,
+/// drains are kept, nothing is sent for clients that left, no attempt gets more time than its client has, and
+/// restarted routers are ready soon.
 #[test]
-fn the_rules_hold_on_days_of_drawn_faults() {
+fn the_platforms_rules_hold_under_random_faults() {
     let seeds: Vec<u64> = seeds().collect();
-    let mut broken = Vec::new();
-    for seeds in seeds.chunks(PARALLEL_DAYS) {
-        let days: Vec<_> = seeds
+    let mut failed_seeds = Vec::new();
+    for seeds in seeds.chunks(PARALLEL_RUNS) {
+        let runs: Vec<_> = seeds
             .iter()
             .map(|seed| {
                 (
                     *seed,
                     std::thread::spawn({
                         let seed = *seed;
-                        move || verdict::judge(&day::play(seed))
+                        move || rules::check(&run::play(seed))
                     }),
                 )
             })
             .collect();
-        for (seed, day) in days {
-            let violations = day.join().unwrap_or_else(|_| vec!["the day itself failed".into()]);
+        for (seed, run) in runs {
+            let violations = run.join().unwrap_or_else(|_| vec!["the run panicked".into()]);
             if !violations.is_empty() {
                 println!("seed {seed}: {} violations, {violations:#?}", violations.len());
-                broken.push(seed);
+                failed_seeds.push(seed);
             }
         }
     }
-    println!("{} days played, broken: {broken:?}", seeds.len());
-    assert!(broken.is_empty(), "rules broken with seeds {broken:?}");
+    println!("{} runs, with violations: {failed_seeds:?}", seeds.len());
+    assert!(failed_seeds.is_empty(), "rules violated with seeds {failed_seeds:?}");
 }
--- a/crates/gateway/tests/platform/soak/day.rs
+++ b/crates/gateway/tests/platform/soak/run.rs
@@ -1,6 +1,6 @@
-//! One day: workers, a change log, routers, clients, and the faults that a seed draws.
+//! One run: workers, a change log, routers, clients, and random faults from a seed.
 
-use super::clients::{ask, Call, Terms};
+use super::clients::{run_client, Call, ClientSettings};
 use crate::support::until;
 use crate::test_servers::*;
 use rand::{RngExt, SeedableRng};
@@ -13,103 +13,107 @@
 
 const LENGTH: Duration = Duration::from_secs(6);
 const CLIENTS_PER_ROUTER: u64 = 3;
-/// The kill comes this long after the longest deadline (counted as 3 s at most), from SIGTERM on.
+/// SIGKILL follows SIGTERM after the longest deadline, capped at `MAX_COUNTED_DEADLINE`, plus this time.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
-/// A restarted router has to be ready by then.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Upper bound of the time from the start of a restarted router until it is ready.
 const READY_WITHIN: Duration = Duration::from_secs(6);
-/// Calls are that many times as frequent in a crowd.
-const CROWD_FACTOR: u64 = 8;
+/// Factor on the rate of calls during a load spike.
+const SPIKE_FACTOR: u64 = 8;
 
-/// What is done to a day.
+/// A fault or operation injected into a run.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// The last worker that does not drain yet drains.
+    /// Drains the last worker that is not draining yet.
     Drain,
     Hang(Duration),
     ResetConnections,
     Log(Service, Duration),
-    /// The change log moves, and the routers are told so.
-    Move,
+    /// Moves the change log to a new address and reloads the routers' configuration.
+    MoveLog,
+    /// SIGSTOP and, after this time, SIGCONT.
     Stop(Duration),
-    /// SIGTERM, the kill at its earliest, and a new start.
+    /// SIGTERM, SIGKILL at its earliest, and a new start.
     Restart,
     /// SIGKILL and a new start.
     Kill,
-    Crowd(Duration),
+    LoadSpike(Duration),
 }
 
-/// A worker that drained, and when that was told to the log.
+/// A worker that was drained, and when the log published that.
 pub(super) struct Drained {
     pub worker: usize,
-    pub told_at: Instant,
+    pub published_at: Instant,
 }
 
-/// Time in which the log did not answer promptly, or was moved.
-pub(super) struct LogTrouble {
+/// An interval in which the log did not answer promptly, or the moment at which it was moved.
+pub(super) struct LogOutage {
     pub began_at: Instant,
     pub ended_at: Instant,
     pub is_move: bool,
 }
 
-/// The end of a router's process.
-pub(super) struct Ended {
+/// The exit of a router's process.
+pub(super) struct RouterExit {
     pub router: usize,
     pub at: Instant,
-    /// After SIGTERM, rather than without notice.
+    /// Whether SIGTERM preceded the kill.
     pub was_planned: bool,
 }
 
-/// What a day left behind.
-pub(super) struct Day {
+/// The records of a run.
+pub(super) struct RunRecord {
     pub calls: Vec<Call>,
-    /// What each worker was sent.
+    /// The commands that each worker received.
     pub received: Vec<Vec<Received>>,
     pub drained: Vec<Drained>,
-    pub log_troubles: Vec<LogTrouble>,
-    pub ended: Vec<Ended>,
-    /// The faults, for the report.
+    pub log_outages: Vec<LogOutage>,
+    pub router_exits: Vec<RouterExit>,
+    /// Seed, deadline and faults of the run, for the report.
     pub script: String,
 }
 
 struct Running {
     routers: Vec<Router>,
     configs: Vec<Value>,
-    terms: Vec<Arc<Terms>>,
+    client_settings: Vec<Arc<ClientSettings>>,
     workers: Vec<FleetWorker>,
     log: ChangeLog,
     timeout: Duration,
     drained: Vec<Drained>,
-    log_troubles: Vec<LogTrouble>,
-    ended: Vec<Ended>,
+    log_outages: Vec<LogOutage>,
+    router_exits: Vec<RouterExit>,
 }
 
-pub(super) fn play(seed: u64) -> Day {
+pub(super) fn play(seed: u64) -> RunRecord {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let timeout = Duration::from_millis([300, 600, 1_200, 2_400][random.random_range(0..4)]);
     let mut running = start(&mut random, timeout, seed);
     let faults = draw_faults(&mut random);
     let clients: Vec<_> = running
-        .terms
+        .client_settings
         .iter()
-        .flat_map(|terms| (0..CLIENTS_PER_ROUTER).map(|number| (terms.clone(), number)))
-        .map(|(terms, number)| {
-            let seed = seed << 16 | (terms.router as u64) << 8 | number;
-            thread::spawn(move || ask(&terms, seed))
+        .flat_map(|client_settings| (0..CLIENTS_PER_ROUTER).map(|number| (client_settings.clone(), number)))
+        .map(|(client_settings, number)| {
+            let seed = seed << 16 | (client_settings.router as u64) << 8 | number;
+            thread::spawn(move || run_client(&client_settings, seed))
         })
         .collect();
     let start = Instant::now();
     for (at, fault) in &faults {
         thread::sleep((start + *at).saturating_duration_since(Instant::now()));
-        running.inflict(&mut random, *fault);
+        running.inject(&mut random, *fault);
     }
     thread::sleep((start + LENGTH).saturating_duration_since(Instant::now()));
-    running.terms.iter().for_each(|terms| terms.has_ended.store(true, Ordering::SeqCst));
+    running
+        .client_settings
+        .iter()
+        .for_each(|client_settings| client_settings.has_ended.store(true, Ordering::SeqCst));
     let calls = clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
-    let Running { workers, drained, log_troubles, ended, .. } = running;
+    let Running { workers, drained, log_outages, router_exits, .. } = running;
     let received = workers.iter().map(FleetWorker::received).collect();
     let script = format!("seed {seed}, deadline {timeout:?}, {faults:?}");
-    Day { calls, received, drained, log_troubles, ended, script }
+    RunRecord { calls, received, drained, log_outages, router_exits, script }
 }
 
 fn start(random: &mut Pcg64Mcg, timeout: Duration, seed: u64) -> Running {
@@ -128,13 +132,13 @@
     let mut running = Running {
         routers: Vec::new(),
         configs: Vec::new(),
-        terms: Vec::new(),
+        client_settings: Vec::new(),
         workers,
         log,
         timeout,
         drained: Vec::new(),
-        log_troubles: Vec::new(),
-        ended: Vec::new(),
+        log_outages: Vec::new(),
+        router_exits: Vec::new(),
     };
     let rate = random.random_range(5..30);
     for number in 0..random.random_range(1..3) {
@@ -143,7 +147,7 @@
     running
 }
 
-/// Three to seven faults in the order of their times; two may come at once.
+/// Three to seven random faults, ordered by time; some start at the same time.
 fn draw_faults(random: &mut Pcg64Mcg) -> Vec<(Duration, Fault)> {
     let mut faults: Vec<(Duration, Fault)> = Vec::new();
     for _ in 0..random.random_range(3..8) {
@@ -166,12 +170,12 @@
         4 => Fault::Log(Service::Refusing, time * 2),
         5 => Fault::Log(Service::Silent, time * 3),
         6 => Fault::Log(Service::Late(time), time * 3),
-        7 => Fault::Move,
-        // Shorter than the time within which a late answer still counts: no router could answer otherwise.
+        7 => Fault::MoveLog,
+        // Shorter than the tolerance for late answers: a router cannot answer while it is stopped.
         8 => Fault::Stop(time / 2),
         9 => Fault::Restart,
         10 => Fault::Kill,
-        _ => Fault::Crowd(time),
+        _ => Fault::LoadSpike(time),
     }
 }
 
@@ -182,29 +186,36 @@
             config["settings"]["categories"][class]["deadline"] = json!(self.timeout.as_millis() as u64);
         }
         let router = Router::start_with(&config);
-        ready(&router);
+        wait_until_ready(&router);
         let address = router.process.address;
-        // It starts again at the same address.
+        // A restarted router listens at the same address.
         config["listen"] = json!(address.to_string());
         let (rate, has_ended) = (AtomicU64::new(rate), AtomicBool::new(false));
-        self.terms.push(Arc::new(Terms { router: number, address, timeout: self.timeout, rate, has_ended }));
+        self.client_settings.push(Arc::new(ClientSettings {
+            router: number,
+            address,
+            timeout: self.timeout,
+            rate,
+            has_ended,
+        }));
         self.routers.push(router);
         self.configs.push(config);
     }
 
-    fn inflict(&mut self, random: &mut Pcg64Mcg, fault: Fault) {
+    fn inject(&mut self, random: &mut Pcg64Mcg, fault: Fault) {
         let router = random.random_range(0..self.routers.len());
         match fault {
             Fault::Drain => self.drain(),
             Fault::Hang(time) => {
-                // The first worker never drains, so that the time of a command is that of its arrival at all that do.
+                // Only the first worker hangs. It never drains, so at draining workers the recorded time is
+                // always the arrival.
                 self.workers[0].set_hanging(true);
                 thread::sleep(time);
                 self.workers[0].set_hanging(false);
             }
             Fault::ResetConnections => self.workers[0].reset_connections(),
-            Fault::Log(service, time) => self.trouble_log(service, time),
-            Fault::Move => self.move_log(),
+            Fault::Log(service, time) => self.disturb_log(service, time),
+            Fault::MoveLog => self.move_log(),
             Fault::Stop(time) => {
                 self.routers[router].process.signal("STOP");
                 thread::sleep(time);
@@ -212,12 +223,13 @@
             }
             Fault::Restart => self.restart(router),
             Fault::Kill => self.kill_and_start(router, false),
-            Fault::Crowd(time) => {
-                let terms = self.terms[router].clone();
-                let rate =
-                    terms.rate.swap(terms.rate.load(Ordering::SeqCst) * CROWD_FACTOR, Ordering::SeqCst);
+            Fault::LoadSpike(time) => {
+                let client_settings = self.client_settings[router].clone();
+                let rate = client_settings
+                    .rate
+                    .swap(client_settings.rate.load(Ordering::SeqCst) * SPIKE_FACTOR, Ordering::SeqCst);
                 thread::sleep(time);
-                terms.rate.store(rate, Ordering::SeqCst);
+                client_settings.rate.store(rate, Ordering::SeqCst);
             }
         }
     }
@@ -228,38 +240,39 @@
             return;
         }
         self.workers[worker].drain();
-        let told_at = Instant::now();
-        self.log.tell(&[(&format!("s-{worker}"), self.workers[worker].address, "leaving")]);
-        self.drained.push(Drained { worker, told_at });
+        let published_at = Instant::now();
+        self.log.publish(&[(&format!("s-{worker}"), self.workers[worker].address, "leaving")]);
+        self.drained.push(Drained { worker, published_at });
     }
 
-    /// The log is in trouble for a time; in the middle of it a worker drains.
-    fn trouble_log(&mut self, service: Service, time: Duration) {
+    /// Changes how the log responds for a time; a worker drains halfway through it.
+    fn disturb_log(&mut self, service: Service, time: Duration) {
         let began_at = Instant::now();
         self.log.set_service(service);
         thread::sleep(time / 2);
         self.drain();
         thread::sleep(time / 2);
         self.log.set_service(Service::Prompt);
-        self.log_troubles.push(LogTrouble { began_at, ended_at: Instant::now(), is_move: false });
+        self.log_outages.push(LogOutage { began_at, ended_at: Instant::now(), is_move: false });
     }
 
     fn move_log(&mut self) {
         let began_at = Instant::now();
-        self.log = self.log.elsewhere();
+        self.log = self.log.at_new_address();
         for (router, config) in self.routers.iter().zip(&mut self.configs) {
             config["changelog"] = json!(self.log.address.to_string());
             std::fs::write(router.file(), config.to_string()).unwrap();
             router.process.signal("HUP");
         }
-        self.log_troubles.push(LogTrouble { began_at, ended_at: began_at, is_move: true });
+        self.log_outages.push(LogOutage { began_at, ended_at: began_at, is_move: true });
     }
 
     fn restart(&mut self, router: usize) {
-        let told = Instant::now();
+        let signaled_at = Instant::now();
         self.routers[router].process.signal("TERM");
         thread::sleep(
-            (told + self.timeout.min(LONGEST_COUNTED) + KILL_DELAY).saturating_duration_since(told),
+            (signaled_at + self.timeout.min(MAX_COUNTED_DEADLINE) + KILL_DELAY)
+                .saturating_duration_since(signaled_at),
         );
         self.kill_and_start(router, true);
     }
@@ -269,13 +282,13 @@
         let _ = self.routers[router].process.child.kill();
         let _ = self.routers[router].process.child.wait();
         let mut config = self.configs[router].clone();
-        config["known"] = self.log.known();
+        config["known"] = self.log.snapshot();
         let started = Instant::now();
         self.routers[router] = Router::start_with(&config);
-        let address = self.terms[router].address;
+        let address = self.client_settings[router].address;
         until("the restarted router to be ready", || Client::connect(address).is_ready());
         let ready_after = started.elapsed();
         assert!(ready_after < READY_WITHIN, "ready after {ready_after:?}");
-        self.ended.push(Ended { router, at, was_planned });
+        self.router_exits.push(RouterExit { router, at, was_planned });
     }
 }
--- a/crates/gateway/tests/platform/stepped_router.rs
+++ b/crates/gateway/tests/platform/stepped_router.rs
@@ -1,36 +1,38 @@
-//! A router that runs in the test's process and is stepped one loop iteration at a time, and workers whose bytes the test reads
-//! and writes itself.
+//! A router that runs in the test process one event-loop iteration at a time, and workers whose sockets the
+//! test reads and writes directly.
 
 use crate::test_servers::*;
 use serde_json::{json, Value};
 use slatevalve_gateway::clock::Clock;
-use slatevalve_gateway::platform::Router as Loop;
+use slatevalve_gateway::platform::Router as PlatformRouter;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A worker whose every byte the test reads and writes itself.
-pub(crate) struct Bare {
+/// A listening worker whose connections the test accepts, reads and writes directly.
+pub(crate) struct RawWorker {
     pub listener: TcpListener,
     pub address: SocketAddr,
 }
 
-impl Bare {
+impl RawWorker {
     pub(crate) fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
-        Bare { listener, address }
+        RawWorker { listener, address }
     }
 }
 
-pub(crate) struct Stepped {
-    pub router: Loop,
+/// A router in the test process; each [`SteppedRouter::poll`] runs one iteration of its event loop.
+pub(crate) struct SteppedRouter {
+    pub router: PlatformRouter,
     _directory: tempfile::TempDir,
 }
 
-/// Calls load by themselves and nobody is probed, so that only calls reach a worker.
-pub(crate) fn plain(log: &ChangeLog, change: impl FnOnce(&mut Value)) -> Value {
+/// A configuration without probes and load requests (calls load their functions), so that workers receive
+/// only calls.
+pub(crate) fn config_without_probes(log: &ChangeLog, change: impl FnOnce(&mut Value)) -> Value {
     let mut config = config(log);
     config["settings"]["family_info"] = json!({"if_cold": "load", "may_order": false, "linger_idle": 8000.0});
     config["settings"]["limits"]["probes"] = false.into();
@@ -38,88 +40,95 @@
     config
 }
 
-impl Stepped {
+impl SteppedRouter {
     pub(crate) fn new(config: Value) -> Self {
         let directory = tempfile::tempdir().unwrap();
         let file = directory.path().join("config.json");
         std::fs::write(&file, config.to_string()).unwrap();
-        Stepped { router: Loop::new(file, Clock::start()).unwrap(), _directory: directory }
+        SteppedRouter { router: PlatformRouter::new(file, Clock::start()).unwrap(), _directory: directory }
     }
 
     pub(crate) fn poll(&mut self) {
-        assert!(!self.router.poll(Duration::from_millis(10)).unwrap(), "it goes on");
+        assert!(!self.router.poll(Duration::from_millis(10)).unwrap(), "the router stopped");
     }
 
-    pub(crate) fn turns(&mut self, count: usize) {
+    pub(crate) fn poll_times(&mut self, count: usize) {
         (0..count).for_each(|_| self.poll());
     }
 
-    pub(crate) fn until<T>(&mut self, what: &str, mut find: impl FnMut(&mut Loop) -> Option<T>) -> T {
+    pub(crate) fn until<T>(
+        &mut self,
+        what: &str,
+        mut find: impl FnMut(&mut PlatformRouter) -> Option<T>,
+    ) -> T {
         let start = Instant::now();
         loop {
             if let Some(found) = find(&mut self.router) {
                 return found;
             }
-            assert!(start.elapsed() < Duration::from_secs(20), "in vain: {what}");
+            assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting for {what}");
             self.poll();
         }
     }
 
     pub(crate) fn client(&mut self) -> Client {
         let client = Client::connect(self.router.address());
-        self.until("the client to be known", |r| (r.sizes()[0] > 0).then_some(()));
+        self.until("the router to accept the client", |r| (r.sizes()[0] > 0).then_some(()));
         client
     }
 
-    /// Its question for news waits at the log.
-    pub(crate) fn until_it_follows(&mut self, log: &ChangeLog) {
-        self.until("the log to be asked", |_| (log.waiting() == 1).then_some(()));
+    /// Runs until the router's long poll is pending at the change log.
+    pub(crate) fn until_polling(&mut self, log: &ChangeLog) {
+        self.until("a pending poll at the change log", |_| (log.pending_polls() == 1).then_some(()));
     }
 
-    pub(crate) fn accept(&mut self, worker: &Bare) -> Peer {
+    pub(crate) fn accept(&mut self, worker: &RawWorker) -> WorkerConnection {
         self.accept_any(std::slice::from_ref(worker)).1
     }
 
-    /// The next connection to one of the workers, and which.
-    pub(crate) fn accept_any(&mut self, workers: &[Bare]) -> (usize, Peer) {
-        let (at, stream) = self.until("a connection", |_| {
+    /// Accepts the next connection to any of the workers; returns the worker's index with it.
+    pub(crate) fn accept_any(&mut self, workers: &[RawWorker]) -> (usize, WorkerConnection) {
+        let (index, stream) = self.until("a connection to a worker", |_| {
             workers.iter().enumerate().find_map(|(n, w)| Some((n, w.listener.accept().ok()?.0)))
         });
         stream.set_nonblocking(true).unwrap();
-        (at, Peer { stream, text: String::new() })
+        (index, WorkerConnection { stream, text: String::new() })
     }
 
-    /// The ids of all calls that came to a worker once `last` did.
-    pub(crate) fn calls_until(&mut self, peer: &mut Peer, last: u64) -> Vec<String> {
+    /// Runs until the call with tag `last` has arrived on the connection; returns the ids of all calls that
+    /// arrived on it.
+    pub(crate) fn calls_until(&mut self, peer: &mut WorkerConnection, last: u64) -> Vec<String> {
         let last = format!("{last:016x}");
-        self.until("the call", |_| peer.calls().contains(&last).then_some(()));
+        self.until("the call to reach the worker", |_| peer.calls().contains(&last).then_some(()));
         peer.calls()
     }
 
-    pub(crate) fn answer(&mut self, client: &mut Client) -> End {
+    pub(crate) fn answer(&mut self, client: &mut Client) -> Outcome {
         client.stream.set_nonblocking(true).unwrap();
-        let end = self.until("an answer", |_| client.answer_now());
+        let end = self.until("an answer to the client", |_| client.answer_now());
         client.stream.set_nonblocking(false).unwrap();
         end
     }
 
-    /// A call that is served on a connection that stays.
-    pub(crate) fn serve(&mut self, client: &mut Client, worker: &Bare, tag: u64) -> Peer {
+    /// Serves one call and returns its connection, which stays open.
+    pub(crate) fn serve(&mut self, client: &mut Client, worker: &RawWorker, tag: u64) -> WorkerConnection {
         client.send("charge", 1, tag);
         let mut peer = self.accept(worker);
         self.calls_until(&mut peer, tag);
-        peer.say(tag, "ACK");
-        assert_eq!(self.answer(client), End::Served(vec![]));
+        peer.reply(tag, "ACK");
+        assert_eq!(self.answer(client), Outcome::Served(vec![]));
         peer
     }
 }
 
-pub(crate) struct Peer {
+/// A worker's end of a connection from the router, with the text received on it.
+pub(crate) struct WorkerConnection {
     pub stream: TcpStream,
     pub text: String,
 }
 
-impl Peer {
+impl WorkerConnection {
+    /// Reads what has arrived and returns the ids of all calls received so far.
     pub(crate) fn calls(&mut self) -> Vec<String> {
         let mut bytes = [0; 4096];
         while let Ok(n) = self.stream.read(&mut bytes) {
@@ -132,11 +141,12 @@
         lines.map(|l| l[..16].to_string()).collect()
     }
 
-    pub(crate) fn say(&mut self, tag: u64, word: &str) {
-        self.stream.write_all(format!("{tag:016x} {word} - 0\r\n\r\n").as_bytes()).unwrap();
+    pub(crate) fn reply(&mut self, tag: u64, status: &str) {
+        self.stream.write_all(format!("{tag:016x} {status} - 0\r\n\r\n").as_bytes()).unwrap();
     }
 }
 
+/// The request id of a call with this tag.
 pub(crate) fn id(tag: u64) -> String {
     format!("{tag:016x}")
 }
--- a/crates/gateway/tests/platform/test_servers/change_log.rs
+++ b/crates/gateway/tests/platform/test_servers/change_log.rs
@@ -1,4 +1,4 @@
-//! The platform's change log, served by HTTP long polls.
+//! The platform's change log, which routers follow by HTTP long polls.
 
 use crate::support::until;
 use serde_json::{json, Value};
@@ -9,31 +9,31 @@
 use std::thread;
 use std::time::Duration;
 
-/// How a change log treats those who ask.
+/// How a change log responds to polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Service {
-    /// Answers at once where there is news.
+    /// Answers as soon as there is a new event.
     Prompt,
-    /// Each answer is written so much later.
+    /// Delays each answer by this time.
     Late(Duration),
-    /// Connections end as soon as they are accepted, and open ones at their next answer.
+    /// Closes new connections on accept, and open ones instead of their next answer.
     Refusing,
-    /// Connections stay open and get no answer.
+    /// Keeps connections open and answers nothing.
     Silent,
 }
 
-/// A change log.
+/// A change log and its counters; clones share the events.
 #[derive(Clone)]
 pub(crate) struct ChangeLog {
     pub address: SocketAddr,
     events: Arc<(Mutex<Vec<Value>>, Condvar)>,
     service: Arc<Mutex<Service>>,
-    /// Bytes of all answers.
+    /// Total size of all complete answers.
     sent_bytes: Arc<AtomicUsize>,
-    /// Answers that break off in the middle before one is whole.
-    breaks: Arc<Mutex<usize>>,
-    /// Questions read, and answers written whole.
-    asked: Arc<AtomicUsize>,
+    /// Number of next answers that are truncated.
+    truncated: Arc<Mutex<usize>>,
+    /// Polls that were read, and answers that were written completely.
+    polls: Arc<AtomicUsize>,
     answered: Arc<AtomicUsize>,
 }
 
@@ -43,13 +43,13 @@
 }
 
 impl ChangeLog {
-    /// One whose first event is the whole list of these workers.
+    /// Starts a log whose first event is the complete list of these workers, all active.
     pub(crate) fn start(workers: &[(&str, SocketAddr)]) -> Self {
         let members: Vec<Value> = workers.iter().map(|(id, a)| member(id, *a, "active")).collect();
         ChangeLog::start_with(members)
     }
 
-    /// The same from members as they stand in the list.
+    /// Like [`ChangeLog::start`], with list entries instead of workers.
     pub(crate) fn start_with(members: Vec<Value>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let first = json!({"seq": 1, "fleet": {"revision": 1, "complete": true, "members": members}});
@@ -58,16 +58,16 @@
             events: Arc::new((Mutex::new(vec![first]), Condvar::new())),
             service: Arc::new(Mutex::new(Service::Prompt)),
             sent_bytes: Arc::default(),
-            breaks: Arc::default(),
-            asked: Arc::default(),
+            truncated: Arc::default(),
+            polls: Arc::default(),
             answered: Arc::default(),
         };
         log.listen(listener);
         log
     }
 
-    /// The same log at another address.
-    pub(crate) fn elsewhere(&self) -> Self {
+    /// Serves the same events at another address as well.
+    pub(crate) fn at_new_address(&self) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let log = ChangeLog { address: listener.local_addr().unwrap(), ..self.clone() };
         log.listen(listener);
@@ -84,7 +84,7 @@
         });
     }
 
-    /// Waits until an answer may be written; `None` where its connection is to end instead.
+    /// Waits until an answer may be written; `None` if the connection must be closed instead.
     fn wait_for_service(&self) -> Option<()> {
         loop {
             let service = *self.service.lock().unwrap();
@@ -116,79 +116,82 @@
                     target = rest.to_string();
                 }
             }
-            let figure = |name: &str| -> usize {
-                let rest = target.split(name).nth(1).expect("the question has both");
+            let number = |name: &str| -> usize {
+                let rest =
+                    target.split(name).nth(1).expect("a poll has the parameters `since` and `timeout`");
                 rest.split(|c: char| !c.is_ascii_digit()).next().unwrap().parse().unwrap()
             };
-            self.asked.fetch_add(1, Ordering::SeqCst);
-            let (since, wait) = (figure("since="), Duration::from_millis(figure("timeout=") as u64));
-            let (events, told) = &*self.events;
-            let all = told.wait_timeout_while(events.lock().unwrap(), wait, |e| e.len() <= since).unwrap().0;
+            self.polls.fetch_add(1, Ordering::SeqCst);
+            let (since, wait) = (number("since="), Duration::from_millis(number("timeout=") as u64));
+            let (events, changed) = &*self.events;
+            let all =
+                changed.wait_timeout_while(events.lock().unwrap(), wait, |e| e.len() <= since).unwrap().0;
             let body = json!({"seq": all.len(), "results": all.get(since..).unwrap_or_default()}).to_string();
             drop(all);
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
             self.wait_for_service()?;
-            let mut breaks = self.breaks.lock().unwrap();
-            if *breaks > 0 {
-                *breaks -= 1;
+            let mut truncated = self.truncated.lock().unwrap();
+            if *truncated > 0 {
+                *truncated -= 1;
                 stream.write_all(&answer.as_bytes()[..answer.len() - 20]).ok()?;
                 let _ = stream.shutdown(std::net::Shutdown::Both);
                 return None;
             }
-            drop(breaks);
+            drop(truncated);
             stream.write_all(answer.as_bytes()).ok()?;
             self.sent_bytes.fetch_add(answer.len(), Ordering::SeqCst);
             self.answered.fetch_add(1, Ordering::SeqCst);
         }
     }
 
-    /// Changes how it treats those who ask from now on.
+    /// Changes how the log responds from now on.
     pub(crate) fn set_service(&self, service: Service) {
         *self.service.lock().unwrap() = service;
     }
 
-    /// Bytes of all answers so far.
+    /// Total size of all complete answers so far.
     pub(crate) fn sent_bytes(&self) -> usize {
         self.sent_bytes.load(Ordering::SeqCst)
     }
 
-    /// Answers that were written whole.
+    /// Number of answers that were written completely.
     pub(crate) fn answers(&self) -> usize {
         self.answered.load(Ordering::SeqCst)
     }
 
-    /// Questions that wait for news.
-    pub(crate) fn waiting(&self) -> usize {
-        self.asked.load(Ordering::SeqCst).saturating_sub(self.answers())
+    /// Number of polls that are waiting for an event.
+    pub(crate) fn pending_polls(&self) -> usize {
+        self.polls.load(Ordering::SeqCst).saturating_sub(self.answers())
     }
 
-    /// Tells of workers' new states.
-    pub(crate) fn tell(&self, changes: &[(&str, SocketAddr, &str)]) {
-        self.tell_members(changes.iter().map(|(id, a, phase)| member(id, *a, phase)).collect());
+    /// Publishes an event with new states of workers.
+    pub(crate) fn publish(&self, changes: &[(&str, SocketAddr, &str)]) {
+        self.publish_members(changes.iter().map(|(id, a, phase)| member(id, *a, phase)).collect());
     }
 
-    /// The same by members as they stand in the list.
-    pub(crate) fn tell_members(&self, members: Vec<Value>) {
-        let (events, told) = &*self.events;
+    /// Publishes an event with these list entries.
+    pub(crate) fn publish_members(&self, members: Vec<Value>) {
+        let (events, changed) = &*self.events;
         let mut all = events.lock().unwrap();
         let seq = all.len() + 1;
         all.push(json!({"seq": seq, "fleet": {"revision": seq, "complete": false, "members": members}}));
-        told.notify_all();
+        changed.notify_all();
     }
 
-    /// The same to a follower whose question waits, until the answer has been written to it whole.
-    pub(crate) fn tell_whole(&self, changes: &[(&str, SocketAddr, &str)]) {
-        let told = self.answers();
-        self.tell(changes);
-        until("the news to be in the router's socket", || self.answers() > told);
+    /// Publishes an event while a poll is pending and waits until an answer has been written completely.
+    pub(crate) fn publish_and_wait(&self, changes: &[(&str, SocketAddr, &str)]) {
+        let answers = self.answers();
+        self.publish(changes);
+        until("the event to be written to the router's socket", || self.answers() > answers);
     }
 
-    /// The next answers break off in the middle.
-    pub(crate) fn break_off(&self, times: usize) {
-        *self.breaks.lock().unwrap() = times;
+    /// Truncates the next `times` answers and closes their connections.
+    pub(crate) fn truncate_next(&self, times: usize) {
+        *self.truncated.lock().unwrap() = times;
     }
 
-    pub(crate) fn known(&self) -> Value {
+    /// All events so far, in the form of the configuration's field `known`.
+    pub(crate) fn snapshot(&self) -> Value {
         let all = self.events.0.lock().unwrap();
         json!({"seq": all.len(), "results": *all})
     }
--- a/crates/gateway/tests/platform/test_servers/client.rs
+++ b/crates/gateway/tests/platform/test_servers/client.rs
@@ -1,29 +1,29 @@
-//! A client of the platform: MessagePack-RPC on one connection.
+//! A client of the platform, which speaks MessagePack-RPC on one connection.
 
-use crate::support::PATIENCE;
+use crate::support::MAX_WAIT;
 use rmp::encode;
 use slatevalve_platform::frame::Scanner;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How a call ended for its client.
+/// The outcome of a call for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum Outcome {
     Served(Vec<u8>),
     Error(String),
-    /// The connection ended.
+    /// The connection was closed before an answer.
     Closed,
 }
 
-/// A client on one connection.
+/// A client with one connection; call numbers count up from 1.
 pub(crate) struct Client {
     pub stream: TcpStream,
     buffer: Vec<u8>,
     number: u32,
 }
 
-/// The bytes of one request.
+/// Encodes a request.
 pub(crate) fn request(number: u32, class: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     encode::write_array_len(&mut out, 4).unwrap();
@@ -55,16 +55,16 @@
 impl Client {
     pub(crate) fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         Client::on(stream)
     }
 
-    /// One on a connection that stands.
+    /// A client on an established connection.
     pub(crate) fn on(stream: TcpStream) -> Self {
         Client { stream, buffer: Vec::new(), number: 0 }
     }
 
-    /// The bytes of the next call; its id is made of `tag`.
+    /// Encodes the next call, with a timeout of 2.5 s; `tag` becomes its request id.
     pub(crate) fn bytes(&mut self, class: &str, function: u64, tag: u64) -> Vec<u8> {
         self.bytes_for(class, function, tag, 2500)
     }
@@ -79,79 +79,84 @@
         request(self.number, class, &fields, format!("body-{tag}").as_bytes())
     }
 
-    /// Sends a call and gives its number.
+    /// Sends a call with a timeout of 2.5 s and returns its number.
     pub(crate) fn send(&mut self, class: &str, function: u64, tag: u64) -> u32 {
         self.send_for(class, function, tag, 2500)
     }
 
-    /// The same; the client waits for so many milliseconds.
+    /// Sends a call with a timeout in milliseconds and returns its number.
     pub(crate) fn send_for(&mut self, class: &str, function: u64, tag: u64, ms: u64) -> u32 {
         let bytes = self.bytes_for(class, function, tag, ms);
-        // A router that closes may do so at any time.
+        // The write may fail, as a router that shuts down may close the connection at any time.
         let _ = self.stream.write_all(&bytes);
         self.number
     }
 
-    /// Says that it no longer waits for a call.
+    /// Cancels a call.
     pub(crate) fn interrupt(&mut self, number: u32) {
-        // A router that closes may do so at any time.
+        // The write may fail, as a router that shuts down may close the connection at any time.
         let _ = self.stream.write_all(&interrupt(number));
     }
 
-    /// A call and its taking back in one write.
+    /// Sends a call and its cancellation in one write.
     pub(crate) fn send_and_interrupt(&mut self, class: &str, function: u64, tag: u64) {
         let mut bytes = self.bytes(class, function, tag);
         bytes.extend(interrupt(self.number));
         self.stream.write_all(&bytes).unwrap();
     }
 
-    /// Ends the connection with a reset.
+    /// Resets the connection and opens a new one in its place.
     pub(crate) fn reset(&mut self) {
-        let ended = TcpStream::connect(self.stream.peer_addr().unwrap()).unwrap();
-        let stream = std::mem::replace(&mut self.stream, ended);
+        let replacement = TcpStream::connect(self.stream.peer_addr().unwrap()).unwrap();
+        let stream = std::mem::replace(&mut self.stream, replacement);
         let socket = socket2::Socket::from(stream);
         socket.set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// The next answer if it is there; the socket does not block.
-    pub(crate) fn answer_now(&mut self) -> Option<End> {
+    /// The next answer if it has arrived. The socket must be nonblocking.
+    pub(crate) fn answer_now(&mut self) -> Option<Outcome> {
         self.numbered_answer_now().map(|(_, end)| end)
     }
 
-    /// The same with the number of its call.
-    pub(crate) fn numbered_answer_now(&mut self) -> Option<(u32, End)> {
+    /// Like [`Client::answer_now`], with the number of the answered call (0 for a closed connection).
+    pub(crate) fn numbered_answer_now(&mut self) -> Option<(u32, Outcome)> {
         let mut bytes = [0; 4096];
-        let has_ended = loop {
+        let is_closed = loop {
             match self.stream.read(&mut bytes) {
                 Ok(0) => break true,
                 Ok(n) => self.buffer.extend_from_slice(&bytes[..n]),
                 Err(error) => break error.kind() != std::io::ErrorKind::WouldBlock,
             }
         };
-        let whole = Scanner::default().scan(&self.buffer).expect("a message").is_some();
-        match whole {
+        let is_complete =
+            Scanner::default().scan(&self.buffer).expect("a valid MessagePack message").is_some();
+        match is_complete {
             true => Some(self.answer()),
-            false => has_ended.then_some((0, End::Closed)),
+            false => is_closed.then_some((0, Outcome::Closed)),
         }
     }
 
-    pub(crate) fn call(&mut self, class: &str, function: u64, tag: u64) -> End {
+    /// Sends a call and waits for its answer.
+    pub(crate) fn call(&mut self, class: &str, function: u64, tag: u64) -> Outcome {
         let number = self.send(class, function, tag);
-        let (answered, end) = self.answer();
-        assert!(end == End::Closed || answered == number);
-        end
+        let (answered, outcome) = self.answer();
+        assert!(outcome == Outcome::Closed || answered == number);
+        outcome
     }
 
+    /// Sends the readiness check and returns its result.
     pub(crate) fn is_ready(&mut self) -> bool {
         self.number += 1;
         self.stream.write_all(&request(self.number, "check", &[], b"")).unwrap();
         matches!(self.frame().as_deref(), Some([.., 0xc3, 0x80]))
     }
 
+    /// Waits for the next complete message; `None` once the connection is closed.
     fn frame(&mut self) -> Option<Vec<u8>> {
         let mut bytes = [0; 4096];
         loop {
-            if let Some(length) = Scanner::default().scan(&self.buffer).expect("a message") {
+            if let Some(length) = Scanner::default().scan(&self.buffer).expect("a valid MessagePack message")
+            {
                 return Some(self.buffer.drain(..length).collect());
             }
             match self.stream.read(&mut bytes) {
@@ -161,9 +166,9 @@
         }
     }
 
-    /// The next answer.
-    pub(crate) fn answer(&mut self) -> (u32, End) {
-        let Some(frame) = self.frame() else { return (0, End::Closed) };
+    /// Waits for the next answer; returns the number of its call (0 for a closed connection) and the outcome.
+    pub(crate) fn answer(&mut self) -> (u32, Outcome) {
+        let Some(frame) = self.frame() else { return (0, Outcome::Closed) };
         let mut rest = frame.as_slice();
         rmp::decode::read_array_len(&mut rest).unwrap();
         assert_eq!(rmp::decode::read_int::<u8, _>(&mut rest).unwrap(), 1);
@@ -172,10 +177,10 @@
             rest = &rest[1..];
             rmp::decode::read_array_len(&mut rest).unwrap();
             let length = rmp::decode::read_bin_len(&mut rest).unwrap() as usize;
-            return (number, End::Served(rest[..length].to_vec()));
+            return (number, Outcome::Served(rest[..length].to_vec()));
         }
         rmp::decode::read_array_len(&mut rest).unwrap();
-        let (word, _) = rmp::decode::read_str_from_slice(rest).unwrap();
-        (number, End::Error(word.to_string()))
+        let (code, _) = rmp::decode::read_str_from_slice(rest).unwrap();
+        (number, Outcome::Error(code.to_string()))
     }
 }
--- a/crates/gateway/tests/platform/test_servers/fleet_worker.rs
+++ b/crates/gateway/tests/platform/test_servers/fleet_worker.rs
@@ -1,4 +1,5 @@
-//! A worker that keeps a record of what it was sent, and that drains, hangs, resets connections and misses functions as a test says.
+//! A worker that records every command it receives, and that can drain, hang, reset connections and report
+//! missing functions.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,37 +11,37 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a worker was sent.
+/// A command that a worker received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Command {
     /// A call.
     Exec {
         /// The client's request id.
         id: String,
-        /// How long the router says that it will wait, in milliseconds.
+        /// The time that the router allows for the call, in milliseconds.
         max_ms: u64,
-        /// Whether the call was executed.
+        /// Whether the worker executed the call; false if it rejected the call.
         ran: bool,
     },
-    /// An order to hold copies of a function.
+    /// A request to load copies of a function.
     Ensure,
 }
 
-/// A command and when it had arrived whole.
+/// A command and the time at which it was read completely.
 #[derive(Clone, Debug)]
 pub(crate) struct Received {
     pub at: Instant,
     pub command: Command,
 }
 
-/// How a worker treats calls, in per cent of them; the rest is served.
+/// How a worker responds to calls: shares in percent that fail; the remaining calls are served.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Behaviour {
-    /// Time that a call or a load takes.
+    /// Duration of a call or a load.
     pub service_time: Duration,
-    /// Calls whose connection is reset after they ran.
+    /// Calls whose connection is reset after execution.
     pub reset_percent: u32,
-    /// Calls answered with `NOENT`, as if their function were not loaded.
+    /// Calls rejected with `NOENT`, as if their function were not loaded.
     pub miss_percent: u32,
 }
 
@@ -92,17 +93,17 @@
         worker
     }
 
-    /// From now on it turns new work away and says that it drains.
+    /// From now on the worker rejects new work and reports itself as draining.
     pub(crate) fn drain(&self) {
         self.state.is_draining.store(true, Ordering::SeqCst);
     }
 
-    /// While it hangs it reads nothing more and answers nothing.
+    /// While the worker hangs, each connection stops after the command that it has read, without an answer.
     pub(crate) fn set_hanging(&self, is_hanging: bool) {
         self.state.is_hanging.store(is_hanging, Ordering::SeqCst);
     }
 
-    /// Resets all its connections, as the end of its process does.
+    /// Resets all connections, as the exit of the worker's process would.
     pub(crate) fn reset_connections(&self) {
         for (_, stream) in self.state.connections.lock().unwrap().drain() {
             let socket = socket2::Socket::from(stream);
@@ -111,12 +112,12 @@
         }
     }
 
-    /// Everything it was sent so far, in the order of arrival.
+    /// All commands received so far, in order of arrival.
     pub(crate) fn received(&self) -> Vec<Received> {
         self.state.received.lock().unwrap().clone()
     }
 
-    /// Connections that it accepted so far.
+    /// Number of connections accepted so far.
     pub(crate) fn accepted(&self) -> usize {
         self.state.accepted.load(Ordering::SeqCst)
     }
@@ -151,7 +152,7 @@
                 "ensure" => self.load(at, words[1], words[2], &mut stream)?,
                 "load" | "health" => self.report(words[1], &mut stream)?,
                 "drop" | "release" => {}
-                other => panic!("a worker was sent {other}"),
+                other => panic!("the worker received an unknown command {other:?}"),
             }
         }
     }
@@ -170,11 +171,11 @@
         let is_loaded = self.state.loaded.lock().unwrap().contains(&field(fields, "thing"));
         let is_missing = !is_loaded || (reset_percent..reset_percent + miss_percent).contains(&drawn);
         let ran = !is_draining && !is_missing;
-        let max_ms = field(fields, "max").parse().expect("a time");
+        let max_ms = field(fields, "max").parse().expect("`max` is a number of milliseconds");
         self.record(at, Command::Exec { id: id.into(), max_ms, ran });
         if !ran {
-            let word = if is_draining { "AGAIN" } else { "NOENT" };
-            return answer(stream, id, word, "-", b"");
+            let status = if is_draining { "AGAIN" } else { "NOENT" };
+            return answer(stream, id, status, "-", b"");
         }
         thread::sleep(service_time);
         if drawn < reset_percent {
@@ -200,8 +201,8 @@
 
     fn report(&self, tag: &str, stream: &mut TcpStream) -> Option<()> {
         let is_draining = self.state.is_draining.load(Ordering::SeqCst);
-        let word = if is_draining { "AILING" } else { "READY" };
-        answer(stream, tag, word, "report=queue:0", b"")
+        let status = if is_draining { "AILING" } else { "READY" };
+        answer(stream, tag, status, "report=queue:0", b"")
     }
 
     fn record(&self, at: Instant, command: Command) {
@@ -216,8 +217,8 @@
     Some(body)
 }
 
-fn answer(stream: &mut TcpStream, id: &str, word: &str, fields: &str, body: &[u8]) -> Option<()> {
-    let mut bytes = format!("{id} {word} {fields} {}\r\n", body.len()).into_bytes();
+fn answer(stream: &mut TcpStream, id: &str, status: &str, fields: &str, body: &[u8]) -> Option<()> {
+    let mut bytes = format!("{id} {status} {fields} {}\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
     bytes.extend_from_slice(b"\r\n");
     stream.write_all(&bytes).ok()
--- a/crates/gateway/tests/platform/test_servers/mod.rs
+++ b/crates/gateway/tests/platform/test_servers/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted test servers and clients around the platform's router: workers, a change log, clients, and the router's process.
+//! The platform's router as a process, with scripted workers, a change log and clients around it.
 
 mod change_log;
 mod client;
@@ -8,8 +8,8 @@
 mod worker;
 
 pub(crate) use change_log::{ChangeLog, Service};
-pub(crate) use client::{request, Client, End};
+pub(crate) use client::{request, Client, Outcome};
 pub(crate) use fleet_worker::{Behaviour, Command, FleetWorker, Received};
 pub(crate) use paced_client::{send_paced, CallRecord, PlannedCall};
-pub(crate) use router::{config, ready, Router};
-pub(crate) use worker::{good, Act, Seen, Worker};
+pub(crate) use router::{config, wait_until_ready, Router};
+pub(crate) use worker::{serving_worker, Action, ReceivedCall, Worker};
--- a/crates/gateway/tests/platform/test_servers/paced_client.rs
+++ b/crates/gateway/tests/platform/test_servers/paced_client.rs
@@ -1,36 +1,38 @@
-//! A client that sends calls by the clock, whatever becomes of the earlier ones, and notes when each was answered.
+//! An open-loop client: it sends calls at planned times, whether or not earlier ones are answered, and
+//! records the time of each answer.
 
-use super::{Client, End};
+use super::{Client, Outcome};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Open calls on one connection at most, by the protocol.
+/// The protocol's limit of open calls on one connection.
 const MAX_OPEN: usize = 32;
 
-/// A call to be sent.
+/// A call of a plan.
 #[derive(Clone, Debug)]
 pub(crate) struct PlannedCall {
-    /// When, counted from the start of the plan.
+    /// Send time, relative to the start of the plan.
     pub after: Duration,
     pub class: &'static str,
     pub function: u64,
     pub tag: u64,
-    /// How long the client waits.
+    /// The timeout sent with the call.
     pub timeout: Duration,
 }
 
-/// What became of a call.
+/// A sent call and its outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct CallRecord {
     pub sent_at: Instant,
     pub timeout: Duration,
-    /// The answer and when it came; none if none came, or the connection ended.
-    pub answer: Option<(Instant, End)>,
+    /// The answer and its arrival time; `None` if no answer arrived or the connection was closed.
+    pub answer: Option<(Instant, Outcome)>,
 }
 
-/// Sends the calls of a plan on as many connections as the protocol requires; ends `linger` after the last one was sent.
+/// Sends the calls of a plan on as many connections as the protocol's limit requires; returns `linger` after
+/// the last send.
 pub(crate) fn send_paced(address: SocketAddr, plan: &[PlannedCall], linger: Duration) -> Vec<CallRecord> {
     let start = Instant::now();
     let mut connections: Vec<Connection> = Vec::new();
@@ -54,32 +56,32 @@
 
 struct Connection {
     client: Client,
-    /// Indices of the open calls' records by their numbers.
+    /// Record indices of the open calls by call number.
     open: HashMap<u32, usize>,
-    has_ended: bool,
+    is_closed: bool,
 }
 
 impl Connection {
     fn read_answers(&mut self, records: &mut [CallRecord]) {
-        while let Some((number, end)) = self.client.numbered_answer_now() {
-            if end == End::Closed {
-                self.has_ended = true;
+        while let Some((number, outcome)) = self.client.numbered_answer_now() {
+            if outcome == Outcome::Closed {
+                self.is_closed = true;
                 return;
             }
             if let Some(index) = self.open.remove(&number) {
-                records[index].answer = Some((Instant::now(), end));
+                records[index].answer = Some((Instant::now(), outcome));
             }
         }
     }
 }
 
-/// A connection with room for another call.
+/// Returns a connection with room for another call, opening one if needed.
 fn usable_connection(connections: &mut Vec<Connection>, address: SocketAddr) -> &mut Connection {
-    let is_usable = |connection: &Connection| !connection.has_ended && connection.open.len() < MAX_OPEN;
+    let is_usable = |connection: &Connection| !connection.is_closed && connection.open.len() < MAX_OPEN;
     let index = connections.iter().position(is_usable).unwrap_or_else(|| {
         let client = Client::connect(address);
         client.stream.set_nonblocking(true).unwrap();
-        connections.push(Connection { client, open: HashMap::new(), has_ended: false });
+        connections.push(Connection { client, open: HashMap::new(), is_closed: false });
         connections.len() - 1
     });
     &mut connections[index]
--- a/crates/gateway/tests/platform/test_servers/router.rs
+++ b/crates/gateway/tests/platform/test_servers/router.rs
@@ -1,17 +1,17 @@
-//! The router under test, as a process.
+//! The router under test, as a child process.
 
 use super::{ChangeLog, Client};
 use crate::support::{until, Process};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 
-/// A running router.
+/// A running router with its configuration file and log.
 pub(crate) struct Router {
     pub process: Process,
     directory: tempfile::TempDir,
 }
 
-/// The configuration's text.
+/// A configuration that follows the log, with one class for each effect.
 pub(crate) fn config(log: &ChangeLog) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aim": 1000.0, "deadline": 3000.0, "effect": effect, "group": "cell",
@@ -19,7 +19,7 @@
     };
     json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-        "changelog": log.address.to_string(), "known": log.known(),
+        "changelog": log.address.to_string(), "known": log.snapshot(),
         "settings": {
             "categories": [class("quote", "pure"), class("booking", "token"), class("charge", "side_effect")],
             "zones": ["a"], "my_zone": "a", "machine_types": ["duo"], "instances": 1, "step": 2.0,
@@ -51,17 +51,23 @@
         std::fs::read_to_string(self.directory.path().join("log")).unwrap_or_default()
     }
 
-    /// Ends it in order and gives the sizes of its tables at the end.
+    /// Stops the router with SIGTERM and returns the table sizes that it logs on exit.
     pub(crate) fn stop(mut self) -> Vec<usize> {
         self.process.signal("TERM");
         assert_eq!(self.process.wait(), Some(0));
         let log = self.log();
-        let sizes = log.split("sizes=[").nth(1).expect("the sizes are logged").split(']').next().unwrap();
+        let sizes = log
+            .split("sizes=[")
+            .nth(1)
+            .expect("the router logs its table sizes on exit")
+            .split(']')
+            .next()
+            .unwrap();
         sizes.split(", ").map(|n| n.parse().unwrap()).collect()
     }
 }
 
-/// Waits until the router knows enough to serve.
-pub(crate) fn ready(router: &Router) {
+/// Waits until the router's readiness check succeeds.
+pub(crate) fn wait_until_ready(router: &Router) {
     until("the router to be ready", || Client::connect(router.process.address).is_ready());
 }
--- a/crates/gateway/tests/platform/test_servers/worker.rs
+++ b/crates/gateway/tests/platform/test_servers/worker.rs
@@ -1,4 +1,4 @@
-//! A worker of the line protocol that answers calls by a script.
+//! A worker of the platform's line protocol whose responses to calls are scripted.
 
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,51 +7,51 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a worker does about a call.
+/// How a scripted worker responds to a call.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
-    /// A word and a body.
-    Say(&'static str, Vec<u8>),
-    /// The same after so many milliseconds.
+pub(crate) enum Action {
+    /// Answers with a status and a body.
+    Reply(&'static str, Vec<u8>),
+    /// Answers after a delay in milliseconds.
     Later(u64, &'static str, Vec<u8>),
-    /// These bytes behind the call's id.
+    /// Sends the call's id followed by these bytes.
     Raw(Vec<u8>),
-    /// Part of an answer, and the connection ends.
-    Cut,
-    /// The connection ends without a byte.
+    /// Sends part of an answer and closes the connection.
+    Truncate,
+    /// Closes the connection without sending a byte.
     Close,
-    /// Nothing.
+    /// Sends nothing and keeps the connection open.
     Silence,
 }
 
-/// A call as a worker read it.
+/// A call as the worker received it.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct ReceivedCall {
     pub id: String,
     pub fields: String,
     pub body: Vec<u8>,
-    /// Whether its function had been ordered here since all copies went.
+    /// Whether the call's function had been loaded here since the last [`Worker::unload_all`].
     pub loaded: bool,
 }
 
-type Script = Arc<dyn Fn(&Seen, usize) -> Act + Send + Sync>;
+type Script = Arc<dyn Fn(&ReceivedCall, usize) -> Action + Send + Sync>;
 
-/// A worker that answers probes and orders well and calls as a test says.
+/// A worker that answers probes and load requests successfully, and calls by a script.
 #[derive(Clone)]
 pub(crate) struct Worker {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<Seen>>>,
-    orders: Arc<Mutex<usize>>,
+    received: Arc<Mutex<Vec<ReceivedCall>>>,
+    load_requests: Arc<Mutex<usize>>,
     loaded: Arc<Mutex<HashSet<String>>>,
 }
 
 impl Worker {
-    pub(crate) fn start(script: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static) -> Self {
+    pub(crate) fn start(script: impl Fn(&ReceivedCall, usize) -> Action + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let worker = Worker {
             address: listener.local_addr().unwrap(),
-            seen: Arc::default(),
-            orders: Arc::default(),
+            received: Arc::default(),
+            load_requests: Arc::default(),
             loaded: Arc::default(),
         };
         let (this, script): (Worker, Script) = (worker.clone(), Arc::new(script));
@@ -64,17 +64,17 @@
         worker
     }
 
-    pub(crate) fn calls(&self) -> Vec<Seen> {
-        self.seen.lock().unwrap().clone()
+    pub(crate) fn calls(&self) -> Vec<ReceivedCall> {
+        self.received.lock().unwrap().clone()
     }
 
-    /// All its copies go.
-    pub(crate) fn forget(&self) {
+    /// Drops all loaded copies.
+    pub(crate) fn unload_all(&self) {
         self.loaded.lock().unwrap().clear();
     }
 
-    pub(crate) fn orders(&self) -> usize {
-        *self.orders.lock().unwrap()
+    pub(crate) fn load_requests(&self) -> usize {
+        *self.load_requests.lock().unwrap()
     }
 
     fn serve(&self, stream: TcpStream, script: Script) -> Option<()> {
@@ -89,39 +89,39 @@
                     let mut body = vec![0; words[3].parse::<usize>().ok()? + 2];
                     reader.read_exact(&mut body).ok()?;
                     assert_eq!(body.split_off(body.len() - 2), b"\r\n");
-                    let loaded = self.loaded.lock().unwrap().contains(&thing(&words[2]));
-                    let seen = Seen { id: words[1].clone(), fields: words[2].clone(), body, loaded };
+                    let loaded = self.loaded.lock().unwrap().contains(&function_of(&words[2]));
+                    let call = ReceivedCall { id: words[1].clone(), fields: words[2].clone(), body, loaded };
                     let number = {
-                        let mut all = self.seen.lock().unwrap();
-                        all.push(seen.clone());
+                        let mut all = self.received.lock().unwrap();
+                        all.push(call.clone());
                         all.len() - 1
                     };
                     let writer = writer.clone();
-                    let say = move |id: &str, word: &str, body: &[u8]| {
-                        let mut bytes = format!("{id} {word} - {}\r\n", body.len()).into_bytes();
+                    let reply = move |id: &str, status: &str, body: &[u8]| {
+                        let mut bytes = format!("{id} {status} - {}\r\n", body.len()).into_bytes();
                         bytes.extend_from_slice(body);
                         bytes.extend_from_slice(b"\r\n");
                         let _ = writer.lock().unwrap().write_all(&bytes);
                     };
-                    match script(&seen, number) {
-                        Act::Say(word, body) => say(&seen.id, word, &body),
-                        Act::Later(ms, word, body) => drop(thread::spawn(move || {
+                    match script(&call, number) {
+                        Action::Reply(status, body) => reply(&call.id, status, &body),
+                        Action::Later(ms, status, body) => drop(thread::spawn(move || {
                             thread::sleep(Duration::from_millis(ms));
-                            say(&seen.id, word, &body);
+                            reply(&call.id, status, &body);
                         })),
-                        Act::Raw(bytes) => {
-                            let all = [seen.id.as_bytes(), &bytes].concat();
+                        Action::Raw(bytes) => {
+                            let all = [call.id.as_bytes(), &bytes].concat();
                             reader.get_mut().write_all(&all).ok()?;
                         }
-                        Act::Cut => {
+                        Action::Truncate => {
                             reader
                                 .get_mut()
-                                .write_all(format!("{} ACK - 9\r\nhal", seen.id).as_bytes())
+                                .write_all(format!("{} ACK - 9\r\nhal", call.id).as_bytes())
                                 .ok()?;
                             return None;
                         }
-                        Act::Close => return None,
-                        Act::Silence => {}
+                        Action::Close => return None,
+                        Action::Silence => {}
                     }
                 }
                 "load" | "health" => {
@@ -129,24 +129,25 @@
                     writer.lock().unwrap().write_all(ready.as_bytes()).ok()?;
                 }
                 "ensure" => {
-                    *self.orders.lock().unwrap() += 1;
-                    self.loaded.lock().unwrap().insert(thing(&words[2]));
-                    let stands = format!("{} ACK copies=1 0\r\n\r\n", words[1]);
-                    writer.lock().unwrap().write_all(stands.as_bytes()).ok()?;
+                    *self.load_requests.lock().unwrap() += 1;
+                    self.loaded.lock().unwrap().insert(function_of(&words[2]));
+                    let loaded = format!("{} ACK copies=1 0\r\n\r\n", words[1]);
+                    writer.lock().unwrap().write_all(loaded.as_bytes()).ok()?;
                 }
                 "drop" | "release" => {}
-                other => panic!("a worker was sent {other}"),
+                other => panic!("the worker received an unknown command {other:?}"),
             }
         }
         Some(())
     }
 }
 
-fn thing(fields: &str) -> String {
-    fields.split(',').find_map(|f| f.strip_prefix("thing=")).expect("a function").into()
+/// The function named by a command's field `thing`.
+fn function_of(fields: &str) -> String {
+    fields.split(',').find_map(|f| f.strip_prefix("thing=")).expect("the command has a field `thing`").into()
 }
 
-/// A worker that serves every call at once.
-pub(crate) fn good() -> Worker {
-    Worker::start(|_, _| Act::Say("ACK", b"done".to_vec()))
+/// A worker that serves every call immediately.
+pub(crate) fn serving_worker() -> Worker {
+    Worker::start(|_, _| Action::Reply("ACK", b"done".to_vec()))
 }
--- a/crates/gateway/tests/repeats.rs
+++ b/crates/gateway/tests/repeats.rs
@@ -1,17 +1,17 @@
-//! Repeats through a running gateway: a key never runs twice, whichever way it comes back.
+//! Repeated calls through a running gateway: a call with a key runs at most once, however it is repeated.
 
 mod support;
 
 use slatevalve_worker_protocol::Reply;
 use support::*;
 
-fn slow(millis: u64) -> Worker {
+fn slow_worker(millis: u64) -> Worker {
     Worker::start(move |_, _| Action::Later(millis, Reply::Served { payload: b"paid".to_vec(), ran: None }))
 }
 
 #[test]
-fn a_publish_sent_again_after_a_reconnect_while_the_first_runs_gets_the_one_answer() {
-    let worker = slow(500);
+fn a_publish_resent_after_a_reconnect_joins_the_running_call() {
+    let worker = slow_worker(500);
     let gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", true);
     client.publish("charge/card", 1, Some("k"), "c1", false);
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn a_new_publish_with_the_same_key_joins_the_running_one_also_from_another_client() {
-    let worker = slow(500);
+fn a_publish_with_the_same_key_from_another_client_joins_the_running_call() {
+    let worker = slow_worker(500);
     let gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
     let mut first = Client::connect(gateway.address(), "a", false);
     let mut second = Client::connect(gateway.address(), "b", false);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn after_the_answer_a_repeat_gets_the_record_and_another_payload_a_refusal() {
+fn a_repeat_after_the_answer_gets_the_recorded_result_and_another_payload_is_refused() {
     let worker = Worker::start(|_, _| served("paid"));
     let gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn after_the_memory_has_passed_a_repeat_is_refused_as_unknown_and_never_run() {
+fn a_repeat_after_the_retention_time_is_refused_and_not_run() {
     let worker = Worker::start(|_, _| served("paid"));
     let gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_publish_marked_as_sent_before_is_refused_by_a_gateway_that_cannot_know_it() {
+fn a_publish_marked_as_duplicate_is_refused_by_a_gateway_without_its_record() {
     let worker = Worker::start(|_, _| served("paid"));
     let gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", true);
@@ -75,20 +75,20 @@
 }
 
 #[test]
-fn a_charge_without_a_key_is_refused_with_a_plain_reason() {
+fn a_charge_without_a_key_is_refused_with_a_reason() {
     let worker = Worker::start(|_, _| served("paid"));
     let gateway = Gateway::start("(class \"charge\" (effect unsafe) (aim-ms 500) (deadline-ms 900))\n(route \"charge/+\" (class \"charge\") (function \"{2}\"))", &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
     client.publish("charge/card", 1, None, "", false);
-    let heard = client.answer();
-    assert_eq!(heard.outcome, "refused");
-    assert!(heard.reason.unwrap().contains("needs a key"));
+    let answer = client.answer();
+    assert_eq!(answer.outcome, "refused");
+    assert!(answer.reason.unwrap().contains("needs a key"));
     assert_eq!(worker.calls(), 0);
 }
 
 #[test]
-fn a_client_that_lost_its_connection_gets_the_answer_when_its_session_is_resumed() {
-    let worker = slow(300);
+fn a_client_that_lost_its_connection_receives_the_answer_when_it_resumes_its_session() {
+    let worker = slow_worker(300);
     let gateway = Gateway::start(SITE, &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", true);
     client.publish("quote/fare", 1, None, "q1", false);
@@ -100,20 +100,20 @@
 }
 
 #[test]
-fn behind_a_broker_a_redelivery_makes_one_run_and_one_answer() {
+fn a_call_that_a_broker_delivers_twice_runs_once_and_is_answered_once() {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_micros() as i64;
     let plan = format!(
         r#"{{"faults":[{{"at_us":{},"kind":{{"lose-acknowledgements":{{"prefix":"bridge","for_us":2500000}}}}}}]}}"#,
         now
     );
     let broker = Process::start(&["broker", "--plan", &plan], None);
-    let worker = slow(200);
+    let worker = slow_worker(200);
     let site = format!(
         "{SITE}\n(bridge (broker \"{}\") (client-id \"bridge\") (group \"g\") (sole-member yes) (back-off-ms 20))",
         broker.address
     );
     let gateway = Gateway::start(&site, &[("w", worker.address, "")]);
-    until("the bridge to come up", || gateway.log().contains("the broker took the connection"));
+    until("the bridge to connect", || gateway.log().contains("the broker took the connection"));
     let mut app = Client::connect(broker.address, "app", true);
     app.subscribe("replies/me");
     app.publish("charge/card", 7, Some("k"), "c1", false);
@@ -121,8 +121,8 @@
     let mut outcomes = [app.answer(), app.answer()].map(|h| (h.call, h.outcome));
     outcomes.sort();
     assert_eq!(outcomes, [("c1".into(), "served".into()), ("q1".into(), "served".into())]);
-    // The acknowledgements were not heard: once the connection has dropped, both are delivered again.
+    // The broker lost the acknowledgements: it delivers both messages again after the reconnect.
     until("the bridge to resume its session", || gateway.log().contains("resumed=true"));
-    assert!(app.is_quiet(600), "answered twice");
+    assert!(app.is_quiet(600), "a redelivered call was answered again");
     assert_eq!(worker.calls(), 2);
 }
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Documents of settings in a registry, by several processes: who wins, who is awaited, what a killed driver leaves.
+//! Settings documents in a registry, published by several processes: concurrent publishers, routers whose
+//! confirmation is outstanding, and a driver that is killed.
 
 mod support;
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// A router's right to act, without a router around it.
+/// A router's lease logic without the rest of the router.
 struct Router<'a> {
     fleet: &'a Fleet,
     began: Instant,
@@ -46,26 +47,27 @@
         self.holder.send_permission(self.now())
     }
 
-    /// Numbers of the documents that it acts by.
-    fn acts_by(&self) -> Vec<u64> {
+    /// Numbers of the documents whose rules the router applies.
+    fn active_documents(&self) -> Vec<u64> {
         self.holder.active_settings().unwrap().versions().map(|e| e.number).collect()
     }
 
     fn read(&self) -> Snapshot {
         let (key, range_end) = (Bytes::of("/slatevalve/agreement/"), Bytes::of("/slatevalve/agreement0"));
-        let ask = RangeRequest { key, range_end, ..RangeRequest::default() };
-        let body = post_to_registry(&self.fleet.registry_address(), RANGE, &ask);
+        let request = RangeRequest { key, range_end, ..RangeRequest::default() };
+        let body = post_to_registry(&self.fleet.registry_address(), RANGE, &request);
         let answer: RangeResponse = serde_json::from_slice(&body).unwrap();
         snapshot(&Keys::new("/slatevalve/"), &answer.kvs)
     }
 
-    /// Hears what stands there, and asks for what it wants until it wants nothing.
+    /// Observes the state in the registry, and sends the lease requests until the holder has none left.
     fn poll(&mut self) {
         loop {
             let snapshot = self.read();
             if let Some(state) = &snapshot.state {
-                let of = |e| snapshot.document(e).map(Document::lease_terms).unwrap();
-                let documents: Vec<LeaseTerms> = state.value.active_settings.versions().map(of).collect();
+                let lease_terms = |version| snapshot.document(version).map(Document::lease_terms).unwrap();
+                let documents: Vec<LeaseTerms> =
+                    state.value.active_settings.versions().map(lease_terms).collect();
                 let _ = self.holder.observe_state(state, &documents);
             }
             match self.holder.next_request(self.now()) {
@@ -74,8 +76,8 @@
                     let _ = self.holder.on_read(snapshot.leases.get(&self.id));
                 }
                 Some(LeaseRequest::Write(txn)) => {
-                    let end = self.write(txn);
-                    self.holder.on_written(end);
+                    let outcome = self.write(txn);
+                    self.holder.on_written(outcome);
                 }
             }
         }
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn a_document_is_checked_whole_and_compared_before_anybody_acts_by_it() {
+fn a_document_is_checked_and_compared_before_it_is_published() {
     let fleet = Fleet::start("go-on");
     let (one, two) = (fleet.file("one.scm", UNSAFE), fleet.file("two.scm", KEYED));
     let (one, two) = (one.to_str().unwrap(), two.to_str().unwrap());
@@ -101,63 +103,66 @@
     let (code, found) = fleet.settings(&["diff", one, two]);
     assert_eq!((code, &found["contradictions"][0]["field"]), (Some(1), &json!("class \"charge\" effect")));
     assert_eq!(found["stricter-meanwhile"], json!(["charge"]));
-    // Another worth contradicts nothing.
+    // A different `worth` is no contradiction.
     let worth = fleet.file("worth.scm", &UNSAFE.replace("(aim-ms", "(worth 5) (aim-ms"));
     assert_eq!(fleet.settings(&["diff", one, worth.to_str().unwrap()]).0, Some(0));
-    let whole = fleet.text(UNSAFE);
+    let valid = fleet.text(UNSAFE);
     let own = "(mqtt (listen \"127.0.0.1:1\"))";
-    for (wrong, words) in [
-        (format!("{own}{whole}"), "wrong.scm:1: (mqtt ...): is a router's own and stands in no document"),
+    for (invalid, expected) in [
+        (format!("{own}{valid}"), "wrong.scm:1: (mqtt ...): is a router's own and stands in no document"),
         (
-            whole.replace("(effect unsafe)", "(effect sometimes)"),
+            valid.replace("(effect unsafe)", "(effect sometimes)"),
             "wrong.scm:1: (effect ...): expected safe, unsafe",
         ),
-        (whole.replace("600", "1"), "wrong.scm:5: (agreement ...): a right lasts for 100 ms at least"),
-        (whole.replace("go-on", "perhaps"), "expected go-on or give-up, found perhaps"),
-        (whole.clone() + "(later-form 1)", "(later-form ...) is not known here"),
-        (whole.clone() + "(class \"open\"", "wrong.scm"),
+        (valid.replace("600", "1"), "wrong.scm:5: (agreement ...): a right lasts for 100 ms at least"),
+        (valid.replace("go-on", "perhaps"), "expected go-on or give-up, found perhaps"),
+        (valid.clone() + "(later-form 1)", "(later-form ...) is not known here"),
+        (valid.clone() + "(class \"open\"", "wrong.scm"),
     ] {
         let path = fleet.directory.path().join("wrong.scm");
-        std::fs::write(&path, wrong).unwrap();
+        std::fs::write(&path, invalid).unwrap();
         let output = fleet.output(&["publish", path.to_str().unwrap(), "--why", "wrong"]);
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && told.contains(words), "{words}: {told}");
+        let error = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success() && error.contains(expected), "expected {expected:?} in {error}");
     }
-    assert_eq!(fleet.status(), json!({"published": false}), "nothing of it was published");
+    assert_eq!(fleet.status(), json!({"published": false}), "an invalid document was published");
 }
 
 #[test]
-fn routers_act_by_both_documents_until_all_have_said_yes() {
+fn routers_apply_both_documents_until_all_have_confirmed_the_new_one() {
     let fleet = Fleet::start("go-on");
     assert_eq!(fleet.publish(UNSAFE, "5").1, json!({"committed": true, "number": 1}));
     let mut routers = ["a", "b/1", "c"].map(|name| fleet.router(name));
     routers.iter_mut().for_each(Router::poll);
     assert!(routers.iter().all(|r| r.send_permission() == SendPermission::All));
-    let (code, told) = fleet.publish(KEYED, "0");
-    assert_eq!((code, told["awaited"].clone()), (Some(3), json!(["a", "b/1", "c"])));
+    let (code, output) = fleet.publish(KEYED, "0");
+    assert_eq!((code, output["awaited"].clone()), (Some(3), json!(["a", "b/1", "c"])));
     routers[0].poll();
-    assert_eq!((routers[0].acts_by(), routers[1].acts_by()), (vec![1, 2], vec![1]));
-    let (code, told) = fleet.settings(&["drive", "--wait-s", "0"]);
-    assert_eq!((code, told["awaited"].clone()), (Some(3), json!(["b/1", "c"])));
+    assert_eq!((routers[0].active_documents(), routers[1].active_documents()), (vec![1, 2], vec![1]));
+    let (code, output) = fleet.settings(&["drive", "--wait-s", "0"]);
+    assert_eq!((code, output["awaited"].clone()), (Some(3), json!(["b/1", "c"])));
     let rows = fleet.status()["routers"].clone();
     assert_eq!(
         rows[0],
         json!({"router": "a", "life": "life-of-a", "acts-by": [1, 2], "said-yes": true, "in-doubt": "go-on"})
     );
-    // Only one change at a time; and a document that was not committed can be taken back.
+    // Only one document can be prepared at a time.
     let other = fleet.file("three", &KEYED.replace("9000", "8000"));
     let output = fleet.output(&["publish", other.to_str().unwrap(), "--why", "three"]);
     assert!(String::from_utf8_lossy(&output.stderr).contains("document 2 is prepared and not yet committed"));
     routers[1..].iter_mut().for_each(Router::poll);
     assert_eq!(fleet.settings(&["drive"]).1, json!({"committed": true, "number": 2}));
     routers.iter_mut().for_each(Router::poll);
-    assert!(routers.iter().all(|r| r.acts_by() == [2] && r.send_permission() == SendPermission::All));
-    // Back to the document before, under a number of its own, while all say yes.
+    assert!(routers
+        .iter()
+        .all(|r| r.active_documents() == [2] && r.send_permission() == SendPermission::All));
+    // A rollback publishes the previous document under a new number and waits for all confirmations; until it
+    // is committed, a second rollback withdraws it.
     let rollback = fleet.settings(&["rollback", "--wait-s", "0"]);
     assert_eq!(rollback.0, Some(3));
     assert_eq!(fleet.settings(&["rollback"]).1, json!({"withdrawn": true}));
     routers.iter_mut().for_each(Router::poll);
-    assert!(routers.iter().all(|r| r.acts_by() == [2]));
+    assert!(routers.iter().all(|r| r.active_documents() == [2]));
     let numbers =
         |v: &Value| v.as_array().unwrap().iter().map(|d| d["number"].as_u64().unwrap()).collect::<Vec<_>>();
     let history = fleet.settings(&["history"]).1;
@@ -166,7 +171,7 @@
 }
 
 #[test]
-fn a_driver_that_is_killed_leaves_a_change_that_any_other_ends() {
+fn a_change_whose_driver_was_killed_is_completed_by_any_other() {
     let fleet = Fleet::start("go-on");
     fleet.publish(UNSAFE, "5");
     let mut router = fleet.router("a");
@@ -177,7 +182,7 @@
     killed.kill().unwrap();
     killed.wait().unwrap();
     assert_eq!(fleet.committed(), 1);
-    // Two others at once end it as one.
+    // Two concurrent drivers commit the change once.
     let mut others = [fleet.spawn(&["drive"]), fleet.spawn(&["drive"])];
     router.poll();
     for other in &mut others {
@@ -187,7 +192,7 @@
 }
 
 #[test]
-fn of_two_documents_published_at_once_one_wins() {
+fn of_four_documents_published_at_once_one_is_prepared() {
     let fleet = Fleet::start("go-on");
     fleet.publish(UNSAFE, "5");
     let mut router = fleet.router("a");
@@ -206,47 +211,48 @@
 }
 
 #[test]
-fn who_never_says_yes_is_waited_for_until_declared_gone() {
+fn a_change_waits_for_a_router_that_does_not_confirm_until_it_is_declared_gone() {
     let fleet = Fleet::start("go-on");
     fleet.publish(UNSAFE, "5");
     let (mut gone, mut stays) = (fleet.router("gone"), fleet.router("stays"));
     gone.poll();
     stays.poll();
-    let (code, told) = fleet.publish(KEYED, "0");
+    let (code, output) = fleet.publish(KEYED, "0");
     stays.poll();
-    assert_eq!((code, told["committed"].clone()), (Some(3), json!(false)));
-    let (code, told) = fleet.settings(&["drive", "--wait-s", "1"]);
-    assert_eq!((code, told["awaited"].clone()), (Some(3), json!(["gone"])), "longer than a right lasts");
-    assert_eq!(gone.send_permission(), SendPermission::All, "it goes on by the rules it has");
+    assert_eq!((code, output["committed"].clone()), (Some(3), json!(false)));
+    let (code, output) = fleet.settings(&["drive", "--wait-s", "1"]);
+    assert_eq!(
+        (code, output["awaited"].clone()),
+        (Some(3), json!(["gone"])),
+        "the wait is longer than a lease"
+    );
+    assert_eq!(gone.send_permission(), SendPermission::All, "it continues under the rules it has");
     assert_eq!(fleet.settings(&["declare-gone", "nobody"]).0, Some(2));
     assert_eq!(fleet.settings(&["declare-gone", "gone"]).1, json!({"gone": "gone", "lives": 1}));
     assert_eq!(fleet.settings(&["drive"]).1, json!({"committed": true, "number": 2}));
-    // Should it be alive after all, it finds that out by its next question and acts by the new document alone.
+    // If the router is still running, its next poll shows that it was declared gone, and it applies the new
+    // document alone.
     gone.poll();
-    assert_eq!((gone.acts_by(), gone.send_permission()), (vec![2], SendPermission::All));
+    assert_eq!((gone.active_documents(), gone.send_permission()), (vec![2], SendPermission::All));
 }
 
 #[test]
-fn a_right_that_was_given_up_holds_nothing_up_and_binds_until_it_ends() {
+fn with_give_up_a_change_is_committed_once_the_lease_of_an_unreachable_router_has_expired() {
     let fleet = Fleet::start("give-up");
     fleet.publish(UNSAFE, "5");
     let mut cut = fleet.router("cut");
     cut.poll();
-    let (asked, may) = (cut.now(), cut.send_permission());
-    assert_eq!(may, SendPermission::All);
+    let (leased_at, permission) = (cut.now(), cut.send_permission());
+    assert_eq!(permission, SendPermission::All);
     let (code, _) = fleet.publish(KEYED, "20");
     let committed = cut.now();
     assert_eq!((code, fleet.committed()), (Some(0), 2));
     assert!(
-        committed - asked >= 550_000,
-        "committed while the right may have stood: {} us",
-        committed - asked
-    );
-    assert_eq!(
-        cut.send_permission(),
-        SendPermission::Safe,
-        "what it may have been in doubt about it does not send"
+        committed - leased_at >= 550_000,
+        "committed after {} us, while the lease may still have been valid",
+        committed - leased_at
     );
+    assert_eq!(cut.send_permission(), SendPermission::Safe, "without a lease only safe calls may be sent");
     cut.poll();
-    assert_eq!((cut.acts_by(), cut.send_permission()), (vec![2], SendPermission::All));
+    assert_eq!((cut.active_documents(), cut.send_permission()), (vec![2], SendPermission::All));
 }
--- a/crates/gateway/tests/stored_forms.rs
+++ b/crates/gateway/tests/stored_forms.rs
@@ -1,9 +1,10 @@
-//! What operators write for the gateway, and what it writes for them, as fixed literals.
+//! Compatibility of operators' files and tools, checked against fixed literals.
 //!
-//! Settings files, commands on the admin socket, tools that read its answers, and recorded lists of workers outlive a
-//! version. Each literal must be read, and written where the program writes it, as it stands here, whatever the
-//! identifiers in the code are called. A test that fails here says that operators' files or tools would break; the
-//! literal is not to be adapted to the code. Forms and fields are those of `docs/operators/*.md`.
+//! Settings files, commands on the admin socket, tools that parse its answers, and recorded worker lists
+//! outlive a version of the program. Each literal must be read, and where the program writes it written,
+//! exactly as given here, whatever the identifiers in the code are called. A failing test means that
+//! operators' files or tools would break: fix the code, not the literal. `docs/operators/*.md` describes the
+//! forms and fields.
 
 mod support;
 
@@ -18,9 +19,10 @@
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
 use std::path::Path;
-use support::{command, Gateway, PATIENCE};
+use support::{command, Gateway, MAX_WAIT};
 
-/// Forms that stand in documents as well, with every field. Each figure is one of its own.
+/// The forms that settings documents may contain as well, with every field. The numbers differ, so that a
+/// value that is read into the wrong field is noticed.
 const SHARED: &str = r#"
 (class "quote" (effect safe) (aim-ms 801) (deadline-ms 3001) (worth 2.5) (late-worth 0.25) (aim-stretch 0.5))
 (class "booking" (effect keyed (group cell) (window-ms 6002)) (aim-ms 1502) (deadline-ms 3002))
@@ -44,7 +46,7 @@
 (keys (most 1000032) (result-bytes 1048533) (forgotten-for 34))
 "#;
 
-/// A router's own forms.
+/// Forms that only a router's own file may contain.
 const OWN: &str = r#"
 (gateway (name "gw-1") (zone "hall-a") (routers 41) (seed 42) (answer-margin-ms 43) (max-open 20044) (max-functions 65545) (stop-within-ms 5046))
 (mqtt (listen "127.0.0.1:1883") (max-packet 1048551) (receive-maximum 252) (topic-aliases 53) (session-expiry-ms 600054)
@@ -56,7 +58,7 @@
   (max-packet 1048562) (session-expiry-s 3663) (keep-alive-s 64) (back-off-ms 165) (longest-back-off-ms 10066) (connect-timeout-ms 5067))
 "#;
 
-/// With `DIR` for a folder that holds the password.
+/// `DIR` stands for a directory that contains the password file.
 const PLUGINS: &str = r#"
 (plugins (folder "DIR/plugins") (unlisted yes) (plain-switch no) (admin "DIR/admin.sock") (scrub-mb-per-s 7.5)
   (rollout (orders-at-once 71) (first-part 0.72) (step-ms 73) (judged-after 74) (more-failures 0.75) (more-late 0.76) (give-up-ms 77))
@@ -82,34 +84,35 @@
 
     fn write(&self, name: &str, text: &str) -> String {
         let path = self.0.path().join(name);
-        std::fs::write(&path, self.here(text)).unwrap();
+        std::fs::write(&path, self.expand(text)).unwrap();
         path.to_str().unwrap().into()
     }
 
-    fn here(&self, text: &str) -> String {
+    fn expand(&self, text: &str) -> String {
         text.replace("DIR", self.0.path().to_str().unwrap())
     }
 
     fn site(&self, text: &str) -> Site {
-        Site::parse("site.scm", &self.here(text), &Clock::start(), Named::default()).unwrap()
+        Site::parse("site.scm", &self.expand(text), &Clock::start(), Named::default()).unwrap()
     }
 
-    /// What the binary prints of a settings file.
-    fn check(&self, more: &[&str], text: &str) -> String {
+    /// The standard output of a command that is given a settings file with this text; the command must
+    /// succeed.
+    fn check(&self, arguments: &[&str], text: &str) -> String {
         let file = self.write("site.scm", text);
-        let output = command(&[more, &[&file]].concat());
+        let output = command(&[arguments, &[&file]].concat());
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         String::from_utf8(output.stdout).unwrap()
     }
 }
 
-/// The shared forms without the workers, which do not stand beside `members`.
+/// The shared forms without the workers, which a file with `members` may not list.
 fn without_workers() -> String {
     SHARED.lines().filter(|line| !line.starts_with("(worker ")).collect::<Vec<_>>().join("\n")
 }
 
 #[test]
-fn the_check_of_a_file_with_every_form_and_field_keeps_its_answer() {
+fn check_prints_the_same_output_for_a_file_with_every_form_and_field() {
     let files = Files::new();
     let text = format!("{OWN}{SHARED}{BRIDGE}{PLUGINS}");
     let json = files.check(&["check", "--json"], &text);
@@ -120,7 +123,7 @@
 }
 
 #[test]
-fn a_field_that_is_not_known_is_refused_in_every_form() {
+fn an_unknown_field_is_rejected_in_every_form() {
     let files = Files::new();
     let whole = format!("{OWN}{SHARED}{BRIDGE}{PLUGINS}");
     let forms = [
@@ -144,14 +147,14 @@
         "(registry \"http://127.0.0.1:5000/site/rules\" ",
     ];
     for form in forms {
-        let text = files.here(&whole.replacen(form, &format!("{form}(no-such-field 1) "), 1));
+        let text = files.expand(&whole.replacen(form, &format!("{form}(no-such-field 1) "), 1));
         let error = Site::parse("site.scm", &text, &Clock::start(), Named::default()).unwrap_err();
         assert!(error.to_string().contains("no-such-field"), "{form}: {error}");
     }
 }
 
 #[test]
-fn the_fields_of_gateway_mqtt_and_bridge_are_read_to_their_own_places() {
+fn the_fields_of_gateway_mqtt_and_bridge_are_read_into_their_settings() {
     let site = Files::new().site(&format!("{OWN}{SHARED}{BRIDGE}"));
     assert_eq!(
         (site.name.as_str(), site.zone.as_str(), site.stop_within),
@@ -178,7 +181,7 @@
 }
 
 #[test]
-fn the_fields_of_the_shared_forms_are_read_to_their_own_places() {
+fn the_fields_of_the_shared_forms_are_read_into_their_settings() {
     let site = Files::new().site(&format!("{OWN}{SHARED}"));
     let (balancer, quote) = (&site.engine.balancer, &site.engine.balancer.classes[0]);
     assert_eq!((quote.latency_objective, quote.deadline), (Micros(801_000), Micros(3_001_000)));
@@ -218,11 +221,11 @@
 }
 
 #[test]
-fn the_fields_of_plugins_are_read_to_their_own_places() {
+fn the_fields_of_plugins_are_read_into_their_settings() {
     let files = Files::new();
     let plugins = files.site(&format!("{OWN}{SHARED}{PLUGINS}")).plugins.unwrap();
-    assert_eq!(plugins.folder, Path::new(&files.here("DIR/plugins")));
-    assert_eq!(plugins.admin.as_deref(), Some(Path::new(&files.here("DIR/admin.sock"))));
+    assert_eq!(plugins.folder, Path::new(&files.expand("DIR/plugins")));
+    assert_eq!(plugins.admin.as_deref(), Some(Path::new(&files.expand("DIR/admin.sock"))));
     assert_eq!((plugins.unlisted, plugins.on_call, plugins.scrub_per_s), (true, true, 7_500_000));
     assert!(plugins.terms.keys.is_some());
     let rollout = plugins.rollout.unwrap();
@@ -240,14 +243,14 @@
 }
 
 #[test]
-fn the_fields_of_members_are_read_to_their_own_places() {
+fn the_fields_of_members_are_read_into_their_settings() {
     let files = Files::new();
     let shared = without_workers();
     let site = files.site(&format!("{OWN}{shared}{MEMBERS}"));
     let Some(MemberSource::Registry(members)) = site.members else { panic!("{:?}", site.members) };
     assert_eq!(members.addresses.len(), 3);
-    assert_eq!(members.remember.as_deref(), Some(Path::new(&files.here("DIR/remember.json"))));
-    assert_eq!(members.record.as_deref(), Some(Path::new(&files.here("DIR/record.jsonl"))));
+    assert_eq!(members.remember.as_deref(), Some(Path::new(&files.expand("DIR/remember.json"))));
+    assert_eq!(members.record.as_deref(), Some(Path::new(&files.expand("DIR/record.jsonl"))));
     assert_eq!((members.router_count.min_routers, members.router_count.hold_us), (97, 98_099_000));
     let client = &members.client;
     assert_eq!((client.prefix.as_str(), client.relays, client.clients), ("/site/", 1, 41));
@@ -264,7 +267,7 @@
 }
 
 #[test]
-fn a_document_and_a_routers_own_file_beside_it_are_read() {
+fn a_document_and_the_router_file_that_refers_to_its_registry_are_read() {
     let files = Files::new();
     let document = format!("{SHARED}(agreement (in-doubt give-up) (right-ms 701) (clock-error-ppm 702))");
     let printed = files.check(&["settings", "--json", "check"], &document);
@@ -277,11 +280,11 @@
     let file = files.write("own.scm", &format!("{OWN}{own}"));
     let (agreed, _) = VersionedSettings::read(Path::new(&file)).unwrap().unwrap();
     assert_eq!((agreed.name.as_str(), agreed.prefix.as_str()), ("gw-1", "/site/"));
-    assert_eq!(agreed.incarnation_file.as_deref(), Some(Path::new(&files.here("DIR/lives"))));
-    assert_eq!(agreed.remembered_file.as_deref(), Some(Path::new(&files.here("DIR/last"))));
+    assert_eq!(agreed.incarnation_file.as_deref(), Some(Path::new(&files.expand("DIR/lives"))));
+    assert_eq!(agreed.remembered_file.as_deref(), Some(Path::new(&files.expand("DIR/last"))));
 }
 
-/// A command, and the line of JSON that says it.
+/// Each command of the admin socket and its JSON line.
 fn commands() -> [(PluginCommand, &'static str); 12] {
     let text = |t: &str| t.to_string();
     let (name, version) = (text("fare"), text("1"));
@@ -328,14 +331,14 @@
 }
 
 #[test]
-fn every_command_of_the_admin_socket_keeps_its_line() {
+fn every_command_of_the_admin_socket_keeps_its_json() {
     for (command, literal) in commands() {
         assert_eq!(serde_json::to_string(&command).unwrap(), literal);
         assert_eq!(serde_json::from_str::<PluginCommand>(literal).unwrap(), command);
     }
 }
 
-/// A catalogue as it lies in the folder.
+/// A catalogue as stored in the plug-in folder.
 const CATALOGUE: &str = r#"{"functions":{"fare":{"versions":{
 "1":{"digest":"sha256:87eb5fe88de13a013598546a62f38a2f9a0105db51e883f114e83d7d685e575c","manifest":{"name":"fare","version":"1","class":"quote","layers":[]},"state":"whole","signatures":[{"key":"release","value":"AAAA"}]},
 "2":{"digest":"sha256:0202020202020202020202020202020202020202020202020202020202020202","manifest":{"name":"fare","version":"2","class":"quote","layers":[]},"state":"whole"},
@@ -343,13 +346,13 @@
 "aliases":{"current":{"version":"1","revision":1,"history":[{"revision":1,"at_ms":5,"who":"anna","from":null,"to":"1"}]}}}},
 "quarantined":{"sha256:0202020202020202020202020202020202020202020202020202020202020202":{"reason":"recalled","at_ms":70,"held":true}}}"#;
 
-/// Digest and manifest of the version that is whole.
+/// Digest and manifest of version 1, the only one whose manifest is in the blob store.
 const ONE: (&str, &str) = (
     "87eb5fe88de13a013598546a62f38a2f9a0105db51e883f114e83d7d685e575c",
     r#"{"name":"fare","version":"1","class":"quote","layers":[]}"#,
 );
 
-/// Lines to the admin socket, each with the line that answers it.
+/// Lines sent to the admin socket, each with the answer line.
 const ANSWERS: [(&str, &str); 12] = [
     (r#"{"do":"list"}"#, r#"{"done":[{"current":"1","name":"fare","quarantined":1,"versions":3}]}"#),
     (
@@ -403,22 +406,22 @@
     let site = r#"(class "quote" (effect safe) (aim-ms 1000) (deadline-ms 4000))
         (route "quote/+" (class "quote") (function "{2}"))
         (plugins (folder "DIR/plugins") (admin "DIR/admin.sock") (scrub-mb-per-s 0))"#;
-    let gateway = Gateway::start(&files.here(site), &[]);
+    let gateway = Gateway::start(&files.expand(site), &[]);
     let mut socket = UnixStream::connect(files.0.path().join("admin.sock")).unwrap();
-    socket.set_read_timeout(Some(PATIENCE)).unwrap();
+    socket.set_read_timeout(Some(MAX_WAIT)).unwrap();
     let mut answers = BufReader::new(socket.try_clone().unwrap());
-    let (mut told, mut wanted) = (String::new(), String::new());
-    for (asked, answer) in ANSWERS {
-        writeln!(socket, "{asked}").unwrap();
-        answers.read_line(&mut told).unwrap();
-        wanted += &format!("{answer}\n");
+    let (mut received, mut expected) = (String::new(), String::new());
+    for (request, answer) in ANSWERS {
+        writeln!(socket, "{request}").unwrap();
+        answers.read_line(&mut received).unwrap();
+        expected += &format!("{answer}\n");
     }
-    assert_eq!(told, wanted);
+    assert_eq!(received, expected);
     drop(gateway);
 }
 
-fn news() -> Vec<MembershipEvent> {
-    let least = WorkerRecord {
+fn membership_events() -> Vec<MembershipEvent> {
+    let minimal = WorkerRecord {
         address: "127.0.0.1:9001".parse().unwrap(),
         zone: "default".into(),
         kind: "default".into(),
@@ -427,19 +430,21 @@
         state: MemberState::Ready,
         up_since_unix_ms: None,
     };
-    let most = WorkerRecord {
+    let complete = WorkerRecord {
         zone: "hall-a".into(),
         kind: "small".into(),
         cell: 3,
         weight: 1.5,
         state: MemberState::Draining,
         up_since_unix_ms: Some(1_700_000_000_000.0),
-        ..least.clone()
+        ..minimal.clone()
     };
     vec![
-        MembershipEvent::Full([("n1".to_string(), least.clone()), ("n2".to_string(), most.clone())].into()),
-        MembershipEvent::Remembered([("n1".to_string(), least)].into()),
-        MembershipEvent::Changes(vec![("n2".into(), Some(most)), ("n1".into(), None)]),
+        MembershipEvent::Full(
+            [("n1".to_string(), minimal.clone()), ("n2".to_string(), complete.clone())].into(),
+        ),
+        MembershipEvent::Remembered([("n1".to_string(), minimal)].into()),
+        MembershipEvent::Changes(vec![("n2".into(), Some(complete)), ("n1".into(), None)]),
         MembershipEvent::Refused,
         MembershipEvent::Routers(3),
     ]
@@ -457,20 +462,20 @@
     let files = Files::new();
     let path = files.0.path().join("record.jsonl");
     let mut recorder = Recorder::open(&path).unwrap();
-    for (n, news) in news().iter().enumerate() {
-        recorder.record(Micros(7 + 250 * n as i64), news).unwrap();
+    for (n, event) in membership_events().iter().enumerate() {
+        recorder.record(Micros(7 + 250 * n as i64), event).unwrap();
     }
     assert_eq!(std::fs::read_to_string(path).unwrap(), RECORDED);
 }
 
 #[test]
-fn a_recorded_list_of_workers_is_played_as_it_says() {
-    let path = Files::new();
-    let file = path.write("record.jsonl", RECORDED);
+fn a_recorded_list_of_workers_is_replayed_at_its_times() {
+    let files = Files::new();
+    let file = files.write("record.jsonl", RECORDED);
     let mut source = ReplaySource::open(Path::new(&file)).unwrap();
     let mut reactor = Reactor::new(1_024).unwrap();
     source.advance(Micros(90), &mut reactor);
-    assert_eq!(source.take_membership_events(), news()[..1]);
+    assert_eq!(source.take_membership_events(), membership_events()[..1]);
     source.advance(Micros(90 + 4 * 250), &mut reactor);
-    assert_eq!(source.take_membership_events(), news()[1..]);
+    assert_eq!(source.take_membership_events(), membership_events()[1..]);
 }
--- a/crates/gateway/tests/support/documents.rs
+++ b/crates/gateway/tests/support/documents.rs
@@ -1,4 +1,4 @@
-//! Documents of settings in a registry of their own, and the commands on them.
+//! Settings documents in a dedicated registry, and the `settings` commands that manage them.
 
 use super::*;
 use serde_json::Value;
@@ -14,9 +14,9 @@
 pub(crate) struct Documents {
     pub registry: Process,
     pub directory: tempfile::TempDir,
-    /// What routers do, by each of them, that cannot renew their lease to act.
+    /// Value of `in-doubt` in each document: what routers do that cannot renew their lease.
     pub expiry_policy: &'static str,
-    /// The workers of each of them.
+    /// Names and addresses of the workers in each document.
     pub workers: Vec<(String, SocketAddr)>,
 }
 
@@ -30,14 +30,14 @@
         self.registry.address.to_string()
     }
 
-    /// A document of these forms.
+    /// The text of a document with these forms, the common ones and the workers.
     pub(crate) fn text(&self, forms: &str) -> String {
         let workers = self.workers.iter().map(|(n, a)| format!("(worker \"{n}\" (address \"{a}\"))"));
         let agreement = format!("(agreement (right-ms 600) (in-doubt {}))", self.expiry_policy);
         format!("{forms}{COMMON}{}{agreement}", workers.collect::<String>())
     }
 
-    /// A file with such a document.
+    /// Writes such a document to a file in the fleet's directory.
     pub(crate) fn file(&self, name: &str, forms: &str) -> PathBuf {
         let path = self.directory.path().join(name);
         std::fs::write(&path, self.text(forms)).unwrap();
@@ -55,13 +55,13 @@
         command(&all.iter().map(String::as_str).collect::<Vec<_>>())
     }
 
-    /// Exit code, and what was printed.
+    /// Runs a command and returns its exit code and its JSON output; `Null` if it printed no JSON.
     pub(crate) fn settings(&self, more: &[&str]) -> (Option<i32>, Value) {
         let output = self.output(more);
         (output.status.code(), serde_json::from_slice(&output.stdout).unwrap_or(Value::Null))
     }
 
-    /// A command that is not waited for.
+    /// Starts a command without waiting for it to exit.
     pub(crate) fn spawn(&self, more: &[&str]) -> Child {
         let mut command = Command::new(env!("CARGO_BIN_EXE_slatevalve"));
         command.args(self.arguments(more)).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway as a child process, workers that do what a test says, and a plain MQTT client.
-#![allow(dead_code)] // each test file uses its part
+//! Runs a gateway as a child process, with scripted workers and a minimal MQTT client.
+#![allow(dead_code)] // each test file uses a part of this module
 
 pub(crate) mod documents;
 
@@ -18,10 +18,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing that a test waits for takes so long.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound of every wait; a test that waits longer fails.
+pub(crate) const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Classes and routes of a small site.
+/// Classes and routes of a small site, one class for each effect and one with a short deadline.
 pub(crate) const SITE: &str = r#"
 (class "quote" (effect safe) (aim-ms 1000) (deadline-ms 5000))
 (class "booking" (effect keyed (group cell) (window-ms 20000)) (aim-ms 1000) (deadline-ms 5000))
@@ -33,21 +33,21 @@
 (route "brief/+" (class "brief") (function "{2}"))
 "#;
 
-/// Waits until something holds.
-pub(crate) fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls a condition until it is true; `what` names it in the failure message.
+pub(crate) fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain: {what}");
+    while !condition() {
+        assert!(start.elapsed() < MAX_WAIT, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Runs the binary to its end; one that finds none is killed.
+/// Runs the binary until it exits, and kills it after [`MAX_WAIT`].
 pub(crate) fn command(arguments: &[&str]) -> std::process::Output {
     command_in(arguments, &[])
 }
 
-/// The same with variables of the environment that name files.
+/// Like [`command`], with environment variables that name files.
 pub(crate) fn command_in(arguments: &[&str], environment: &[(&str, &Path)]) -> std::process::Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_slatevalve"));
     command
@@ -58,28 +58,29 @@
         .stderr(Stdio::piped());
     let child = command.spawn().unwrap();
     let pid = child.id().to_string();
-    let (tell, ended) = std::sync::mpsc::channel();
-    thread::spawn(move || tell.send(child.wait_with_output()));
-    match ended.recv_timeout(PATIENCE) {
+    let (sender, output) = std::sync::mpsc::channel();
+    thread::spawn(move || sender.send(child.wait_with_output()));
+    match output.recv_timeout(MAX_WAIT) {
         Ok(output) => output.unwrap(),
         Err(_) => {
             let _ = Command::new("kill").args(["-s", "KILL", &pid]).status();
-            // Reaped by the thread, which tells then.
-            let _ = ended.recv_timeout(PATIENCE);
-            panic!("no end within {PATIENCE:?}: {arguments:?}");
+            // The thread reaps the killed process and then sends its output.
+            let _ = output.recv_timeout(MAX_WAIT);
+            panic!("the command did not exit within {MAX_WAIT:?}: {arguments:?}");
         }
     }
 }
 
-/// A key or value as the registry's JSON mapping has it.
+/// A key or value as encoded in the registry's JSON mapping.
 pub(crate) fn registry_bytes(text: &str) -> serde_json::Value {
     serde_json::to_value(slatevalve_registry::wire::Bytes::of(text)).unwrap()
 }
 
-/// Asks a registry something by its JSON mapping and gives the body of its answer, which must be a good one.
+/// Sends a request in the registry's JSON mapping and returns the body of the answer, whose status must be
+/// 200.
 pub(crate) fn post_to_registry(address: &str, path: &str, body: &impl serde::Serialize) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
     let body = serde_json::to_string(body).unwrap();
     let head = format!("POST {path} HTTP/1.1\r\nHost: r\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     stream.write_all(head.as_bytes()).unwrap();
@@ -89,7 +90,7 @@
     assert!(line.starts_with("HTTP/1.1 200"), "{line}");
     while line != "\r\n" {
         line.clear();
-        assert!(answer.read_line(&mut line).unwrap() > 0, "the answer ends within its head");
+        assert!(answer.read_line(&mut line).unwrap() > 0, "the connection closed within the answer's head");
         if let Some((name, value)) =
             line.split_once(':').filter(|(n, _)| n.eq_ignore_ascii_case("content-length"))
         {
@@ -101,7 +102,7 @@
     bytes
 }
 
-/// A child that says "ready ADDRESS".
+/// A child process that has printed `ready ADDRESS`.
 pub(crate) struct Process {
     pub child: Child,
     pub address: SocketAddr,
@@ -112,7 +113,7 @@
         Process::start_in(arguments, &[], log)
     }
 
-    /// The same with variables of the environment that name files.
+    /// Like [`Process::start`], with environment variables that name files.
     pub(crate) fn start_in(arguments: &[&str], environment: &[(&str, &Path)], log: Option<&Path>) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_slatevalve"));
         command.envs(environment.iter().copied()).args(arguments).stdin(Stdio::null()).stdout(Stdio::piped());
@@ -126,7 +127,7 @@
         let Some(address) = address else {
             let _ = child.kill();
             let _ = child.wait();
-            panic!("not ready: {line:?}");
+            panic!("expected a line `ready ADDRESS`, got {line:?}");
         };
         Process { child, address }
     }
@@ -136,17 +137,18 @@
         assert!(Command::new("kill").args(["-s", name, &pid]).status().unwrap().success());
     }
 
-    /// Sets how many descriptors it may have from now on; open ones stay. Returns the limit before.
+    /// Sets the limit of open file descriptors and returns the previous one. Descriptors that are open stay
+    /// open.
     pub(crate) fn set_descriptor_limit(&self, limit: u64) -> u64 {
         use rustix::process::{prlimit, Pid, Resource, Rlimit};
         let process = Pid::from_child(&self.child);
         let current = rustix::process::getrlimit(Resource::Nofile);
         let before =
             prlimit(Some(process), Resource::Nofile, Rlimit { current: Some(limit), ..current }).unwrap();
-        before.current.expect("a limit")
+        before.current.expect("the descriptor limit is unlimited")
     }
 
-    /// Lets it run on one processor core only.
+    /// Restricts the process to one processor core.
     pub(crate) fn pin_to_core(&self, core: usize) {
         let process = rustix::process::Pid::from_child(&self.child);
         let mut cores = rustix::thread::CpuSet::new();
@@ -154,14 +156,18 @@
         rustix::thread::sched_setaffinity(Some(process), &cores).unwrap();
     }
 
-    /// Waits for its end and gives its exit code.
+    /// Waits until the process exits and returns its exit code; `None` if a signal ended it.
     pub(crate) fn wait(&mut self) -> Option<i32> {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
-            assert!(start.elapsed() < PATIENCE, "the child does not end");
+            assert!(
+                start.elapsed() < MAX_WAIT,
+                "process {} did not exit within {MAX_WAIT:?}",
+                self.child.id()
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -174,7 +180,7 @@
     }
 }
 
-/// A running gateway and its files.
+/// A running gateway with its settings file and log.
 pub(crate) struct Gateway {
     pub process: Process,
     directory: tempfile::TempDir,
@@ -182,17 +188,17 @@
 }
 
 impl Gateway {
-    /// Starts one before workers, each a name, an address and further fields.
+    /// Starts a gateway in front of workers, each given as name, address and further fields.
     pub(crate) fn start(site: &str, workers: &[(&str, SocketAddr, &str)]) -> Self {
         Gateway::start_with("", site, workers)
     }
 
-    /// The same under a name of its own.
+    /// Like [`Gateway::start`], with a gateway name other than the default `g`.
     pub(crate) fn start_named(name: &str, site: &str, workers: &[(&str, SocketAddr, &str)]) -> Self {
         Gateway::start_as(name, "", site, workers)
     }
 
-    /// The same with further fields of the gateway form.
+    /// Like [`Gateway::start`], with further fields in the `gateway` form.
     pub(crate) fn start_with(fields: &str, site: &str, workers: &[(&str, SocketAddr, &str)]) -> Self {
         Gateway::start_as("g", fields, site, workers)
     }
@@ -225,29 +231,29 @@
         std::fs::read_to_string(self.directory.path().join("log")).unwrap_or_default()
     }
 
-    /// Writes a new worker list, sends SIGHUP and waits until it was read.
-    pub(crate) fn relist(&self, workers: &[(&str, SocketAddr, &str)]) {
+    /// Writes a new worker list, sends SIGHUP and waits until the gateway has reloaded it.
+    pub(crate) fn reload_workers(&self, workers: &[(&str, SocketAddr, &str)]) {
         let count = |log: &str| log.matches("worker list read again").count();
         let before = count(&self.log());
         std::fs::write(self.file(), Self::text(&self.site, workers)).unwrap();
         self.process.signal("HUP");
-        until("the list to be read", || count(&self.log()) > before);
+        until("the gateway to reload the worker list", || count(&self.log()) > before);
     }
 }
 
-/// What a worker does about a call.
+/// How a scripted worker responds to a call.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
     Answer(Reply),
-    /// After so many milliseconds.
+    /// Answers after a delay in milliseconds.
     Later(u64, Reply),
-    /// These bytes, and the connection stays.
+    /// Sends these bytes and keeps the connection open.
     Raw(Vec<u8>),
-    /// The first half of an answer, and the connection ends.
+    /// Sends the first half of an answer and closes the connection.
     Half(Reply),
-    /// The connection ends without a byte.
+    /// Closes the connection without sending a byte.
     Close,
-    /// Nothing.
+    /// Sends nothing and keeps the connection open.
     Silence,
 }
 
@@ -255,19 +261,19 @@
     Action::Answer(Reply::Served { payload: text.into(), ran: Some("7".into()) })
 }
 
-/// A worker that answers probes and orders well and calls as a test says.
+/// A worker that answers probes and load requests successfully, and calls as a script decides.
 #[derive(Clone)]
 pub(crate) struct Worker {
     pub address: SocketAddr,
     calls: Arc<Mutex<Vec<(Instant, slatevalve_worker_protocol::Call)>>>,
-    orders: Arc<Mutex<Vec<WorkerRequest>>>,
-    /// Readers that have taken bytes and not yet counted what they say.
+    load_requests: Arc<Mutex<Vec<WorkerRequest>>>,
+    /// Connections that have read bytes and not yet counted the requests in them.
     reading: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
 }
 
 impl Worker {
-    /// `act` is given the call and how many calls this worker had before it.
+    /// `act` receives the call and the number of calls that this worker received before it.
     pub(crate) fn start(
         act: impl Fn(&slatevalve_worker_protocol::Call, usize) -> Action + Send + Sync + 'static,
     ) -> Self {
@@ -275,7 +281,7 @@
         let worker = Worker {
             address: listener.local_addr().unwrap(),
             calls: Arc::default(),
-            orders: Arc::default(),
+            load_requests: Arc::default(),
             reading: Arc::default(),
             stop: Arc::default(),
         };
@@ -298,28 +304,29 @@
         let mut reader = MessageReader::new(Side::Request, Limits::default());
         let mut bytes = [0; 4096];
         loop {
-            // Bytes are with the kernel, or with a reader that says so: see `settled`.
-            let waited = stream.peek(&mut bytes[..1]);
+            // Unprocessed bytes are either in the kernel's buffer or covered by `reading`: see
+            // `wait_until_idle`.
+            let peeked = stream.peek(&mut bytes[..1]);
             self.reading.fetch_add(1, Ordering::SeqCst);
-            let message = match waited.and_then(|_| stream.read(&mut bytes)) {
+            let message = match peeked.and_then(|_| stream.read(&mut bytes)) {
                 Ok(0) | Err(_) => Err(()),
                 Ok(count) => reader.feed(&bytes[..count]).map_err(|_| ()),
             };
-            let order = message.map(|m| m.map(|m| ParsedRequest::read(m).unwrap().request));
-            let before = match &order {
-                Ok(Some(order)) => self.count(order),
+            let request = message.map(|m| m.map(|m| ParsedRequest::read(m).unwrap().request));
+            let before = match &request {
+                Ok(Some(request)) => self.count(request),
                 _ => 0,
             };
             self.reading.fetch_sub(1, Ordering::SeqCst);
-            let Ok(order) = order else { return };
-            let act = match order {
+            let Ok(request) = request else { return };
+            let action = match request {
                 None => continue,
                 Some(WorkerRequest::Infer(call)) => act(&call, before),
                 Some(WorkerRequest::Ready) => Action::Answer(Reply::Ready),
                 Some(WorkerRequest::Load { copies, .. }) => Action::Answer(Reply::Copies(copies)),
                 Some(_) => Action::Answer(Reply::Copies(0)),
             };
-            let done = match act {
+            let closes = match action {
                 Action::Answer(reply) => stream.write_all(&reply.encode(None, None)).is_err(),
                 Action::Later(millis, reply) => {
                     thread::sleep(Duration::from_millis(millis));
@@ -334,56 +341,58 @@
                 Action::Close => true,
                 Action::Silence => false,
             };
-            if done {
+            if closes {
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
             }
         }
     }
 
-    /// Counts a call or an order to load, and gives how many calls came before.
-    fn count(&self, order: &WorkerRequest) -> usize {
+    /// Records a call or a load request, and returns the number of calls received before it.
+    fn count(&self, request: &WorkerRequest) -> usize {
         let mut calls = self.calls.lock().unwrap();
         let before = calls.len();
-        match order {
+        match request {
             WorkerRequest::Infer(call) => calls.push((Instant::now(), call.clone())),
-            WorkerRequest::Load { .. } => self.orders.lock().unwrap().push(order.clone()),
+            WorkerRequest::Load { .. } => self.load_requests.lock().unwrap().push(request.clone()),
             _ => {}
         }
         before
     }
 
-    /// Waits until all that was written to this worker so far is counted: none of it is with the kernel, none with a reader.
-    pub(crate) fn settled(&self) {
+    /// Waits until everything that was written to this worker so far is counted: nothing is left in the
+    /// kernel's buffers or with a reader.
+    pub(crate) fn wait_until_idle(&self) {
         let port = format!(":{:04X}", self.address.port());
-        until("the worker to have read what came", || {
+        until("the worker to read all received bytes", || {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
             let rows = table.lines().skip(1).map(|l| l.split_whitespace().collect::<Vec<_>>());
-            // Of a row: the local address, the state (0A listens: its queue holds connections), and "sent:unread" in hex.
+            // Columns 1, 3 and 4: local address, state (0A is LISTEN, whose queue holds connections), and
+            // "sent:unread" in hex.
             let unread = |row: &Vec<&str>| row[3] != "0A" && !row[4].ends_with(":00000000");
             !rows.filter(|row| row[1].ends_with(&port)).any(|row| unread(&row))
                 && self.reading.load(Ordering::SeqCst) == 0
         });
     }
 
-    /// How many calls came.
+    /// Number of received calls.
     pub(crate) fn calls(&self) -> usize {
         self.calls.lock().unwrap().len()
     }
 
-    /// The payloads of the calls that came, in order.
+    /// Payloads of the received calls, in order of arrival.
     pub(crate) fn payloads(&self) -> Vec<String> {
         let calls = self.calls.lock().unwrap();
         calls.iter().map(|(_, c)| String::from_utf8_lossy(&c.payload).into_owned()).collect()
     }
 
-    /// Calls and orders to load that came.
+    /// Number of received calls and load requests.
     pub(crate) fn calls_and_loads(&self) -> usize {
-        self.calls() + self.orders.lock().unwrap().len()
+        self.calls() + self.load_requests.lock().unwrap().len()
     }
 }
 
-/// An answer as a client gets it.
+/// The answer to a call, as published to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CallAnswer {
     pub outcome: String,
@@ -391,35 +400,35 @@
     pub payload: String,
     pub recorded: bool,
     pub ran: Option<String>,
-    /// Numbers of the settings documents.
+    /// Numbers of the settings documents under which the call was handled; absent without versioned settings.
     pub settings: Option<String>,
     pub call: String,
 }
 
-/// A plain blocking MQTT 5 client.
+/// A minimal blocking MQTT 5 client.
 pub(crate) struct Client {
     stream: TcpStream,
     mqtt: Connection<role::Client>,
-    heard: VecDeque<CallAnswer>,
+    answers: VecDeque<CallAnswer>,
     packets: Vec<Packet>,
     pub session_present: bool,
 }
 
 impl Client {
-    /// Connects; a session that lives on without a connection where `lasting`.
-    pub(crate) fn connect(address: SocketAddr, id: &str, lasting: bool) -> Self {
+    /// Connects and waits for the CONNACK. A `persistent` session outlives its connection by 60 s.
+    pub(crate) fn connect(address: SocketAddr, id: &str, persistent: bool) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
         let mut mqtt = Connection::new(Version::V5_0);
         mqtt.set_auto_pub_response(true);
-        let (heard, packets) = (VecDeque::new(), Vec::new());
-        let mut client = Client { stream, mqtt, heard, packets, session_present: false };
-        let expiry = SessionExpiryInterval::new(if lasting { 60 } else { 0 }).unwrap();
-        let builder = v5_0::Connect::builder().client_id(id).unwrap().clean_start(!lasting);
+        let (answers, packets) = (VecDeque::new(), Vec::new());
+        let mut client = Client { stream, mqtt, answers, packets, session_present: false };
+        let expiry = SessionExpiryInterval::new(if persistent { 60 } else { 0 }).unwrap();
+        let builder = v5_0::Connect::builder().client_id(id).unwrap().clean_start(!persistent);
         client.send(builder.props(vec![expiry.into()]).build().unwrap().into());
         let start = Instant::now();
         while client.packets.is_empty() {
-            assert!(start.elapsed() < PATIENCE, "no CONNACK");
+            assert!(start.elapsed() < MAX_WAIT, "no CONNACK");
             client.read();
         }
         client.session_present =
@@ -429,24 +438,26 @@
 
     fn send(&mut self, packet: Packet) {
         let events = self.mqtt.send(packet);
-        self.carry(events);
+        self.handle_events(events);
     }
 
-    fn carry(&mut self, events: Vec<Event>) {
+    fn handle_events(&mut self, events: Vec<Event>) {
         for event in events {
             match event {
                 Event::RequestSendPacket { packet, .. } => {
                     let _ = self.stream.write_all(&packet.to_continuous_buffer());
                 }
-                Event::NotifyPacketReceived(Packet::V5_0Publish(p)) => self.heard.push_back(Self::hear(&p)),
+                Event::NotifyPacketReceived(Packet::V5_0Publish(p)) => {
+                    self.answers.push_back(Self::parse_answer(&p))
+                }
                 Event::NotifyPacketReceived(packet) => self.packets.push(packet),
                 _ => {}
             }
         }
     }
 
-    fn hear(publish: &v5_0::Publish) -> CallAnswer {
-        let told = |name: &str| {
+    fn parse_answer(publish: &v5_0::Publish) -> CallAnswer {
+        let property = |name: &str| {
             publish.props().iter().find_map(|p| match p {
                 Property::UserProperty(p) if p.key() == name => Some(p.val().to_string()),
                 _ => None,
@@ -457,12 +468,12 @@
             _ => None,
         });
         CallAnswer {
-            outcome: told("outcome").unwrap_or_default(),
-            reason: told("reason"),
+            outcome: property("outcome").unwrap_or_default(),
+            reason: property("reason"),
             payload: String::from_utf8_lossy(publish.payload().as_slice()).into_owned(),
-            recorded: told("recorded").is_some(),
-            ran: told("ran"),
-            settings: told("settings"),
+            recorded: property("recorded").is_some(),
+            ran: property("ran"),
+            settings: property("settings"),
             call: call.unwrap_or_default(),
         }
     }
@@ -473,23 +484,24 @@
         let mut cursor = Cursor::new(&bytes[..count]);
         while (cursor.position() as usize) < count {
             let events = self.mqtt.recv(&mut cursor);
-            self.carry(events);
+            self.handle_events(events);
         }
     }
 
-    /// Subscribes and waits for the acknowledgement.
+    /// Subscribes with QoS 1 and waits for the SUBACK.
     pub(crate) fn subscribe(&mut self, filter: &str) {
         let id = self.mqtt.acquire_packet_id().unwrap();
         let entries = vec![SubEntry::new(filter, SubOpts::new().set_qos(Qos::AtLeastOnce)).unwrap()];
         self.send(v5_0::Subscribe::builder().packet_id(id).entries(entries).build().unwrap().into());
         let start = Instant::now();
         while !self.packets.iter().any(|p| matches!(p, Packet::V5_0Suback(_))) {
-            assert!(start.elapsed() < PATIENCE, "no SUBACK");
+            assert!(start.elapsed() < MAX_WAIT, "no SUBACK");
             self.read();
         }
     }
 
-    /// Publishes with QoS 1 under a packet id of the test's choice; the payload names the call as well.
+    /// Publishes with QoS 1 and the given packet id; `call` is both the payload and, in its first 100 bytes,
+    /// the correlation data.
     pub(crate) fn publish(&mut self, topic: &str, id: u16, key: Option<&str>, call: &str, dup: bool) {
         let mut properties: Vec<Property> = vec![
             ResponseTopic::new("replies/me").unwrap().into(),
@@ -503,40 +515,41 @@
         self.send(publish.into());
     }
 
-    /// The next answer.
+    /// Waits for the next answer.
     pub(crate) fn answer(&mut self) -> CallAnswer {
         self.answer_or(String::new)
     }
 
-    /// The next answer; where none comes, what `words` gives is said.
-    pub(crate) fn answer_or(&mut self, words: impl Fn() -> String) -> CallAnswer {
+    /// Waits for the next answer; if none arrives, the failure message includes the result of `context`.
+    pub(crate) fn answer_or(&mut self, context: impl Fn() -> String) -> CallAnswer {
         let start = Instant::now();
         loop {
-            if let Some(heard) = self.heard.pop_front() {
-                return heard;
+            if let Some(answer) = self.answers.pop_front() {
+                return answer;
             }
-            assert!(start.elapsed() < PATIENCE, "no answer {}", words());
+            assert!(start.elapsed() < MAX_WAIT, "no answer within {MAX_WAIT:?} {}", context());
             self.read();
         }
     }
 
-    /// Whether no further answer comes within a while. (That one comes late can only make a test pass wrongly.)
+    /// Whether no further answer arrives within `millis`. An answer that arrives later is missed, so this can
+    /// pass wrongly but not fail wrongly.
     pub(crate) fn is_quiet(&mut self, millis: u64) -> bool {
         let start = Instant::now();
         while start.elapsed() < Duration::from_millis(millis) {
             self.read();
         }
-        self.heard.is_empty()
+        self.answers.is_empty()
     }
 
-    /// Calls and waits for the answer.
+    /// Publishes a call and waits for the next answer.
     pub(crate) fn call(&mut self, topic: &str, id: u16, key: Option<&str>, call: &str) -> CallAnswer {
         self.publish(topic, id, key, call, false);
         self.answer()
     }
 
-    /// Sends bytes as they are.
-    pub(crate) fn raw(&mut self, bytes: &[u8]) {
+    /// Writes bytes to the socket unchanged.
+    pub(crate) fn send_raw(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 }
