--- a/crates/blobs/src/store.rs
+++ b/crates/blobs/src/store.rs
@@ -69,7 +69,7 @@
         let content = self.files.read(&path)?;
         if Digest::of(&content) != *digest {
             self.files.remove(&path)?;
-            return Err(VerifyError::Other.into());
+            return Err(VerifyError::Mismatch.into());
         }
         Ok(content)
     }
@@ -167,7 +167,7 @@
         let path = staged_path(name);
         if Digest::of(&self.files.read(&path)?) != *digest {
             self.files.remove(&path)?;
-            return Err(VerifyError::Other.into());
+            return Err(VerifyError::Mismatch.into());
         }
         self.sync_and_rename(&path, &blob_path(digest))
     }
--- a/crates/blobs/tests/power.rs
+++ b/crates/blobs/tests/power.rs
@@ -77,7 +77,7 @@
     let digest = Digest::of(b"rules");
     let mut partial = store.open_partial(digest, 5).unwrap();
     store.append(&mut partial, b"rulez").unwrap();
-    assert!(matches!(store.commit(partial), Err(BlobError::Corrupt(VerifyError::Other))));
+    assert!(matches!(store.commit(partial), Err(BlobError::Corrupt(VerifyError::Mismatch))));
     let mut partial = store.open_partial(digest, 5).unwrap();
     assert_eq!(partial.stored_bytes(), 0);
     assert!(matches!(
--- a/crates/gateway/src/commands/plugin/signing.rs
+++ b/crates/gateway/src/commands/plugin/signing.rs
@@ -32,7 +32,7 @@
 pub(super) fn sign(folder: &mut PluginFolder, name: &str, version: &str, key: &Path, id: &str) -> Answer {
     let text = fs::read_to_string(key).map_err(|e| format!("{}: {e}", key.display()))?;
     let secret = SigningSecret::parse(&text).map_err(|e| format!("{}: {e}", key.display()))?;
-    let reference = Reference { name: name.into(), selector: Selector::Word(version.into()) };
+    let reference = Reference { name: name.into(), selector: Selector::AliasOrVersion(version.into()) };
     let found = folder.catalogue()?.resolve(&reference)?;
     let signature = secret.sign(id, &found.digest);
     let command = Command::Sign { name: name.into(), version: found.version, signature };
--- a/crates/gateway/src/plugins/background.rs
+++ b/crates/gateway/src/plugins/background.rs
@@ -123,7 +123,7 @@
     }
 
     /// Events since the last call.
-    pub fn told(&self) -> Vec<BackgroundEvent> {
+    pub fn drain_events(&self) -> Vec<BackgroundEvent> {
         self.told.try_iter().collect()
     }
 }
--- a/crates/gateway/src/plugins/command.rs
+++ b/crates/gateway/src/plugins/command.rs
@@ -204,7 +204,7 @@
     let parsed: Reference = reference.parse().map_err(|e| FolderError::Layer(format!("{reference}: {e}")))?;
     let digest = folder.change(|catalogue, _| {
         let digest = catalogue.resolve(&parsed)?.digest;
-        catalogue.hold(digest, reason, unix_ms());
+        catalogue.quarantine_by_operator(digest, reason, unix_ms());
         Ok(digest)
     })?;
     Ok(json!({"digest": digest, "reason": reason}))
--- a/crates/gateway/src/plugins/folder.rs
+++ b/crates/gateway/src/plugins/folder.rs
@@ -226,7 +226,7 @@
     /// When there is no such version, or its content is not whole.
     pub fn package(&mut self, name: &str, version: &str) -> Result<Package> {
         let catalogue = self.catalogue()?;
-        let reference = Reference { name: name.into(), selector: Selector::Word(version.into()) };
+        let reference = Reference { name: name.into(), selector: Selector::AliasOrVersion(version.into()) };
         let found = catalogue.resolve(&reference)?;
         let config = self.store.read(&found.digest)?;
         let layers = found.manifest.layers.iter().map(|layer| Ok(self.store.read(&layer.digest)?.into()));
--- a/crates/gateway/src/server/plugins/calls.rs
+++ b/crates/gateway/src/server/plugins/calls.rs
@@ -3,7 +3,7 @@
 use super::{run_name, PluginHost};
 use slatevalve::Micros;
 use slatevalve_engine::{Answer, Call, FunctionTraits, Reason, Ticket, Verdict, Version};
-use slatevalve_plugins::{CatalogueError, Digest, Direction, Observed, Reference, Resolved, Selector};
+use slatevalve_plugins::{CatalogueError, Digest, Observation, Reference, Resolved, Selector, Side};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// A call that was accepted for a version and has no answer yet.
@@ -45,8 +45,8 @@
             accepted_at: now,
             latency_objective: objective,
         };
-        self.catalogue.opened(version.digest);
-        self.observe(now, &open, Observed::Began);
+        self.catalogue.call_opened(version.digest);
+        self.observe(now, &open, Observation::CallStarted);
         self.calls.insert(call.ticket, open);
         Version {
             name: version.version.as_str().into(),
@@ -59,7 +59,8 @@
     /// admit that.
     fn resolve_function(&mut self, now: Micros, call: &Call) -> Result<Option<ResolvedFunction>, Reason> {
         let reference: Option<Reference> = call.function.parse().ok();
-        let Some(reference) = reference.filter(|reference| self.catalogue.knows(&reference.name)) else {
+        let Some(reference) = reference.filter(|reference| self.catalogue.contains_function(&reference.name))
+        else {
             return if self.settings.unlisted { Ok(None) } else { Err(Reason::UnknownVersion) };
         };
         let version = match self.resolve_reference(call, &reference) {
@@ -82,8 +83,8 @@
         }
         if let Some(active) = self.rollouts.get(&reference.name) {
             return match active.rollout.side(hash_fraction(call)) {
-                Direction::Old => self.check_runnable(&active.old),
-                Direction::New => self.check_runnable(&active.new),
+                Side::Old => self.check_runnable(&active.old),
+                Side::New => self.check_runnable(&active.new),
             };
         }
         match self.stable.get(&reference.name) {
@@ -113,28 +114,28 @@
         let same_version =
             answer.version.as_ref().is_some_and(|version| *version.digest == *call.digest.to_string());
         if answer.recorded || !same_version || answer.attempts == 0 {
-            return self.observe(now, &call, Observed::Withdrawn);
+            return self.observe(now, &call, Observation::CallWithdrawn);
         }
         let served = matches!(answer.verdict, Verdict::Served { .. });
         let late = now.0.saturating_sub(call.accepted_at.0) > call.latency_objective.0;
-        self.observe(now, &call, |side| Observed::Ended { side, served, late });
+        self.observe(now, &call, |side| Observation::CallEnded { side, served, late });
     }
 
     /// Closes a call that gets no answer.
     pub(in crate::server) fn call_withdrawn(&mut self, now: Micros, ticket: Ticket) {
         if let Some(call) = self.close_call(ticket) {
-            self.observe(now, &call, Observed::Withdrawn);
+            self.observe(now, &call, Observation::CallWithdrawn);
         }
     }
 
     fn close_call(&mut self, ticket: Ticket) -> Option<OpenCall> {
         let call = self.calls.remove(&ticket)?;
-        self.catalogue.closed(call.digest);
+        self.catalogue.call_closed(call.digest);
         Some(call)
     }
 
     /// Reports a call to its function's rollout, where one is active.
-    fn observe(&mut self, now: Micros, call: &OpenCall, observation: impl FnOnce(Direction) -> Observed) {
+    fn observe(&mut self, now: Micros, call: &OpenCall, observation: impl FnOnce(Side) -> Observation) {
         if let Some(active) = self.rollouts.get_mut(&call.name) {
             active.observe(now, &call.digest, observation);
         }
--- a/crates/gateway/src/server/plugins/commands.rs
+++ b/crates/gateway/src/server/plugins/commands.rs
@@ -47,7 +47,7 @@
     /// Takes what the background worker reported since the last time; returns the replies for the admin socket, in order.
     pub(in crate::server) fn take_results(&mut self, now: Micros, engine: &Engine) -> Vec<AdminReply> {
         let mut replies = Vec::new();
-        for result in self.background.told() {
+        for result in self.background.drain_events() {
             match result {
                 BackgroundEvent::Progress(Requester::Admin(connection), done, total) => {
                     let body = json!({"progress": [done, total]});
--- a/crates/gateway/src/server/plugins/mod.rs
+++ b/crates/gateway/src/server/plugins/mod.rs
@@ -19,7 +19,7 @@
 use slatevalve::Micros;
 use slatevalve_engine::{Engine, Output, Ticket};
 use slatevalve_oci::{PullQueue, PullQueueSettings};
-use slatevalve_plugins::{Catalogue, CatalogueError, Digest, Reference, Resolved, Selector, Terms};
+use slatevalve_plugins::{AdmissionPolicy, Catalogue, CatalogueError, Digest, Reference, Resolved, Selector};
 use slatevalve_reactor::Waker;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -113,9 +113,9 @@
     }
 
     /// Sets what versions must fulfil from now on: keys may change while a gateway runs.
-    pub(super) fn require(&mut self, terms: Terms) {
-        self.catalogue.require(terms.clone());
-        self.settings.terms = terms;
+    pub(super) fn set_admission_policy(&mut self, policy: AdmissionPolicy) {
+        self.catalogue.set_admission_policy(policy.clone());
+        self.settings.admission_policy = policy;
     }
 
     /// Starts the next pull, and advances rollouts.
@@ -149,7 +149,7 @@
         }
         for name in self.names() {
             for version in self.catalogue.versions(&name).unwrap_or_default() {
-                if version.quarantine.is_some_and(|quarantine| !quarantine.held) {
+                if version.quarantine.is_some_and(|quarantine| !quarantine.by_operator) {
                     self.pull_queue.enqueue(now.0, &format!("{name}@{}", version.version));
                 }
             }
@@ -173,7 +173,7 @@
         error!(version, reason, "in quarantine: content does not match its digest");
     }
     let mut catalogue = folder.catalogue()?;
-    catalogue.require(settings.terms.clone());
+    catalogue.set_admission_policy(settings.admission_policy.clone());
     for (digest, reason) in catalogue.barred() {
         warn!(%digest, %reason, "version is not allowed to run here");
     }
--- a/crates/gateway/src/server/plugins/rollouts.rs
+++ b/crates/gateway/src/server/plugins/rollouts.rs
@@ -7,7 +7,7 @@
 use slatevalve::Micros;
 use slatevalve_engine::{Engine, Output};
 use slatevalve_plugins::{
-    Catalogue, Digest, Direction, Ended, Observed, Resolved, Rollout, RolloutRequest, CURRENT,
+    Catalogue, Digest, Observation, Resolved, Rollout, RolloutOutcome, RolloutRequest, Side, CURRENT,
 };
 use tracing::{info, warn};
 
@@ -42,11 +42,11 @@
         &mut self,
         now: Micros,
         digest: &Digest,
-        observation: impl FnOnce(Direction) -> Observed,
+        observation: impl FnOnce(Side) -> Observation,
     ) {
         let side = match digest {
-            d if *d == self.new.digest => Direction::New,
-            d if *d == self.old.digest => Direction::Old,
+            d if *d == self.new.digest => Side::New,
+            d if *d == self.old.digest => Side::Old,
             _ => return,
         };
         self.rollout.observe(now.0, observation(side));
@@ -60,17 +60,17 @@
         load_timeout: Micros,
         engine: &mut Engine,
         outputs: &mut Vec<Output>,
-    ) -> Option<Ended> {
+    ) -> Option<RolloutOutcome> {
         let (old, new) = (run_name(name, &self.old.digest), run_name(name, &self.new.digest));
         while self.rollout.copies().0 < engine.loaded_replicas(&new) {
             self.load_requests.pop();
-            self.rollout.observe(now.0, Observed::Stands);
+            self.rollout.observe(now.0, Observation::CopyLoaded);
         }
         self.expire_load_requests(now, load_timeout);
         if let RolloutRequest::Copies(count) = self.rollout.load_request() {
             for _ in 0..engine.expect_load(now, &new, &old, count, outputs) {
                 self.load_requests.push(now);
-                self.rollout.observe(now.0, Observed::Ordered);
+                self.rollout.observe(now.0, Observation::LoadRequested);
             }
         }
         self.rollout.advance(now.0)
@@ -80,7 +80,7 @@
         let before = self.load_requests.len();
         self.load_requests.retain(|sent_at| now.0 - sent_at.0 < load_timeout.0);
         for _ in self.load_requests.len()..before {
-            self.rollout.observe(now.0, Observed::OrderFailed);
+            self.rollout.observe(now.0, Observation::LoadFailed);
         }
     }
 }
@@ -90,9 +90,9 @@
     /// that moved again during a rollout is rolled out anew from the version before.
     pub(super) fn replace_catalogue(&mut self, now: Micros, engine: &Engine, mut catalogue: Catalogue) {
         for call in self.calls.values() {
-            catalogue.opened(call.digest);
+            catalogue.call_opened(call.digest);
         }
-        catalogue.require(self.settings.terms.clone());
+        catalogue.set_admission_policy(self.settings.admission_policy.clone());
         self.catalogue = catalogue;
         for name in self.names() {
             if let Ok(target) = self.current(&name) {
@@ -159,14 +159,14 @@
         }
     }
 
-    fn complete_rollout(&mut self, name: &str, end: Ended) {
+    fn complete_rollout(&mut self, name: &str, outcome: RolloutOutcome) {
         let Some(active) = self.rollouts.remove(name) else { return };
-        match end {
-            Ended::Moved => {
+        match outcome {
+            RolloutOutcome::Completed => {
                 info!(name, version = active.new.version, "the move is done");
                 self.stable.insert(name.into(), active.new);
             }
-            Ended::Back(reason) => {
+            RolloutOutcome::RolledBack(reason) => {
                 let (from, to) = (active.new.version.as_str(), active.old.version.as_str());
                 warn!(name, from, to, reason, "rollout rolled back");
                 self.roll_back(name, &active.old, &active.new);
--- a/crates/gateway/src/server/reload.rs
+++ b/crates/gateway/src/server/reload.rs
@@ -24,7 +24,7 @@
     fn apply_reloaded(&mut self, site: Site) {
         info!(workers = site.workers.len(), "worker list read again");
         if let (Some(plugins), Some(settings)) = (&mut self.plugins, site.plugins) {
-            plugins.require(settings.terms);
+            plugins.set_admission_policy(settings.admission_policy);
         }
         self.site.named = site.named;
         self.site.workers = site.workers.clone();
--- a/crates/gateway/src/settings/plugins.rs
+++ b/crates/gateway/src/settings/plugins.rs
@@ -2,7 +2,7 @@
 
 use super::forms::{credentials, millis_as_us, optional, optional_path, sub_form, whole, Res};
 use slatevalve_oci::{Credentials, Location, Policy, PullSettings};
-use slatevalve_plugins::{ClassRights, KeyList, RolloutSettings, Terms};
+use slatevalve_plugins::{AdmissionPolicy, ClassRights, KeyList, RolloutSettings};
 use slatevalve_sexpr::{Fields, Form};
 use std::path::PathBuf;
 
@@ -24,7 +24,7 @@
     /// Bytes of stored content that are verified again in a second; 0 for none.
     pub scrub_per_s: u64,
     /// What a version must fulfil to run.
-    pub terms: Terms,
+    pub admission_policy: AdmissionPolicy,
 }
 
 /// The default rate at which stored content is verified again, in megabytes a second.
@@ -55,20 +55,21 @@
         on_call: source.as_ref().is_some_and(|source| source.on_call),
         registry: source.map(|source| source.settings),
         scrub_per_s: (scrub_mb_per_s * 1e6) as u64,
-        terms: Terms { keys, rights: Some(rights) },
+        admission_policy: AdmissionPolicy { keys, rights: Some(rights) },
     }))
 }
 
 fn rollout(fields: &mut Fields<'_>) -> Res<RolloutSettings> {
     let mut rollout = RolloutSettings::default();
     let Some(mut form) = sub_form(fields, "rollout")? else { return Ok(rollout) };
-    rollout.orders_at_once = whole(&mut form, "orders-at-once", rollout.orders_at_once, 1_000)?;
-    rollout.first_part = form.or("first-part", rollout.first_part, Form::number)?.clamp(0.001, 1.0);
+    rollout.max_load_requests = whole(&mut form, "orders-at-once", rollout.max_load_requests, 1_000)?;
+    rollout.initial_fraction =
+        form.or("first-part", rollout.initial_fraction, Form::number)?.clamp(0.001, 1.0);
     rollout.step_us = millis_as_us(&mut form, "step-ms", rollout.step_us)?;
-    rollout.judged_after = whole(&mut form, "judged-after", rollout.judged_after, 1_000_000)?;
-    rollout.more_failures = form.or("more-failures", rollout.more_failures, Form::number)?;
-    rollout.more_late = form.or("more-late", rollout.more_late, Form::number)?;
-    rollout.give_up_us = millis_as_us(&mut form, "give-up-ms", rollout.give_up_us)?;
+    rollout.min_calls = whole(&mut form, "judged-after", rollout.min_calls, 1_000_000)?;
+    rollout.failure_tolerance = form.or("more-failures", rollout.failure_tolerance, Form::number)?;
+    rollout.lateness_tolerance = form.or("more-late", rollout.lateness_tolerance, Form::number)?;
+    rollout.first_copy_timeout_us = millis_as_us(&mut form, "give-up-ms", rollout.first_copy_timeout_us)?;
     form.finish()?;
     Ok(rollout)
 }
--- a/crates/gateway/tests/stored_forms.rs
+++ b/crates/gateway/tests/stored_forms.rs
@@ -224,11 +224,11 @@
     assert_eq!(plugins.folder, Path::new(&files.here("DIR/plugins")));
     assert_eq!(plugins.admin.as_deref(), Some(Path::new(&files.here("DIR/admin.sock"))));
     assert_eq!((plugins.unlisted, plugins.on_call, plugins.scrub_per_s), (true, true, 7_500_000));
-    assert!(plugins.terms.keys.is_some());
+    assert!(plugins.admission_policy.keys.is_some());
     let rollout = plugins.rollout.unwrap();
-    assert_eq!((rollout.orders_at_once, rollout.first_part, rollout.step_us), (71, 0.72, 73_000));
-    assert_eq!((rollout.judged_after, rollout.more_failures, rollout.more_late), (74, 0.75, 0.76));
-    assert_eq!(rollout.give_up_us, 77_000);
+    assert_eq!((rollout.max_load_requests, rollout.initial_fraction, rollout.step_us), (71, 0.72, 73_000));
+    assert_eq!((rollout.min_calls, rollout.failure_tolerance, rollout.lateness_tolerance), (74, 0.75, 0.76));
+    assert_eq!(rollout.first_copy_timeout_us, 77_000);
     let pull = plugins.registry.unwrap();
     let login = pull.credentials.unwrap();
     assert_eq!((login.user.as_str(), login.password.as_str()), ("reader", "secret"));
--- a/crates/oci/src/pull.rs
+++ b/crates/oci/src/pull.rs
@@ -312,7 +312,7 @@
     /// Requests an image manifest that did not match its digest once more.
     fn retry_image_manifest(&mut self, now_us: i64, expected: Digest) -> Result<(), PullError> {
         if std::mem::replace(&mut self.manifest_was_corrupt, true) {
-            return Err(PullError::Corrupt(expected, VerifyError::Other));
+            return Err(PullError::Corrupt(expected, VerifyError::Mismatch));
         }
         self.phase = Phase::ImageManifest(Vec::new());
         Ok(self.exchange.attempt_failed(now_us, AttemptFailure::MalformedResponse)?)
@@ -353,7 +353,7 @@
                 self.present_bytes += blob.size;
                 return Ok(BlobStart::Present(content));
             }
-            Ok(_) => return Err(PullError::Corrupt(blob.digest, VerifyError::Other)),
+            Ok(_) => return Err(PullError::Corrupt(blob.digest, VerifyError::Mismatch)),
             Err(BlobError::Missing | BlobError::Corrupt(_)) => {}
             Err(e) => return Err(e.into()),
         }
--- a/crates/plugins/src/catalogue.rs
+++ b/crates/plugins/src/catalogue.rs
@@ -47,8 +47,8 @@
     /// When, in milliseconds of the Unix clock.
     pub at_ms: i64,
     /// An operator put it there: only an operator's pull or push lifts it.
-    #[serde(default)]
-    pub held: bool,
+    #[serde(default, rename = "held")]
+    pub by_operator: bool,
 }
 
 /// One move of an alias.
@@ -103,14 +103,14 @@
 
 /// What a version must fulfil to run at a site.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct AdmissionPolicy {
     /// The keys of which one must vouch for it; `None` where none is asked for.
     pub keys: Option<KeyList>,
     /// The classes and who may use which; `None` where that is not known.
     pub rights: Option<ClassRights>,
 }
 
-impl Terms {
+impl AdmissionPolicy {
     fn check(&self, name: &str, version: &str, checked: &Version) -> Result<()> {
         let problems = self
             .rights
@@ -119,7 +119,7 @@
         if let Some(problem) = problems.into_iter().flatten().next() {
             return Err(CatalogueError::NotAllowed(problem.to_string()));
         }
-        match self.keys.as_ref().map(|keys| keys.vouched(&checked.digest, &checked.signatures)) {
+        match self.keys.as_ref().map(|keys| keys.find_signer(&checked.digest, &checked.signatures)) {
             Some(None) => Err(CatalogueError::Unsigned(version.into())),
             Some(Some(_)) | None => Ok(()),
         }
@@ -136,7 +136,7 @@
     open: HashMap<Digest, usize>,
     /// What a version must fulfil to run here; not kept, as it comes from the settings.
     #[serde(skip)]
-    terms: Terms,
+    admission_policy: AdmissionPolicy,
     /// Versions that do not, and why; worked out when terms or versions change, as a call must not wait for it.
     #[serde(skip)]
     barred: HashMap<Digest, CatalogueError>,
@@ -146,7 +146,7 @@
 
 impl Catalogue {
     /// Whether there is a function of this name.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn contains_function(&self, name: &str) -> bool {
         self.functions.contains_key(name)
     }
 
@@ -165,7 +165,7 @@
     /// When the version has other content, or its name is an alias's.
     pub fn publish(&mut self, manifest: Manifest, digest: Digest) -> Result<()> {
         let (name, version) = (manifest.name.clone(), manifest.version.clone());
-        if !Reference::is_name(&name) || !Reference::is_word(&version) {
+        if !Reference::is_name(&name) || !Reference::is_alias_or_version(&version) {
             return Err(CatalogueError::BadName(format!("{name}@{version}")));
         }
         let function = self.functions.entry(name.clone()).or_default();
@@ -185,7 +185,7 @@
                 let (manifest, state) = (Arc::new(manifest), VersionState::Partial);
                 let signatures = Vec::new();
                 let new = Version { digest, manifest, state, signatures };
-                if let Err(e) = self.terms.check(&name, &version, &new) {
+                if let Err(e) = self.admission_policy.check(&name, &version, &new) {
                     self.barred.insert(digest, e);
                 }
                 function.versions.insert(version, new);
@@ -195,12 +195,12 @@
     }
 
     /// From now on a version runs only where it fulfils these terms.
-    pub fn require(&mut self, terms: Terms) {
-        self.terms = terms;
+    pub fn set_admission_policy(&mut self, policy: AdmissionPolicy) {
+        self.admission_policy = policy;
         self.barred.clear();
         for (name, function) in &self.functions {
             for (version, entry) in &function.versions {
-                if let Err(e) = self.terms.check(name, version, entry) {
+                if let Err(e) = self.admission_policy.check(name, version, entry) {
                     self.barred.insert(entry.digest, e);
                 }
             }
@@ -231,7 +231,7 @@
         }
         let excess = found.signatures.len().saturating_sub(MAX_SIGNATURES);
         found.signatures.drain(..excess);
-        match self.terms.check(name, version, found) {
+        match self.admission_policy.check(name, version, found) {
             Ok(()) => self.barred.remove(&found.digest),
             Err(e) => self.barred.insert(found.digest, e),
         };
@@ -278,13 +278,13 @@
 
     /// Takes a digest out of use, until it is whole again by a clean pull.
     pub fn quarantine(&mut self, digest: Digest, reason: &str, at_ms: i64) {
-        let found = Quarantine { reason: reason.into(), at_ms, held: false };
+        let found = Quarantine { reason: reason.into(), at_ms, by_operator: false };
         self.quarantined.entry(digest).or_insert(found);
     }
 
     /// An operator takes a digest out of use.
-    pub fn hold(&mut self, digest: Digest, reason: &str, at_ms: i64) {
-        self.quarantined.insert(digest, Quarantine { reason: reason.into(), at_ms, held: true });
+    pub fn quarantine_by_operator(&mut self, digest: Digest, reason: &str, at_ms: i64) {
+        self.quarantined.insert(digest, Quarantine { reason: reason.into(), at_ms, by_operator: true });
     }
 
     /// Why a digest is in quarantine, if it is.
@@ -306,7 +306,7 @@
         who: &str,
         at_ms: i64,
     ) -> Result<u64> {
-        if !Reference::is_word(alias) {
+        if !Reference::is_alias_or_version(alias) {
             return Err(CatalogueError::BadName(alias.into()));
         }
         let function = self.function(name)?;
@@ -343,7 +343,7 @@
             |alias: &str| function.aliases.get(alias).map(|a| (a.version.as_str(), Some(a.revision)));
         let found = match &reference.selector {
             Selector::Current => by_alias(CURRENT),
-            Selector::Word(word) => by_alias(word).or(Some((word.as_str(), None))),
+            Selector::AliasOrVersion(word) => by_alias(word).or(Some((word.as_str(), None))),
             Selector::Digest(digest) => {
                 let version = function.versions.iter().find(|(_, v)| v.digest == *digest);
                 version.map(|(name, _)| (name.as_str(), None))
@@ -369,13 +369,13 @@
         Ok(Resolved { version: name.into(), digest, manifest, revision })
     }
 
-    /// A call of a digest was taken: its content is needed until [`Catalogue::closed`].
-    pub fn opened(&mut self, digest: Digest) {
+    /// A call of a digest was taken: its content is needed until [`Catalogue::call_closed`].
+    pub fn call_opened(&mut self, digest: Digest) {
         *self.open.entry(digest).or_default() += 1;
     }
 
     /// A call of a digest ended.
-    pub fn closed(&mut self, digest: Digest) {
+    pub fn call_closed(&mut self, digest: Digest) {
         if let Some(count) = self.open.get_mut(&digest) {
             *count -= 1;
             if *count == 0 {
--- a/crates/plugins/src/digest.rs
+++ b/crates/plugins/src/digest.rs
@@ -99,7 +99,7 @@
     /// Fewer bytes than promised.
     TooShort,
     /// The size is right and the content is not.
-    Other,
+    Mismatch,
 }
 
 impl fmt::Display for VerifyError {
@@ -107,7 +107,7 @@
         f.write_str(match self {
             VerifyError::TooLong => "the content is longer than promised",
             VerifyError::TooShort => "the content is shorter than promised",
-            VerifyError::Other => "the content does not match its digest",
+            VerifyError::Mismatch => "the content does not match its digest",
         })
     }
 }
@@ -157,7 +157,7 @@
         }
         let found: [u8; 32] = self.hash.finalize().into();
         if found != self.digest.0 {
-            return Err(VerifyError::Other);
+            return Err(VerifyError::Mismatch);
         }
         Ok(())
     }
--- a/crates/plugins/src/digest/tests.rs
+++ b/crates/plugins/src/digest/tests.rs
@@ -18,7 +18,7 @@
         verifier.finish()
     };
     assert_eq!(check(b"rules"), Ok(()));
-    assert_eq!(check(b"rulez"), Err(VerifyError::Other));
+    assert_eq!(check(b"rulez"), Err(VerifyError::Mismatch));
     assert_eq!(check(b"rule"), Err(VerifyError::TooShort));
     assert_eq!(check(b"rules and more"), Err(VerifyError::TooLong));
 }
--- a/crates/plugins/src/lib.rs
+++ b/crates/plugins/src/lib.rs
@@ -14,11 +14,13 @@
 mod signature;
 
 pub use catalogue::{
-    AliasMove, AliasView, Catalogue, CatalogueError, Quarantine, Resolved, Terms, VersionState, VersionView,
-    CURRENT, PREVIOUS,
+    AdmissionPolicy, AliasMove, AliasView, Catalogue, CatalogueError, Quarantine, Resolved, VersionState,
+    VersionView, CURRENT, PREVIOUS,
 };
 pub use digest::{Digest, DigestError, Verifier, VerifyError};
 pub use manifest::{check_manifest, ClassRights, LayerRef, Manifest, ManifestProblem, SCHEMA};
 pub use reference::{Reference, ReferenceError, Selector};
-pub use rollout::{Direction, Ended, Observed, Rollout, RolloutRequest, RolloutSettings, RolloutState};
+pub use rollout::{
+    Observation, Rollout, RolloutOutcome, RolloutRequest, RolloutSettings, RolloutState, Side,
+};
 pub use signature::{KeyError, KeyList, Signature, SigningSecret};
--- a/crates/plugins/src/manifest.rs
+++ b/crates/plugins/src/manifest.rs
@@ -66,13 +66,13 @@
     /// The field, as a JSON pointer; empty for the whole.
     pub field: String,
     /// What is wrong.
-    pub words: String,
+    pub message: String,
 }
 
 impl fmt::Display for ManifestProblem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let field = if self.field.is_empty() { "/" } else { &self.field };
-        write!(f, "{}: {field}: {}", self.file, self.words)
+        write!(f, "{}: {field}: {}", self.file, self.message)
     }
 }
 
@@ -90,8 +90,11 @@
 impl ClassRights {
     /// What is wrong with the class that a manifest claims.
     pub fn problems(&self, file: &str, manifest: &Manifest) -> Vec<ManifestProblem> {
-        let problem =
-            |field: &str, words: String| ManifestProblem { file: file.into(), field: field.into(), words };
+        let problem = |field: &str, message: String| ManifestProblem {
+            file: file.into(),
+            field: field.into(),
+            message,
+        };
         let mut found = Vec::new();
         match self.effects.get(&manifest.class) {
             None => found.push(problem("/class", format!("there is no class {}", manifest.class))),
@@ -99,11 +102,11 @@
             // was written for something else.
             Some(effect) => {
                 if let Some(claimed) = manifest.effect.as_ref().filter(|claimed| *claimed != effect) {
-                    let words = format!(
+                    let message = format!(
                         "it claims to be {claimed}, but calls of class {} are {effect}",
                         manifest.class
                     );
-                    found.push(problem("/effect", words));
+                    found.push(problem("/effect", message));
                 }
             }
         }
@@ -126,7 +129,7 @@
     bytes: &[u8],
     rights: Option<&ClassRights>,
 ) -> Result<(Manifest, Digest), Vec<ManifestProblem>> {
-    let problem = |field: String, words: String| ManifestProblem { file: file.into(), field, words };
+    let problem = |field: String, message: String| ManifestProblem { file: file.into(), field, message };
     let value: Value =
         serde_json::from_slice(bytes).map_err(|e| vec![problem(String::new(), format!("not JSON: {e}"))])?;
     let schema: Value =
@@ -145,8 +148,8 @@
     if let Some(engine) = &manifest.engine {
         let parts: Vec<u32> = engine.split('.').filter_map(|number| number.parse().ok()).collect();
         if parts.len() != 2 || parts[0] != ENGINE_MAJOR || parts[1] > ENGINE_MINOR {
-            let words = format!("it needs engine {engine}; this is {}.{}", ENGINE_MAJOR, ENGINE_MINOR);
-            found.push(problem("/engine".into(), words));
+            let message = format!("it needs engine {engine}; this is {}.{}", ENGINE_MAJOR, ENGINE_MINOR);
+            found.push(problem("/engine".into(), message));
         }
     }
     match found.is_empty() {
--- a/crates/plugins/src/reference.rs
+++ b/crates/plugins/src/reference.rs
@@ -22,7 +22,7 @@
     /// What `current` means.
     Current,
     /// What an alias means, or a version.
-    Word(String),
+    AliasOrVersion(String),
     /// Just this content.
     Digest(Digest),
 }
@@ -33,7 +33,7 @@
     /// The name is empty, too long or has characters other than letters, digits and `-_./`.
     Name,
     /// The same of an alias or version.
-    Word,
+    AliasOrVersion,
     /// The digest.
     Digest(DigestError),
 }
@@ -42,7 +42,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ReferenceError::Name => f.write_str("a name is made of letters, digits and -_./, 128 at most"),
-            ReferenceError::Word => {
+            ReferenceError::AliasOrVersion => {
                 f.write_str("an alias or version is made of letters, digits and -_., 128 at most")
             }
             ReferenceError::Digest(e) => e.fmt(f),
@@ -64,7 +64,7 @@
     }
 
     /// Whether a text may be an alias or a version.
-    pub fn is_word(text: &str) -> bool {
+    pub fn is_alias_or_version(text: &str) -> bool {
         is_word(text, b"")
     }
 }
@@ -78,8 +78,10 @@
             Some((name, word)) if word.contains(':') => {
                 (name, Selector::Digest(word.parse().map_err(ReferenceError::Digest)?))
             }
-            Some((name, word)) if Reference::is_word(word) => (name, Selector::Word(word.into())),
-            Some(_) => return Err(ReferenceError::Word),
+            Some((name, word)) if Reference::is_alias_or_version(word) => {
+                (name, Selector::AliasOrVersion(word.into()))
+            }
+            Some(_) => return Err(ReferenceError::AliasOrVersion),
         };
         if !Reference::is_name(name) {
             return Err(ReferenceError::Name);
@@ -92,7 +94,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.selector {
             Selector::Current => f.write_str(&self.name),
-            Selector::Word(word) => write!(f, "{}@{word}", self.name),
+            Selector::AliasOrVersion(word) => write!(f, "{}@{word}", self.name),
             Selector::Digest(digest) => write!(f, "{}@{digest}", self.name),
         }
     }
--- a/crates/plugins/src/signature.rs
+++ b/crates/plugins/src/signature.rs
@@ -107,7 +107,7 @@
     }
 
     /// The id of the first key that vouches for a plug-in.
-    pub fn vouched(&self, digest: &Digest, signatures: &[Signature]) -> Option<&str> {
+    pub fn find_signer(&self, digest: &Digest, signatures: &[Signature]) -> Option<&str> {
         let good = |signature: &Signature| {
             let (id, key) = self.0.get_key_value(&signature.key)?;
             let value = ed25519_dalek::Signature::from_bytes(&bytes::<64>(&signature.value)?);
--- a/crates/plugins/src/signature/tests.rs
+++ b/crates/plugins/src/signature/tests.rs
@@ -9,10 +9,10 @@
     let good = anna.sign("anna", &digest);
     let forged = other.sign("anna", &digest);
     let unlisted = other.sign("other", &digest);
-    assert_eq!(keys.vouched(&digest, &[forged.clone(), unlisted, good.clone()]), Some("anna"));
-    assert_eq!(keys.vouched(&digest, &[forged]), None);
-    assert_eq!(keys.vouched(&Digest::of(b"other rules"), std::slice::from_ref(&good)), None);
-    assert_eq!(KeyList::default().vouched(&digest, &[good]), None);
+    assert_eq!(keys.find_signer(&digest, &[forged.clone(), unlisted, good.clone()]), Some("anna"));
+    assert_eq!(keys.find_signer(&digest, &[forged]), None);
+    assert_eq!(keys.find_signer(&Digest::of(b"other rules"), std::slice::from_ref(&good)), None);
+    assert_eq!(KeyList::default().find_signer(&digest, &[good]), None);
 }
 
 #[test]
--- a/crates/plugins/tests/catalogue.rs
+++ b/crates/plugins/tests/catalogue.rs
@@ -116,67 +116,67 @@
     c.move_alias("fare", "night", "1", None, "anna", 0).unwrap();
     assert_eq!(c.delete("fare", "1"), Err(CatalogueError::InUse("night".into())));
     c.move_alias("fare", "night", "2", None, "anna", 0).unwrap();
-    c.opened(digest);
+    c.call_opened(digest);
     c.delete("fare", "1").unwrap();
     assert!(resolve(&c, "fare@1").is_err());
     assert!(c.reachable().contains(&digest) && c.reachable().contains(&Digest::of(b"1")));
-    c.closed(digest);
+    c.call_closed(digest);
     assert!(!c.reachable().contains(&digest) && c.reachable().contains(&Digest::of(b"2")));
 }
 
-fn ended(side: Direction, served: bool, late: bool) -> Observed {
-    Observed::Ended { side, served, late }
+fn ended(side: Side, served: bool, late: bool) -> Observation {
+    Observation::CallEnded { side, served, late }
 }
 
 #[test]
 fn calls_move_in_growing_parts_as_copies_stand_and_never_before() {
     let mut r = Rollout::new(RolloutSettings::default(), 0, 4);
-    assert_eq!((r.load_request(), r.side(0.0)), (RolloutRequest::Copies(2), Direction::Old));
-    r.observe(0, Observed::Ordered);
-    r.observe(0, Observed::Ordered);
+    assert_eq!((r.load_request(), r.side(0.0)), (RolloutRequest::Copies(2), Side::Old));
+    r.observe(0, Observation::LoadRequested);
+    r.observe(0, Observation::LoadRequested);
     assert_eq!(r.load_request(), RolloutRequest::Nothing, "two orders at a time");
-    r.observe(200_000, Observed::Stands);
-    assert_eq!(
-        (r.state(), r.side(0.05), r.side(0.2)),
-        (RolloutState::Moving(0.1), Direction::New, Direction::Old)
-    );
+    r.observe(200_000, Observation::CopyLoaded);
+    assert_eq!((r.state(), r.side(0.05), r.side(0.2)), (RolloutState::Moving(0.1), Side::New, Side::Old));
     let mut now = 200_000;
     for _ in 0..40 {
         now += 100_000;
-        (0..5).for_each(|_| r.observe(now, ended(Direction::New, true, false)));
+        (0..5).for_each(|_| r.observe(now, ended(Side::New, true, false)));
     }
     assert_eq!(r.state(), RolloutState::Moving(0.25), "one of four copies stands");
     for _ in 0..3 {
-        r.observe(now, Observed::Stands);
+        r.observe(now, Observation::CopyLoaded);
     }
     let mut end = None;
     while end.is_none() && now < 20_000_000 {
         now += 500_000;
         end = r.advance(now);
     }
-    assert_eq!((end, r.side(0.99)), (Some(Ended::Moved), Direction::New));
+    assert_eq!((end, r.side(0.99)), (Some(RolloutOutcome::Completed), Side::New));
 }
 
 #[test]
 fn a_new_version_that_fails_or_is_late_goes_back_once() {
     for (served, late) in [(false, false), (true, true)] {
         let mut r = Rollout::new(RolloutSettings::default(), 0, 1);
-        r.observe(0, Observed::Stands);
-        (0..200).for_each(|_| r.observe(1, ended(Direction::Old, true, false)));
-        (0..40).for_each(|_| r.observe(1, ended(Direction::New, served, late)));
-        assert!(matches!(r.state(), RolloutState::Over(Ended::Back(_))));
-        assert_eq!((r.side(0.0), r.load_request()), (Direction::Old, RolloutRequest::Nothing));
-        assert!(matches!((r.advance(9_000_000), r.advance(9_000_001)), (Some(Ended::Back(_)), None)));
+        r.observe(0, Observation::CopyLoaded);
+        (0..200).for_each(|_| r.observe(1, ended(Side::Old, true, false)));
+        (0..40).for_each(|_| r.observe(1, ended(Side::New, served, late)));
+        assert!(matches!(r.state(), RolloutState::Ended(RolloutOutcome::RolledBack(_))));
+        assert_eq!((r.side(0.0), r.load_request()), (Side::Old, RolloutRequest::Nothing));
+        assert!(matches!(
+            (r.advance(9_000_000), r.advance(9_000_001)),
+            (Some(RolloutOutcome::RolledBack(_)), None)
+        ));
     }
 }
 
 #[test]
 fn a_rush_in_which_both_versions_do_badly_moves_nothing_back() {
     let mut r = Rollout::new(RolloutSettings::default(), 0, 1);
-    r.observe(0, Observed::Stands);
+    r.observe(0, Observation::CopyLoaded);
     for n in 0..400 {
-        r.observe(1, ended(Direction::Old, n % 2 == 0, n % 3 == 0));
-        r.observe(1, ended(Direction::New, n % 2 == 0, n % 3 == 0));
+        r.observe(1, ended(Side::Old, n % 2 == 0, n % 3 == 0));
+        r.observe(1, ended(Side::New, n % 2 == 0, n % 3 == 0));
     }
     assert!(matches!(r.state(), RolloutState::Moving(_)), "{:?}", r.state());
 }
@@ -185,21 +185,21 @@
 fn a_new_version_that_hangs_gets_no_further_calls_and_one_without_calls_moves_on() {
     for hangs in [true, false] {
         let mut r = Rollout::new(RolloutSettings::default(), 0, 1);
-        r.observe(0, Observed::Stands);
+        r.observe(0, Observation::CopyLoaded);
         if hangs {
-            r.observe(1, Observed::Began(Direction::New));
+            r.observe(1, Observation::CallStarted(Side::New));
         }
         let end = (1..100).find_map(|n| r.advance(n * 500_000));
-        assert_eq!(end, if hangs { None } else { Some(Ended::Moved) });
-        assert_eq!(r.side(0.2), if hangs { Direction::Old } else { Direction::New });
+        assert_eq!(end, if hangs { None } else { Some(RolloutOutcome::Completed) });
+        assert_eq!(r.side(0.2), if hangs { Side::Old } else { Side::New });
     }
 }
 
 #[test]
 fn few_calls_that_all_failed_do_not_let_a_move_go_on() {
     let mut r = Rollout::new(RolloutSettings::default(), 0, 1);
-    r.observe(0, Observed::Stands);
-    r.observe(1, ended(Direction::New, false, false));
+    r.observe(0, Observation::CopyLoaded);
+    r.observe(1, ended(Side::New, false, false));
     assert_eq!((1..100).find_map(|n| r.advance(n * 500_000)), None);
     assert_eq!(r.state(), RolloutState::Moving(0.1));
 }
@@ -207,14 +207,14 @@
 #[test]
 fn a_move_without_a_copy_is_given_up_and_corrupt_content_ends_it_at_once() {
     let mut r = Rollout::new(RolloutSettings::default(), 0, 2);
-    r.observe(0, Observed::Ordered);
-    r.observe(1, Observed::OrderFailed);
+    r.observe(0, Observation::LoadRequested);
+    r.observe(1, Observation::LoadFailed);
     assert_eq!(r.load_request(), RolloutRequest::Copies(2));
-    assert!(matches!(r.advance(30_000_000), Some(Ended::Back(_))));
+    assert!(matches!(r.advance(30_000_000), Some(RolloutOutcome::RolledBack(_))));
     let mut r = Rollout::new(RolloutSettings::default(), 0, 2);
-    r.observe(0, Observed::Stands);
-    r.observe(0, Observed::Corrupt);
-    assert_eq!(r.side(0.0), Direction::Old);
+    r.observe(0, Observation::CopyLoaded);
+    r.observe(0, Observation::Corrupt);
+    assert_eq!(r.side(0.0), Side::Old);
 }
 
 proptest! {
@@ -232,15 +232,15 @@
         for (what, passes) in steps {
             now += passes;
             if let RolloutRequest::Copies(copies) = r.load_request() {
-                prop_assert!(out + copies <= settings.orders_at_once);
+                prop_assert!(out + copies <= settings.max_load_requests);
             }
             match what {
-                0 if r.load_request() != RolloutRequest::Nothing => { r.observe(now, Observed::Ordered); out += 1; }
-                1 if out > 0 => { r.observe(now, Observed::Stands); out -= 1; }
-                2 if out > 0 => { r.observe(now, Observed::OrderFailed); out -= 1; }
-                3 | 4 => r.observe(now, ended(Direction::New, true, false)),
-                5 => r.observe(now, ended(Direction::New, false, false)),
-                6 => r.observe(now, ended(Direction::Old, true, false)),
+                0 if r.load_request() != RolloutRequest::Nothing => { r.observe(now, Observation::LoadRequested); out += 1; }
+                1 if out > 0 => { r.observe(now, Observation::CopyLoaded); out -= 1; }
+                2 if out > 0 => { r.observe(now, Observation::LoadFailed); out -= 1; }
+                3 | 4 => r.observe(now, ended(Side::New, true, false)),
+                5 => r.observe(now, ended(Side::New, false, false)),
+                6 => r.observe(now, ended(Side::Old, true, false)),
                 _ => { r.advance(now); }
             }
             let (standing, needed) = r.copies();
@@ -250,9 +250,9 @@
                     prop_assert!(p >= part && p <= (standing as f64 / needed as f64).min(1.0));
                     part = p;
                 }
-                RolloutState::Over(end) => prop_assert_eq!(*over.get_or_insert(end), end),
+                RolloutState::Ended(end) => prop_assert_eq!(*over.get_or_insert(end), end),
             }
-            prop_assert!(over.is_none() || matches!(r.state(), RolloutState::Over(_)));
+            prop_assert!(over.is_none() || matches!(r.state(), RolloutState::Ended(_)));
         }
     }
 }
--- a/crates/plugins/tests/stored_forms.rs
+++ b/crates/plugins/tests/stored_forms.rs
@@ -58,7 +58,7 @@
     c.move_alias("fare", CURRENT, "2.0", Some(1), "bert", -6).unwrap();
     c.delete("fare", "4.0").unwrap();
     c.quarantine(digest("01"), "layer 1 does not match", 70);
-    c.hold(digest("04"), "recalled", 71);
+    c.quarantine_by_operator(digest("04"), "recalled", 71);
     c
 }
 
@@ -233,7 +233,7 @@
     let moves = [moved(1, 5, "anna", None, "1.0"), moved(2, -6, "bert", Some("1.0"), "2.0")];
     assert_eq!(read.history("fare", CURRENT).unwrap(), moves);
     assert_eq!(*read.resolve(&reference).unwrap().manifest, least("2.0"));
-    let reason = |words: &str, at_ms, held| Quarantine { reason: words.into(), at_ms, held };
+    let reason = |text: &str, at_ms, by_operator| Quarantine { reason: text.into(), at_ms, by_operator };
     assert_eq!(read.quarantined(&digest("01")), Some(&reason("layer 1 does not match", 70, false)));
     assert_eq!(read.quarantined(&digest("04")), Some(&reason("recalled", 71, true)));
 }
@@ -243,7 +243,7 @@
     let old = br#"{"functions":{"fare":{"versions":{"1":{"digest":"sha256:0101010101010101010101010101010101010101010101010101010101010101","manifest":{"name":"fare","version":"1","class":"quote","layers":[]},"state":"whole"}},"aliases":{}}},"quarantined":{"sha256:0202020202020202020202020202020202020202020202020202020202020202":{"reason":"r","at_ms":1}}}"#;
     let read: Catalogue = serde_json::from_slice(old).unwrap();
     assert_eq!(read.signatures("fare", "1"), Ok(&[][..]));
-    assert_eq!(read.quarantined(&digest("02")).map(|q| q.held), Some(false));
+    assert_eq!(read.quarantined(&digest("02")).map(|q| q.by_operator), Some(false));
 }
 
 #[test]
@@ -271,5 +271,5 @@
     assert_eq!(read, signature);
     let mut keys = KeyList::default();
     keys.add("release", "6kpsY+KcUgq+9VB7Ey7F+ZVHdq6+vnuSQh7qaRRG0iw=").unwrap();
-    assert_eq!(keys.vouched(&digest("01"), &[read]), Some("release"));
+    assert_eq!(keys.find_signer(&digest("01"), &[read]), Some("release"));
 }
