--- a/crates/plugins/benches/plugins.rs
+++ b/crates/plugins/benches/plugins.rs
@@ -1,5 +1,5 @@
-//! Resolution of a call's reference by the number of versions, and verification beside the hash alone.
-//! `cargo bench -p slatevalve-plugins`
+//! Resolution of a call's reference for several catalogue sizes, and verification compared with hashing
+//! alone. `cargo bench -p slatevalve-plugins`
 
 use criterion::{BenchmarkId, Criterion, Throughput};
 use sha2::{Digest as _, Sha256};
--- a/crates/plugins/src/catalogue.rs
+++ b/crates/plugins/src/catalogue.rs
@@ -1,8 +1,10 @@
-//! The catalogue: versions, digests, aliases and their history, quarantine, and what must not be thrown away.
+//! The catalogue: versions, digests, aliases and their history, quarantine, and the content that must be
+//! kept.
 //!
-//! Invariants, each with a test: an alias points to a whole version that is not in quarantine, or it does not move; of two
-//! who move it at once, the second is told; a version's digest never changes; content that an alias, a kept
-//! version or an open call needs is never given up. History is ordered by its count, not by the clock, which may jump.
+//! Invariants, each with a test: an alias moves only to a complete version that is not in quarantine; of two
+//! concurrent moves that name the same revision, the second fails; a version's digest never changes; content
+//! that an alias, a version that is not deleted or an open call needs is never released. History is ordered
+//! by revision, not by time, as the clock may jump.
 
 mod error;
 mod views;
@@ -18,35 +20,35 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// The alias that a bare name means.
+/// The alias that a reference without a selector resolves to.
 pub const CURRENT: &str = "current";
-/// The alias that follows `current` by one step.
+/// The alias of the version that `current` meant before its last move.
 pub const PREVIOUS: &str = "previous";
-/// Moves that an alias's history keeps; the oldest are dropped.
+/// Maximum length of an alias's history; the oldest moves are dropped.
 const MAX_HISTORY: usize = 1_000;
-/// Signatures that a version keeps; the oldest are dropped.
+/// Maximum number of signatures of a version; the oldest are dropped.
 const MAX_SIGNATURES: usize = 32;
 
-/// How much of a version is here.
+/// Availability of a version in this folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VersionState {
-    /// Its manifest is known, some of its content is not here yet.
+    /// The manifest is known, but some content is missing.
     Partial,
-    /// All of it is here and verified.
+    /// All content is stored and verified.
     Whole,
-    /// It is deleted; its content stays while a call that is open needs it.
+    /// Deleted; its content is kept while an open call needs it.
     Deleted,
 }
 
-/// Why a version runs nowhere.
+/// Why a version must not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantine {
-    /// What was found.
+    /// What is wrong with the content, or why an operator quarantined it.
     pub reason: String,
-    /// When, in milliseconds of the Unix clock.
+    /// When it was quarantined, in milliseconds since the Unix epoch.
     pub at_ms: i64,
-    /// An operator put it there: only an operator's pull or push lifts it.
+    /// Whether an operator quarantined it: then only an operator's pull or push ends the quarantine.
     #[serde(default, rename = "held")]
     pub by_operator: bool,
 }
@@ -54,15 +56,15 @@
 /// One move of an alias.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AliasMove {
-    /// Its count from 1, which orders the history.
+    /// Number of the move, counted from 1; it orders the history.
     pub revision: u64,
-    /// Milliseconds of the Unix clock, as the mover's machine showed it.
+    /// Milliseconds since the Unix epoch, by the clock of the machine that moved it.
     pub at_ms: i64,
-    /// Who moved it.
+    /// The operator or component that moved it, as the request names it.
     pub who: String,
-    /// The version before.
+    /// The version that the alias meant before; `None` if the move created it.
     pub from: Option<String>,
-    /// The version from then on.
+    /// The version that the alias means after the move.
     pub to: String,
 }
 
@@ -88,25 +90,26 @@
     aliases: BTreeMap<String, Alias>,
 }
 
-/// What a reference means now.
+/// The version that a reference resolved to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resolved {
-    /// The version's name.
+    /// Name of the version, unique within its function.
     pub version: String,
-    /// The digest of its manifest, which names all its content.
+    /// Digest of the manifest, which lists all content of the version.
     pub digest: Digest,
-    /// What it says of itself.
+    /// The checked manifest.
     pub manifest: Arc<Manifest>,
-    /// The revision of the alias by which it was found.
+    /// Revision of the alias in the reference; `None` if the reference names a version or digest.
     pub revision: Option<u64>,
 }
 
-/// What a version must fulfil to run at a site.
+/// Conditions that a version must meet to run at a site.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionPolicy {
-    /// The keys of which one must vouch for it; `None` where none is asked for.
+    /// One of these keys must have signed the version; `None` if no signature is required.
     pub keys: Option<KeyList>,
-    /// The classes and who may use which; `None` where that is not known.
+    /// The site's classes and the tenants that may use them; `None` if they are not known, as on a bare
+    /// folder.
     pub rights: Option<ClassRights>,
 }
 
@@ -126,18 +129,19 @@
     }
 }
 
-/// All versions and aliases of all functions, as stored in the folder.
+/// All versions and aliases of all functions, as stored in the plug-in folder.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Catalogue {
     functions: BTreeMap<String, Function>,
     quarantined: BTreeMap<Digest, Quarantine>,
-    /// Calls that are open, by digest; not kept over a restart, which ends them.
+    /// Number of open calls by digest; not stored, as a restart ends all calls.
     #[serde(skip)]
     open: HashMap<Digest, usize>,
-    /// What a version must fulfil to run here; not kept, as it comes from the settings.
+    /// Not stored, as it comes from the settings.
     #[serde(skip)]
     admission_policy: AdmissionPolicy,
-    /// Versions that do not, and why; worked out when terms or versions change, as a call must not wait for it.
+    /// Versions that do not meet the policy, and why. Computed when the policy or a version changes, as
+    /// verifying signatures would delay calls.
     #[serde(skip)]
     barred: HashMap<Digest, CatalogueError>,
 }
@@ -145,12 +149,12 @@
 type Result<T, E = CatalogueError> = std::result::Result<T, E>;
 
 impl Catalogue {
-    /// Whether there is a function of this name.
+    /// Whether the catalogue has versions of this function, deleted ones included.
     pub fn contains_function(&self, name: &str) -> bool {
         self.functions.contains_key(name)
     }
 
-    /// The functions' names.
+    /// Names of all functions, sorted.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.functions.keys().map(String::as_str)
     }
@@ -159,10 +163,11 @@
         self.functions.get(name).ok_or_else(|| CatalogueError::UnknownFunction(name.into()))
     }
 
-    /// Adds a version, or says again what is known. Until [`Catalogue::complete`] no alias can mean it.
+    /// Adds a version; no effect if it is known with the same digest. An alias can move to it after
+    /// [`Catalogue::complete`].
     ///
     /// # Errors
-    /// When the version has other content, or its name is an alias's.
+    /// If the version exists with other content, its name is an alias, or a name is malformed.
     pub fn publish(&mut self, manifest: Manifest, digest: Digest) -> Result<()> {
         let (name, version) = (manifest.name.clone(), manifest.version.clone());
         if !Reference::is_name(&name) || !Reference::is_alias_or_version(&version) {
@@ -175,7 +180,7 @@
         match function.versions.get_mut(&version) {
             Some(known) if known.digest != digest => Err(CatalogueError::VersionTaken(known.digest)),
             Some(known) => {
-                // Deleted and published again: its content may be gone.
+                // A deleted version's content may have been removed, so it counts as incomplete.
                 if known.state == VersionState::Deleted {
                     known.state = VersionState::Partial;
                 }
@@ -194,7 +199,7 @@
         }
     }
 
-    /// From now on a version runs only where it fulfils these terms.
+    /// Replaces the admission policy and checks all versions against it.
     pub fn set_admission_policy(&mut self, policy: AdmissionPolicy) {
         self.admission_policy = policy;
         self.barred.clear();
@@ -207,15 +212,16 @@
         }
     }
 
-    /// Versions that do not run here, with the reason.
+    /// Versions that do not meet the admission policy, each with the first condition that it violates.
     pub fn barred(&self) -> impl Iterator<Item = (&Digest, &CatalogueError)> {
         self.barred.iter()
     }
 
-    /// Notes signatures of a version, beside those that are known. Whether they are good is asked when it is to run.
+    /// Adds signatures to those of a version. They are stored whether or not they are valid, and are verified
+    /// against the keys of the admission policy.
     ///
     /// # Errors
-    /// When there is no such version.
+    /// If there is no such version.
     pub fn sign(&mut self, name: &str, version: &str, signatures: &[Signature]) -> Result<()> {
         let function =
             self.functions.get_mut(name).ok_or_else(|| CatalogueError::UnknownFunction(name.into()))?;
@@ -238,10 +244,10 @@
         Ok(())
     }
 
-    /// The signatures of a version.
+    /// Signatures of a version, valid or not.
     ///
     /// # Errors
-    /// When there is no such version.
+    /// If there is no such version.
     pub fn signatures(&self, name: &str, version: &str) -> Result<&[Signature]> {
         let found = self.function(name)?.versions.get(version);
         found
@@ -249,22 +255,23 @@
             .ok_or_else(|| CatalogueError::UnknownVersion(version.into()))
     }
 
-    /// Whether a version's content may run now.
+    /// Checks that a version is neither in quarantine nor excluded by the admission policy.
     ///
     /// # Errors
-    /// With the reason, where it may not.
+    /// With the reason why it may not run.
     pub fn check_runnable(&self, digest: &Digest) -> Result<()> {
         match (self.quarantined.get(digest), self.barred.get(digest)) {
             (Some(found), _) => Err(CatalogueError::Quarantined(found.reason.clone())),
-            (None, Some(why)) => Err(why.clone()),
+            (None, Some(error)) => Err(error.clone()),
             (None, None) => Ok(()),
         }
     }
 
-    /// All content of a version was pulled or pushed and verified just now. That, and nothing else, lifts a quarantine.
+    /// Records that all content of a version was just pulled or pushed and verified. Nothing else ends a
+    /// quarantine.
     ///
     /// # Errors
-    /// When there is no such version.
+    /// If there is no such version.
     pub fn complete(&mut self, name: &str, version: &str) -> Result<()> {
         let function =
             self.functions.get_mut(name).ok_or_else(|| CatalogueError::UnknownFunction(name.into()))?;
@@ -276,27 +283,30 @@
         Ok(())
     }
 
-    /// Takes a digest out of use, until it is whole again by a clean pull.
+    /// Puts a version whose content is corrupt into quarantine until it is pulled or pushed again. An
+    /// existing quarantine stays as it is.
     pub fn quarantine(&mut self, digest: Digest, reason: &str, at_ms: i64) {
         let found = Quarantine { reason: reason.into(), at_ms, by_operator: false };
         self.quarantined.entry(digest).or_insert(found);
     }
 
-    /// An operator takes a digest out of use.
+    /// Puts a version into quarantine on an operator's request; replaces an existing quarantine.
     pub fn quarantine_by_operator(&mut self, digest: Digest, reason: &str, at_ms: i64) {
         self.quarantined.insert(digest, Quarantine { reason: reason.into(), at_ms, by_operator: true });
     }
 
-    /// Why a digest is in quarantine, if it is.
+    /// The quarantine of a version, if there is one.
     pub fn quarantined(&self, digest: &Digest) -> Option<&Quarantine> {
         self.quarantined.get(digest)
     }
 
-    /// Moves an alias, or makes it. `expected` is the revision that the mover saw (0 where there was none); without it
-    /// the alias moves whatever it is. `current` takes `previous` along by one step.
+    /// Moves an alias, or creates it. With `expected`, it moves only if it is still at that revision (0 if it
+    /// did not exist). Moving `current` moves `previous` to the version that `current` meant. Returns the new
+    /// revision.
     ///
     /// # Errors
-    /// When the version is unknown, not whole or in quarantine, or somebody else moved the alias in between.
+    /// If the version is unknown, incomplete, in quarantine or excluded by the admission policy, or the alias
+    /// is not at the expected revision.
     pub fn move_alias(
         &mut self,
         name: &str,
@@ -327,23 +337,24 @@
             self.functions.get_mut(name).ok_or_else(|| CatalogueError::UnknownFunction(name.into()))?;
         let before = function.aliases.get(alias).map(|alias| alias.version.clone());
         if let Some(before) = before.filter(|before| alias == CURRENT && before != to) {
-            function.set(PREVIOUS, before, who, at_ms);
+            function.set_alias(PREVIOUS, before, who, at_ms);
         }
-        Ok(function.set(alias, to.into(), who, at_ms))
+        Ok(function.set_alias(alias, to.into(), who, at_ms))
     }
 
-    /// The version that a reference means, whether it may run or not, and the revision of the alias by which it was found.
-    /// For a word that is neither version nor alias, that word: it may be a version that is not here yet.
+    /// The version that a reference means, whether or not it may run, and the revision of the alias in the
+    /// reference. A name that is neither an alias nor a known version is returned as it is: it may be a
+    /// version that was not pulled yet.
     ///
     /// # Errors
-    /// When there is no such function, no `current`, or no such digest.
+    /// If there is no such function, no `current`, or no such digest.
     pub fn version_of<'a>(&'a self, reference: &'a Reference) -> Result<(&'a str, Option<u64>)> {
         let function = self.function(&reference.name)?;
         let by_alias =
             |alias: &str| function.aliases.get(alias).map(|a| (a.version.as_str(), Some(a.revision)));
         let found = match &reference.selector {
             Selector::Current => by_alias(CURRENT),
-            Selector::AliasOrVersion(word) => by_alias(word).or(Some((word.as_str(), None))),
+            Selector::AliasOrVersion(label) => by_alias(label).or(Some((label.as_str(), None))),
             Selector::Digest(digest) => {
                 let version = function.versions.iter().find(|(_, v)| v.digest == *digest);
                 version.map(|(name, _)| (name.as_str(), None))
@@ -352,10 +363,10 @@
         found.ok_or_else(|| CatalogueError::UnknownVersion(reference.to_string()))
     }
 
-    /// What a reference means now.
+    /// Resolves a reference to a version that may run.
     ///
     /// # Errors
-    /// When it means nothing, or nothing that may run.
+    /// If it means no version, or one that is deleted, incomplete or may not run.
     pub fn resolve(&self, reference: &Reference) -> Result<Resolved> {
         let (name, revision) = self.version_of(reference)?;
         let version = self.function(&reference.name)?.versions.get(name);
@@ -369,12 +380,12 @@
         Ok(Resolved { version: name.into(), digest, manifest, revision })
     }
 
-    /// A call of a digest was taken: its content is needed until [`Catalogue::call_closed`].
+    /// Records an accepted call of a version: its content is kept until [`Catalogue::call_closed`].
     pub fn call_opened(&mut self, digest: Digest) {
         *self.open.entry(digest).or_default() += 1;
     }
 
-    /// A call of a digest ended.
+    /// Records the end of a call that [`Catalogue::call_opened`] recorded.
     pub fn call_closed(&mut self, digest: Digest) {
         if let Some(count) = self.open.get_mut(&digest) {
             *count -= 1;
@@ -384,10 +395,10 @@
         }
     }
 
-    /// Deletes a version. Calls that are open for it go on, and its content stays until they end.
+    /// Deletes a version. Its open calls continue, and its content is kept until they end.
     ///
     /// # Errors
-    /// When an alias means it, or there is none.
+    /// If an alias means it, or there is no such version.
     pub fn delete(&mut self, name: &str, version: &str) -> Result<()> {
         let function =
             self.functions.get_mut(name).ok_or_else(|| CatalogueError::UnknownFunction(name.into()))?;
@@ -400,7 +411,7 @@
         Ok(())
     }
 
-    /// All content that must be kept: of every version that is not deleted, and of those with calls open.
+    /// Digests of all content that must be kept: of every version that is not deleted or has open calls.
     pub fn reachable(&self) -> BTreeSet<Digest> {
         let versions = self.functions.values().flat_map(|function| function.versions.values());
         let kept = versions
@@ -409,20 +420,20 @@
             .collect()
     }
 
-    /// Every layer of a version, for pulls and checks.
+    /// All layers of a version.
     ///
     /// # Errors
-    /// When there is no such version.
+    /// If there is no such version.
     pub fn layers(&self, name: &str, version: &str) -> Result<Vec<LayerRef>> {
         let found = self.function(name)?.versions.get(version);
         let found = found.ok_or_else(|| CatalogueError::UnknownVersion(version.into()))?;
         Ok(found.manifest.layers.clone())
     }
 
-    /// The versions of a function.
+    /// All versions of a function, sorted by name, deleted ones included.
     ///
     /// # Errors
-    /// When there is no such function.
+    /// If there is no such function.
     pub fn versions(&self, name: &str) -> Result<Vec<VersionView>> {
         let function = self.function(name)?;
         let view = |(version, entry): (&String, &Version)| VersionView {
@@ -442,10 +453,10 @@
         Ok(function.versions.iter().map(view).collect())
     }
 
-    /// The aliases of a function.
+    /// All aliases of a function, sorted by name.
     ///
     /// # Errors
-    /// When there is no such function.
+    /// If there is no such function.
     pub fn aliases(&self, name: &str) -> Result<Vec<AliasView>> {
         let view = |(name, alias): (&String, &Alias)| AliasView {
             alias: name.clone(),
@@ -455,10 +466,10 @@
         Ok(self.function(name)?.aliases.iter().map(view).collect())
     }
 
-    /// An alias's moves, oldest first.
+    /// Moves of an alias, oldest first.
     ///
     /// # Errors
-    /// When there is no such alias.
+    /// If there is no such alias.
     pub fn history(&self, name: &str, alias: &str) -> Result<&[AliasMove]> {
         let alias_found = self.function(name)?.aliases.get(alias);
         alias_found
@@ -468,7 +479,7 @@
 }
 
 impl Function {
-    fn set(&mut self, alias: &str, to: String, who: &str, at_ms: i64) -> u64 {
+    fn set_alias(&mut self, alias: &str, to: String, who: &str, at_ms: i64) -> u64 {
         let entry = self.aliases.entry(alias.into()).or_default();
         let from =
             Some(std::mem::replace(&mut entry.version, to.clone())).filter(|before| !before.is_empty());
--- a/crates/plugins/src/catalogue/error.rs
+++ b/crates/plugins/src/catalogue/error.rs
@@ -1,32 +1,33 @@
-//! Why the catalogue refuses an operation.
+//! Errors of the catalogue.
 
 use crate::digest::Digest;
 use std::fmt;
 
-/// Why something cannot be done or found.
+/// Why the catalogue refuses an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CatalogueError {
-    /// No such function.
+    /// There is no function of this name.
     UnknownFunction(String),
-    /// No such version or alias.
+    /// There is no version or alias of this name, or none that matches this reference.
     UnknownVersion(String),
-    /// The version was published with other content; versions never change.
+    /// The version exists with this other digest; versions never change.
     VersionTaken(Digest),
-    /// An alias and a version may not have the same name.
+    /// The name is taken: an alias and a version of a function may not share one.
     NameTaken(String),
-    /// Not all of its content is here.
+    /// Content of this version is missing.
     Partial(String),
-    /// It is in quarantine.
+    /// The version is in quarantine, for this reason.
     Quarantined(String),
-    /// No key of the list vouches for it.
+    /// No key of the admission policy has signed this version.
     Unsigned(String),
-    /// It claims what its tenant, or nobody, may at this site.
+    /// The manifest names a class that does not exist here, has another effect, or is not allowed for its
+    /// tenant.
     NotAllowed(String),
-    /// Somebody else moved the alias in between; it is at this revision now.
+    /// The alias was moved concurrently and is now at this revision.
     Stale(u64),
-    /// An alias means this version.
+    /// The version cannot be deleted, as this alias means it.
     InUse(String),
-    /// A name, alias or version that cannot be one.
+    /// A malformed function name, alias or version.
     BadName(String),
 }
 
@@ -36,20 +37,22 @@
             CatalogueError::UnknownFunction(name) => write!(f, "there is no plug-in {name}"),
             CatalogueError::UnknownVersion(name) => write!(f, "there is no version or alias {name}"),
             CatalogueError::VersionTaken(digest) => {
-                write!(f, "this version is published already, as {digest}")
+                write!(f, "this version is already published with digest {digest}")
             }
-            CatalogueError::NameTaken(name) => write!(f, "{name} is an alias or a version already"),
-            CatalogueError::Partial(version) => write!(f, "not all of version {version} is here"),
+            CatalogueError::NameTaken(name) => {
+                write!(f, "{name} is already the name of an alias or a version")
+            }
+            CatalogueError::Partial(version) => write!(f, "content of version {version} is missing"),
             CatalogueError::Quarantined(reason) => write!(f, "in quarantine: {reason}"),
             CatalogueError::Unsigned(version) => {
                 write!(f, "no key of the list has signed version {version}")
             }
-            CatalogueError::NotAllowed(words) => f.write_str(words),
+            CatalogueError::NotAllowed(message) => f.write_str(message),
             CatalogueError::Stale(revision) => {
                 write!(f, "somebody else moved this alias in between; it is at revision {revision}")
             }
             CatalogueError::InUse(alias) => write!(f, "alias {alias} means this version"),
-            CatalogueError::BadName(name) => write!(f, "{name:?} cannot be a name here"),
+            CatalogueError::BadName(name) => write!(f, "{name:?} is not a valid name"),
         }
     }
 }
--- a/crates/plugins/src/catalogue/views.rs
+++ b/crates/plugins/src/catalogue/views.rs
@@ -1,35 +1,36 @@
-//! Versions and aliases as lists show them.
+//! Versions and aliases as operators see them; serialized in answers of the admin socket and the command
+//! line.
 
 use super::{Quarantine, VersionState};
 use crate::digest::Digest;
 use serde::Serialize;
 
-/// A version, for lists.
+/// A version and its state.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct VersionView {
-    /// Its name.
+    /// Name of the version, unique within its function.
     pub version: String,
-    /// Its digest.
+    /// Digest of its manifest.
     pub digest: Digest,
-    /// How much of it is here.
+    /// Availability of its content.
     pub state: VersionState,
-    /// Why it runs nowhere, if so.
+    /// Present while the version is in quarantine.
     pub quarantine: Option<Quarantine>,
-    /// The keys that signed it, whether they are listed or not.
+    /// Ids of the keys of its signatures, whether or not these are valid or the keys are trusted.
     pub signed_by: Vec<String>,
-    /// Calls that are open for it.
+    /// Number of its open calls.
     pub open: usize,
-    /// Aliases that mean it.
+    /// Aliases that point to it, sorted.
     pub aliases: Vec<String>,
 }
 
-/// An alias, for lists.
+/// An alias and its target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct AliasView {
-    /// Its name.
+    /// Name of the alias, unique within its function.
     pub alias: String,
-    /// The version that it means.
+    /// The version that it points to.
     pub version: String,
-    /// Its revision, for the next mover to name.
+    /// Number of its moves; expected by the next conditional move.
     pub revision: u64,
 }
--- a/crates/plugins/src/digest.rs
+++ b/crates/plugins/src/digest.rs
@@ -1,29 +1,33 @@
-//! Content digests (OCI image specification, "Digests"): SHA-256 and no other algorithm. Everything that is pulled,
-//! loaded or found after a restart goes through a [`Verifier`].
+//! Content digests (OCI image specification, "Digests"); SHA-256 is the only algorithm. All content that is
+//! pulled, loaded or found after a restart is checked by a [`Verifier`].
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 use std::str::FromStr;
 
-/// The SHA-256 of some content.
+/// A SHA-256 digest.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Digest([u8; 32]);
 
-/// Why a text is no digest that can be used.
+/// Why a text is not a supported digest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DigestError {
-    /// An algorithm other than sha256.
+    /// The algorithm is not sha256. Holds its name, at most 32 characters of it.
     UnknownAlgorithm(String),
-    /// Not `sha256:` and 64 lower-case hexadecimal digits.
+    /// The text is not `sha256:` followed by 64 lower-case hexadecimal digits.
     Malformed,
 }
 
 impl fmt::Display for DigestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DigestError::UnknownAlgorithm(name) => write!(f, "the digest algorithm {name} is not known here"),
-            DigestError::Malformed => f.write_str("a digest is sha256: and 64 lower-case hexadecimal digits"),
+            DigestError::UnknownAlgorithm(name) => {
+                write!(f, "digest algorithm {name:?} is not supported, only sha256 is")
+            }
+            DigestError::Malformed => {
+                f.write_str("a digest must be sha256: followed by 64 lower-case hexadecimal digits")
+            }
         }
     }
 }
@@ -31,12 +35,12 @@
 impl std::error::Error for DigestError {}
 
 impl Digest {
-    /// The digest of some content.
+    /// Computes the digest of `content`.
     pub fn of(content: &[u8]) -> Self {
         Digest(Sha256::digest(content).into())
     }
 
-    /// The 64 hexadecimal digits, as file names have them.
+    /// The 64 hexadecimal digits without the algorithm, as used in file names.
     pub fn hex(&self) -> String {
         self.0.iter().map(|b| format!("{b:02x}")).collect()
     }
@@ -91,14 +95,14 @@
     }
 }
 
-/// Why content is not what was promised.
+/// Why content does not have the expected digest and size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VerifyError {
-    /// More bytes than promised; told before the rest is read.
+    /// More bytes than expected; detected before the rest is read.
     TooLong,
-    /// Fewer bytes than promised.
+    /// Fewer bytes than expected.
     TooShort,
-    /// The size is right and the content is not.
+    /// The size matches, but the digest does not.
     Mismatch,
 }
 
@@ -114,7 +118,8 @@
 
 impl std::error::Error for VerifyError {}
 
-/// Checks content that comes in pieces against its digest and size; an endless body ends at the promised size.
+/// Checks content that arrives in pieces against its digest and size; an endless body is refused at the
+/// expected size.
 #[derive(Clone)]
 pub struct Verifier {
     hash: Sha256,
@@ -124,20 +129,20 @@
 }
 
 impl Verifier {
-    /// A check of content that has not begun.
+    /// Starts the check of content with this digest and this size in bytes.
     pub fn new(digest: Digest, size: u64) -> Self {
         Verifier { hash: Sha256::new(), digest, size, seen: 0 }
     }
 
-    /// Bytes seen so far: where a pull that broke off is resumed.
+    /// Bytes checked so far: the offset at which an interrupted pull resumes.
     pub fn seen(&self) -> u64 {
         self.seen
     }
 
-    /// Takes a piece.
+    /// Adds the next piece.
     ///
     /// # Errors
-    /// [`VerifyError::TooLong`] as soon as it goes beyond the promised size.
+    /// [`VerifyError::TooLong`] as soon as the content exceeds the expected size.
     pub fn update(&mut self, piece: &[u8]) -> Result<(), VerifyError> {
         self.seen = self.seen.saturating_add(piece.len() as u64);
         if self.seen > self.size {
@@ -147,10 +152,10 @@
         Ok(())
     }
 
-    /// All has come.
+    /// Ends the check after the last piece.
     ///
     /// # Errors
-    /// Where it is not what was promised.
+    /// If the content is too short or does not match the digest.
     pub fn finish(self) -> Result<(), VerifyError> {
         if self.seen < self.size {
             return Err(VerifyError::TooShort);
--- a/crates/plugins/src/digest/tests.rs
+++ b/crates/plugins/src/digest/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn digests_are_read_as_they_are_written_and_nothing_else_is() {
+fn digests_round_trip_and_other_texts_are_rejected() {
     let digest = Digest::of(b"rules");
     assert_eq!(digest.to_string().parse(), Ok(digest));
     assert_eq!("sha512:00".parse::<Digest>(), Err(DigestError::UnknownAlgorithm("sha512".into())));
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn content_is_taken_only_whole_and_unchanged() {
+fn only_complete_and_unmodified_content_is_accepted() {
     let check = |content: &[u8]| {
         let mut verifier = Verifier::new(Digest::of(b"rules"), 5);
         content.chunks(2).try_for_each(|piece| verifier.update(piece))?;
--- a/crates/plugins/src/lib.rs
+++ b/crates/plugins/src/lib.rs
@@ -1,9 +1,10 @@
-//! Plug-ins: which versions of a function there are, what each alias means, and how a move of an alias is carried out.
-//! No I/O: times are arguments, what is kept is read and written as JSON by the caller.
+//! Plug-ins: the versions of each function, its aliases, and the rollout of a version that an alias was moved
+//! to. No I/O: times are arguments, and the caller stores the state as JSON.
 //!
-//! It guards three things: a call runs the rules that its reference meant when it was taken, whatever moves later; a
-//! version whose content is not what its digest says runs nowhere; and moving an alias does not cost the rush. The
-//! gateway's event loop calls it before a call goes to the engine and reports how calls of each version ended.
+//! It guarantees that a call runs the version that its reference meant when the call was accepted, even if
+//! the alias moves later; that a version whose content does not match its digest is not run; and that moving
+//! an alias does not disturb calls under load. The gateway's event loop resolves each call here before it
+//! submits it to the engine, and reports how the calls of each version ended.
 #![forbid(unsafe_code)]
 
 mod catalogue;
--- a/crates/plugins/src/manifest/tests.rs
+++ b/crates/plugins/src/manifest/tests.rs
@@ -8,7 +8,7 @@
     }
 }
 
-fn good() -> Value {
+fn valid_manifest() -> Value {
     json!({"name": "fare", "version": "1.0", "class": "quote", "effect": "safe", "lanes": 2, "load-ms": 300,
         "engine": "0.1", "layers": [{"digest": Digest::of(b"x").to_string(), "size": 1}]})
 }
@@ -21,20 +21,20 @@
 }
 
 #[test]
-fn a_good_manifest_is_taken_with_the_digest_of_its_bytes() {
-    let bytes = good().to_string().into_bytes();
+fn a_valid_manifest_is_accepted_with_the_digest_of_its_bytes() {
+    let bytes = valid_manifest().to_string().into_bytes();
     let (manifest, digest) = check_manifest("fare.json", &bytes, Some(&rights())).unwrap();
     assert_eq!((manifest.concurrency, digest), (2, Digest::of(&bytes)));
 }
 
 #[test]
-fn each_error_names_file_and_field() {
+fn each_violation_names_file_and_field() {
     let with = |field: &str, value: Value| {
-        let mut manifest = good();
+        let mut manifest = valid_manifest();
         manifest[field] = value;
         fields(&manifest)
     };
-    assert_eq!(fields(&good()), [""; 0]);
+    assert_eq!(fields(&valid_manifest()), [""; 0]);
     assert_eq!(with("lanes", json!(0)), ["/lanes"]);
     assert_eq!(with("name", json!("../x")), ["/name"]);
     assert_eq!(with("engine", json!("0.2")), ["/engine"]);
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn a_class_that_the_tenant_may_not_use_and_a_charge_that_calls_itself_safe_are_refused() {
-    let mut manifest = good();
+fn a_class_not_allowed_for_the_tenant_and_an_effect_other_than_the_class_has_are_refused() {
+    let mut manifest = valid_manifest();
     (manifest["class"], manifest["tenant"]) = (json!("charge"), json!("north"));
     assert_eq!(fields(&manifest), ["/effect", "/class"]);
     manifest["class"] = json!("refund");
--- a/crates/plugins/src/reference.rs
+++ b/crates/plugins/src/reference.rs
@@ -1,49 +1,52 @@
-//! What a call asks for: `name`, `name@alias`, `name@version` or `name@sha256:...`.
+//! References to versions of functions: `name`, `name@alias`, `name@version` or `name@sha256:...`.
 
 use crate::digest::{Digest, DigestError};
 use std::fmt;
 use std::str::FromStr;
 
-/// Longest name, alias or version, in bytes.
-const MAX_WORD: usize = 128;
+/// Maximum length of a name, alias or version, in bytes.
+const MAX_LENGTH: usize = 128;
 
-/// A reference to the rules of a function.
+/// A reference to a version of a function, as a call names it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reference {
-    /// The function.
+    /// Name of the function.
     pub name: String,
-    /// Which of its versions.
+    /// Selects one of its versions.
     pub selector: Selector,
 }
 
 /// Which version of a function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Selector {
-    /// What `current` means.
+    /// The version that the alias `current` means; written as the name alone.
     Current,
-    /// What an alias means, or a version.
+    /// The version that this alias means, or the version of this name.
     AliasOrVersion(String),
-    /// Just this content.
+    /// The version whose manifest has this digest.
     Digest(Digest),
 }
 
-/// Why a text is no reference.
+/// Why a text is not a reference.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReferenceError {
-    /// The name is empty, too long or has characters other than letters, digits and `-_./`.
+    /// The name is empty or too long, has an empty or dotted path segment, or has characters other than ASCII
+    /// letters, digits and `-_./`.
     Name,
-    /// The same of an alias or version.
+    /// The alias or version is empty, too long, or has characters other than ASCII letters, digits and `-_.`.
     AliasOrVersion,
-    /// The digest.
+    /// The digest is malformed or of an unsupported algorithm.
     Digest(DigestError),
 }
 
 impl fmt::Display for ReferenceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ReferenceError::Name => f.write_str("a name is made of letters, digits and -_./, 128 at most"),
+            ReferenceError::Name => f.write_str(
+                "a name must consist of 1 to 128 letters, digits and -_./, without empty or dotted segments",
+            ),
             ReferenceError::AliasOrVersion => {
-                f.write_str("an alias or version is made of letters, digits and -_., 128 at most")
+                f.write_str("an alias or version must consist of 1 to 128 letters, digits and -_.")
             }
             ReferenceError::Digest(e) => e.fmt(f),
         }
@@ -52,20 +55,20 @@
 
 impl std::error::Error for ReferenceError {}
 
-fn is_word(text: &str, also: &[u8]) -> bool {
-    let good = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b) || also.contains(&b);
-    (1..=MAX_WORD).contains(&text.len()) && text.bytes().all(good)
+fn is_label(text: &str, extra: &[u8]) -> bool {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b) || extra.contains(&b);
+    (1..=MAX_LENGTH).contains(&text.len()) && text.bytes().all(is_allowed)
 }
 
 impl Reference {
-    /// Whether a text may be a function's name: no empty or dotted path segments.
+    /// Whether `text` is a valid function name; empty, `.` and `..` path segments are not allowed.
     pub fn is_name(text: &str) -> bool {
-        is_word(text, b"/") && text.split('/').all(|s| !s.is_empty() && s != "." && s != "..")
+        is_label(text, b"/") && text.split('/').all(|s| !s.is_empty() && s != "." && s != "..")
     }
 
-    /// Whether a text may be an alias or a version.
+    /// Whether `text` is a valid alias or version name.
     pub fn is_alias_or_version(text: &str) -> bool {
-        is_word(text, b"")
+        is_label(text, b"")
     }
 }
 
@@ -75,11 +78,11 @@
     fn from_str(text: &str) -> Result<Self, ReferenceError> {
         let (name, selector) = match text.split_once('@') {
             None => (text, Selector::Current),
-            Some((name, word)) if word.contains(':') => {
-                (name, Selector::Digest(word.parse().map_err(ReferenceError::Digest)?))
+            Some((name, label)) if label.contains(':') => {
+                (name, Selector::Digest(label.parse().map_err(ReferenceError::Digest)?))
             }
-            Some((name, word)) if Reference::is_alias_or_version(word) => {
-                (name, Selector::AliasOrVersion(word.into()))
+            Some((name, label)) if Reference::is_alias_or_version(label) => {
+                (name, Selector::AliasOrVersion(label.into()))
             }
             Some(_) => return Err(ReferenceError::AliasOrVersion),
         };
@@ -94,7 +97,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.selector {
             Selector::Current => f.write_str(&self.name),
-            Selector::AliasOrVersion(word) => write!(f, "{}@{word}", self.name),
+            Selector::AliasOrVersion(label) => write!(f, "{}@{label}", self.name),
             Selector::Digest(digest) => write!(f, "{}@{digest}", self.name),
         }
     }
--- a/crates/plugins/src/reference/tests.rs
+++ b/crates/plugins/src/reference/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_four_forms_are_read_and_others_are_refused() {
+fn the_four_forms_round_trip_and_other_texts_are_rejected() {
     let digest = Digest::of(b"");
     for text in ["fare", "north/fare", "fare@previous", "fare@1.2.3", &format!("fare@{digest}")] {
         assert_eq!(text.parse::<Reference>().unwrap().to_string(), text);
--- a/crates/plugins/src/rollout.rs
+++ b/crates/plugins/src/rollout.rs
@@ -1,30 +1,35 @@
-//! The roll-out of a new version behind an alias: replicas are loaded first, then a growing, stable fraction of the calls is
-//! moved; it is rolled back automatically, once, where the new version does worse.
+//! Rollout of a new version behind an alias: copies of it are loaded first, then a growing, stable fraction
+//! of the calls is routed to it. It is rolled back automatically, at most once, if the new version does
+//! worse.
 //!
-//! It decides by what it observes: which replicas are loaded ([`Observation::CopyLoaded`]), how calls of either version ended. It does no
-//! I/O: [`Rollout::load_request`] returns how many replicas to load ahead, [`Rollout::side`] which version a call
-//! goes to. One instance for each function whose `current` moved; bounded state, no clock, no randomness.
+//! Decisions depend on observations only: which copies are loaded ([`Observation::CopyLoaded`]) and how calls
+//! of either version ended. The module does no I/O: [`Rollout::load_request`] returns how many copies to load
+//! ahead, [`Rollout::side`] which version a call is routed to. There is one instance for each function whose
+//! `current` moved; its state is bounded, and it uses neither a clock nor randomness.
 //!
-//! Invariants, each with a test: no call goes to the new version before a copy of it stands; a key that has gone to the
-//! new version stays there while the move goes on; a move back happens once, and from then on all calls take the old
-//! version; the part never grows faster than copies stand.
+//! Invariants, each with a test: no call is routed to the new version before a copy of it is loaded; a key
+//! that was routed to the new version stays there until the rollout ends; a rollback happens once, and from
+//! then on all calls run the old version; the fraction of calls never exceeds the fraction of copies that are
+//! loaded.
 
-/// Figures of a roll-out. Times are in microseconds.
+/// Limits and thresholds of a rollout. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// Orders that may be out ahead at a time: what the store of plug-ins bears.
+    /// Load requests that may be open at a time, so that the plug-in store is not overloaded.
     pub max_load_requests: usize,
-    /// The part of the calls that the first copy may get; it doubles with each step.
+    /// The largest fraction of the calls that the first step routes to the new version; it doubles with each
+    /// step.
     pub initial_fraction: f64,
-    /// A step lasts at least so long, so that its calls have been seen.
+    /// Minimum duration of a step, so that calls of its fraction have ended.
     pub step_us: i64,
-    /// Calls of the new version that must have ended before it is judged.
+    /// Calls of the new version that must have ended before it is compared with the old one.
     pub min_calls: u32,
-    /// Failures beyond the old version's part by more than this are too many.
+    /// The new version is rolled back if its ratio of failed calls exceeds the old version's by more than
+    /// this.
     pub failure_tolerance: f64,
-    /// Being late beyond the old version's part by more than this is too much.
+    /// The new version is rolled back if its ratio of late calls exceeds the old version's by more than this.
     pub lateness_tolerance: f64,
-    /// Without a copy that stands after this, the move is given up.
+    /// The rollout is rolled back if no copy is loaded after this time.
     pub first_copy_timeout_us: i64,
 }
 
@@ -42,72 +47,72 @@
     }
 }
 
-/// One of the two versions of a move.
+/// One of the two versions of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// The one before.
+    /// The version that the alias meant before the rollout.
     Old,
-    /// The one after.
+    /// The version that is rolled out.
     New,
 }
 
-/// What a roll-out is told.
+/// An event that [`Rollout::observe`] takes into account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// An order ahead for a copy of the new version went out.
+    /// A request to load a copy of the new version was sent.
     LoadRequested,
-    /// It ended, and a copy stands.
+    /// A load request ended and its copy is loaded.
     CopyLoaded,
-    /// It ended, and none does.
+    /// A load request ended without a loaded copy.
     LoadFailed,
-    /// A call was taken for one of the versions.
+    /// A call of one of the versions was accepted.
     CallStarted(Side),
-    /// A call that was taken ended without saying anything of its version: its client left, it joined another's run, or
-    /// it was refused before any attempt.
+    /// An accepted call ended without evidence about its version: its client disconnected, it received the
+    /// result of another call, or it was refused before any attempt.
     CallWithdrawn(Side),
     /// A call of one of the versions ended.
     CallEnded {
-        /// Which version.
+        /// The version that it ran.
         side: Side,
-        /// Whether it was served.
+        /// Whether it succeeded.
         served: bool,
-        /// Whether it came later than its class's aim.
+        /// Whether its answer was later than the latency objective of its class.
         late: bool,
     },
-    /// A worker ran other content than the call's, or its content was found corrupt.
+    /// A worker ran content other than the call's, or the new version's content is corrupt.
     Corrupt,
 }
 
-/// What a roll-out asks of the gateway.
+/// The load requests that a rollout needs now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutRequest {
-    /// Up to so many further copies of the new version ordered ahead.
+    /// Request loads of up to this many further copies of the new version.
     Copies(usize),
-    /// Nothing for now.
+    /// No load request is needed or allowed at present.
     Nothing,
 }
 
-/// How a roll-out ended.
+/// How a rollout ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutOutcome {
-    /// All calls take the new version; the old one's copies may go.
+    /// All calls run the new version; copies of the old one may be unloaded.
     Completed,
-    /// It did worse, or no copy came to stand: the alias is to go back.
+    /// The new version did worse, or no copy was loaded, for the stated reason; the alias must be moved back.
     RolledBack(&'static str),
 }
 
-/// Where a roll-out is.
+/// Progress of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RolloutState {
-    /// No copy of the new version stands yet.
+    /// No copy of the new version is loaded yet.
     Preparing,
-    /// This part of the calls takes the new version.
+    /// This fraction of the calls, above 0 and below 1, runs the new version.
     Moving(f64),
-    /// It is over.
+    /// The rollout has ended; this state is final.
     Ended(RolloutOutcome),
 }
 
-/// Counts of one version's calls since the move began.
+/// Counts of one version's calls since the rollout started.
 #[derive(Clone, Copy, Debug, Default)]
 struct CallCounters {
     open: u32,
@@ -125,7 +130,7 @@
         self.ratio(self.late)
     }
 
-    /// The fraction of the ended calls that a count is; 0 where none has ended.
+    /// `count` as a fraction of the calls that ended; 0 if none has.
     fn ratio(self, count: u32) -> f64 {
         if self.ended == 0 {
             0.0
@@ -135,85 +140,86 @@
     }
 }
 
-/// The move of one function's alias.
+/// The rollout of one function's new version.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     settings: RolloutSettings,
-    began_us: i64,
-    step_from_us: i64,
+    started_us: i64,
+    step_started_us: i64,
     state: RolloutState,
-    /// Copies that will be needed: workers that serve the old version.
+    /// Target number of copies: the number of workers that serve the old version.
     needed: usize,
-    standing: usize,
-    orders_open: usize,
-    failed_orders: usize,
+    loaded_copies: usize,
+    open_load_requests: usize,
+    failed_load_requests: usize,
     old: CallCounters,
     new: CallCounters,
-    /// Whether its end was given.
-    end_reported: bool,
+    /// Whether [`Rollout::advance`] has returned the outcome.
+    outcome_reported: bool,
 }
 
 impl Rollout {
-    /// A move that begins now, of a function whose old version is served by `needed` workers.
+    /// Starts a rollout for a function whose old version is served by `needed` workers.
     pub fn new(settings: RolloutSettings, now_us: i64, needed: usize) -> Self {
         Rollout {
             settings,
-            began_us: now_us,
-            step_from_us: now_us,
+            started_us: now_us,
+            step_started_us: now_us,
             state: RolloutState::Preparing,
             needed: needed.max(1),
-            standing: 0,
-            orders_open: 0,
-            failed_orders: 0,
+            loaded_copies: 0,
+            open_load_requests: 0,
+            failed_load_requests: 0,
             old: CallCounters::default(),
             new: CallCounters::default(),
-            end_reported: false,
+            outcome_reported: false,
         }
     }
 
-    /// Where it is.
+    /// Current progress.
     pub fn state(&self) -> RolloutState {
         self.state
     }
 
-    /// Copies of the new version that stand, and that are needed.
+    /// Copies of the new version that are loaded, and the target number.
     pub fn copies(&self) -> (usize, usize) {
-        (self.standing, self.needed)
+        (self.loaded_copies, self.needed)
     }
 
-    /// The version that a call goes to, by a stable hash of its key as a number from 0 to 1.
+    /// The version that a call is routed to. `hash` is a stable hash of its key, scaled to the range from 0
+    /// to 1.
     pub fn side(&self, hash: f64) -> Side {
         match self.state {
             RolloutState::Preparing | RolloutState::Ended(RolloutOutcome::RolledBack(_)) => Side::Old,
             RolloutState::Ended(RolloutOutcome::Completed) => Side::New,
-            RolloutState::Moving(part) if hash < part => Side::New,
+            RolloutState::Moving(fraction) if hash < fraction => Side::New,
             RolloutState::Moving(_) => Side::Old,
         }
     }
 
-    /// What is to be ordered ahead now.
+    /// The load requests to be sent now.
     pub fn load_request(&self) -> RolloutRequest {
-        let over = matches!(self.state, RolloutState::Ended(_));
-        let missing = self.needed.saturating_sub(self.standing + self.orders_open);
-        let room = self.settings.max_load_requests.saturating_sub(self.orders_open);
+        let has_ended = matches!(self.state, RolloutState::Ended(_));
+        let missing = self.needed.saturating_sub(self.loaded_copies + self.open_load_requests);
+        let room = self.settings.max_load_requests.saturating_sub(self.open_load_requests);
         match missing.min(room) {
             0 => RolloutRequest::Nothing,
-            _ if over => RolloutRequest::Nothing,
+            _ if has_ended => RolloutRequest::Nothing,
             copies => RolloutRequest::Copies(copies),
         }
     }
 
-    /// Takes what happened.
-    pub fn observe(&mut self, now_us: i64, observed: Observation) {
-        match observed {
-            Observation::LoadRequested => self.orders_open += 1,
+    /// Records an observation and reevaluates the rollout.
+    pub fn observe(&mut self, now_us: i64, observation: Observation) {
+        match observation {
+            Observation::LoadRequested => self.open_load_requests += 1,
             Observation::CopyLoaded => {
-                self.orders_open = self.orders_open.saturating_sub(1);
-                self.standing += 1;
+                self.open_load_requests = self.open_load_requests.saturating_sub(1);
+                self.loaded_copies += 1;
             }
             Observation::LoadFailed => {
-                self.orders_open = self.orders_open.saturating_sub(1);
-                self.failed_orders += 1;
+                self.open_load_requests = self.open_load_requests.saturating_sub(1);
+                self.failed_load_requests += 1;
             }
             Observation::CallStarted(side) => self.counters(side).open += 1,
             Observation::CallWithdrawn(side) => {
@@ -228,17 +234,19 @@
                 counters.late += u32::from(late);
             }
             Observation::Corrupt => {
-                return self.end(RolloutOutcome::RolledBack("its content was found corrupt"))
+                return self.end(RolloutOutcome::RolledBack("the content of the new version is corrupt"))
             }
         }
-        self.judge(now_us);
+        self.evaluate(now_us);
     }
 
-    /// Lets time pass; gives the end once, when it comes.
+    /// Reevaluates the rollout at `now_us`; returns the outcome once, after the rollout has ended.
     pub fn advance(&mut self, now_us: i64) -> Option<RolloutOutcome> {
-        self.judge(now_us);
+        self.evaluate(now_us);
         match self.state {
-            RolloutState::Ended(ended) if !std::mem::replace(&mut self.end_reported, true) => Some(ended),
+            RolloutState::Ended(outcome) if !std::mem::replace(&mut self.outcome_reported, true) => {
+                Some(outcome)
+            }
             _ => None,
         }
     }
@@ -256,27 +264,29 @@
         }
     }
 
-    fn judge(&mut self, now_us: i64) {
+    fn evaluate(&mut self, now_us: i64) {
         if matches!(self.state, RolloutState::Ended(_)) {
             return;
         }
-        // A clock that jumps back must not hold a move up for ever: its times count anew from there.
-        self.began_us = self.began_us.min(now_us);
-        self.step_from_us = self.step_from_us.min(now_us);
-        if self.standing == 0 && now_us - self.began_us >= self.settings.first_copy_timeout_us {
-            return self.end(RolloutOutcome::RolledBack("no copy of it came to stand"));
+        // Start times are reset if the clock jumps back, as the rollout would otherwise stall until it
+        // catches up.
+        self.started_us = self.started_us.min(now_us);
+        self.step_started_us = self.step_started_us.min(now_us);
+        if self.loaded_copies == 0 && now_us - self.started_us >= self.settings.first_copy_timeout_us {
+            return self.end(RolloutOutcome::RolledBack("no copy of the new version was loaded in time"));
         }
-        if let Some(why) = self.worse() {
-            return self.end(RolloutOutcome::RolledBack(why));
+        if let Some(reason) = self.regression() {
+            return self.end(RolloutOutcome::RolledBack(reason));
         }
-        if now_us - self.step_from_us < self.settings.step_us && self.state != RolloutState::Preparing {
+        if now_us - self.step_started_us < self.settings.step_us && self.state != RolloutState::Preparing {
             return;
         }
         self.step(now_us);
     }
 
-    /// Why the new version does worse, if it does: beyond the old one's part, and beyond chance at so few calls.
-    fn worse(&self) -> Option<&'static str> {
+    /// Why the new version does worse, if it does. Its ratios must exceed the old version's by more than the
+    /// tolerance and by more than the statistical error, about 1/sqrt(n) for n calls.
+    fn regression(&self) -> Option<&'static str> {
         let (new, old) = (self.new, self.old);
         if new.ended < self.settings.min_calls {
             return None;
@@ -284,35 +294,37 @@
         let chance = 1.0 / f64::from(new.ended).sqrt();
         let exceeds = |new: f64, old: f64, tolerance: f64| new > old + tolerance.max(chance);
         if exceeds(new.failure_ratio(), old.failure_ratio(), self.settings.failure_tolerance) {
-            return Some("more of its calls failed");
+            return Some("more calls of the new version failed");
         }
         if exceeds(new.late_ratio(), old.late_ratio(), self.settings.lateness_tolerance) {
-            return Some("more of its calls came late");
+            return Some("more calls of the new version were late");
         }
         None
     }
 
-    /// The next part: double what it was, never beyond the part of the copies that stand.
+    /// Starts the next step: doubles the fraction, up to the fraction of copies that are loaded.
     fn step(&mut self, now_us: i64) {
-        let loaded = (self.standing as f64 / self.needed as f64).min(1.0);
-        let part = match self.state {
-            RolloutState::Preparing if self.standing > 0 => self.settings.initial_fraction.min(loaded),
-            RolloutState::Moving(part) => (part * 2.0).min(loaded).max(part),
+        let loaded = (self.loaded_copies as f64 / self.needed as f64).min(1.0);
+        let fraction = match self.state {
+            RolloutState::Preparing if self.loaded_copies > 0 => self.settings.initial_fraction.min(loaded),
+            RolloutState::Moving(fraction) => (fraction * 2.0).min(loaded).max(fraction),
             _ => return,
         };
-        // Each part is judged by calls of its own before it grows, unless there are hardly any calls at all. Calls that
-        // are open and do not end are no quiet: a version that hangs would otherwise be taken for one without calls.
-        let seen = self.new.ended >= self.settings.min_calls;
-        // Nor may a few calls that went badly be too few to count: after one of these it waits until it can be judged.
-        let well = self.new.open == 0 && self.new.failed == 0 && self.new.late == 0;
-        let quiet = well && now_us - self.step_from_us >= 4 * self.settings.step_us;
-        if matches!(self.state, RolloutState::Moving(_)) && !seen && !quiet {
+        // The fraction grows only once enough calls of the new version have ended, unless there is hardly any
+        // traffic. Open calls count as traffic: otherwise a version that hangs would look like one without
+        // calls.
+        let has_enough_calls = self.new.ended >= self.settings.min_calls;
+        // After a failed or late call the fraction does not grow until there are enough calls for a
+        // comparison: a few bad calls must not pass as too few to count.
+        let no_bad_calls = self.new.open == 0 && self.new.failed == 0 && self.new.late == 0;
+        let is_idle = no_bad_calls && now_us - self.step_started_us >= 4 * self.settings.step_us;
+        if matches!(self.state, RolloutState::Moving(_)) && !has_enough_calls && !is_idle {
             return;
         }
-        if part >= 1.0 {
+        if fraction >= 1.0 {
             return self.end(RolloutOutcome::Completed);
         }
-        self.step_from_us = now_us;
-        self.state = RolloutState::Moving(part);
+        self.step_started_us = now_us;
+        self.state = RolloutState::Moving(fraction);
     }
 }
--- a/crates/plugins/src/signature.rs
+++ b/crates/plugins/src/signature.rs
@@ -1,5 +1,6 @@
-//! Signatures of plug-ins: ed25519 over a plug-in's digest (RFC 8032), checked against a list of keys that may change
-//! while a gateway runs. The catalogue asks it at each change; the commands sign with it.
+//! Signatures of plug-ins: ed25519 (RFC 8032) over a version's digest, verified against a list of keys that
+//! may change while a gateway runs. The catalogue verifies them whenever versions or keys change; the
+//! `plugin` commands sign.
 
 use crate::digest::Digest;
 use base64::engine::general_purpose::STANDARD;
@@ -9,25 +10,27 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What is signed begins with this, so that no signature made for something else can pass for one of a plug-in.
+/// Prefix of every signed message, so that a signature made for another purpose is not valid for a plug-in.
 const CONTEXT: &str = "slatevalve plug-in 1\n";
 
-/// Somebody's word for a plug-in.
+/// A signature of a version, which may be invalid until [`KeyList::find_signer`] verifies it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Signature {
-    /// The id of the key, as the key list has it.
+    /// Id of the key in the key list.
     pub key: String,
-    /// The 64 bytes, in base64.
+    /// The signature, 64 bytes in base64.
     value: String,
 }
 
-/// Why a text is no key.
+/// A text is not a valid key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyError;
 
 impl fmt::Display for KeyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a key is 32 bytes in base64, and a public one a point that ed25519 takes")
+        f.write_str(
+            "a key must be 32 bytes in base64, and a public key a valid ed25519 point that is not weak",
+        )
     }
 }
 
@@ -42,53 +45,54 @@
 }
 
 impl Signature {
-    /// Reads a key's id and a signature in base64; none where it cannot be one.
+    /// Creates a signature from a key's id and 64 bytes in base64; `None` if `value` is not that. It is not
+    /// verified.
     pub fn read(key: &str, value: &str) -> Option<Self> {
         bytes::<64>(value)?;
         Some(Signature { key: key.into(), value: value.trim().into() })
     }
 
-    /// The signature in base64.
+    /// The signature bytes in base64.
     pub fn base64(&self) -> String {
         self.value.clone()
     }
 }
 
-/// A key that signs.
+/// A private key that signs versions.
 pub struct SigningSecret(SigningKey);
 
 impl SigningSecret {
-    /// A key from 32 random bytes.
+    /// Creates a key from 32 random bytes.
     pub fn from_random(seed: [u8; 32]) -> Self {
         SigningSecret(SigningKey::from_bytes(&seed))
     }
 
-    /// Reads a key as [`SigningSecret::base64`] gives it.
+    /// Parses a key that [`SigningSecret::base64`] returned.
     ///
     /// # Errors
-    /// When it is none.
+    /// If the text is not 32 bytes in base64.
     pub fn parse(text: &str) -> Result<Self, KeyError> {
         Ok(SigningSecret::from_random(bytes::<32>(text).ok_or(KeyError)?))
     }
 
-    /// The key, to be kept in a file that only its owner reads.
+    /// The private key in base64. It must be stored where only its owner can read it.
     pub fn base64(&self) -> String {
         STANDARD.encode(self.0.to_bytes())
     }
 
-    /// The public key, for key lists.
+    /// The public key in base64, for [`KeyList::add`].
     pub fn public(&self) -> String {
         STANDARD.encode(self.0.verifying_key().to_bytes())
     }
 
-    /// Signs a plug-in.
+    /// Signs the version with this digest; `key` is the id of this key in key lists.
     pub fn sign(&self, key: &str, digest: &Digest) -> Signature {
         let value = self.0.sign(&message(digest)).to_bytes();
         Signature { key: key.into(), value: STANDARD.encode(value) }
     }
 }
 
-/// The keys whose word counts.
+/// Trusted public keys by id.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyList(BTreeMap<String, VerifyingKey>);
 
@@ -96,7 +100,7 @@
     /// Adds a public key in base64.
     ///
     /// # Errors
-    /// When it is none.
+    /// If it is not 32 bytes in base64, not a point of the curve, or weak.
     pub fn add(&mut self, id: &str, public: &str) -> Result<(), KeyError> {
         let key = VerifyingKey::from_bytes(&bytes::<32>(public).ok_or(KeyError)?).map_err(|_| KeyError)?;
         if key.is_weak() {
@@ -106,16 +110,16 @@
         Ok(())
     }
 
-    /// The id of the first key that vouches for a plug-in.
+    /// The id of the key of the first valid signature of `digest`; `None` if no trusted key has signed it.
     pub fn find_signer(&self, digest: &Digest, signatures: &[Signature]) -> Option<&str> {
-        let good = |signature: &Signature| {
+        let verify = |signature: &Signature| {
             let (id, key) = self.0.get_key_value(&signature.key)?;
             let value = ed25519_dalek::Signature::from_bytes(&bytes::<64>(&signature.value)?);
-            // Strict: no second form of the same signature, no weak key.
+            // Strict verification rejects non-canonical encodings of a signature, and weak keys.
             key.verify_strict(&message(digest), &value).ok()?;
             Some(id.as_str())
         };
-        signatures.iter().find_map(good)
+        signatures.iter().find_map(verify)
     }
 }
 
--- a/crates/plugins/src/signature/tests.rs
+++ b/crates/plugins/src/signature/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_a_listed_key_and_just_this_digest_vouch() {
+fn only_a_signature_by_a_listed_key_for_this_digest_is_valid() {
     let (anna, other) = (SigningSecret::from_random([7; 32]), SigningSecret::from_random([8; 32]));
     let digest = Digest::of(b"rules");
     let mut keys = KeyList::default();
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn what_is_no_key_or_signature_is_refused() {
+fn malformed_and_weak_keys_and_malformed_signatures_are_rejected() {
     let secret = SigningSecret::from_random([7; 32]);
     assert_eq!(SigningSecret::parse(&secret.base64()).unwrap().public(), secret.public());
     let weak = STANDARD.encode([0u8; 32]);
--- a/crates/plugins/tests/catalogue.rs
+++ b/crates/plugins/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue and the roll-out, by what their callers see.
+//! Tests of the catalogue and of rollouts through their public interface.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -22,7 +22,7 @@
     (manifest, digest)
 }
 
-fn with(versions: &[&str]) -> Catalogue {
+fn catalogue_with(versions: &[&str]) -> Catalogue {
     let mut catalogue = Catalogue::default();
     for version in versions {
         let (manifest, digest) = manifest(version);
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn the_four_forms_of_a_reference_find_their_version() {
-    let mut c = with(&["1", "2"]);
+fn the_four_forms_of_a_reference_resolve_to_their_version() {
+    let mut c = catalogue_with(&["1", "2"]);
     c.move_alias("fare", CURRENT, "1", None, "anna", 5).unwrap();
     c.move_alias("fare", CURRENT, "2", None, "anna", 6).unwrap();
     let digest = manifest("1").1;
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn an_alias_does_not_move_to_what_is_missing_half_there_or_corrupt() {
-    let mut c = with(&["1"]);
+fn an_alias_does_not_move_to_a_missing_incomplete_or_quarantined_version() {
+    let mut c = catalogue_with(&["1"]);
     c.move_alias("fare", CURRENT, "1", None, "anna", 0).unwrap();
     let (manifest, digest) = manifest("2");
     assert!(matches!(
@@ -67,12 +67,15 @@
     assert!(matches!(c.move_alias("fare", CURRENT, "2", None, "b", 0), Err(CatalogueError::Quarantined(_))));
     assert_eq!(resolve(&c, "fare"), Ok("1".into()));
     c.complete("fare", "2").unwrap();
-    assert!(c.move_alias("fare", CURRENT, "2", None, "b", 0).is_ok(), "a clean pull lifts it");
+    assert!(
+        c.move_alias("fare", CURRENT, "2", None, "b", 0).is_ok(),
+        "a verified pull did not end the quarantine"
+    );
 }
 
 #[test]
-fn of_two_who_move_an_alias_at_once_the_second_is_told() {
-    let mut c = with(&["1", "2", "3"]);
+fn of_two_concurrent_moves_of_an_alias_the_second_fails() {
+    let mut c = catalogue_with(&["1", "2", "3"]);
     let seen = c.move_alias("fare", CURRENT, "1", Some(0), "anna", 0).unwrap();
     c.move_alias("fare", CURRENT, "2", Some(seen), "anna", 0).unwrap();
     assert_eq!(c.move_alias("fare", CURRENT, "3", Some(seen), "bert", 0), Err(CatalogueError::Stale(2)));
@@ -81,7 +84,7 @@
 
 #[test]
 fn history_keeps_its_order_when_the_clock_jumps_and_survives_a_restart() {
-    let mut c = with(&["1", "2"]);
+    let mut c = catalogue_with(&["1", "2"]);
     for (n, at) in [9_000, -5, 100].into_iter().enumerate() {
         c.move_alias("fare", CURRENT, if n % 2 == 0 { "1" } else { "2" }, None, "anna", at).unwrap();
     }
@@ -98,8 +101,8 @@
 }
 
 #[test]
-fn a_version_never_changes_and_shares_no_name_with_an_alias() {
-    let mut c = with(&["1"]);
+fn a_version_is_immutable_and_shares_no_name_with_an_alias() {
+    let mut c = catalogue_with(&["1"]);
     let (mut other, _) = manifest("1");
     other.concurrency = 9;
     assert!(matches!(c.publish(other, Digest::of(b"other")), Err(CatalogueError::VersionTaken(_))));
@@ -111,7 +114,7 @@
 
 #[test]
 fn a_deleted_version_keeps_its_content_while_a_call_is_open() {
-    let mut c = with(&["1", "2"]);
+    let mut c = catalogue_with(&["1", "2"]);
     let digest = manifest("1").1;
     c.move_alias("fare", "night", "1", None, "anna", 0).unwrap();
     assert_eq!(c.delete("fare", "1"), Err(CatalogueError::InUse("night".into())));
@@ -129,12 +132,12 @@
 }
 
 #[test]
-fn calls_move_in_growing_parts_as_copies_stand_and_never_before() {
+fn the_fraction_of_calls_grows_with_the_loaded_copies_and_never_exceeds_them() {
     let mut r = Rollout::new(RolloutSettings::default(), 0, 4);
     assert_eq!((r.load_request(), r.side(0.0)), (RolloutRequest::Copies(2), Side::Old));
     r.observe(0, Observation::LoadRequested);
     r.observe(0, Observation::LoadRequested);
-    assert_eq!(r.load_request(), RolloutRequest::Nothing, "two orders at a time");
+    assert_eq!(r.load_request(), RolloutRequest::Nothing, "more than two load requests were open");
     r.observe(200_000, Observation::CopyLoaded);
     assert_eq!((r.state(), r.side(0.05), r.side(0.2)), (RolloutState::Moving(0.1), Side::New, Side::Old));
     let mut now = 200_000;
@@ -142,7 +145,7 @@
         now += 100_000;
         (0..5).for_each(|_| r.observe(now, ended(Side::New, true, false)));
     }
-    assert_eq!(r.state(), RolloutState::Moving(0.25), "one of four copies stands");
+    assert_eq!(r.state(), RolloutState::Moving(0.25), "the fraction is not that of one loaded copy of four");
     for _ in 0..3 {
         r.observe(now, Observation::CopyLoaded);
     }
@@ -155,7 +158,7 @@
 }
 
 #[test]
-fn a_new_version_that_fails_or_is_late_goes_back_once() {
+fn a_new_version_that_fails_or_is_late_is_rolled_back_once() {
     for (served, late) in [(false, false), (true, true)] {
         let mut r = Rollout::new(RolloutSettings::default(), 0, 1);
         r.observe(0, Observation::CopyLoaded);
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn a_rush_in_which_both_versions_do_badly_moves_nothing_back() {
+fn overload_that_affects_both_versions_causes_no_rollback() {
     let mut r = Rollout::new(RolloutSettings::default(), 0, 1);
     r.observe(0, Observation::CopyLoaded);
     for n in 0..400 {
@@ -182,7 +185,7 @@
 }
 
 #[test]
-fn a_new_version_that_hangs_gets_no_further_calls_and_one_without_calls_moves_on() {
+fn a_rollout_stalls_while_calls_of_the_new_version_hang_and_continues_without_calls() {
     for hangs in [true, false] {
         let mut r = Rollout::new(RolloutSettings::default(), 0, 1);
         r.observe(0, Observation::CopyLoaded);
@@ -196,7 +199,7 @@
 }
 
 #[test]
-fn few_calls_that_all_failed_do_not_let_a_move_go_on() {
+fn a_rollout_stalls_after_failed_calls_too_few_to_compare() {
     let mut r = Rollout::new(RolloutSettings::default(), 0, 1);
     r.observe(0, Observation::CopyLoaded);
     r.observe(1, ended(Side::New, false, false));
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn a_move_without_a_copy_is_given_up_and_corrupt_content_ends_it_at_once() {
+fn a_rollout_without_a_loaded_copy_times_out_and_corrupt_content_ends_it_at_once() {
     let mut r = Rollout::new(RolloutSettings::default(), 0, 2);
     r.observe(0, Observation::LoadRequested);
     r.observe(1, Observation::LoadFailed);
@@ -222,37 +225,42 @@
         cases: 300, rng_seed: RngSeed::Fixed(21), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Whatever is observed and however the clock goes: the part never shrinks but by the one move back, it never goes
-    /// beyond the copies that stand, orders stay within their number, and what is over stays over.
+    /// For any observations and any clock steps: the fraction shrinks only by the rollback, it never exceeds
+    /// the fraction of loaded copies, open load requests stay within their limit, and an outcome is final.
     #[test]
-    fn a_rollout_keeps_its_bounds(steps in prop::collection::vec((0u8..8, -300_000i64..900_000), 1..300)) {
+    fn a_rollout_keeps_its_invariants(
+        steps in prop::collection::vec((0u8..8, -300_000i64..900_000), 1..300),
+    ) {
         let settings = RolloutSettings::default();
         let mut r = Rollout::new(settings, 0, 3);
-        let (mut now, mut out, mut part, mut over) = (0, 0usize, 0.0, None);
-        for (what, passes) in steps {
-            now += passes;
+        let (mut now, mut requested, mut fraction, mut outcome) = (0, 0usize, 0.0, None);
+        for (kind, elapsed) in steps {
+            now += elapsed;
             if let RolloutRequest::Copies(copies) = r.load_request() {
-                prop_assert!(out + copies <= settings.max_load_requests);
+                prop_assert!(requested + copies <= settings.max_load_requests);
             }
-            match what {
-                0 if r.load_request() != RolloutRequest::Nothing => { r.observe(now, Observation::LoadRequested); out += 1; }
-                1 if out > 0 => { r.observe(now, Observation::CopyLoaded); out -= 1; }
-                2 if out > 0 => { r.observe(now, Observation::LoadFailed); out -= 1; }
+            match kind {
+                0 if r.load_request() != RolloutRequest::Nothing => {
+                    r.observe(now, Observation::LoadRequested);
+                    requested += 1;
+                }
+                1 if requested > 0 => { r.observe(now, Observation::CopyLoaded); requested -= 1; }
+                2 if requested > 0 => { r.observe(now, Observation::LoadFailed); requested -= 1; }
                 3 | 4 => r.observe(now, ended(Side::New, true, false)),
                 5 => r.observe(now, ended(Side::New, false, false)),
                 6 => r.observe(now, ended(Side::Old, true, false)),
                 _ => { r.advance(now); }
             }
-            let (standing, needed) = r.copies();
+            let (loaded, needed) = r.copies();
             match r.state() {
-                RolloutState::Preparing => prop_assert_eq!(part, 0.0),
+                RolloutState::Preparing => prop_assert_eq!(fraction, 0.0),
                 RolloutState::Moving(p) => {
-                    prop_assert!(p >= part && p <= (standing as f64 / needed as f64).min(1.0));
-                    part = p;
+                    prop_assert!(p >= fraction && p <= (loaded as f64 / needed as f64).min(1.0));
+                    fraction = p;
                 }
-                RolloutState::Ended(end) => prop_assert_eq!(*over.get_or_insert(end), end),
+                RolloutState::Ended(end) => prop_assert_eq!(*outcome.get_or_insert(end), end),
             }
-            prop_assert!(over.is_none() || matches!(r.state(), RolloutState::Ended(_)));
+            prop_assert!(outcome.is_none() || matches!(r.state(), RolloutState::Ended(_)));
         }
     }
 }
--- a/crates/plugins/tests/stored_forms.rs
+++ b/crates/plugins/tests/stored_forms.rs
@@ -1,9 +1,9 @@
-//! The forms of plug-ins that lie on disks and in registries, as fixed literals.
+//! The serialized forms of plug-ins on disk and in registries, as fixed literals.
 //!
-//! Folders written by an earlier gateway must be read by the next one, and manifests and signatures come from other
-//! people. Each literal was written by the program and must stay as it is, whatever the identifiers in the code are
-//! called. A test that fails here says that stored data would not be read any more, or would be written in another
-//! form; the literal is not to be adapted to the code.
+//! A gateway must read folders written by an earlier version, and manifests and signatures come from third
+//! parties. Each literal was written by the program and must not change when identifiers in the code do. A
+//! failing test means that stored data could no longer be read, or would be written in another form: fix the
+//! code, not the literal.
 
 use slatevalve_plugins::*;
 
@@ -28,7 +28,7 @@
     }
 }
 
-fn least(version: &str) -> Manifest {
+fn minimal(version: &str) -> Manifest {
     let (tenant, effect, engine) = (None, None, None);
     let (concurrency, memory_mb, load_ms) = (1, 0.0, 0.0);
     Manifest {
@@ -47,7 +47,7 @@
     let mut c = Catalogue::default();
     c.publish(manifest(), digest("01")).unwrap();
     for (version, hex) in [("2.0", "02"), ("3.0", "03"), ("4.0", "04")] {
-        c.publish(least(version), digest(hex)).unwrap();
+        c.publish(minimal(version), digest(hex)).unwrap();
     }
     let signature = SigningSecret::from_random(KEY).sign("release", &digest("01"));
     c.sign("fare", "1.0", &[signature]).unwrap();
@@ -62,8 +62,8 @@
     c
 }
 
-/// As the gateway writes it to the folder's file.
-fn written(catalogue: &Catalogue) -> String {
+/// The catalogue as the gateway writes it to its file.
+fn to_stored(catalogue: &Catalogue) -> String {
     serde_json::to_string_pretty(catalogue).unwrap()
 }
 
@@ -205,14 +205,14 @@
 }"#;
 
 #[test]
-fn the_catalogue_on_disk_keeps_its_bytes() {
-    assert_eq!(written(&catalogue()), STORED);
+fn the_stored_catalogue_keeps_its_bytes() {
+    assert_eq!(to_stored(&catalogue()), STORED);
     let read: Catalogue = serde_json::from_slice(STORED.as_bytes()).unwrap();
-    assert_eq!(written(&read), STORED, "read and written again");
+    assert_eq!(to_stored(&read), STORED, "the catalogue changed when it was read and written again");
 }
 
 #[test]
-fn the_catalogue_on_disk_is_read_to_what_it_says() {
+fn the_stored_catalogue_is_read_with_all_its_values() {
     let read: Catalogue = serde_json::from_slice(STORED.as_bytes()).unwrap();
     let (made, reference) = (catalogue(), "fare@2.0".parse().unwrap());
     assert_eq!(read.names().collect::<Vec<_>>(), ["fare"]);
@@ -232,14 +232,14 @@
     };
     let moves = [moved(1, 5, "anna", None, "1.0"), moved(2, -6, "bert", Some("1.0"), "2.0")];
     assert_eq!(read.history("fare", CURRENT).unwrap(), moves);
-    assert_eq!(*read.resolve(&reference).unwrap().manifest, least("2.0"));
+    assert_eq!(*read.resolve(&reference).unwrap().manifest, minimal("2.0"));
     let reason = |text: &str, at_ms, by_operator| Quarantine { reason: text.into(), at_ms, by_operator };
     assert_eq!(read.quarantined(&digest("01")), Some(&reason("layer 1 does not match", 70, false)));
     assert_eq!(read.quarantined(&digest("04")), Some(&reason("recalled", 71, true)));
 }
 
 #[test]
-fn a_catalogue_from_before_signatures_and_holds_is_read() {
+fn a_catalogue_without_signatures_and_held_fields_is_read() {
     let old = br#"{"functions":{"fare":{"versions":{"1":{"digest":"sha256:0101010101010101010101010101010101010101010101010101010101010101","manifest":{"name":"fare","version":"1","class":"quote","layers":[]},"state":"whole"}},"aliases":{}}},"quarantined":{"sha256:0202020202020202020202020202020202020202020202020202020202020202":{"reason":"r","at_ms":1}}}"#;
     let read: Catalogue = serde_json::from_slice(old).unwrap();
     assert_eq!(read.signatures("fare", "1"), Ok(&[][..]));
@@ -256,13 +256,13 @@
 }
 
 #[test]
-fn a_manifest_with_the_least_fields_is_read_with_the_usual_values() {
+fn a_manifest_with_only_required_fields_is_read_with_the_defaults() {
     let literal = br#"{"name":"fare","version":"2.0","class":"quote","layers":[{"digest":"sha256:abababababababababababababababababababababababababababababababab","size":9}]}"#;
-    assert_eq!(check_manifest("fare.json", literal, None).unwrap().0, least("2.0"));
+    assert_eq!(check_manifest("fare.json", literal, None).unwrap().0, minimal("2.0"));
 }
 
 #[test]
-fn a_signature_and_what_it_signs_keep_their_bytes() {
+fn a_signature_and_the_message_it_signs_keep_their_bytes() {
     let literal = r#"{"key":"release","value":"F4CJo4DVh0kyUwYGCFAIaeMNAarUrCG8P8waPnuxWL8Ey+Z0lvEdsGqc6NpAOvkQTqjJk/11h7NMrtJQyxw0AA=="}"#;
     let secret = SigningSecret::from_random(KEY);
     let signature = secret.sign("release", &digest("01"));
