--- a/crates/gateway/src/plugins/background.rs
+++ b/crates/gateway/src/plugins/background.rs
@@ -1,8 +1,9 @@
-//! The background worker of a running gateway: disk access, hashing and pulls for its plug-ins. The event loop submits tasks
-//! and is woken when they end, so that no call waits for a sync or for a registry.
+//! The background worker of a running gateway: disk access, hashing and pulls for its plug-ins. The event
+//! loop submits tasks and is woken when they end, so that no call waits for a disk sync or for a registry.
 //!
-//! Tasks run one after another in the order of submission, so an alias moved after a pull finds what the pull fetched. In
-//! between, stored content is verified again (scrubbed) at a stated rate: corruption is found while the gateway runs.
+//! Tasks run one after another in the order of submission, so a task that moves an alias finds the version
+//! that an earlier pull fetched. Between tasks, stored content is verified again (scrubbed) at the configured
+//! rate, so that corruption is found while the gateway runs.
 
 use super::command::{execute, Command, CommandError, Context};
 use super::folder::{unix_ms, whole_versions, FolderError, PluginFolder, WholeVersion};
@@ -19,112 +20,112 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Tasks that may be queued.
+/// Capacity of the task queue.
 const MAX_QUEUED_TASKS: usize = 256;
-/// Bounds of the pause between two blobs, in seconds.
+/// Bounds of the pause between two scrubbed blobs, in seconds.
 const SCRUB_PAUSE_MIN_SECS: f64 = 0.001;
 const SCRUB_PAUSE_MAX_SECS: f64 = 60.0;
-/// Pause before a folder without content is scrubbed again.
+/// Pause before scrubbing is tried again when it is disabled or there is nothing to scrub.
 const SCRUB_PAUSE: Duration = Duration::from_secs(5);
 
-/// Who is told when a task ends.
+/// The source of a task, which receives its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Requester {
     /// A connection to the admin socket.
     Admin(Id),
-    /// Calls that need a version.
+    /// Calls that need a version that is not stored or is corrupt.
     Calls,
-    /// A roll-out that went back.
+    /// A rollout that was rolled back.
     Rollout,
     /// SIGHUP.
     Signal,
-    /// Nobody: content was scrubbed.
+    /// The scrubber of the background worker itself.
     Scrub,
 }
 
-/// A task.
+/// A task of the background worker.
 #[derive(Debug)]
 pub struct Task {
-    /// Who wants its end.
+    /// Receives the result.
     pub requester: Requester,
-    /// What is to be done.
+    /// The command to execute.
     pub command: Command,
-    /// Content that must stay whatever the catalogue says: calls that are open need it.
+    /// Content that open calls need; garbage collection keeps it even if its version is deleted.
     pub keep: BTreeSet<Digest>,
 }
 
 /// An event of the background worker.
 #[derive(Debug)]
 pub enum BackgroundEvent {
-    /// A task is at work: bytes or blobs done, and of how many.
+    /// Progress of a task: bytes or versions done, and the total.
     Progress(Requester, u64, u64),
-    /// A task ended. Where the folder may have changed, the catalogue as it stands now.
+    /// A task ended.
     Ended {
-        /// Who wanted it.
+        /// The source of the task.
         requester: Requester,
-        /// What it was.
+        /// The command that was executed.
         command: Command,
-        /// What came of it.
+        /// The answer, or why the command failed.
         outcome: Result<Value, CommandError>,
-        /// The catalogue, read again.
+        /// The catalogue, read again; `None` if the command cannot have changed it.
         catalogue: Option<Result<Box<Catalogue>, FolderError>>,
     },
 }
 
 /// Settings of a [`BackgroundWorker`].
 pub struct BackgroundWorkerSettings {
-    /// Where pulls come from.
+    /// The registry to pull from; `None` if none is configured.
     pub registry: Option<PullSettings>,
-    /// Bytes of content scrubbed per second; 0 for none.
+    /// Bytes of content scrubbed per second; 0 disables scrubbing.
     pub scrub_per_s: u64,
-    /// The clock of pulls.
+    /// Clock for the timeouts and retries of pulls.
     pub clock: Clock,
 }
 
-/// The event loop's handle of the thread; dropping it stops the thread and waits for its end.
+/// Handle of the background thread; dropping it stops the thread and waits until it has ended.
 pub struct BackgroundWorker {
     tasks: Option<SyncSender<Box<Task>>>,
-    told: Receiver<BackgroundEvent>,
+    events: Receiver<BackgroundEvent>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl BackgroundWorker {
-    /// Starts the thread on a folder.
+    /// Opens the folder and starts the thread.
     ///
     /// # Errors
-    /// When the folder cannot be opened or no thread is to be had.
+    /// If the folder cannot be opened or the thread cannot be started.
     pub fn start(
         folder: &Path,
         settings: BackgroundWorkerSettings,
         waker: Waker,
     ) -> Result<Self, FolderError> {
         let folder_opened = PluginFolder::open(folder)?;
-        let (tasks, to_do) = mpsc::sync_channel(MAX_QUEUED_TASKS);
-        let (tell, told) = mpsc::channel();
+        let (tasks, task_queue) = mpsc::sync_channel(MAX_QUEUED_TASKS);
+        let (event_sender, events) = mpsc::channel();
         let stop = Arc::new(AtomicBool::new(false));
         let worker = Worker {
             folder: folder_opened,
             settings,
             stop: stop.clone(),
-            tell,
+            event_sender,
             waker,
             scrub: VecDeque::new(),
         };
-        let thread = thread::Builder::new().name("plug-ins".into()).spawn(move || worker.run(&to_do));
+        let thread = thread::Builder::new().name("plug-ins".into()).spawn(move || worker.run(&task_queue));
         let thread = Some(thread.map_err(|e| FolderError::Io(folder.into(), e))?);
-        Ok(BackgroundWorker { tasks: Some(tasks), told, stop, thread })
+        Ok(BackgroundWorker { tasks: Some(tasks), events, stop, thread })
     }
 
     /// Queues a task; `false` where the queue is full.
     pub fn submit(&self, task: Task) -> bool {
-        // Dropped where it finds no room: whoever asked is told so.
+        // A task that does not fit is dropped; the caller reports that to the requester.
         self.tasks.as_ref().is_some_and(|tasks| tasks.try_send(Box::new(task)).is_ok())
     }
 
-    /// Events since the last call.
+    /// Returns the events since the last call, without waiting.
     pub fn drain_events(&self) -> Vec<BackgroundEvent> {
-        self.told.try_iter().collect()
+        self.events.try_iter().collect()
     }
 }
 
@@ -138,16 +139,16 @@
     }
 }
 
-/// A blob to be verified, with the version that needs it.
+/// A blob to be verified, with one version that needs it.
 struct ScrubItem {
-    /// NAME@VERSION.
+    /// Formatted as `NAME@VERSION`.
     version: String,
     /// The version's digest.
     digest: Digest,
     blob: Digest,
 }
 
-/// Every blob of every whole version that is not in quarantine.
+/// All blobs of all complete versions that are not in quarantine.
 fn scrub_items(catalogue: &Catalogue) -> Vec<ScrubItem> {
     let mut items = Vec::new();
     for WholeVersion { name, version, digest } in whole_versions(catalogue) {
@@ -165,7 +166,7 @@
     folder: PluginFolder,
     settings: BackgroundWorkerSettings,
     stop: Arc<AtomicBool>,
-    tell: mpsc::Sender<BackgroundEvent>,
+    event_sender: mpsc::Sender<BackgroundEvent>,
     waker: Waker,
     /// Blobs still to be verified in this round.
     scrub: VecDeque<ScrubItem>,
@@ -173,10 +174,10 @@
 
 impl Worker {
     /// Executes tasks and scrubs until the handle is dropped.
-    fn run(mut self, to_do: &Receiver<Box<Task>>) {
+    fn run(mut self, task_queue: &Receiver<Box<Task>>) {
         let mut wait = SCRUB_PAUSE;
         while !self.stop.load(Ordering::Relaxed) {
-            match to_do.recv_timeout(wait) {
+            match task_queue.recv_timeout(wait) {
                 Ok(task) => self.execute(*task),
                 Err(RecvTimeoutError::Timeout) => wait = self.scrub_next(),
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -185,21 +186,21 @@
     }
 
     fn notify(&self, event: BackgroundEvent) {
-        if self.tell.send(event).is_ok() {
+        if self.event_sender.send(event).is_ok() {
             self.waker.wake();
         }
     }
 
     fn execute(&mut self, task: Task) {
         let Task { requester, command, keep } = task;
-        let (tell, waker) = (self.tell.clone(), &self.waker);
+        let (event_sender, waker) = (self.event_sender.clone(), &self.waker);
         let mut last = 0;
         let mut progress = |(done, of): (u64, u64)| {
-            // A line for each hundredth, as whoever reads it may be a person.
-            let hundredth = done.saturating_mul(100).checked_div(of).unwrap_or(0);
-            if hundredth > last {
-                last = hundredth;
-                let _ = tell.send(BackgroundEvent::Progress(requester, done, of));
+            // Reported once per percent, as the reader may be a person at a terminal.
+            let percent = done.saturating_mul(100).checked_div(of).unwrap_or(0);
+            if percent > last {
+                last = percent;
+                let _ = event_sender.send(BackgroundEvent::Progress(requester, done, of));
                 waker.wake();
             }
         };
@@ -220,7 +221,7 @@
         self.notify(BackgroundEvent::Ended { requester, command, outcome, catalogue });
     }
 
-    /// Verifies one blob; returns the pause before the next, by the stated rate.
+    /// Verifies one blob; returns the pause before the next one, so that the configured rate is kept.
     fn scrub_next(&mut self) -> Duration {
         if self.settings.scrub_per_s == 0 {
             return SCRUB_PAUSE;
@@ -241,10 +242,10 @@
         Duration::from_secs_f64(pause_secs.clamp(SCRUB_PAUSE_MIN_SECS, SCRUB_PAUSE_MAX_SECS))
     }
 
-    /// Takes a version out of use whose content is missing or corrupt, and says so to the event loop.
+    /// Quarantines a version whose content is missing or corrupt, and notifies the event loop.
     fn quarantine(&mut self, version: String, digest: Digest, reason: &str) {
         let changed = self.folder.change(|catalogue, _| {
-            // It may be gone from the catalogue since the round began.
+            // The version may have been deleted since the round of scrubbing began.
             if catalogue.reachable().contains(&digest) {
                 catalogue.quarantine(digest, reason, unix_ms());
             }
--- a/crates/gateway/src/plugins/command.rs
+++ b/crates/gateway/src/plugins/command.rs
@@ -1,5 +1,5 @@
-//! Commands on plug-ins as plain data: the same for the command line on a folder and for a running gateway, which receives
-//! them on its admin socket. Answers are JSON; the command line formats them as text.
+//! Commands on plug-ins as plain data. The command line executes them on a folder, and a running gateway
+//! receives the same commands on its admin socket. Answers are JSON; the command line formats them as text.
 
 use super::folder::{unix_ms, verify, FolderError, PluginFolder, QuarantinedVersion};
 use super::link;
@@ -12,79 +12,80 @@
 use std::fmt;
 use std::sync::atomic::AtomicBool;
 
-/// A command. On the admin socket each is one line of JSON, its kind in `do`.
+/// A command. On the admin socket each is one line of JSON, with its kind in the field `do`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Command {
-    /// All plug-ins and what their `current` means.
+    /// Lists all plug-ins and the versions that their `current` means.
     List,
-    /// The versions and aliases of a plug-in.
+    /// Shows the versions and aliases of a plug-in.
     Show {
-        /// Its name.
+        /// Name of the plug-in.
         name: String,
     },
-    /// Moves an alias, or makes it.
+    /// Moves an alias, or creates it.
     Alias {
-        /// The plug-in.
+        /// Name of the plug-in.
         name: String,
-        /// The alias.
+        /// Name of the alias.
         alias: String,
-        /// The version that it is to mean.
+        /// The version that the alias is to mean.
         version: String,
-        /// Only if it is at this revision still.
+        /// Move it only if it is still at this revision (0 if it does not exist yet); `None` moves it in any
+        /// case.
         expect: Option<u64>,
-        /// Who moves it.
+        /// The operator or component that moves it, for the history.
         who: String,
     },
-    /// The moves of an alias.
+    /// Shows the moves of an alias.
     History {
-        /// The plug-in.
+        /// Name of the plug-in.
         name: String,
-        /// The alias.
+        /// Name of the alias.
         alias: String,
     },
-    /// Checks all content; what is missing or corrupt goes into quarantine.
+    /// Verifies all content and quarantines versions whose content is missing or corrupt.
     Verify,
-    /// Takes a version out of use.
+    /// Quarantines a version.
     Quarantine {
-        /// Which.
+        /// Reference to the version, such as `NAME@VERSION`.
         reference: String,
-        /// Why.
+        /// The reason that refused calls and lists report.
         reason: String,
     },
     /// Deletes a version that no alias means.
     Delete {
-        /// The plug-in.
+        /// Name of the plug-in.
         name: String,
-        /// The version.
+        /// Name of the version.
         version: String,
     },
-    /// Removes content that nothing needs.
+    /// Removes content that neither a version nor an open call needs.
     Gc,
-    /// Brings a version from the registry.
+    /// Pulls a version from the registry.
     Pull {
-        /// The plug-in.
+        /// Name of the plug-in.
         name: String,
-        /// Its version, or the digest of its image manifest.
+        /// Name of the version, or the digest of its image manifest.
         version: String,
     },
-    /// Notes a signature of a version.
+    /// Adds a signature to a version.
     Sign {
-        /// The plug-in.
+        /// Name of the plug-in.
         name: String,
-        /// The version.
+        /// Name of the version.
         version: String,
-        /// The signature.
+        /// The signature, which is stored even if it is not valid.
         signature: Signature,
     },
     /// Reads the folder again (a running gateway only).
     Reload,
-    /// What moves, what is pulled, what was counted (a running gateway only).
+    /// Reports rollouts, refused versions, pulls and open calls (a running gateway only).
     Status,
 }
 
 impl Command {
-    /// Whether it may change the folder.
+    /// Whether the command may change the catalogue or the content of the folder.
     pub fn changes(&self) -> bool {
         !matches!(self, Command::List | Command::Show { .. } | Command::History { .. } | Command::Status)
     }
@@ -93,11 +94,11 @@
 /// Why a command failed.
 #[derive(Debug)]
 pub enum CommandError {
-    /// The folder failed, or refused the command.
+    /// Reading or changing the folder failed, or the catalogue refused the command.
     Folder(FolderError),
-    /// The pull failed.
+    /// A pull failed.
     Pull(link::LinkError<PullError>),
-    /// No registry is known to pull from.
+    /// No registry is configured to pull from.
     NoRegistry,
     /// Only a running gateway can answer the command.
     NotRunning,
@@ -111,9 +112,9 @@
             CommandError::NoRegistry => {
                 f.write_str("no registry is known: give --registry URL, or (registry ...) in the settings")
             }
-            CommandError::NotRunning => {
-                f.write_str("only a running gateway can tell: give --socket, the path of its admin socket")
-            }
+            CommandError::NotRunning => f.write_str(
+                "only a running gateway can answer this command: give --socket, the path of its admin socket",
+            ),
         }
     }
 }
@@ -134,17 +135,17 @@
     }
 }
 
-/// What a command may need beside the folder.
+/// The environment of a command, apart from the folder.
 pub struct Context<'a> {
-    /// Where pulls come from.
+    /// The registry to pull from; `None` if none is configured.
     pub registry: Option<&'a PullSettings>,
-    /// The clock of pulls.
+    /// Clock for the timeouts and retries of pulls.
     pub clock: &'a Clock,
-    /// Ends a pull.
+    /// Aborts a pull when set.
     pub stop: &'a AtomicBool,
-    /// Content that must stay beside what the catalogue names: calls that are open need it.
+    /// Content that open calls need; garbage collection keeps it in addition to what the catalogue needs.
     pub keep: &'a BTreeSet<Digest>,
-    /// Called with the progress: how many bytes or blobs are done, and of how many.
+    /// Called with the number of bytes or versions done, and the total.
     pub progress: &'a mut dyn FnMut((u64, u64)),
 }
 
@@ -154,7 +155,8 @@
 /// Executes a command on a folder.
 ///
 /// # Errors
-/// When it fails; the folder is then as it was, except for a quarantine that a pull or a verification caused.
+/// If the command fails; the catalogue is then unchanged, except for a quarantine that a pull or a
+/// verification caused.
 pub fn execute(folder: &mut PluginFolder, command: &Command, context: &mut Context<'_>) -> Answer {
     match command {
         Command::List => list(&folder.catalogue()?),
@@ -230,7 +232,8 @@
     Ok(Value::Array(catalogue.names().map(row).collect::<Result<_, _>>()?))
 }
 
-/// A pull that fails because the registry's content is wrong puts the version into quarantine, where it is known.
+/// Pulls a version. If the registry served corrupt content and the manifest is known, the version is
+/// quarantined.
 fn pull(folder: &mut PluginFolder, name: &str, version: &str, context: &mut Context<'_>) -> Answer {
     let settings = context.registry.ok_or(CommandError::NoRegistry)?.clone();
     let failed = |error| CommandError::Pull(link::LinkError::Job(error));
@@ -254,7 +257,7 @@
     let pulled = job.pull.result().ok_or(CommandError::Pull(link::LinkError::Stopped))?;
     let (bytes, present_bytes, requests) = (pulled.bytes, pulled.present_bytes, pulled.requests);
     let (version, digest) = (pulled.manifest.version.clone(), pulled.digest);
-    folder.take_pulled(pulled)?;
+    folder.add_pulled(pulled)?;
     Ok(
         json!({"name": name, "version": version, "digest": digest, "bytes": bytes, "had": present_bytes, "requests": requests}),
     )
--- a/crates/gateway/src/plugins/folder.rs
+++ b/crates/gateway/src/plugins/folder.rs
@@ -1,5 +1,5 @@
-//! The folder of plug-ins, shared by a gateway and the `plugin` commands: blobs and the catalogue. Changes are serialised by a
-//! lock file, so that of two operators the second sees what the first did.
+//! The folder of plug-ins, shared by a gateway and the `plugin` commands: blobs and the catalogue. A lock
+//! file serialises changes, so that concurrent commands never overwrite each other's changes.
 
 use slatevalve_blobs::{BlobError, BlobStore, Disk};
 use slatevalve_oci::{Package, Pulled};
@@ -14,32 +14,31 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The document that holds the catalogue.
+/// Name of the document that holds the catalogue.
 const CATALOGUE: &str = "catalogue.json";
-/// A lock file older than this was left by a process that crashed.
+/// A lock file older than this was left behind by a process that crashed, and is removed.
 const STALE_LOCK_AGE: Duration = Duration::from_secs(30);
-/// A change gives up after waiting this long for the lock.
+/// A change fails after waiting this long for the lock.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(10);
-
-/// How often a lock that is held is tried again.
+/// Interval between attempts to take the lock.
 const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What is wrong with the folder, or with what was asked of it.
+/// Why reading or changing the folder failed.
 #[derive(Debug)]
 pub enum FolderError {
-    /// The folder or a file in it.
+    /// A file or directory cannot be read or written.
     Io(PathBuf, io::Error),
-    /// A blob or document.
+    /// A blob or document cannot be read or written, or is corrupt.
     Blob(BlobError),
-    /// The catalogue's document is no catalogue.
+    /// The catalogue's document cannot be parsed or serialized.
     Unreadable(String),
-    /// What was asked cannot be.
+    /// The catalogue refused the operation.
     Catalogue(CatalogueError),
-    /// A manifest.
+    /// The manifest is invalid; holds all violations.
     Manifest(Vec<ManifestProblem>),
-    /// A layer's file is not one that the manifest names.
+    /// A layer does not match the manifest, or a reference is malformed. Holds the whole message.
     Layer(String),
-    /// Somebody else is changing the folder.
+    /// Another process held the lock file until the timeout.
     Locked(PathBuf),
 }
 
@@ -48,14 +47,14 @@
         match self {
             FolderError::Io(path, e) => write!(f, "{}: {e}", path.display()),
             FolderError::Blob(e) => e.fmt(f),
-            FolderError::Unreadable(words) => write!(f, "{CATALOGUE}: {words}"),
+            FolderError::Unreadable(message) => write!(f, "{CATALOGUE}: {message}"),
             FolderError::Catalogue(e) => e.fmt(f),
             FolderError::Manifest(problems) => {
-                let words: Vec<String> = problems.iter().map(ToString::to_string).collect();
-                f.write_str(&words.join("\n"))
+                let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
+                f.write_str(&lines.join("\n"))
             }
-            FolderError::Layer(words) => f.write_str(words),
-            FolderError::Locked(path) => write!(f, "{} is held by somebody else", path.display()),
+            FolderError::Layer(message) => f.write_str(message),
+            FolderError::Locked(path) => write!(f, "{}: the lock is held by another process", path.display()),
         }
     }
 }
@@ -88,20 +87,21 @@
 
 type Result<T, E = FolderError> = std::result::Result<T, E>;
 
-/// Milliseconds of the Unix clock, for histories.
+/// Current time in milliseconds since the Unix epoch, for histories; 0 if the clock is before it.
 pub fn unix_ms() -> i64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     i64::try_from(since.as_millis()).unwrap_or(i64::MAX)
 }
 
-/// A folder of plug-ins, opened.
+/// An open folder of plug-ins.
 pub struct PluginFolder {
     path: PathBuf,
-    /// The blobs.
+    /// The content, by digest.
     pub store: BlobStore<Disk>,
 }
 
-/// The lock file of the folder; removed when dropped, stale after [`STALE_LOCK_AGE`] where the process crashed.
+/// The lock file of the folder; removed when dropped, stale after [`STALE_LOCK_AGE`] where the process
+/// crashed.
 struct Lock(PathBuf);
 
 impl Drop for Lock {
@@ -111,19 +111,19 @@
 }
 
 impl PluginFolder {
-    /// Opens a folder, which is made where there is none.
+    /// Opens a folder, and creates it if it does not exist.
     ///
     /// # Errors
-    /// When it cannot be made.
+    /// If it cannot be created.
     pub fn open(path: &Path) -> Result<Self> {
         let disk = Disk::new(path).map_err(|e| FolderError::Io(path.into(), e))?;
         Ok(PluginFolder { path: path.into(), store: BlobStore::new(disk) })
     }
 
-    /// The catalogue as it stands; an empty one where none was written yet.
+    /// Reads the catalogue; returns an empty one if none was written yet.
     ///
     /// # Errors
-    /// When it cannot be read.
+    /// If it cannot be read or parsed.
     pub fn catalogue(&self) -> Result<Catalogue> {
         match self.store.document(CATALOGUE) {
             Ok(bytes) => serde_json::from_slice(&bytes).map_err(|e| FolderError::Unreadable(e.to_string())),
@@ -132,10 +132,11 @@
         }
     }
 
-    /// Changes the catalogue: reads it, lets `change` work on it, writes it, all under the lock.
+    /// Reads the catalogue, applies `change` to it and writes it, while holding the lock.
     ///
     /// # Errors
-    /// What `change` says, in which case nothing is written; or what the folder says.
+    /// Any error of `change`, in which case the catalogue is not written; or if the lock cannot be taken, or
+    /// the catalogue cannot be read or written.
     pub fn change<T>(
         &mut self,
         change: impl FnOnce(&mut Catalogue, &mut BlobStore<Disk>) -> Result<T>,
@@ -170,10 +171,12 @@
         }
     }
 
-    /// Takes a version in: manifest checked, layers matched by digest and written, then the catalogue.
+    /// Adds a version from files: checks the manifest, matches the layers by digest, and stores them before
+    /// the catalogue.
     ///
     /// # Errors
-    /// With everything that is wrong with the manifest, the layer that is missing, or what the folder says.
+    /// If the manifest is invalid, a layer is missing or not named by the manifest, or the folder cannot be
+    /// changed.
     pub fn push(
         &mut self,
         manifest: &Path,
@@ -206,11 +209,11 @@
         })
     }
 
-    /// Takes a version in whose content a pull brought.
+    /// Adds a version whose content a pull has stored.
     ///
     /// # Errors
-    /// When the version has other content here, or what came was lost in between.
-    pub fn take_pulled(&mut self, pulled: Pulled) -> Result<()> {
+    /// If the version exists with other content, or content that was pulled is missing or corrupt.
+    pub fn add_pulled(&mut self, pulled: Pulled) -> Result<()> {
         self.change(|catalogue, store| {
             catalogue.publish(pulled.manifest.clone(), pulled.digest)?;
             store.read(&pulled.digest)?;
@@ -220,10 +223,10 @@
         })
     }
 
-    /// A version as it goes to a registry, all of it read and verified.
+    /// Reads and verifies all content of a version, to be pushed to a registry.
     ///
     /// # Errors
-    /// When there is no such version, or its content is not whole.
+    /// If there is no such version, it may not run, or content is missing or corrupt.
     pub fn package(&mut self, name: &str, version: &str) -> Result<Package> {
         let catalogue = self.catalogue()?;
         let reference = Reference { name: name.into(), selector: Selector::AliasOrVersion(version.into()) };
@@ -237,14 +240,15 @@
     }
 }
 
-/// Marks a version whole once all that its manifest names is here, verified.
+/// Verifies all layers of a version and marks it complete.
 fn complete(catalogue: &mut Catalogue, store: &mut BlobStore<Disk>, manifest: &Manifest) -> Result<()> {
     for layer in &manifest.layers {
         match store.read(&layer.digest) {
             Ok(content) if content.len() as u64 == layer.size => {}
             Ok(content) => {
-                let words = format!("layer {}: {} bytes, not {}", layer.digest, content.len(), layer.size);
-                return Err(FolderError::Layer(words));
+                let (found, expected) = (content.len(), layer.size);
+                let message = format!("layer {}: size is {found} bytes, not {expected}", layer.digest);
+                return Err(FolderError::Layer(message));
             }
             Err(e) => return Err(FolderError::Layer(format!("layer {}: {e}", layer.digest))),
         }
@@ -252,18 +256,18 @@
     Ok(catalogue.complete(&manifest.name, &manifest.version)?)
 }
 
-/// A version that a verification put into quarantine.
+/// A version that [`verify`] put into quarantine.
 pub struct QuarantinedVersion {
-    /// NAME@VERSION.
+    /// Formatted as `NAME@VERSION`.
     pub version: String,
-    /// The version's digest.
+    /// Digest of the version's manifest.
     pub digest: Digest,
-    /// The blob that is missing or corrupt, and how.
+    /// Digest of the blob that is missing or corrupt, and the error.
     pub reason: String,
 }
 
-/// Checks all content of all whole versions and puts into quarantine what is missing or corrupt; returns those versions.
-/// `progress` is called with how many versions are done, and of how many.
+/// Verifies all content of all complete versions; quarantines and returns those with missing or corrupt
+/// content. `progress` is called with the number of versions done, and the total.
 pub fn verify(
     catalogue: &mut Catalogue,
     store: &mut BlobStore<Disk>,
@@ -272,7 +276,7 @@
 ) -> Vec<QuarantinedVersion> {
     let all = whole_versions(catalogue);
     let mut found = Vec::new();
-    // Versions share layers: each is read once.
+    // Versions may share layers; each blob is read once.
     let mut checked: HashMap<Digest, Option<String>> = HashMap::new();
     for (index, WholeVersion { name, version, digest }) in all.iter().enumerate() {
         let layers = catalogue.layers(name, version).unwrap_or_default();
@@ -289,17 +293,17 @@
     found
 }
 
-/// A version all of whose content is in the folder.
+/// A version with all its content in the folder.
 pub struct WholeVersion {
-    /// The plug-in's name.
+    /// Name of the plug-in.
     pub name: String,
-    /// The version.
+    /// Name of the version.
     pub version: String,
-    /// Its digest.
+    /// Digest of the version's manifest.
     pub digest: Digest,
 }
 
-/// Every version that is whole.
+/// All complete versions, sorted by plug-in and version.
 pub fn whole_versions(catalogue: &Catalogue) -> Vec<WholeVersion> {
     let mut all = Vec::new();
     for name in catalogue.names() {
--- a/crates/gateway/src/plugins/link.rs
+++ b/crates/gateway/src/plugins/link.rs
@@ -1,5 +1,6 @@
-//! Runs a [`Job`] at a plug-in registry over sockets: one connection, kept between requests, on an event loop of its own.
-//! Called by the `plugin` commands and by a running gateway's background worker, never by the gateway's own event loop.
+//! Runs a [`Job`] against a plug-in registry: one connection, kept open between requests, on an event loop of
+//! its own. Called by the `plugin` commands and by a running gateway's background worker, never by the
+//! gateway's own event loop.
 
 use crate::clock::Clock;
 use slatevalve_http::{Limits, MessageDecoder, MessageEvent, Side};
@@ -11,19 +12,19 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Bytes that may wait to be written: a part of a push and its head.
+/// Capacity of the write buffer in bytes: a part of a push with its head must fit.
 const MAX_BUFFERED: usize = 16 * 1024 * 1024;
-/// The loop looks at least so often whether it is to stop.
-const LONGEST_WAIT_US: i64 = 100_000;
+/// Maximum wait for events in microseconds, so that the stop flag is checked regularly.
+const MAX_WAIT_US: i64 = 100_000;
 
-/// Why a job was not done.
+/// Why a job did not complete.
 #[derive(Debug)]
 pub enum LinkError<E> {
-    /// The job's own reason.
+    /// The job failed.
     Job(E),
-    /// The loop failed.
+    /// The event loop failed.
     Loop(io::Error),
-    /// The gateway stops.
+    /// The stop flag was set.
     Stopped,
 }
 
@@ -31,8 +32,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LinkError::Job(e) => e.fmt(f),
-            LinkError::Loop(e) => write!(f, "the loop failed: {e}"),
-            LinkError::Stopped => f.write_str("stopped; what came is kept and the next try goes on from it"),
+            LinkError::Loop(e) => write!(f, "the event loop of the registry connection failed: {e}"),
+            LinkError::Stopped => {
+                f.write_str("stopped; received content is kept, and the next attempt resumes after it")
+            }
         }
     }
 }
@@ -53,18 +56,18 @@
     port: u16,
     connected: bool,
     reader: MessageDecoder,
-    /// Whether an answer is still to come or to be read.
+    /// Whether a response is expected or not yet complete.
     busy: bool,
-    /// Whether the peer closes it after this answer.
-    last: bool,
-    /// Waits for the connection to stand.
+    /// Whether the peer closes the connection after this response.
+    closing: bool,
+    /// A request to be sent once the connection is established.
     unsent: Vec<u8>,
 }
 
 impl Connection {
-    /// Whether the next request may go out on this connection.
+    /// Whether `request` can be sent on this connection.
     fn can_carry(&self, request: &Request) -> bool {
-        self.host == request.host && self.port == request.port && !self.busy && !self.last
+        self.host == request.host && self.port == request.port && !self.busy && !self.closing
     }
 }
 
@@ -75,10 +78,11 @@
     connection: Option<Connection>,
 }
 
-/// Runs a job to its end. `progress` is called with how much is done, and of how much; `stop` ends it.
+/// Runs a job until it is done, fails or `stop` is set. `progress` is called with the bytes done, and the
+/// total.
 ///
 /// # Errors
-/// When the job fails, the loop does, or it was stopped.
+/// If the job or the event loop fails, or the job was stopped.
 pub fn drive<J: Job>(
     job: &mut J,
     clock: &Clock,
@@ -87,7 +91,7 @@
 ) -> Result<(), LinkError<J::Error>> {
     let reactor = Reactor::new(MAX_BUFFERED).map_err(LinkError::Loop)?;
     let mut link = Link { job, clock, reactor, connection: None };
-    let mut happened = Vec::new();
+    let mut events = Vec::new();
     loop {
         if stop.load(Ordering::Relaxed) {
             return Err(LinkError::Stopped);
@@ -106,9 +110,9 @@
             }
             Next::Receive(at) => at,
         };
-        let wait = until.saturating_sub(now).clamp(0, LONGEST_WAIT_US) as u64;
-        link.reactor.poll(Some(Duration::from_micros(wait)), &mut happened).map_err(LinkError::Loop)?;
-        for event in happened.drain(..) {
+        let wait = until.saturating_sub(now).clamp(0, MAX_WAIT_US) as u64;
+        link.reactor.poll(Some(Duration::from_micros(wait)), &mut events).map_err(LinkError::Loop)?;
+        for event in events.drain(..) {
             link.handle_event(event).map_err(LinkError::Job)?;
         }
         progress(link.job.progress());
@@ -130,7 +134,7 @@
         let is_usable = |connection: &Connection| connection.can_carry(&request);
         if !self.connection.as_ref().is_some_and(is_usable) {
             self.close();
-            // Looked up for each connection: a registry may move while a gateway runs.
+            // Resolved for each connection, as the address of a registry may change while a gateway runs.
             let address = (request.host.as_str(), request.port)
                 .to_socket_addrs()
                 .ok()
@@ -139,7 +143,7 @@
                 let now = self.now();
                 return self.job.attempt_failed(now, AttemptFailure::Connect).map_err(LinkError::Job);
             };
-            // How much of a body is taken the job decides.
+            // The job limits the size of bodies.
             let limits = Limits { body: usize::MAX, ..Limits::default() };
             self.connection = Some(Connection {
                 id,
@@ -148,7 +152,7 @@
                 connected: false,
                 reader: MessageDecoder::new(Side::Response, limits),
                 busy: false,
-                last: false,
+                closing: false,
                 unsent: Vec::new(),
             });
         }
@@ -168,8 +172,8 @@
     fn stalled(&mut self, now: i64) -> Result<(), LinkError<J::Error>> {
         let connected = self.connection.as_ref().is_some_and(|open| open.connected);
         self.close();
-        let attempt_failed = if connected { AttemptFailure::Stalled } else { AttemptFailure::Connect };
-        self.job.attempt_failed(now, attempt_failed).map_err(LinkError::Job)
+        let failure = if connected { AttemptFailure::Stalled } else { AttemptFailure::Connect };
+        self.job.attempt_failed(now, failure).map_err(LinkError::Job)
     }
 
     fn handle_event(&mut self, event: ReactorEvent) -> Result<(), J::Error> {
@@ -205,13 +209,13 @@
         for response_event in parts {
             let Some(connection) = self.connection.as_mut().filter(|open| open.busy) else { break };
             match &response_event {
-                MessageEvent::Head(head) => connection.last = head.closes_connection,
+                MessageEvent::Head(head) => connection.closing = head.closes_connection,
                 MessageEvent::End => connection.busy = false,
                 MessageEvent::Body(_) => {}
             }
             let whole = response_event == MessageEvent::End;
             self.job.response_event(now, response_event)?;
-            // It wants something else now: what this answer still brings is nobody's.
+            // The job does not need the rest of this response; closing the connection discards it.
             if !whole && !self.job.is_receiving() {
                 self.close();
                 return Ok(());
--- a/crates/gateway/src/server/plugins/calls.rs
+++ b/crates/gateway/src/server/plugins/calls.rs
@@ -21,13 +21,13 @@
 }
 
 impl PluginHost {
-    /// Notes in a call which version its function's name means now, or why the call is refused.
+    /// Sets the version that a call runs, resolved from its function's name, or why the call is refused.
     pub(in crate::server) fn resolve(&mut self, now: Micros, call: &mut Call) {
         let resolved = self.resolve_function(now, call);
         call.version = resolved.map(|found| found.map(|function| self.open_call(now, call, function)));
     }
 
-    /// Records an open call of a version, and gives the call its version's traits.
+    /// Records an open call of a version, and sets the call's traits from the manifest.
     fn open_call(&mut self, now: Micros, call: &mut Call, function: ResolvedFunction) -> Version {
         let ResolvedFunction { name, version } = function;
         let manifest = &version.manifest;
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The version that a call's function means now; none where the catalogue does not know the function and the settings
-    /// admit that.
+    /// Resolves the version of a call's function; `None` if the function is not in the catalogue and the
+    /// settings allow functions that are not plug-ins.
     fn resolve_function(&mut self, now: Micros, call: &Call) -> Result<Option<ResolvedFunction>, Reason> {
         let reference: Option<Reference> = call.function.parse().ok();
         let Some(reference) = reference.filter(|reference| self.catalogue.contains_function(&reference.name))
@@ -97,7 +97,8 @@
         self.catalogue.check_runnable(&resolved.digest).map(|()| resolved.clone())
     }
 
-    /// Queues a pull of a version that a call was refused for, where the settings enable that; later calls can run it.
+    /// Queues a pull of a version that a call was refused for, if the settings enable that; later calls can
+    /// run it.
     fn queue_pull(&mut self, now: Micros, reference: &Reference, error: &CatalogueError) {
         let missing = matches!(error, CatalogueError::UnknownVersion(_) | CatalogueError::Partial(_));
         if missing && self.settings.on_call && self.settings.registry.is_some() {
@@ -107,10 +108,11 @@
         }
     }
 
-    /// Closes a call that got its answer, and counts it in its function's rollout.
+    /// Closes a call that was answered, and counts it in its function's rollout.
     pub(in crate::server) fn call_answered(&mut self, now: Micros, ticket: Ticket, answer: &Answer) {
         let Some(call) = self.close_call(ticket) else { return };
-        // A repeat gets the first call's version, and a call refused without an attempt shows nothing of any.
+        // A repeat is answered with the first call's version, and a call without an attempt is no evidence
+        // about one.
         let same_version =
             answer.version.as_ref().is_some_and(|version| *version.digest == *call.digest.to_string());
         if answer.recorded || !same_version || answer.attempts == 0 {
@@ -121,7 +123,7 @@
         self.observe(now, &call, |side| Observation::CallEnded { side, served, late });
     }
 
-    /// Closes a call that gets no answer.
+    /// Closes a call that will not be answered.
     pub(in crate::server) fn call_withdrawn(&mut self, now: Micros, ticket: Ticket) {
         if let Some(call) = self.close_call(ticket) {
             self.observe(now, &call, Observation::CallWithdrawn);
@@ -134,7 +136,7 @@
         Some(call)
     }
 
-    /// Reports a call to its function's rollout, where one is active.
+    /// Reports a call to its function's rollout, if one is active.
     fn observe(&mut self, now: Micros, call: &OpenCall, observation: impl FnOnce(Side) -> Observation) {
         if let Some(active) = self.rollouts.get_mut(&call.name) {
             active.observe(now, &call.digest, observation);
@@ -150,13 +152,14 @@
     }
 }
 
-/// A call's place between 0 and 1 in the traffic split of a rollout; the same for each call with the same key.
+/// Position of a call in the traffic split of a rollout, from 0 to 1; calls with the same key have the same
+/// position.
 fn hash_fraction(call: &Call) -> f64 {
     let mut hasher = DefaultHasher::new();
     match &call.key {
         Some(key) => key.hash(&mut hasher),
         None => call.ticket.0.hash(&mut hasher),
     }
-    // The upper 53 bits, as many as a double holds exactly.
+    // The upper 53 bits, the precision of an f64.
     (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/gateway/src/server/plugins/commands.rs
+++ b/crates/gateway/src/server/plugins/commands.rs
@@ -10,7 +10,7 @@
 use slatevalve_reactor::Id;
 use tracing::{error, info, warn};
 
-/// Counts of pulls since the start.
+/// Counts of pulls since the gateway started.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PullStatistics {
     done: u64,
@@ -44,7 +44,8 @@
 }
 
 impl PluginHost {
-    /// Takes what the background worker reported since the last time; returns the replies for the admin socket, in order.
+    /// Processes the events of the background worker since the last call; returns the replies for the admin
+    /// socket, in order.
     pub(in crate::server) fn take_results(&mut self, now: Micros, engine: &Engine) -> Vec<AdminReply> {
         let mut replies = Vec::new();
         for result in self.background.drain_events() {
@@ -57,7 +58,9 @@
                 BackgroundEvent::Ended { requester, command, outcome, catalogue } => {
                     match catalogue {
                         Some(Ok(catalogue)) => self.replace_catalogue(now, engine, *catalogue),
-                        Some(Err(error)) => error!(%error, "plug-in catalogue rejected; unchanged"),
+                        Some(Err(error)) => {
+                            error!(%error, "plug-in catalogue unreadable; the previous one stays in use")
+                        }
                         None => {}
                     }
                     replies.extend(self.complete(now, requester, &command, outcome));
@@ -67,7 +70,8 @@
         replies
     }
 
-    /// Passes the result of a task to its requester; returns the reply where that is a connection of the admin socket.
+    /// Passes the result of a task to its requester; returns a reply if that is a connection to the admin
+    /// socket.
     fn complete(
         &mut self,
         now: Micros,
@@ -104,8 +108,8 @@
         None
     }
 
-    /// Runs a command of the admin socket. Returns its reply where no disk is needed; else [`PluginHost::take_results`] does
-    /// once the background worker is done.
+    /// Runs a command of the admin socket. Returns the reply if no disk access is needed; otherwise
+    /// [`PluginHost::take_results`] returns it once the background worker has executed the command.
     pub(in crate::server) fn command(
         &mut self,
         engine: &Engine,
--- a/crates/gateway/src/server/plugins/mod.rs
+++ b/crates/gateway/src/server/plugins/mod.rs
@@ -1,8 +1,9 @@
 //! Plug-ins in the running gateway: which version of its function a call runs, and rollouts of `current`.
 //!
-//! It joins the catalogue, one [`Rollout`](slatevalve_plugins::Rollout) for each function whose `current` moved, and the
-//! engine, and decides nothing itself. A call's version is fixed when the call is accepted (`calls`); its result is counted by
-//! the rollout that it was part of (`rollouts`). Commands run on a background worker (`commands`).
+//! It connects the catalogue, one [`Rollout`](slatevalve_plugins::Rollout) for each function whose `current`
+//! moved, and the engine; the decisions are theirs. A call's version is fixed when the call is accepted
+//! (`calls`); its result is counted by the rollout that it was part of (`rollouts`). Commands run on a
+//! background worker (`commands`).
 
 mod calls;
 mod commands;
@@ -25,7 +26,8 @@
 use std::sync::Arc;
 use tracing::{error, warn};
 
-/// What a class of calls contributes to the choice and the judgement of a version.
+/// Name and latency objective of a class: a version is refused for calls of another class, and rollouts count
+/// late calls.
 struct ClassObjective {
     name: String,
     latency_objective: Micros,
@@ -39,30 +41,32 @@
     /// The version that `current` of each function means for calls outside an active rollout.
     stable: BTreeMap<String, Resolved>,
     rollouts: BTreeMap<String, ActiveRollout>,
-    /// The version that a rollout was rolled back from; it is not rolled out again until the alias is moved again.
+    /// By function, the version that was rolled back; it is not rolled out again until the alias is moved
+    /// again.
     rolled_back: BTreeMap<String, RolledBack>,
     calls: HashMap<Ticket, OpenCall>,
-    /// In the order of the classes' ids.
+    /// Indexed by class id.
     classes: Vec<ClassObjective>,
-    /// A load request that has shown no copy after this long has failed.
+    /// A load request without a loaded copy after this time has failed.
     load_timeout: Micros,
-    /// When rollouts are advanced next.
+    /// Time at which rollouts are advanced next.
     rollouts_due: Micros,
-    /// Versions to be pulled because a call needed them.
+    /// Versions to be pulled because a call needed them or their content is corrupt.
     pull_queue: PullQueue,
     pulls: PullStatistics,
 }
 
-/// The name by which the engine and the workers know one version of a function.
+/// Name of a version of a function in the engine and on workers.
 fn run_name(name: &str, digest: &Digest) -> Arc<str> {
     format!("{name}@{digest}").into()
 }
 
 impl PluginHost {
-    /// Reads the folder and verifies its content: what is corrupt is quarantined before a call can need it.
+    /// Reads the folder and verifies its content; corrupt versions are quarantined before the first call is
+    /// accepted.
     ///
     /// # Errors
-    /// When the folder cannot be read, or the background worker cannot be started.
+    /// If the folder cannot be read, or the background worker cannot be started.
     pub(super) fn open(
         settings: PluginSettings,
         site: &Site,
@@ -105,14 +109,14 @@
         Ok(host)
     }
 
-    /// Asks for the folder to be read again.
+    /// Queues a reload of the folder.
     pub(super) fn reload(&self) {
         if !self.submit(Requester::Signal, Command::Reload) {
             warn!("plug-in folder not reloaded: the task queue is full");
         }
     }
 
-    /// Sets what versions must fulfil from now on: keys may change while a gateway runs.
+    /// Replaces the conditions that versions must meet, as keys may change while a gateway runs.
     pub(super) fn set_admission_policy(&mut self, policy: AdmissionPolicy) {
         self.catalogue.set_admission_policy(policy.clone());
         self.settings.admission_policy = policy;
@@ -141,8 +145,8 @@
         self.catalogue.resolve(&Reference { name: name.into(), selector: Selector::Current })
     }
 
-    /// Queues a pull of every version whose content was found corrupt, where there is a registry. Versions that an operator
-    /// quarantined stay so.
+    /// Queues a pull of every version with corrupt content, if a registry is configured. Versions that an
+    /// operator quarantined stay in quarantine.
     fn repair(&mut self, now: Micros) {
         if self.settings.registry.is_none() {
             return;
@@ -156,16 +160,16 @@
         }
     }
 
-    /// Hands a command to the background worker; `false` where its queue is full.
+    /// Submits a command to the background worker; `false` if its queue is full.
     #[must_use]
     fn submit(&self, requester: Requester, command: Command) -> bool {
-        // Content of open calls stays, whatever was deleted since.
+        // Garbage collection must keep the content of open calls even if their version was deleted.
         let keep = if command == Command::Gc { self.catalogue.reachable() } else { BTreeSet::new() };
         self.background.submit(Task { requester, command, keep })
     }
 }
 
-/// Verifies the folder's content and reads its catalogue, with the settings' terms for versions.
+/// Verifies the folder's content and reads its catalogue, with the admission policy of the settings.
 fn open_catalogue(settings: &PluginSettings) -> Result<Catalogue, FolderError> {
     let mut folder = PluginFolder::open(&settings.folder)?;
     let corrupt = folder.change(|catalogue, store| Ok(verify(catalogue, store, unix_ms(), &mut |_| {})))?;
--- a/crates/gateway/src/server/plugins/rollouts.rs
+++ b/crates/gateway/src/server/plugins/rollouts.rs
@@ -1,4 +1,4 @@
-//! Rollouts: the move of calls from the version that `current` meant to the one that it means now.
+//! Rollouts: calls are shifted from the version that `current` meant to the one that it means now.
 
 use super::{run_name, PluginHost};
 use crate::clock::after;
@@ -14,7 +14,7 @@
 /// Interval at which active rollouts are advanced.
 const ROLLOUT_INTERVAL: Micros = Micros(20_000);
 
-/// A version that a rollout was rolled back from, with the alias's revision at that time.
+/// A version that was rolled back, with the alias's revision at that time.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct RolledBack {
     digest: Digest,
@@ -32,12 +32,12 @@
     pub(super) rollout: Rollout,
     pub(super) old: Resolved,
     pub(super) new: Resolved,
-    /// When the load requests that have shown no copy yet were sent, oldest first.
+    /// Send times of the load requests without a loaded copy yet, oldest first.
     pub(super) load_requests: Vec<Micros>,
 }
 
 impl ActiveRollout {
-    /// Reports a call to the rollout, if it is of one of its versions.
+    /// Reports a call to the rollout if it runs one of its versions.
     pub(super) fn observe(
         &mut self,
         now: Micros,
@@ -52,7 +52,8 @@
         self.rollout.observe(now.0, observation(side));
     }
 
-    /// Counts loaded copies and failed load requests, requests further copies, and returns how the rollout ended, if it did.
+    /// Counts loaded copies and failed load requests, requests further copies, and returns how the rollout
+    /// ended, if it did.
     fn advance(
         &mut self,
         now: Micros,
@@ -86,8 +87,9 @@
 }
 
 impl PluginHost {
-    /// Replaces the catalogue by one that was read again, and starts a rollout of each function whose `current` moved. One
-    /// that moved again during a rollout is rolled out anew from the version before.
+    /// Replaces the catalogue by one that was read again, and starts a rollout for each function whose
+    /// `current` moved. If it moved again during a rollout, a new rollout starts from the version before that
+    /// rollout.
     pub(super) fn replace_catalogue(&mut self, now: Micros, engine: &Engine, mut catalogue: Catalogue) {
         for call in self.calls.values() {
             catalogue.call_opened(call.digest);
@@ -101,10 +103,12 @@
         }
     }
 
-    /// Moves calls of a function to the version that `current` means, unless that is under way or was rolled back.
+    /// Moves calls of a function to the version that `current` means, unless its rollout is active or was
+    /// rolled back.
     fn move_to(&mut self, now: Micros, engine: &Engine, name: String, target: Resolved) {
-        let under_way = self.rollouts.get(&name).map(|active| active.new.digest);
-        if under_way == Some(target.digest) || self.rolled_back.get(&name) == Some(&RolledBack::from(&target))
+        let active_target = self.rollouts.get(&name).map(|active| active.new.digest);
+        if active_target == Some(target.digest)
+            || self.rolled_back.get(&name) == Some(&RolledBack::from(&target))
         {
             return;
         }
--- a/crates/gateway/tests/plugins.rs
+++ b/crates/gateway/tests/plugins.rs
@@ -1,5 +1,5 @@
-//! Plug-ins in a running gateway: every answer names its version, a move under load costs nothing, and content that is
-//! not what its digest says gives no answer.
+//! Plug-ins in a running gateway: every answer names its version, a rollout under load fails no call, and
+//! content that does not match its digest produces no answer.
 
 mod support;
 
@@ -14,7 +14,7 @@
 (route "charge/+" (class "charge") (function "{2}"))
 "#;
 
-/// A folder of plug-ins, worked on by the command line.
+/// A folder of plug-ins, changed through the command line.
 struct Folder {
     directory: tempfile::TempDir,
 }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Writes a manifest and its layer; gives their paths.
+    /// Writes a manifest and its layer; returns their paths.
     fn write(&self, name: &str, version: &str, class: &str) -> (PathBuf, PathBuf) {
         let content = format!("rules of {name} {version}");
         let layer = self.directory.path().join(format!("{name}-{version}.layer"));
@@ -54,9 +54,9 @@
 
     fn push(&self, name: &str, version: &str, class: &str) -> String {
         let (manifest, layer) = self.write(name, version, class);
-        let said = self.command(&["push", manifest.to_str().unwrap(), layer.to_str().unwrap()]).unwrap();
-        let said: serde_json::Value = serde_json::from_str(&said).unwrap();
-        said["digest"].as_str().unwrap().to_string()
+        let output = self.command(&["push", manifest.to_str().unwrap(), layer.to_str().unwrap()]).unwrap();
+        let answer: serde_json::Value = serde_json::from_str(&output).unwrap();
+        answer["digest"].as_str().unwrap().to_string()
     }
 
     fn alias(&self, version: &str) {
@@ -72,8 +72,8 @@
     }
 }
 
-/// A worker that runs what its copy is called, as workers do.
-fn honest() -> Worker {
+/// A worker that reports the digest in the name of the function that it was called for, as real workers do.
+fn correct_worker() -> Worker {
     Worker::start(|call, _| Act::Answer(ran(&call.function)))
 }
 
@@ -82,11 +82,11 @@
     Reply::Served { payload: function.as_bytes().to_vec(), ran: digest }
 }
 
-fn hup(gateway: &Gateway) {
+fn reload(gateway: &Gateway) {
     let count = |log: &str| log.matches("plug-ins read again").count();
     let before = count(&gateway.log());
     gateway.process.signal("HUP");
-    until("the catalogue to be read", || count(&gateway.log()) > before);
+    until("the catalogue to be read again", || count(&gateway.log()) > before);
 }
 
 #[test]
@@ -95,7 +95,7 @@
     let (one, two) = (folder.push("fare", "1", "quote"), folder.push("fare", "2", "quote"));
     folder.alias("1");
     folder.alias("2");
-    let worker = honest();
+    let worker = correct_worker();
     let gateway = Gateway::start(&folder.site(""), &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
     let by_digest = format!("quote/fare@{one}");
@@ -118,35 +118,38 @@
 }
 
 #[test]
-fn an_alias_moved_fifty_times_during_a_rush_leaves_every_call_answered_by_a_version_that_is_here() {
+fn every_call_is_answered_by_a_stored_version_while_the_alias_moves_fifty_times_under_load() {
     let folder = Folder::new();
     let digests = [folder.push("fare", "1", "quote"), folder.push("fare", "2", "quote")];
     folder.alias("1");
-    let workers = [honest(), honest()];
+    let workers = [correct_worker(), correct_worker()];
     let list = [("w1", workers[0].address, ""), ("w2", workers[1].address, "")];
     let gateway = Gateway::start(&folder.site("(rollout (step-ms 20))"), &list);
     let mut client = Client::connect(gateway.address(), "a", false);
-    let mut asked = 0u16;
+    let mut sent = 0u16;
     for n in 0..50 {
         for _ in 0..8 {
-            asked += 1;
-            client.publish("quote/fare", asked, None, &format!("q{asked}"), false);
+            sent += 1;
+            client.publish("quote/fare", sent, None, &format!("q{sent}"), false);
         }
         folder.alias(if n % 2 == 0 { "2" } else { "1" });
         gateway.process.signal("HUP");
-        // Acknowledgements are read on the way: no more than the receive maximum may be open.
+        // Reads acknowledgements meanwhile: open calls are limited by the receive maximum.
         client.is_quiet(5);
     }
-    for _ in 0..asked {
+    for _ in 0..sent {
         let heard = client.answer_or(|| gateway.log());
         assert_eq!(heard.outcome, "served", "{heard:?}");
         assert!(digests.contains(heard.ran.as_ref().unwrap()));
-        assert!(heard.payload.ends_with(heard.ran.as_ref().unwrap()), "it ran what it says");
+        assert!(
+            heard.payload.ends_with(heard.ran.as_ref().unwrap()),
+            "the version that ran is not the one that the answer names"
+        );
     }
 }
 
 #[test]
-fn a_move_under_load_brings_all_calls_to_the_new_version_and_one_that_fails_goes_back_by_itself() {
+fn a_rollout_under_load_moves_all_calls_and_a_failing_version_is_rolled_back_automatically() {
     let folder = Folder::new();
     let one = folder.push("fare", "1", "quote");
     let two = folder.push("fare", "2", "quote");
@@ -173,16 +176,19 @@
     };
     assert!(calls(&mut client, 20).iter().all(|h| h.ran.as_ref() == Some(&one)));
     folder.alias("2");
-    hup(&gateway);
+    reload(&gateway);
     let mut rounds = 0;
     while !gateway.log().contains("the move is done") {
-        assert!(calls(&mut client, 20).iter().all(|h| h.outcome == "served"), "the move cost a call");
+        assert!(
+            calls(&mut client, 20).iter().all(|h| h.outcome == "served"),
+            "a call was not served during the rollout"
+        );
         rounds += 1;
         assert!(rounds < 500, "{}", gateway.log());
     }
     assert!(calls(&mut client, 20).iter().all(|h| h.ran.as_ref() == Some(&two)));
     folder.alias("3");
-    hup(&gateway);
+    reload(&gateway);
     rounds = 0;
     while !gateway.log().contains("the alias points back") {
         calls(&mut client, 5);
@@ -196,14 +202,14 @@
 }
 
 #[test]
-fn a_worker_with_a_corrupt_copy_gives_no_answer_and_a_charge_there_fails() {
+fn an_answer_of_a_worker_with_a_corrupt_copy_is_discarded_and_a_charge_is_not_repeated() {
     let folder = Folder::new();
     let digest = folder.push("fare", "1", "quote");
     folder.push("card", "1", "charge");
     folder.alias("1");
     folder.command(&["alias", "card", "current", "1"]).unwrap();
     let corrupt = Worker::start(|_, _| Act::Answer(ran(&format!("x@sha256:{}", "0".repeat(64)))));
-    let good = honest();
+    let good = correct_worker();
     let list = [("corrupt", corrupt.address, ""), ("good", good.address, "")];
     let gateway = Gateway::start(&folder.site(""), &list);
     let mut client = Client::connect(gateway.address(), "a", false);
@@ -214,32 +220,32 @@
     for n in 0..10 {
         let before = corrupt.calls() + good.calls();
         let heard = client.call("charge/card", n + 30, Some(&format!("k{n}")), "c");
-        assert_eq!(corrupt.calls() + good.calls() - before, 1, "a charge was sent again");
+        assert_eq!(corrupt.calls() + good.calls() - before, 1, "a charge was not sent exactly once");
         assert!(heard.outcome == "failed" || heard.payload.starts_with("card@"), "{heard:?}");
     }
     assert!(corrupt.calls() == 0 || gateway.log().contains("a worker ran other content"));
 }
 
 #[test]
-fn content_that_rotted_is_found_at_the_start_refused_and_lifted_by_a_clean_push_only() {
+fn corrupt_content_is_quarantined_at_the_start_until_it_is_pushed_again() {
     let folder = Folder::new();
     folder.push("fare", "1", "quote");
     folder.alias("1");
-    rot(&folder.blobs());
-    let worker = honest();
+    corrupt_blobs(&folder.blobs());
+    let worker = correct_worker();
     let gateway = Gateway::start(&folder.site(""), &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
     let heard = client.call("quote/fare", 1, None, "q1");
     assert!(heard.outcome == "refused" && heard.reason.unwrap().contains("quarantine"));
-    assert_eq!(worker.all(), 0, "something of it reached a worker");
+    assert_eq!(worker.all(), 0, "a call or load of the quarantined version reached a worker");
     assert!(folder.command(&["alias", "fare", "current", "1"]).unwrap_err().contains("quarantine"));
     folder.push("fare", "1", "quote");
-    hup(&gateway);
+    reload(&gateway);
     assert_eq!(client.call("quote/fare", 2, None, "q2").outcome, "served");
 }
 
 /// Changes one byte of every blob.
-fn rot(blobs: &Path) {
+fn corrupt_blobs(blobs: &Path) {
     for entry in std::fs::read_dir(blobs).unwrap() {
         let path = entry.unwrap().path();
         let mut content = std::fs::read(&path).unwrap();
@@ -249,7 +255,7 @@
 }
 
 #[test]
-fn commands_refuse_what_cannot_be_with_its_reason_and_change_nothing() {
+fn refused_commands_state_the_reason_and_change_nothing() {
     let folder = Folder::new();
     folder.push("fare", "1", "quote");
     folder.alias("1");
@@ -271,15 +277,15 @@
     assert!(error.contains("fare-2.json: /lanes") && error.contains("/layers"), "{error}");
     let shown = folder.command(&["show", "fare"]).unwrap();
     assert!(shown.contains("\"version\":\"1\"") && !shown.contains("\"version\":\"2\""), "{shown}");
-    rot(&folder.blobs());
+    corrupt_blobs(&folder.blobs());
     assert!(folder.command(&["verify"]).unwrap_err().contains("fare@1"));
     folder.push("fare", "1", "quote");
     assert!(folder.command(&["verify"]).is_ok());
 }
 
 #[test]
-fn a_push_that_was_killed_leaves_a_folder_that_goes_on() {
-    // A lock and parts that a process left when it died.
+fn a_folder_stays_usable_after_a_push_was_killed() {
+    // A killed process leaves behind a lock, a partial blob and a partly written catalogue.
     let folder = Folder::new();
     folder.push("fare", "1", "quote");
     std::fs::write(folder.path().join("partial").join("0".repeat(64)), "half a layer").unwrap();
