--- a/crates/blobs/tests/power.rs
+++ b/crates/blobs/tests/power.rs
@@ -81,7 +81,7 @@
     let digest = Digest::of(b"rules");
     let mut partial = store.open_partial(digest, 5).unwrap();
     store.append(&mut partial, b"rulez").unwrap();
-    assert!(matches!(store.commit(partial), Err(BlobError::Corrupt(VerifyError::Other))));
+    assert!(matches!(store.commit(partial), Err(BlobError::Corrupt(VerifyError::Mismatch))));
     let mut partial = store.open_partial(digest, 5).unwrap();
     assert_eq!(partial.stored_bytes(), 0);
     assert!(matches!(
--- a/crates/gateway/src/server/plugins/calls.rs
+++ b/crates/gateway/src/server/plugins/calls.rs
@@ -3,7 +3,7 @@
 use super::{run_name, PluginHost};
 use slatevalve::Micros;
 use slatevalve_engine::{Answer, Call, FunctionTraits, Reason, Ticket, Verdict, Version};
-use slatevalve_plugins::{CatalogueError, Digest, Direction, Observed, Reference, Resolved, Selector};
+use slatevalve_plugins::{CatalogueError, Digest, Observation, Reference, Resolved, Selector, Side};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// A call that was accepted for a version and has no answer yet.
@@ -21,13 +21,13 @@
 }
 
 impl PluginHost {
-    /// Notes in a call which version its function's name means now, or why the call is refused.
+    /// Sets the version that a call runs, resolved from its function's name, or why the call is refused.
     pub(in crate::server) fn resolve(&mut self, now: Micros, call: &mut Call) {
         let resolved = self.resolve_function(now, call);
         call.version = resolved.map(|found| found.map(|function| self.open_call(now, call, function)));
     }
 
-    /// Records an open call of a version, and gives the call its version's traits.
+    /// Records an open call of a version, and sets the call's traits from the manifest.
     fn open_call(&mut self, now: Micros, call: &mut Call, function: ResolvedFunction) -> Version {
         let ResolvedFunction { name, version } = function;
         let manifest = &version.manifest;
@@ -45,8 +45,8 @@
             accepted_at: now,
             latency_objective: objective,
         };
-        self.catalogue.opened(version.digest);
-        self.observe(now, &open, Observed::Began);
+        self.catalogue.call_opened(version.digest);
+        self.observe(now, &open, Observation::CallStarted);
         self.calls.insert(call.ticket, open);
         Version {
             name: version.version.as_str().into(),
@@ -55,11 +55,12 @@
         }
     }
 
-    /// The version that a call's function means now; none where the catalogue does not know the function and the settings
-    /// admit that.
+    /// Resolves the version of a call's function; `None` if the function is not in the catalogue and the
+    /// settings allow functions that are not plug-ins.
     fn resolve_function(&mut self, now: Micros, call: &Call) -> Result<Option<ResolvedFunction>, Reason> {
         let reference: Option<Reference> = call.function.parse().ok();
-        let Some(reference) = reference.filter(|reference| self.catalogue.knows(&reference.name)) else {
+        let Some(reference) = reference.filter(|reference| self.catalogue.contains_function(&reference.name))
+        else {
             return if self.settings.unlisted { Ok(None) } else { Err(Reason::UnknownVersion) };
         };
         let version = match self.resolve_reference(call, &reference) {
@@ -82,8 +83,8 @@
         }
         if let Some(active) = self.rollouts.get(&reference.name) {
             return match active.rollout.side(hash_fraction(call)) {
-                Direction::Old => self.check_runnable(&active.old),
-                Direction::New => self.check_runnable(&active.new),
+                Side::Old => self.check_runnable(&active.old),
+                Side::New => self.check_runnable(&active.new),
             };
         }
         match self.stable.get(&reference.name) {
@@ -96,7 +97,8 @@
         self.catalogue.check_runnable(&resolved.digest).map(|()| resolved.clone())
     }
 
-    /// Queues a pull of a version that a call was refused for, where the settings enable that; later calls can run it.
+    /// Queues a pull of a version that a call was refused for, if the settings enable that; later calls can
+    /// run it.
     fn queue_pull(&mut self, now: Micros, reference: &Reference, error: &CatalogueError) {
         let missing = matches!(error, CatalogueError::UnknownVersion(_) | CatalogueError::Partial(_));
         if missing && self.settings.pull_on_call && self.settings.registry.is_some() {
@@ -106,35 +108,36 @@
         }
     }
 
-    /// Closes a call that got its answer, and counts it in its function's rollout.
+    /// Closes a call that was answered, and counts it in its function's rollout.
     pub(in crate::server) fn call_answered(&mut self, now: Micros, ticket: Ticket, answer: &Answer) {
         let Some(call) = self.close_call(ticket) else { return };
-        // A repeat gets the first call's version, and a call refused without an attempt shows nothing of any.
+        // A repeat is answered with the first call's version, and a call without an attempt is no evidence
+        // about one.
         let same_version =
             answer.version.as_ref().is_some_and(|version| *version.digest == *call.digest.to_string());
         if answer.recorded || !same_version || answer.attempts == 0 {
-            return self.observe(now, &call, Observed::Withdrawn);
+            return self.observe(now, &call, Observation::CallWithdrawn);
         }
         let served = matches!(answer.verdict, Verdict::Served { .. });
         let late = now.0.saturating_sub(call.accepted_at.0) > call.latency_objective.0;
-        self.observe(now, &call, |side| Observed::Ended { side, served, late });
+        self.observe(now, &call, |side| Observation::CallEnded { side, served, late });
     }
 
-    /// Closes a call that gets no answer.
+    /// Closes a call that will not be answered.
     pub(in crate::server) fn call_withdrawn(&mut self, now: Micros, ticket: Ticket) {
         if let Some(call) = self.close_call(ticket) {
-            self.observe(now, &call, Observed::Withdrawn);
+            self.observe(now, &call, Observation::CallWithdrawn);
         }
     }
 
     fn close_call(&mut self, ticket: Ticket) -> Option<OpenCall> {
         let call = self.calls.remove(&ticket)?;
-        self.catalogue.closed(call.digest);
+        self.catalogue.call_closed(call.digest);
         Some(call)
     }
 
-    /// Reports a call to its function's rollout, where one is active.
-    fn observe(&mut self, now: Micros, call: &OpenCall, observation: impl FnOnce(Direction) -> Observed) {
+    /// Reports a call to its function's rollout, if one is active.
+    fn observe(&mut self, now: Micros, call: &OpenCall, observation: impl FnOnce(Side) -> Observation) {
         if let Some(active) = self.rollouts.get_mut(&call.name) {
             active.observe(now, &call.digest, observation);
         }
@@ -149,13 +152,14 @@
     }
 }
 
-/// A call's place between 0 and 1 in the traffic split of a rollout; the same for each call with the same key.
+/// Position of a call in the traffic split of a rollout, from 0 to 1; calls with the same key have the same
+/// position.
 fn hash_fraction(call: &Call) -> f64 {
     let mut hasher = DefaultHasher::new();
     match &call.key {
         Some(key) => key.hash(&mut hasher),
         None => call.ticket.0.hash(&mut hasher),
     }
-    // The upper 53 bits, as many as a double holds exactly.
+    // The upper 53 bits, the precision of an f64.
     (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/gateway/src/server/plugins/rollouts.rs
+++ b/crates/gateway/src/server/plugins/rollouts.rs
@@ -1,4 +1,4 @@
-//! Rollouts: the move of calls from the version that `current` meant to the one that it means now.
+//! Rollouts: calls are shifted from the version that `current` meant to the one that it means now.
 
 use super::{run_name, PluginHost};
 use crate::clock::after;
@@ -7,14 +7,14 @@
 use slatevalve::Micros;
 use slatevalve_engine::{Engine, Output};
 use slatevalve_plugins::{
-    Catalogue, Digest, Direction, Ended, Observed, Resolved, Rollout, RolloutRequest, CURRENT,
+    Catalogue, Digest, Observation, Resolved, Rollout, RolloutOutcome, RolloutRequest, Side, CURRENT,
 };
 use tracing::{info, warn};
 
 /// Interval at which active rollouts are advanced.
 const ROLLOUT_INTERVAL: Micros = Micros(20_000);
 
-/// A version that a rollout was rolled back from, with the alias's revision at that time.
+/// A version that was rolled back, with the alias's revision at that time.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct RolledBack {
     digest: Digest,
@@ -32,27 +32,28 @@
     pub(super) rollout: Rollout,
     pub(super) old: Resolved,
     pub(super) new: Resolved,
-    /// When the load requests that have shown no copy yet were sent, oldest first.
+    /// Send times of the load requests without a loaded copy yet, oldest first.
     pub(super) load_requests: Vec<Micros>,
 }
 
 impl ActiveRollout {
-    /// Reports a call to the rollout, if it is of one of its versions.
+    /// Reports a call to the rollout if it runs one of its versions.
     pub(super) fn observe(
         &mut self,
         now: Micros,
         digest: &Digest,
-        observation: impl FnOnce(Direction) -> Observed,
+        observation: impl FnOnce(Side) -> Observation,
     ) {
         let side = match digest {
-            d if *d == self.new.digest => Direction::New,
-            d if *d == self.old.digest => Direction::Old,
+            d if *d == self.new.digest => Side::New,
+            d if *d == self.old.digest => Side::Old,
             _ => return,
         };
         self.rollout.observe(now.0, observation(side));
     }
 
-    /// Counts loaded copies and failed load requests, requests further copies, and returns how the rollout ended, if it did.
+    /// Counts loaded copies and failed load requests, requests further copies, and returns how the rollout
+    /// ended, if it did.
     fn advance(
         &mut self,
         now: Micros,
@@ -60,17 +61,17 @@
         load_timeout: Micros,
         engine: &mut Engine,
         outputs: &mut Vec<Output>,
-    ) -> Option<Ended> {
+    ) -> Option<RolloutOutcome> {
         let (old, new) = (run_name(name, &self.old.digest), run_name(name, &self.new.digest));
         while self.rollout.copies().0 < engine.loaded_replicas(&new) {
             self.load_requests.pop();
-            self.rollout.observe(now.0, Observed::Stands);
+            self.rollout.observe(now.0, Observation::CopyLoaded);
         }
         self.expire_load_requests(now, load_timeout);
         if let RolloutRequest::Copies(count) = self.rollout.load_request() {
             for _ in 0..engine.expect_load(now, &new, &old, count, outputs) {
                 self.load_requests.push(now);
-                self.rollout.observe(now.0, Observed::Ordered);
+                self.rollout.observe(now.0, Observation::LoadRequested);
             }
         }
         self.rollout.advance(now.0)
@@ -80,19 +81,20 @@
         let before = self.load_requests.len();
         self.load_requests.retain(|sent_at| now.0 - sent_at.0 < load_timeout.0);
         for _ in self.load_requests.len()..before {
-            self.rollout.observe(now.0, Observed::OrderFailed);
+            self.rollout.observe(now.0, Observation::LoadFailed);
         }
     }
 }
 
 impl PluginHost {
-    /// Replaces the catalogue by one that was read again, and starts a rollout of each function whose `current` moved. One
-    /// that moved again during a rollout is rolled out anew from the version before.
+    /// Replaces the catalogue by one that was read again, and starts a rollout for each function whose
+    /// `current` moved. If it moved again during a rollout, a new rollout starts from the version before that
+    /// rollout.
     pub(super) fn replace_catalogue(&mut self, now: Micros, engine: &Engine, mut catalogue: Catalogue) {
         for call in self.calls.values() {
-            catalogue.opened(call.digest);
+            catalogue.call_opened(call.digest);
         }
-        catalogue.require(self.settings.terms.clone());
+        catalogue.set_admission_policy(self.settings.admission_policy.clone());
         self.catalogue = catalogue;
         for name in self.names() {
             if let Ok(target) = self.current(&name) {
@@ -101,10 +103,12 @@
         }
     }
 
-    /// Moves calls of a function to the version that `current` means, unless that is under way or was rolled back.
+    /// Moves calls of a function to the version that `current` means, unless its rollout is active or was
+    /// rolled back.
     fn move_to(&mut self, now: Micros, engine: &Engine, name: String, target: Resolved) {
-        let under_way = self.rollouts.get(&name).map(|active| active.new.digest);
-        if under_way == Some(target.digest) || self.rolled_back.get(&name) == Some(&RolledBack::from(&target))
+        let active_target = self.rollouts.get(&name).map(|active| active.new.digest);
+        if active_target == Some(target.digest)
+            || self.rolled_back.get(&name) == Some(&RolledBack::from(&target))
         {
             return;
         }
@@ -159,14 +163,14 @@
         }
     }
 
-    fn complete_rollout(&mut self, name: &str, end: Ended) {
+    fn complete_rollout(&mut self, name: &str, outcome: RolloutOutcome) {
         let Some(active) = self.rollouts.remove(name) else { return };
-        match end {
-            Ended::Moved => {
+        match outcome {
+            RolloutOutcome::Completed => {
                 info!(name, version = active.new.version, "the move is done");
                 self.stable.insert(name.into(), active.new);
             }
-            Ended::Back(reason) => {
+            RolloutOutcome::RolledBack(reason) => {
                 let (from, to) = (active.new.version.as_str(), active.old.version.as_str());
                 warn!(name, from, to, reason, "rollout rolled back");
                 self.roll_back(name, &active.old, &active.new);
