--- a/crates/fleet-test/src/report/checks.rs
+++ b/crates/fleet-test/src/report/checks.rs
@@ -17,9 +17,9 @@
         if let Some(within_ms) = expectations.drains_within_ms {
             unmet.extend(self.drains.iter().filter_map(|drain| check_drain(drain, within_ms)));
         }
-        unmet.extend(expectations.requests.iter().filter_map(|limit| self.check_requests(limit)));
-        unmet.extend(expectations.connections.iter().filter_map(|limit| self.check_connections(limit)));
-        unmet.extend(expectations.steady.iter().filter_map(|limit| self.check_rate(limit)));
+        unmet.extend(expectations.peak_requests.iter().filter_map(|limit| self.check_requests(limit)));
+        unmet.extend(expectations.peak_connections.iter().filter_map(|limit| self.check_connections(limit)));
+        unmet.extend(expectations.mean_request_rates.iter().filter_map(|limit| self.check_rate(limit)));
         unmet
     }
 
--- a/crates/fleet-test/src/runner/launch.rs
+++ b/crates/fleet-test/src/runner/launch.rs
@@ -42,8 +42,8 @@
                 let plan = serde_json::to_string(&self.link_plan(name, listen, to, faults));
                 vec!["link".into(), "--plan".into(), plan.map_err(io::Error::other).context("a plan")?]
             }
-            GroupKind::Relays { by } => self.registered_arguments("relay", name, listen_text, by),
-            GroupKind::Workers { by } => self.registered_arguments("worker", name, listen_text, by),
+            GroupKind::Relays { service } => self.registered_arguments("relay", name, listen_text, service),
+            GroupKind::Workers { service } => self.registered_arguments("worker", name, listen_text, service),
             GroupKind::Routers(_) => return Err(FleetTestError::NotAService(name.into())),
         };
         let log = format!("{name}.log");
@@ -136,7 +136,7 @@
             [] => String::new(),
             relays => format!("(relays {})", self.quoted_addresses(relays)),
         };
-        let stored_list = match group.remember {
+        let stored_list = match group.stores_list {
             true => format!("(remember {:?})", self.directory.join(format!("{name}.list"))),
             false => String::new(),
         };
--- a/crates/fleet-test/src/script/mod.rs
+++ b/crates/fleet-test/src/script/mod.rs
@@ -29,12 +29,12 @@
     /// Relays of the worker list.
     Relays {
         /// The name of the service that they watch.
-        by: String,
+        service: String,
     },
     /// Test workers that register themselves.
     Workers {
         /// The name of the service that they register with.
-        by: String,
+        service: String,
     },
     /// Routers.
     Routers(RouterGroup),
@@ -54,7 +54,7 @@
     /// The number of routers that their settings state.
     pub stated_routers: usize,
     /// Whether they store the worker list on disk.
-    pub remember: bool,
+    pub stores_list: bool,
     /// The start of all of them, in seconds of the test.
     pub start_s: f64,
 }
@@ -173,11 +173,11 @@
     /// Every router that runs and holds a list receives each drain within this many milliseconds.
     pub drains_within_ms: Option<f64>,
     /// Requests in any 200 ms.
-    pub requests: Vec<LinkLimit>,
+    pub peak_requests: Vec<LinkLimit>,
     /// New connections in any 200 ms.
-    pub connections: Vec<LinkLimit>,
+    pub peak_connections: Vec<LinkLimit>,
     /// Mean requests per second.
-    pub steady: Vec<LinkLimit>,
+    pub mean_request_rates: Vec<LinkLimit>,
 }
 
 /// A script.
--- a/crates/fleet-test/src/script/parser.rs
+++ b/crates/fleet-test/src/script/parser.rs
@@ -93,11 +93,11 @@
         "link" => (1, parse_link(&mut fields, groups)?),
         "relays" => {
             let count = parse_count(&mut fields)?;
-            (count, GroupKind::Relays { by: parse_service(&fields.need("by")?, groups)? })
+            (count, GroupKind::Relays { service: parse_service(&fields.need("by")?, groups)? })
         }
         "workers" => {
             let count = parse_count(&mut fields)?;
-            (count, GroupKind::Workers { by: parse_service(&fields.need("by")?, groups)? })
+            (count, GroupKind::Workers { service: parse_service(&fields.need("by")?, groups)? })
         }
         "routers" => {
             let count = parse_count(&mut fields)?;
@@ -161,7 +161,7 @@
         settings: fields.or("settings", String::new(), Form::source)?,
         members: fields.or("members", String::new(), Form::source)?,
         stated_routers: fields.or("believe", count as u64, |form| form.whole(MAX_COUNT))? as usize,
-        remember: fields.or("remember", false, Form::flag)?,
+        stores_list: fields.or("remember", false, Form::flag)?,
         start_s: fields.or("start-s", 0.0, Form::number)?,
     })
 }
@@ -293,11 +293,17 @@
     let limits = |forms: Vec<Form<'_>>| -> FormResult<Vec<LinkLimit>> {
         forms.iter().map(|form| parse_limit(form, groups)).collect()
     };
-    let requests = limits(fields.take_all("requests-in-200ms"))?;
-    let connections = limits(fields.take_all("connections-in-200ms"))?;
-    let steady = limits(fields.take_all("steady-requests-per-second"))?;
+    let peak_requests = limits(fields.take_all("requests-in-200ms"))?;
+    let peak_connections = limits(fields.take_all("connections-in-200ms"))?;
+    let mean_request_rates = limits(fields.take_all("steady-requests-per-second"))?;
     fields.finish()?;
-    Ok(Expectations { listed_within_s, drains_within_ms, requests, connections, steady })
+    Ok(Expectations {
+        listed_within_s,
+        drains_within_ms,
+        peak_requests,
+        peak_connections,
+        mean_request_rates,
+    })
 }
 
 fn parse_limit(form: &Form<'_>, groups: &[Group]) -> FormResult<LinkLimit> {
--- a/crates/gateway/benches/drains.rs
+++ b/crates/gateway/benches/drains.rs
@@ -142,7 +142,7 @@
 
 fn start_worker(directory: &Path, worker: usize) -> Process {
     let service = ServicePlan {
-        lanes: 8,
+        concurrency: 8,
         queue: 64,
         copies: 64,
         load_us: 20_000,
--- a/crates/gateway/src/chaos_test/script/parser.rs
+++ b/crates/gateway/src/chaos_test/script/parser.rs
@@ -147,7 +147,8 @@
     let default = ServicePlan::default();
     let micros = |form: &Form<'_>| form.millis().map(|micros| micros.0);
     Ok(ServicePlan {
-        lanes: fields.or("lanes", default.lanes as u64, |form| form.whole(MAX_CONCURRENCY))? as usize,
+        concurrency: fields.or("lanes", default.concurrency as u64, |form| form.whole(MAX_CONCURRENCY))?
+            as usize,
         queue: fields.or("queue", default.queue as u64, |form| form.whole(MAX_QUEUE))? as usize,
         copies: fields.or("copies", default.copies as u64, |form| form.whole(MAX_COPIES))? as usize,
         load_us: fields.or("load-ms", default.load_us, micros)?,
--- a/crates/gateway/src/commands/test_servers.rs
+++ b/crates/gateway/src/commands/test_servers.rs
@@ -69,7 +69,7 @@
 
 fn worker_plan(arguments: WorkerArguments) -> WorkerPlan {
     let service = ServicePlan {
-        lanes: arguments.lanes,
+        concurrency: arguments.lanes,
         queue: arguments.queue,
         copies: arguments.copies,
         load_us: i64::from(arguments.load_ms) * 1_000,
--- a/crates/test-servers/src/worker/mod.rs
+++ b/crates/test-servers/src/worker/mod.rs
@@ -120,7 +120,7 @@
     TraceEvent::Started {
         start_capacity: plan.start_capacity,
         slow_start_us: plan.slow_start_us,
-        concurrency: plan.lanes as f64,
+        concurrency: plan.concurrency as f64,
         first,
     }
 }
@@ -270,7 +270,7 @@
     /// The load report for the next response: the current one, or an outdated one by a fault.
     fn load_report(&mut self) -> LoadReport {
         let now = unix_micros();
-        let utilization = self.service.running() as f64 / self.service.plan().lanes.max(1) as f64;
+        let utilization = self.service.running() as f64 / self.service.plan().concurrency.max(1) as f64;
         let report = LoadReport {
             queue: Some(self.service.queue_len() as f64),
             inflight: Some(self.service.running() as f64),
--- a/crates/test-servers/src/worker/service.rs
+++ b/crates/test-servers/src/worker/service.rs
@@ -9,7 +9,8 @@
 #[serde(default)]
 pub struct ServicePlan {
     /// Calls that run at a time at full capacity.
-    pub lanes: usize,
+    #[serde(rename = "lanes")]
+    pub concurrency: usize,
     /// Calls that may wait.
     pub queue: usize,
     /// Copies that fit into memory.
@@ -32,7 +33,7 @@
 impl Default for ServicePlan {
     fn default() -> Self {
         ServicePlan {
-            lanes: 4,
+            concurrency: 4,
             queue: 32,
             copies: 16,
             load_us: 100_000,
@@ -172,7 +173,7 @@
             }
             None => return Admission::Miss,
         }
-        if self.running >= self.plan.lanes {
+        if self.running >= self.plan.concurrency {
             return self.enqueue(call);
         }
         self.running += 1;
@@ -206,7 +207,7 @@
 
     /// Starts the next waiting call whose function is loaded; returns its number and the time of its completion.
     pub(super) fn start_next(&mut self, now_us: i64, work_factor: f64) -> Option<(u64, i64)> {
-        if self.running >= self.plan.lanes {
+        if self.running >= self.plan.concurrency {
             return None;
         }
         let position = self.queue.iter().position(|call| self.loaded_copies(&call.function, now_us) > 0)?;
