--- a/crates/fleet-test/scripts/away.scm
+++ b/crates/fleet-test/scripts/away.scm
@@ -1,4 +1,4 @@
-; The list service is away for 5 s, answers nothing for 5 s, and is reached by nobody for 5 s, under 200 routers.
+; 200 routers; for 5 s each the registry closes all connections, sends no responses, and receives no requests.
 (name "away")
 (seconds 50)
 (registry "kv" (entries 120))
--- a/crates/fleet-test/scripts/deploy.scm
+++ b/crates/fleet-test/scripts/deploy.scm
@@ -1,4 +1,5 @@
-; Twelve of twenty workers are replaced while a hundred routers start; workers register and drain by themselves.
+; 12 of 20 workers are replaced while 100 routers start, and again later. Workers register themselves, and
+; drain on SIGTERM.
 (name "deploy")
 (seconds 20)
 (registry "kv")
--- a/crates/fleet-test/scripts/half.scm
+++ b/crates/fleet-test/scripts/half.scm
@@ -1,4 +1,4 @@
-; Half of two hundred routers are cut from the list service, in one direction, for 8 s; a drain is told meanwhile.
+; Half of 200 routers receive no responses from the registry for 8 s; a drain is published meanwhile.
 (name "half")
 (seconds 30)
 (registry "kv" (entries 120))
--- a/crates/fleet-test/scripts/herd.scm
+++ b/crates/fleet-test/scripts/herd.scm
@@ -1,5 +1,5 @@
-; Two hundred routers started in the same instant, disks empty, before one list service that takes all that it is asked; a
-; drain in the middle of everybody's start.
+; 200 routers start at the same time, without stored lists, on one registry without a load limit. A drain is
+; published while they start.
 (name "herd")
 (seconds 40)
 (registry "kv" (entries 120))
--- a/crates/fleet-test/scripts/overrun.scm
+++ b/crates/fleet-test/scripts/overrun.scm
@@ -1,4 +1,4 @@
-; Three hundred routers before a list service that takes 100 requests a second and goes silent beyond a queue of 100.
+; 300 routers on a registry that processes 100 requests per second and drops requests beyond a queue of 100.
 (name "overrun")
 (seconds 25)
 (registry "kv" (entries 120) (capacity (requests-per-second 100) (queue 100) (silent yes)))
--- a/crates/fleet-test/scripts/relays.scm
+++ b/crates/fleet-test/scripts/relays.scm
@@ -1,4 +1,5 @@
-; Two hundred routers behind four relays: one is killed, one stands still, one is cut from its registry in one direction.
+; 200 routers on four relays: one is killed, the link to one drops everything, and one receives no responses
+; from its registry.
 (name "relays")
 (seconds 40)
 (registry "kv" (entries 120))
--- a/crates/fleet-test/scripts/restart.scm
+++ b/crates/fleet-test/scripts/restart.scm
@@ -1,4 +1,5 @@
-; Seven in ten of two hundred routers with lists on disk are killed at once and come back, with a drain in between; later all.
+; 70% of 200 routers with stored lists are killed together and restarted, with a drain in between. Later all
+; are restarted.
 (name "restart")
 (seconds 25)
 (registry "kv" (entries 120))
--- a/crates/fleet-test/scripts/restored.scm
+++ b/crates/fleet-test/scripts/restored.scm
@@ -1,4 +1,5 @@
-; The list service is set back to a backup while two hundred routers start, and its history is compacted under them.
+; The registry is restored from a backup while 200 routers start, and its history is compacted during their
+; watches.
 (name "restored")
 (seconds 25)
 (registry "kv" (entries 120))
--- a/crates/fleet-test/scripts/tenth.scm
+++ b/crates/fleet-test/scripts/tenth.scm
@@ -1,5 +1,6 @@
-; Two hundred routers that were told of 500 requests a second start before a service that does a tenth of that and refuses
-; beyond its queue; later all of them are killed and come back without a disk. What they ask at first is 24 s of its time.
+; 200 routers, whose settings assume 500 requests per second, start on a registry that processes a tenth of
+; that and refuses requests beyond its queue. Later all are killed and restarted without stored lists. Their
+; initial requests take the registry 24 s.
 (name "tenth")
 (seconds 56)
 (registry "kv" (entries 120) (capacity (requests-per-second 50) (queue 50)))
--- a/crates/fleet-test/src/counters.rs
+++ b/crates/fleet-test/src/counters.rs
@@ -1,4 +1,5 @@
-//! Counters of what passed a link, by tenths of a second. The link process writes them as lines of JSON, the report reads them.
+//! Traffic counters of a link in buckets of a tenth of a second. The link process writes one JSON object a
+//! line; the report reads the file.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -10,26 +11,26 @@
 /// The length of one bucket, in microseconds.
 pub const BUCKET_US: i64 = 100_000;
 
-/// The Unix clock, in microseconds. Counters and scripted events share it.
+/// The Unix clock, in microseconds: the time base that link processes share with scripted events.
 pub(crate) fn now_us() -> i64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     i64::try_from(since_epoch.as_micros()).unwrap_or(i64::MAX)
 }
 
-/// What passed within one bucket.
+/// The traffic within one bucket.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Bucket {
-    /// Its start, in microseconds of the Unix clock; a multiple of [`BUCKET_US`].
+    /// The start of the bucket, in microseconds of the Unix clock; a multiple of [`BUCKET_US`].
     pub at_us: i64,
-    /// Accepted connections.
+    /// Connections accepted by the link, except those that a fault refuses.
     pub connections: u64,
     /// Complete requests, by the last segment of their path.
     pub requests: BTreeMap<String, u64>,
-    /// Bytes to the service.
+    /// Bytes received from clients, including those that a fault drops.
     #[serde(rename = "bytes_to")]
     pub bytes_to_service: u64,
-    /// Bytes from the service.
+    /// Bytes received from the service, including those that a fault drops.
     #[serde(rename = "bytes_from")]
     pub bytes_from_service: u64,
 }
@@ -56,14 +57,14 @@
     }
 }
 
-/// The current bucket and the file to which complete buckets are written.
+/// The current bucket and the file that complete buckets are written to.
 pub struct TrafficCounters {
     file: Option<File>,
     bucket: Bucket,
 }
 
 impl TrafficCounters {
-    /// Creates the file, if a path is given.
+    /// Creates the file, truncating an existing one; without a path nothing is written.
     ///
     /// # Errors
     /// When the file cannot be created.
@@ -71,7 +72,7 @@
         Ok(TrafficCounters { file: path.map(File::create).transpose()?, bucket: Bucket::default() })
     }
 
-    /// The bucket of a time; one that is over is written before.
+    /// The bucket of a time; writes the previous bucket first if the time is in another one.
     ///
     /// # Errors
     /// When the file cannot be written.
--- a/crates/fleet-test/src/error.rs
+++ b/crates/fleet-test/src/error.rs
@@ -9,20 +9,20 @@
 /// The reason why a fleet test could not be run.
 #[derive(Debug)]
 pub enum FleetTestError {
-    /// The script has an error.
+    /// The script could not be parsed.
     Script(FormError),
-    /// A process or a file failed.
+    /// A process could not be started, or a file could not be read or written.
     Io {
-        /// The process or the file.
+        /// The name of the process or the kind of file.
         subject: String,
-        /// The cause.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The processes did not start by the script's time 0.
+    /// The services were not ready by second 0 of the script.
     StartTooSlow,
-    /// A router was to be started as a service.
+    /// A router was passed to the code that starts services.
     NotAService(String),
-    /// The output directory is not empty.
+    /// The output directory has content, which the run would mix with its own.
     NotEmpty(PathBuf),
 }
 
@@ -32,10 +32,12 @@
             FleetTestError::Script(error) => error.fmt(f),
             FleetTestError::Io { subject, source } => write!(f, "{subject}: {source}"),
             FleetTestError::StartTooSlow => {
-                f.write_str("the machine is too slow: the services took too long to start")
+                f.write_str("the services were not ready by second 0 of the test: the machine is too slow")
             }
-            FleetTestError::NotAService(name) => write!(f, "{name} is a router"),
-            FleetTestError::NotEmpty(path) => write!(f, "{} is not empty", path.display()),
+            FleetTestError::NotAService(name) => {
+                write!(f, "{name} is a router and cannot be started as a service")
+            }
+            FleetTestError::NotEmpty(path) => write!(f, "output directory {} is not empty", path.display()),
         }
     }
 }
@@ -58,7 +60,7 @@
     }
 }
 
-/// Names the process or file that an I/O error is about.
+/// Adds the process or file that an I/O error concerns.
 pub(crate) trait IoContext<T> {
     fn context(self, subject: &str) -> Result<T, FleetTestError>;
 }
--- a/crates/fleet-test/src/lib.rs
+++ b/crates/fleet-test/src/lib.rs
@@ -1,8 +1,10 @@
-//! Fleet tests: many processes of the program, among them routers that watch one registry, with links between them that
-//! delay, drop and reset by a script. The [`Report`] states what passed the links and what each router received when.
+//! Fleet tests: many processes of the program, among them routers that watch one registry, with links between
+//! them that delay, drop and reset traffic by a script. The [`Report`] contains the traffic of each link and
+//! the times at which each router received lists and drain notifications.
 //!
-//! The crate starts the program's binary and uses nothing of the gateway's inside: its sources are the bytes on the links and
-//! the lines of the logs. The command `slatevalve fleet-test` calls [`run`]; `slatevalve link` is one link.
+//! The crate starts the program's binary and depends on no gateway code: it measures the bytes on the links
+//! and the lines of the routers' logs, so that it can test earlier builds too. The command `slatevalve
+//! fleet-test` calls [`run`]; `slatevalve link` is one link.
 #![forbid(unsafe_code)]
 
 mod counters;
--- a/crates/fleet-test/src/link/mod.rs
+++ b/crates/fleet-test/src/link/mod.rs
@@ -1,5 +1,6 @@
-//! A link: a TCP proxy in a process of its own, which stands for the network between two processes. By direction and time it
-//! delays, limits the bandwidth, drops, resets and refuses; and it counts what passes.
+//! A link: a TCP proxy in a process of its own that emulates the network between two processes. Scheduled
+//! faults delay, limit, drop, reset or refuse traffic, some of them in one direction only; the link counts
+//! the traffic.
 
 mod pipe;
 mod plan;
@@ -18,11 +19,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes that wait on one connection at most; beyond them the connection is closed.
+/// The write buffer limit of a connection, in bytes; a connection that exceeds it is closed.
 const MAX_BUFFERED: usize = 64 * 1024 * 1024;
 /// The signals that end the process: SIGTERM and SIGINT.
 const STOP_SIGNALS: [i32; 2] = [15, 2];
-/// The longest time between two looks at the faults, in microseconds.
+/// The longest time between two checks for due faults, in microseconds.
 const MAX_WAIT_US: i64 = 50_000;
 
 /// An accepted connection with its connection to the service.
@@ -31,20 +32,20 @@
     to_service: Pipe,
     from_service: Pipe,
     request_reader: MessageDecoder,
-    /// The last segment of the path of the current request.
+    /// The last path segment of the current request.
     path: String,
 }
 
 struct Link {
     plan: LinkPlan,
     reactor: Reactor,
-    /// By the accepted connection.
+    /// Keyed by the accepted connection.
     connections: HashMap<Id, ProxiedConnection>,
     /// The accepted connection of each connection to the service.
     accepted_by_upstream: HashMap<Id, Id>,
     counters: TrafficCounters,
     random: Pcg64Mcg,
-    /// For each fault of the plan, whether its reset was done.
+    /// For each fault of the plan, whether it has reset the connections. Other faults leave it false.
     is_reset: Vec<bool>,
 }
 
@@ -198,8 +199,8 @@
         }
     }
 
-    /// Calls `count` with the path of each request that ends in these bytes. Bytes that are no HTTP are forwarded without
-    /// being counted.
+    /// Calls `count` with the last path segment of each request that ends in these bytes. Bytes that are not
+    /// HTTP are forwarded but not counted as requests.
     fn read_requests(&mut self, bytes: &[u8], mut count: impl FnMut(&str)) {
         let mut parts = Vec::new();
         let _ = self.request_reader.feed(bytes, &mut parts);
--- a/crates/fleet-test/src/link/pipe.rs
+++ b/crates/fleet-test/src/link/pipe.rs
@@ -1,9 +1,9 @@
-//! One direction of one connection, without I/O: bytes and times in, bytes out when they are due, in order.
+//! One direction of one connection, without I/O: queues bytes and releases them in order when they are due.
 
 use super::plan::{Flow, LinkFault, LinkFaultKind};
 use std::collections::VecDeque;
 
-/// The combined effect of all active faults on one direction at a time.
+/// The combined effect of all faults that are active at one time on one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Condition {
     pub(super) is_dropping: bool,
@@ -13,7 +13,7 @@
 }
 
 impl Condition {
-    /// Combines the active faults: delays add up, the lowest bandwidth limits.
+    /// Combines the active faults: delays add up, and the lowest bandwidth applies.
     pub(super) fn new(faults: &[LinkFault], now_us: i64, flow: Flow) -> Self {
         let mut condition = Condition::default();
         for fault in faults.iter().filter(|fault| fault.is_active(now_us)) {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Bytes in transit, with the time at which they arrive.
+/// Bytes that are delivered at `due_us`.
 #[derive(Debug)]
 struct InTransit {
     due_us: i64,
@@ -51,7 +51,8 @@
 }
 
 impl Pipe {
-    /// Queues bytes; `jitter_share`, from 0 to 1, is the drawn share of the jitter.
+    /// Queues bytes, or discards them while a fault drops them. `jitter_share`, from 0 to 1, is the random
+    /// share of the jitter.
     pub(super) fn push(&mut self, now_us: i64, bytes: Vec<u8>, condition: Condition, jitter_share: f64) {
         if condition.is_dropping {
             return;
--- a/crates/fleet-test/src/link/plan.rs
+++ b/crates/fleet-test/src/link/plan.rs
@@ -1,10 +1,10 @@
-//! The plan of a link process, passed to it as JSON. `serde` keeps the names of that JSON.
+//! The plan of a link process, passed to it as JSON; `serde` attributes keep the JSON names.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A direction of transfer.
+/// The direction that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
@@ -14,7 +14,7 @@
     /// From the service to the clients.
     #[serde(rename = "answers")]
     Responses,
-    /// Both directions.
+    /// Requests and responses.
     Both,
 }
 
@@ -36,13 +36,13 @@
     FromService,
 }
 
-/// What a link does to its connections.
+/// The effect of a fault on the connections of a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkFaultKind {
     /// Bytes arrive later.
     Delay {
-        /// The direction.
+        /// The affected direction.
         #[serde(rename = "way")]
         direction: Direction,
         /// The delay, in microseconds.
@@ -54,13 +54,13 @@
     },
     /// The bandwidth is limited.
     Slow {
-        /// The direction.
+        /// The affected direction.
         #[serde(rename = "way")]
         direction: Direction,
         /// Bytes per second on each connection.
         bytes_per_s: f64,
     },
-    /// Bytes are lost; the connections stay open, and new ones are accepted.
+    /// Bytes are discarded; connections stay open, and new ones are accepted.
     Drop(Direction),
     /// All connections are closed at the start of the fault, and the bytes in transit are lost.
     Reset,
@@ -71,11 +71,11 @@
 /// A fault with its time, in microseconds of the Unix clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LinkFault {
-    /// Its start.
+    /// The start of the fault.
     pub from_us: i64,
-    /// Its end, exclusive.
+    /// The end of the fault, exclusive. A reset occurs at the start and has no end.
     pub to_us: i64,
-    /// The fault.
+    /// The effect of the fault.
     pub kind: LinkFaultKind,
 }
 
@@ -90,15 +90,15 @@
 pub struct LinkPlan {
     /// The listening address; with port 0 the kernel chooses one.
     pub listen: SocketAddr,
-    /// The service.
+    /// The address of the service that connections are forwarded to.
     pub to: SocketAddr,
-    /// The faults.
+    /// The scheduled faults; faults that overlap combine.
     #[serde(default)]
     pub faults: Vec<LinkFault>,
-    /// The file for the counters of what passed; see [`TrafficCounters`](crate::TrafficCounters).
+    /// The output file of the [`TrafficCounters`](crate::TrafficCounters); none to count nothing.
     #[serde(default, rename = "tally")]
     pub counters: Option<PathBuf>,
-    /// The seed of the jitter.
+    /// The seed of the random jitter.
     #[serde(default)]
     pub seed: u64,
 }
--- a/crates/fleet-test/src/link/tests.rs
+++ b/crates/fleet-test/src/link/tests.rs
@@ -1,4 +1,4 @@
-//! Faults of links and the order of bytes in a pipe.
+//! The effect of link faults by time and direction, and the byte order of a pipe.
 
 use super::*;
 use proptest::prelude::*;
@@ -8,27 +8,27 @@
 }
 
 #[test]
-fn a_cut_in_one_direction_loses_just_that_direction_and_only_while_it_lasts() {
+fn a_drop_affects_only_its_direction_and_period() {
     let faults = [fault(10, 20, LinkFaultKind::Drop(Direction::Responses))];
-    let lost = |now, flow| Condition::new(&faults, now, flow).is_dropping;
+    let is_dropped = |now, flow| Condition::new(&faults, now, flow).is_dropping;
     assert_eq!(
         [
-            lost(9, Flow::FromService),
-            lost(10, Flow::FromService),
-            lost(19, Flow::FromService),
-            lost(20, Flow::FromService)
+            is_dropped(9, Flow::FromService),
+            is_dropped(10, Flow::FromService),
+            is_dropped(19, Flow::FromService),
+            is_dropped(20, Flow::FromService)
         ],
         [false, true, true, false]
     );
-    assert!(!lost(15, Flow::ToService));
+    assert!(!is_dropped(15, Flow::ToService));
 }
 
 #[test]
-fn a_delay_grows_and_a_narrow_link_takes_its_time() {
+fn growing_delay_and_bandwidth_limit_add_up() {
     let direction = Direction::Both;
     let kind = LinkFaultKind::Delay { direction, by_us: 100, jitter_us: 0, growing_us: 1_000 };
-    let narrow = LinkFaultKind::Slow { direction, bytes_per_s: 1_000.0 };
-    let faults = [fault(0, i64::MAX, kind), fault(0, i64::MAX, narrow)];
+    let bandwidth_limit = LinkFaultKind::Slow { direction, bytes_per_s: 1_000.0 };
+    let faults = [fault(0, i64::MAX, kind), fault(0, i64::MAX, bandwidth_limit)];
     let mut pipe = Pipe::default();
     pipe.push(2_000_000, vec![0; 10], Condition::new(&faults, 2_000_000, Flow::ToService), 0.0);
     assert_eq!(pipe.next_due_us(), Some(2_000_000 + 100 + 2_000 + 10_000));
@@ -36,12 +36,12 @@
 
 proptest! {
     #[test]
-    fn bytes_come_out_in_order_and_never_early(
+    fn bytes_are_released_in_order_and_never_early(
         steps in prop::collection::vec((0i64..50, 0i64..100, 0.0f64..1.0), 1..60),
     ) {
         let (mut pipe, mut now, mut last) = (Pipe::default(), 0, None);
-        for (index, (later, delay_us, jitter_share)) in steps.iter().enumerate() {
-            now += later;
+        for (index, (elapsed_us, delay_us, jitter_share)) in steps.iter().enumerate() {
+            now += elapsed_us;
             let condition = Condition { delay_us: *delay_us, jitter_us: 40, ..Condition::default() };
             pipe.push(now, vec![index as u8], condition, *jitter_share);
             prop_assert!(pipe.last_due_us >= now + delay_us);
--- a/crates/fleet-test/src/page.rs
+++ b/crates/fleet-test/src/page.rs
@@ -1,5 +1,6 @@
-//! The reports of a script as one page of HTML: a table of figures, and charts of what passed each link and of how many
-//! routers held a list. Faults and events are shown as bands; further reports stand beside the first.
+//! Renders the reports of a script as one HTML page: a table of figures, charts of the traffic of each link,
+//! and a chart of the number of routers with a list. Faults and events are shown as bands; several reports
+//! are shown side by side.
 
 use crate::counters::{Bucket, BUCKET_US};
 use crate::report::{quantile, LinkTraffic, Report};
@@ -13,11 +14,11 @@
 
 /// Width and height of a chart, in pixels.
 const CHART_SIZE: (u32, u32) = (900, 220);
-/// The colours of the first and the second report.
+/// The line colours of the first and the second report; further reports are not drawn.
 const REPORT_COLOURS: [RGBColor; 2] = [RGBColor(31, 95, 160), RGBColor(200, 95, 20)];
 const BAND_COLOUR: RGBColor = RGBColor(120, 120, 120);
 const BAND_OPACITY: f64 = 0.18;
-/// The space above the highest point of a chart, as a factor of it.
+/// The upper end of the y axis, as a factor of the highest point.
 const HEADROOM: f64 = 1.05;
 /// Points of a chart per second.
 const POINTS_PER_SECOND: f64 = 10.0;
@@ -36,7 +37,7 @@
 <p>Bands: faults and events of the script.</p>
 "#;
 
-/// The reason why a page could not be made.
+/// The reason why a page could not be rendered.
 #[derive(Debug)]
 pub enum PageError {
     /// A chart could not be drawn.
@@ -77,16 +78,16 @@
 
 /// A report with its title on the page.
 pub struct TitledReport<'a> {
-    /// The title.
+    /// Shown as a column heading of the table.
     pub title: &'a str,
-    /// The report.
+    /// The report of one run.
     pub report: &'a Report,
 }
 
-/// The points of one line: seconds and values.
+/// The points of a chart line: seconds of the test and values.
 type Points = Vec<(f64, f64)>;
 
-/// A row of the table: a figure of each report.
+/// A row of the table, with one figure for each report.
 #[derive(Serialize)]
 struct Row {
     name: String,
@@ -99,16 +100,16 @@
     svg: String,
 }
 
-/// The common parts of all charts and rows of a page.
+/// The input that all charts and rows of a page share.
 struct Page<'a> {
     reports: &'a [TitledReport<'a>],
     /// Start and end of each band, in seconds.
     bands: &'a [(f64, f64)],
-    /// The longest duration of a report, in seconds.
+    /// The longest duration of the reports, in seconds; at least 1.
     seconds: f64,
 }
 
-/// Renders a page; `bands` are the start and the end of each band, in seconds.
+/// Renders a page; `bands` are the start and end of each band, in seconds of the test.
 ///
 /// # Errors
 /// When a chart cannot be drawn or the template cannot be rendered.
@@ -120,7 +121,7 @@
         None => Vec::new(),
     };
     let mut rows = page.list_rows();
-    let mut charts = vec![page.chart("routers that hold a list".into(), routers_with_list)?];
+    let mut charts = vec![page.chart("routers with a worker list".into(), routers_with_list)?];
     for link in links {
         rows.extend(page.link_rows(link));
         charts.extend(page.link_charts(link)?);
@@ -140,10 +141,10 @@
             move |report: &Report| quantile(&report.listed_after_ms(), share).map(|ms| format!("{ms:.0}"))
         };
         vec![
-            self.row("lives of routers".into(), |report| Some(report.routers.len().to_string())),
-            self.row("list held by half after, ms".into(), quantile_ms(0.5)),
-            self.row("list held by 99% after, ms".into(), quantile_ms(0.99)),
-            self.row("list held by all after, ms".into(), quantile_ms(1.0)),
+            self.row("router runs".into(), |report| Some(report.routers.len().to_string())),
+            self.row("first list received by 50% after, ms".into(), quantile_ms(0.5)),
+            self.row("first list received by 99% after, ms".into(), quantile_ms(0.99)),
+            self.row("first list received by all after, ms".into(), quantile_ms(1.0)),
         ]
     }
 
@@ -156,7 +157,7 @@
             row("connections", |traffic| traffic.connections),
             row("requests", LinkTraffic::total_requests),
             row("kB", |traffic| traffic.bytes / 1_000),
-            row("most requests in 200 ms", |traffic| traffic.peak.requests),
+            row("peak requests in 200 ms", |traffic| traffic.peak.requests),
         ]
     }
 
@@ -168,7 +169,7 @@
                 let drain = report.drains.get(index)?;
                 quantile(&drain.learned_after_ms, 1.0).map(|ms| format!("{ms:.0}"))
             };
-            self.row(format!("drain of {worker} heard by all after, ms"), last_ms)
+            self.row(format!("drain of {worker} received by all after, ms"), last_ms)
         };
         drains.iter().map(|drain| drain.worker.as_str()).enumerate().map(row).collect()
     }
@@ -229,7 +230,7 @@
     }
 }
 
-/// A count of a link by tenths of a second; tenths without traffic are 0.
+/// A counter of a link by tenths of a second; tenths without traffic are 0.
 fn link_points(report: &Report, link: &str, count: impl Fn(&Bucket) -> u64) -> Points {
     let Some(traffic) = report.links.get(link) else { return Vec::new() };
     let tenths = (report.seconds * 1e6) as i64 / BUCKET_US;
@@ -243,7 +244,7 @@
     points
 }
 
-/// The number of routers that run and hold a list, by tenths of a second.
+/// The number of running routers that have a list, by tenths of a second.
 fn routers_with_list(report: &Report) -> Points {
     let seconds = |at_us: i64| (at_us - report.start_us) as f64 / 1e6;
     let point = |tenth: i64| {
--- a/crates/fleet-test/src/report/checks.rs
+++ b/crates/fleet-test/src/report/checks.rs
@@ -5,7 +5,8 @@
 use crate::counters::{Bucket, BUCKET_US};
 use crate::script::{Expectations, LinkLimit};
 
-/// The shortest time over which a rate is computed, in seconds.
+/// The shortest period for a mean rate, in seconds; avoids a division by 0 where a limit starts at the end of
+/// the test.
 const MIN_RATE_PERIOD_S: f64 = 0.1;
 
 impl Report {
@@ -27,24 +28,24 @@
         let late = self.listed_after_ms().into_iter().filter(|after_ms| *after_ms > within_s * 1e3).count();
         let runs = self.routers.len();
         (late > 0 || runs == 0).then(|| UnmetExpectation {
-            expected: format!("each router lists within {within_s} s"),
-            observed: format!("{late} of {runs} lives do not"),
+            expected: format!("each router receives its first list within {within_s} s"),
+            observed: format!("{late} of {runs} router runs do not"),
         })
     }
 
     fn check_requests(&self, LinkLimit { link, limit, from_s }: &LinkLimit) -> Option<UnmetExpectation> {
         let observed = peak(&self.buckets_from(link, *from_s), Bucket::total_requests);
         (observed as f64 > *limit).then(|| UnmetExpectation {
-            expected: format!("at most {limit} requests pass {link} in 200 ms"),
-            observed: format!("{observed} do"),
+            expected: format!("at most {limit} requests on {link} in any 200 ms"),
+            observed: format!("{observed} requests"),
         })
     }
 
     fn check_connections(&self, LinkLimit { link, limit, from_s }: &LinkLimit) -> Option<UnmetExpectation> {
         let observed = peak(&self.buckets_from(link, *from_s), |bucket| bucket.connections);
         (observed as f64 > *limit).then(|| UnmetExpectation {
-            expected: format!("at most {limit} connections are made on {link} in 200 ms"),
-            observed: format!("{observed} are"),
+            expected: format!("at most {limit} new connections on {link} in any 200 ms"),
+            observed: format!("{observed} connections"),
         })
     }
 
@@ -52,12 +53,12 @@
         let requests: u64 = self.buckets_from(link, *from_s).iter().map(Bucket::total_requests).sum();
         let rate = requests as f64 / (self.seconds - from_s).max(MIN_RATE_PERIOD_S);
         (rate > *limit).then(|| UnmetExpectation {
-            expected: format!("at most {limit} requests a second pass {link}"),
-            observed: format!("{rate:.1} do"),
+            expected: format!("at most {limit} requests per second on {link}"),
+            observed: format!("{rate:.1} requests per second"),
         })
     }
 
-    /// The buckets of a link that end after a second of the test.
+    /// The buckets of a link that end after `from_s`, in seconds of the test.
     fn buckets_from(&self, link: &str, from_s: f64) -> Vec<Bucket> {
         let from_us = self.start_us + (from_s * 1e6) as i64;
         let buckets = self.links.get(link).map_or(&[][..], |traffic| &traffic.buckets);
@@ -67,8 +68,8 @@
 
 fn crash(name: &str) -> UnmetExpectation {
     UnmetExpectation {
-        expected: "every process runs until it is ended".into(),
-        observed: format!("{name} ended by itself"),
+        expected: "every process runs until the test stops it".into(),
+        observed: format!("{name} exited unexpectedly"),
     }
 }
 
@@ -76,12 +77,13 @@
     let routers = drain.learned_after_ms.len();
     let late = drain.learned_after_ms.iter().filter(|after_ms| **after_ms > within_ms).count();
     let observed = if drain.succeeded_us.is_none() {
-        "the operator's command failed".to_string()
+        "the drain command failed".to_string()
     } else if late > 0 || routers == 0 {
-        format!("{late} of {routers} routers hear it later or never")
+        format!("{late} of {routers} available routers learn of it later or never")
     } else {
         return None;
     };
-    let expected = format!("the drain of {} is heard within {within_ms} ms", drain.worker);
+    let expected =
+        format!("the drain of {} reaches each available router within {within_ms} ms", drain.worker);
     Some(UnmetExpectation { expected, observed })
 }
--- a/crates/fleet-test/src/report/mod.rs
+++ b/crates/fleet-test/src/report/mod.rs
@@ -1,4 +1,5 @@
-//! The report of a fleet test: what passed each link, what each router received when, and the expectations that were not met.
+//! The report of a fleet test: the traffic of each link, the lists and drains that each router received with
+//! their times, and the expectations that were not met.
 
 mod checks;
 mod results;
@@ -14,7 +15,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What a run left behind, before it is evaluated.
+/// The raw results of a run, before their evaluation.
 pub(crate) struct Results {
     pub(crate) seed: u64,
     /// Second 0 of the test, in microseconds of the Unix clock.
@@ -23,30 +24,30 @@
     /// Buckets by link.
     pub(crate) traffic: BTreeMap<String, Vec<Bucket>>,
     pub(crate) drain_commands: Vec<DrainCommand>,
-    /// Names of the processes that ended by themselves.
+    /// Names of the processes that exited unexpectedly.
     pub(crate) crashed: Vec<String>,
 }
 
 /// The report of a fleet test. Its JSON is read by operators' scripts, so `serde` keeps the names in it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// The script's name.
+    /// The name that the script states.
     pub name: String,
-    /// The seed.
+    /// The seed of all random draws: the script's or the one that replaces it.
     pub seed: u64,
     /// Second 0 of the test, in microseconds of the Unix clock.
     pub start_us: i64,
-    /// Its duration, in seconds.
+    /// The scripted duration, in seconds.
     pub seconds: f64,
-    /// What passed, by link.
+    /// Traffic by link name.
     pub links: BTreeMap<String, LinkTraffic>,
-    /// Each run of each router's process.
+    /// One entry for each start of each router's process.
     pub routers: Vec<RouterRun>,
-    /// The operators' drains.
+    /// One entry for each drain command of the script.
     pub drains: Vec<DrainResult>,
-    /// Names of the processes that ended by themselves.
+    /// Names of the processes that exited unexpectedly.
     pub crashed: Vec<String>,
-    /// The expectations that were not met.
+    /// The expectations that were not met; empty for a successful test.
     #[serde(rename = "findings")]
     pub unmet: Vec<UnmetExpectation>,
 }
@@ -78,8 +79,8 @@
         self.unmet.is_empty()
     }
 
-    /// Milliseconds from the start of each run of a router to its first list from the registry; infinite where it received
-    /// none. Runs that the script ended before are left out.
+    /// Milliseconds from the start of each run of a router to its first list from the registry; infinite
+    /// where it received none. Runs that the script ended before their first list are left out.
     #[must_use]
     pub fn listed_after_ms(&self) -> Vec<f64> {
         let runs = self.routers.iter().filter(|run| !run.killed || run.listed_us.is_some());
@@ -87,7 +88,8 @@
     }
 }
 
-/// The smallest value with at least this share of the values at or below it; none of no values.
+/// The quantile by nearest rank: the smallest value with at least this share of the values at or below it.
+/// None without values.
 pub(crate) fn quantile(values: &[f64], share: f64) -> Option<f64> {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/fleet-test/src/report/results.rs
+++ b/crates/fleet-test/src/report/results.rs
@@ -1,22 +1,24 @@
-//! The parts of a report. Where the JSON has an array of unlike values, a struct is serialized as a tuple.
+//! The parts of a report. Some structs are serialized as tuples, because operators' scripts read those values
+//! as JSON arrays.
 
 use crate::counters::{Bucket, BUCKET_US};
 use crate::runner::DrainCommand;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The time over which peaks are counted, in microseconds.
+/// The sliding window in which peaks are counted, in microseconds.
 const PEAK_WINDOW_US: i64 = 2 * BUCKET_US;
-/// A router may log a drain this much before the operator's command has its response, in microseconds.
+/// The longest time by which a router may log a drain before the drain command receives its response, in
+/// microseconds.
 const EARLY_NOTICE_US: i64 = 50_000;
 
-/// The notification of a drain at a router.
+/// A drain notification that a router received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(String, i64)")]
 pub struct DrainNotice {
-    /// The worker.
+    /// The name of the draining worker.
     pub worker: String,
-    /// Microseconds of the Unix clock.
+    /// The time of the log line, in microseconds of the Unix clock.
     pub at_us: i64,
 }
 
@@ -30,9 +32,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(i64, i64)")]
 pub struct PausePeriod {
-    /// Its start.
+    /// The time of SIGSTOP.
     pub from_us: i64,
-    /// Its end; `i64::MAX` where the process was not resumed.
+    /// The time of SIGCONT; `i64::MAX` where the process was not resumed.
     pub to_us: i64,
 }
 
@@ -42,38 +44,39 @@
     }
 }
 
-/// One run of a router's process, as its log shows it. Times are microseconds of the Unix clock.
+/// One run of a router's process, from its log. Times are microseconds of the Unix clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RouterRun {
-    /// The router's name.
+    /// The name of the router, the same for all its runs.
     pub name: String,
-    /// The start of the process.
+    /// The time at which the process was started.
     pub started_us: i64,
-    /// The end of the process.
+    /// The time at which the script ended the process, or the end of the test.
     pub ended_us: i64,
-    /// Whether the script ended it.
+    /// Whether the script ended the process.
     pub killed: bool,
-    /// When it first held a list, which may be one from its disk.
+    /// The time of the first list that is not empty, from disk or from the registry.
     pub first_list_us: Option<i64>,
-    /// When it first held a list from the registry.
+    /// The time of the first list from the registry that is not empty.
     pub listed_us: Option<i64>,
-    /// Each time at which it took a whole list.
+    /// The times of all complete lists, including empty ones.
     pub lists_us: Vec<i64>,
-    /// The drains that it was notified of.
+    /// The drain notifications of the run, in the order of the log.
     pub drains: Vec<DrainNotice>,
-    /// The periods in which it was paused.
+    /// The periods in which the router was paused, in any of its runs.
     pub pauses: Vec<PausePeriod>,
 }
 
 impl RouterRun {
-    /// When it knew that a worker drains: by a notification, or by a list that it took after the drain.
+    /// The time at which the router learned of a drain: from a notification, or from a complete list received
+    /// after the drain.
     fn learned_drain_us(&self, worker: &str, drained_us: i64) -> Option<i64> {
         let notices = self.drains.iter().filter(|notice| notice.worker == worker);
         let times = notices.map(|notice| notice.at_us).chain(self.lists_us.iter().copied());
         times.filter(|at_us| *at_us >= drained_us - EARLY_NOTICE_US).min()
     }
 
-    /// Whether it ran without a pause and held a list for a whole period.
+    /// Whether the router ran without a pause and held a list for the whole period.
     fn is_available(&self, from_us: i64, duration_us: i64) -> bool {
         let to_us = from_us.saturating_add(duration_us);
         self.listed_us.is_some_and(|at_us| at_us <= from_us)
@@ -81,26 +84,30 @@
             && !self.pauses.iter().any(|pause| pause.from_us < to_us && pause.to_us > from_us)
     }
 
-    /// Milliseconds from its start to its first list from the registry; infinite where it received none.
+    /// Milliseconds from the start to the first list from the registry; infinite where the router received
+    /// none.
     pub(super) fn listed_after_ms(&self) -> f64 {
         self.listed_us.map_or(f64::INFINITY, |at_us| (at_us - self.started_us) as f64 / 1e3)
     }
 }
 
-/// An operator's drain and its propagation to the routers.
+/// A drain command and the propagation of the drain to the routers.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, Option<i64>, Vec<f64>)")]
 pub struct DrainResult {
-    /// The worker.
+    /// The name of the drained worker.
     pub worker: String,
-    /// When the operator's command succeeded, in microseconds of the Unix clock; none where it failed.
+    /// The time at which the command succeeded, in microseconds of the Unix clock; none where it failed or
+    /// timed out.
     pub succeeded_us: Option<i64>,
-    /// Milliseconds until each available router knew of it; infinite where a router never did.
+    /// Milliseconds from the success until each available router learned of the drain; infinite where it
+    /// never did. May be slightly negative, as a router can log the drain before the command receives its
+    /// response.
     pub learned_after_ms: Vec<f64>,
 }
 
 impl DrainResult {
-    /// Evaluates a drain; the routers that are available from the command's success on for `bound_us` count.
+    /// Evaluates a drain over the routers that are available for `bound_us` after the command's success.
     pub(super) fn new(command: &DrainCommand, routers: &[RouterRun], bound_us: i64) -> Self {
         let worker = command.worker.clone();
         let Some(drained_us) = command.succeeded_us else {
@@ -122,13 +129,13 @@
     }
 }
 
-/// The largest counts in any 200 ms.
+/// The largest counts in any 200 ms; the three maxima may be of different times.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, u64, u64)")]
 pub struct PeakTraffic {
-    /// Connections.
+    /// New connections.
     pub connections: u64,
-    /// Requests.
+    /// Complete requests.
     pub requests: u64,
     /// Bytes in both directions.
     pub bytes: u64,
@@ -140,14 +147,14 @@
     }
 }
 
-/// What passed a link.
+/// The traffic of a link.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LinkTraffic {
-    /// All connections.
+    /// The total of new connections.
     pub connections: u64,
-    /// All requests, by the last segment of their path.
+    /// Complete requests, by the last segment of their path.
     pub requests: BTreeMap<String, u64>,
-    /// All bytes, in both directions.
+    /// The total of bytes in both directions.
     pub bytes: u64,
     /// The largest counts in any 200 ms.
     #[serde(rename = "most")]
@@ -175,7 +182,7 @@
         }
     }
 
-    /// The number of all requests.
+    /// The total of complete requests.
     #[must_use]
     pub fn total_requests(&self) -> u64 {
         self.requests.values().sum()
@@ -194,7 +201,7 @@
 /// An expectation that was not met.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct UnmetExpectation {
-    /// The expectation.
+    /// The expectation, with its bound.
     pub expected: String,
     /// What was observed instead.
     #[serde(rename = "seen")]
--- a/crates/fleet-test/src/report/tests.rs
+++ b/crates/fleet-test/src/report/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_keeps_every_bound_is_good() {
+fn results_within_every_bound_meet_the_expectations() {
     let routers = vec![router("r-0", 900_000, 2_200_000), router("r-1", 10, 2_000_001)];
     let report = report(routers, vec![bucket(0, 3, 5), bucket(100_000, 2, 5), bucket(200_000, 2, 5)], vec![]);
     assert_eq!(report.unmet, []);
@@ -41,25 +41,28 @@
 }
 
 #[test]
-fn each_bound_that_is_broken_is_found_by_itself() {
+fn each_exceeded_bound_is_reported_alone() {
     let good = || vec![router("r-0", 900_000, 2_200_000)];
-    let found = |r: Report| r.unmet.iter().map(|f| f.expected.clone()).collect::<Vec<_>>();
-    let late = found(report(vec![router("r-0", 1_100_000, 2_200_000)], vec![], vec![]));
-    assert!(late.len() == 1 && late[0].contains("lists within"), "{late:?}");
-    let deaf = found(report(vec![router("r-0", 900_000, 2_300_000)], vec![], vec![]));
-    assert!(deaf.len() == 1 && deaf[0].contains("drain of w"), "{deaf:?}");
-    let herd = found(report(good(), vec![bucket(0, 1, 6), bucket(100_000, 1, 5)], vec![]));
-    assert!(herd.len() == 1 && herd[0].contains("requests pass net in"), "{herd:?}");
-    let knocks = found(report(good(), vec![bucket(0, 6, 0)], vec![]));
-    assert!(knocks.len() == 1 && knocks[0].contains("connections"), "{knocks:?}");
-    let busy = found(report(good(), (20..40).map(|n| bucket(n * 100_000, 0, 4)).collect(), vec![]));
-    assert!(busy.len() == 1 && busy[0].contains("a second"), "{busy:?}");
-    let crash = found(report(good(), vec![], vec!["r-0".into()]));
+    let unmet = |report: Report| report.unmet.iter().map(|unmet| unmet.expected.clone()).collect::<Vec<_>>();
+    let late = unmet(report(vec![router("r-0", 1_100_000, 2_200_000)], vec![], vec![]));
+    assert!(late.len() == 1 && late[0].contains("receives its first list within"), "{late:?}");
+    let late_drain = unmet(report(vec![router("r-0", 900_000, 2_300_000)], vec![], vec![]));
+    assert!(late_drain.len() == 1 && late_drain[0].contains("drain of w"), "{late_drain:?}");
+    let request_peak = unmet(report(good(), vec![bucket(0, 1, 6), bucket(100_000, 1, 5)], vec![]));
+    assert!(
+        request_peak.len() == 1 && request_peak[0].contains("requests on net in any"),
+        "{request_peak:?}"
+    );
+    let connection_peak = unmet(report(good(), vec![bucket(0, 6, 0)], vec![]));
+    assert!(connection_peak.len() == 1 && connection_peak[0].contains("connections"), "{connection_peak:?}");
+    let request_rate = unmet(report(good(), (20..40).map(|n| bucket(n * 100_000, 0, 4)).collect(), vec![]));
+    assert!(request_rate.len() == 1 && request_rate[0].contains("per second"), "{request_rate:?}");
+    let crash = unmet(report(good(), vec![], vec!["r-0".into()]));
     assert!(crash.len() == 1 && crash[0].contains("runs until"), "{crash:?}");
 }
 
 #[test]
-fn a_router_that_stood_still_or_came_later_owes_no_drain() {
+fn a_paused_router_is_excluded_from_the_drain_check() {
     let mut paused = router("r-0", 900_000, 3_900_000);
     paused.pauses = vec![PausePeriod { from_us: 1_900_000, to_us: 3_000_000 }];
     let report = report(vec![paused, router("r-1", 10, 2_000_001)], vec![], vec![]);
--- a/crates/fleet-test/src/report/text.rs
+++ b/crates/fleet-test/src/report/text.rs
@@ -7,10 +7,13 @@
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Report { name, seed, seconds, .. } = self;
-        writeln!(f, "{name}, seed {seed}: {} lives of routers, {seconds} s", self.routers.len())?;
+        writeln!(f, "{name}, seed {seed}: {} router runs, {seconds} s", self.routers.len())?;
         let listed = self.listed_after_ms();
         if let [Some(half), Some(most), Some(all)] = [0.5, 0.99, 1.0].map(|share| quantile(&listed, share)) {
-            writeln!(f, "  list held after {half:.0} ms by half, {most:.0} by 99%, {all:.0} by all")?;
+            writeln!(
+                f,
+                "  first list received after {half:.0} ms by 50%, {most:.0} ms by 99%, {all:.0} ms by all"
+            )?;
         }
         for (name, link) in &self.links {
             write_link(f, name, link)?;
@@ -28,7 +31,7 @@
 fn write_link(f: &mut fmt::Formatter<'_>, name: &str, link: &LinkTraffic) -> fmt::Result {
     writeln!(
         f,
-        "  {name}: {} connections, {} requests {:?}, {} kB; most in 200 ms: {}, {}, {} kB",
+        "  {name}: {} connections, {} requests {:?}, {} kB; peak in 200 ms: {} connections, {} requests, {} kB",
         link.connections,
         link.total_requests(),
         link.requests,
@@ -44,9 +47,9 @@
     match (succeeded_us, quantile(learned_after_ms, 0.5), quantile(learned_after_ms, 1.0)) {
         (Some(_), Some(half), Some(all)) => writeln!(
             f,
-            "  drain of {worker}: heard by {} routers, half within {half:.1} ms, all within {all:.1}",
+            "  drain of {worker}: {} available routers, 50% within {half:.1} ms, all within {all:.1} ms",
             learned_after_ms.len()
         ),
-        _ => writeln!(f, "  drain of {worker}: not told, or nobody could hear it"),
+        _ => writeln!(f, "  drain of {worker}: the command failed, or no router was available"),
     }
 }
--- a/crates/fleet-test/src/router_log/mod.rs
+++ b/crates/fleet-test/src/router_log/mod.rs
@@ -1,4 +1,5 @@
-//! Events from the JSON logs of routers: when a router held a worker list, and when it was notified of a drain.
+//! Extracts events from the JSON logs of routers: complete worker lists and drain notifications. The matched
+//! messages and fields are those of earlier builds too.
 
 use serde::Deserialize;
 
@@ -12,13 +13,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum LogEvent {
-    /// The router holds a list of this many workers.
+    /// The router has a complete list of this many workers.
     WorkerList { workers: u64, source: ListSource },
     /// The router was notified that a worker drains.
     Draining(String),
 }
 
-/// Where a worker list is from.
+/// The source of a worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListSource {
     Registry,
@@ -45,7 +46,7 @@
     state: Option<String>,
 }
 
-/// Parses a log; all other lines are skipped.
+/// Parses a log; lines that are not one of the events are skipped.
 pub(crate) fn parse(log: &str) -> Vec<LoggedEvent> {
     log.lines().filter_map(parse_line).collect()
 }
@@ -82,7 +83,8 @@
     Some([numbers.next()??, numbers.next()??, numbers.next()??])
 }
 
-/// Days since 1970-01-01, by Howard Hinnant's `days_from_civil`. Years begin in March, so that leap days end them.
+/// Days since 1970-01-01, by Howard Hinnant's `days_from_civil`. Years start in March, so that a leap day is
+/// the last day.
 fn days_since_epoch(year: i64, month: i64, day: i64) -> i64 {
     let year = year - i64::from(month <= 2);
     let era = year.div_euclid(400);
--- a/crates/fleet-test/src/router_log/tests.rs
+++ b/crates/fleet-test/src/router_log/tests.rs
@@ -1,9 +1,9 @@
-//! Events from a log in JSON.
+//! Parsing of router logs.
 
 use super::*;
 
 #[test]
-fn a_log_tells_lists_and_drains_and_the_rest_is_passed_by() {
+fn lists_and_drains_are_parsed_and_other_lines_skipped() {
     let log = concat!(
         r#"{"timestamp":"1970-01-02T00:00:01.5Z","level":"INFO","fields":{"message":"the list of workers","workers":3,"scope":"Full"}}"#,
         "\nnot a line\n",
--- a/crates/fleet-test/src/runner/events.rs
+++ b/crates/fleet-test/src/runner/events.rs
@@ -13,12 +13,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The time within which a terminated process ends by itself.
-const TERMINATE_WITHIN: Duration = Duration::from_secs(10);
-/// The time within which an operator's command ends by itself.
-const COMMAND_WITHIN: Duration = Duration::from_secs(15);
+/// The time that a process may take to end after SIGTERM; then it is killed.
+const TERMINATE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The time that an operator's command may take; then it counts as failed.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(15);
 /// The time between two checks of whether an operator's command has ended.
-const COMMAND_POLL: Duration = Duration::from_millis(2);
+const COMMAND_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 impl Runner<'_> {
     pub(super) fn execute(&mut self, event: ScriptedEvent) -> Result<(), FleetTestError> {
@@ -26,7 +26,7 @@
             ScriptedEvent::Start(group) => self.start_group(&group)?,
             ScriptedEvent::Kill(sample) => self.end_sample(&sample, Signal::KILL, Process::kill),
             ScriptedEvent::Terminate(sample) => self.end_sample(&sample, Signal::TERM, |process| {
-                process.stop(TERMINATE_WITHIN);
+                process.stop(TERMINATE_TIMEOUT);
             }),
             ScriptedEvent::Pause(sample) => self.pause(&sample),
             ScriptedEvent::Resume(group) => self.resume(&group),
@@ -35,7 +35,7 @@
         Ok(())
     }
 
-    /// Names of the processes of a group that fulfil a condition, in order.
+    /// Names of the processes of a group that fulfil a condition, sorted.
     fn select(&self, group: &str, condition: impl Fn(&ManagedProcess) -> bool) -> Vec<String> {
         let is_of_group = |managed: &ManagedProcess| self.script.groups[managed.group].name == group;
         let selected =
@@ -43,6 +43,7 @@
         selected.map(|(name, _)| name.clone()).collect()
     }
 
+    /// Selects a random sample of the processes that fulfil a condition.
     fn draw(&mut self, sample: &GroupSample, condition: impl Fn(&ManagedProcess) -> bool) -> Vec<String> {
         let mut names = self.select(&sample.group, condition);
         names.shuffle(&mut self.random);
@@ -50,7 +51,7 @@
         names
     }
 
-    /// Starts the processes of a group that do not run; services get the address they had before.
+    /// Starts the processes of a group that are not running; services listen on their previous address.
     fn start_group(&mut self, name: &str) -> Result<(), FleetTestError> {
         let script = self.script;
         let Some(group) = script.groups.iter().find(|group| group.name == name) else { return Ok(()) };
@@ -68,7 +69,8 @@
         Ok(())
     }
 
-    /// Sends a signal to all drawn processes before it waits for the end of the first.
+    /// Ends a sample of a group. All processes are signalled before the first is waited for, so that they end
+    /// together.
     fn end_sample(&mut self, sample: &GroupSample, signal: Signal, end: fn(&mut Process)) {
         let names = self.draw(sample, |managed| managed.process.is_some());
         for name in &names {
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Runs an operator's drain command in a thread of its own, because a registry with faults may delay it.
+    /// Runs a drain command in a separate thread, because a registry with faults may delay it.
     fn drain(&mut self, worker: String) {
         let mut groups = self.script.groups.iter();
         let registry = groups.find(|group| matches!(group.kind, GroupKind::Registry { .. }));
@@ -137,11 +139,11 @@
 }
 
 fn wait_for_success(child: &mut Child) -> Option<i64> {
-    let deadline = Instant::now() + COMMAND_WITHIN;
+    let deadline = Instant::now() + COMMAND_TIMEOUT;
     while Instant::now() < deadline {
         match child.try_wait() {
             Ok(Some(status)) => return status.success().then(now_us),
-            Ok(None) => thread::sleep(COMMAND_POLL),
+            Ok(None) => thread::sleep(COMMAND_POLL_INTERVAL),
             Err(_) => return None,
         }
     }
--- a/crates/fleet-test/src/runner/launch.rs
+++ b/crates/fleet-test/src/runner/launch.rs
@@ -13,18 +13,19 @@
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-/// An address of loopback whose port the kernel chooses.
+/// A loopback address whose port the kernel selects.
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 /// An address where nothing listens.
 const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
-/// The number of changes that a restored backup lacks.
+/// The number of revisions that a restored backup lacks.
 const RESTORED_CHANGES: u64 = 5;
-/// Listed workers without a process are spread over this many ports, from 1, and cells.
+/// Listed workers without a process are distributed over this many ports, from 1, and cells.
 const ENTRY_PORTS: usize = 1_000;
 const ENTRY_CELLS: usize = 12;
 
 impl Runner<'_> {
-    /// Starts a process that is not a router, at an address if one is given, and waits until it is ready.
+    /// Starts a process that is not a router and waits until it is ready. Without an address the kernel
+    /// selects the port.
     pub(super) fn start_service(
         &self,
         group: &Group,
@@ -40,7 +41,7 @@
             }
             GroupKind::Link { to, faults } => {
                 let plan = serde_json::to_string(&self.link_plan(name, listen, to, faults));
-                vec!["link".into(), "--plan".into(), plan.map_err(io::Error::other).context("a plan")?]
+                vec!["link".into(), "--plan".into(), plan.map_err(io::Error::other).context("link plan")?]
             }
             GroupKind::Relays { service } => self.registered_arguments("relay", name, listen_text, service),
             GroupKind::Workers { service } => self.registered_arguments("worker", name, listen_text, service),
@@ -53,7 +54,7 @@
         Process::start(command).context(name)
     }
 
-    /// The arguments of a process that registers itself with a service.
+    /// The arguments of a relay or worker, which registers itself with a registry through a service.
     fn registered_arguments(&self, command: &str, name: &str, listen: String, service: &str) -> Vec<String> {
         let registry = self.addresses.get(service).map_or_else(String::new, SocketAddr::to_string);
         let options =
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The start and the end of a fault, in microseconds of the Unix clock.
+    /// Start and end of a fault, in microseconds of the Unix clock.
     fn fault_period<Kind>(&self, fault: &TimedFault<Kind>) -> (i64, i64) {
         (self.clock_us(fault.at_s), self.clock_us(fault.at_s + fault.duration_s))
     }
@@ -110,14 +111,15 @@
         self.directory.join(format!("{link}.tally"))
     }
 
-    /// Starts a router without waiting until it is ready, because all routers of a group start at the same instant.
+    /// Starts a router without waiting until it is ready, because all routers of a group start at the same
+    /// time.
     pub(super) fn start_router(&mut self, name: &str) -> Result<(), FleetTestError> {
         let Some(managed) = self.processes.get(name) else { return Ok(()) };
         let GroupKind::Routers(group) = &self.script.groups[managed.group].kind else { return Ok(()) };
         let settings = self.directory.join(format!("{name}.scm"));
-        fs::write(&settings, self.router_settings(name, group)).context("settings")?;
+        fs::write(&settings, self.router_settings(name, group)).context("router settings file")?;
         let log = self.directory.join(format!("{name}.{}.log", managed.runs.len()));
-        let stderr = File::create(&log).context("a log")?;
+        let stderr = File::create(&log).context("router log file")?;
         let mut command = Command::new(&self.options.router_program);
         command.args(["--log-format", "json", "run"]).arg(&settings).stderr(Stdio::from(stderr));
         let process = Process::spawn(command).context(name)?;
@@ -146,7 +148,8 @@
         )
     }
 
-    /// The addresses of all processes of the named groups, each in quotes.
+    /// The addresses of all processes of the named groups, quoted and separated by spaces. The process of a
+    /// single group has the group's name; others add `-` and an index.
     fn quoted_addresses(&self, groups: &[String]) -> String {
         let is_process_of = |process: &str, group: &str| {
             process.strip_prefix(group).is_some_and(|suffix| suffix.is_empty() || suffix.starts_with('-'))
@@ -159,7 +162,7 @@
     }
 }
 
-/// The key and the record of a listed worker without a process.
+/// Registry key and record of a listed worker without a process.
 fn registry_entry(index: usize) -> (String, String) {
     let address = format!("127.0.0.1:{}", 1 + index % ENTRY_PORTS);
     let record = json!({"address": address, "cell": index % ENTRY_CELLS});
--- a/crates/fleet-test/src/runner/mod.rs
+++ b/crates/fleet-test/src/runner/mod.rs
@@ -1,4 +1,5 @@
-//! Runs a script: starts its processes on loopback, executes its events by the clock, and collects the results as a [`Report`].
+//! Runs a script: starts its processes on loopback, executes its events on schedule, and collects the results
+//! as a [`Report`].
 
 mod events;
 mod launch;
@@ -18,29 +19,30 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Time for the start of the services, beside [`START_PER_PROCESS_US`]. Plans state faults as times of the clock, so the time
-/// of second 0 is fixed before the first process is started.
+/// Time for the start of the services, in addition to [`START_PER_PROCESS_US`], in microseconds. Plans state
+/// faults as absolute times, so second 0 is fixed before the first process is started.
 const START_US: i64 = 800_000;
-/// Additional time for the start of each process that is not a router.
+/// Additional start time for each process that is not a router, in microseconds.
 const START_PER_PROCESS_US: i64 = 20_000;
 
 /// The options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program of registries, links, relays and workers.
+    /// The executable of registries, links, relays, workers and operators' commands.
     pub program: PathBuf,
-    /// The program of the routers, which may be an earlier build.
+    /// The executable of the routers, which may be an earlier build.
     pub router_program: PathBuf,
     /// Replaces the script's seed.
     pub seed: Option<u64>,
-    /// The directory for logs, settings and counters, which must be empty or new; without one they are removed after the run.
+    /// The directory for logs, settings and counters, which must be empty or new; without one they are
+    /// removed after the run.
     pub output_directory: Option<PathBuf>,
 }
 
 /// One run of a router's process, from a start to its end.
 struct RouterProcessRun {
     started_us: i64,
-    /// The time at which the script ended it, if it did.
+    /// The time at which the script ended the process; none where it did not.
     ended_us: Option<i64>,
     log: PathBuf,
 }
@@ -68,12 +70,12 @@
     script: &'a Script,
     options: &'a Options,
     directory: &'a Path,
-    /// Second 0 of the test.
+    /// Second 0 of the test, in microseconds of the Unix clock.
     start_us: i64,
     seed: u64,
     random: Pcg64Mcg,
     processes: BTreeMap<String, ManagedProcess>,
-    /// The addresses of all processes but routers.
+    /// The addresses of all processes except routers, by process name.
     addresses: BTreeMap<String, SocketAddr>,
     drain_commands: Vec<JoinHandle<DrainCommand>>,
 }
@@ -81,9 +83,10 @@
 /// Runs a script to its end.
 ///
 /// # Errors
-/// When a process or a file fails or the machine is too slow. An expectation that is not met is part of the report.
+/// When a process or a file fails, or the services are not ready by second 0. An unmet expectation is no
+/// error; the report contains it.
 pub fn run(script: &Script, options: &Options) -> Result<Report, FleetTestError> {
-    let temporary = tempfile::tempdir().context("a directory")?;
+    let temporary = tempfile::tempdir().context("temporary directory")?;
     let directory = match &options.output_directory {
         Some(directory) => prepare_output(directory)?,
         None => temporary.path(),
@@ -92,8 +95,8 @@
 }
 
 fn prepare_output(directory: &Path) -> Result<&Path, FleetTestError> {
-    fs::create_dir_all(directory).context("the directory")?;
-    match fs::read_dir(directory).context("the directory")?.next() {
+    fs::create_dir_all(directory).context("output directory")?;
+    match fs::read_dir(directory).context("output directory")?.next() {
         Some(_) => Err(FleetTestError::NotEmpty(directory.into())),
         None => Ok(directory),
     }
@@ -132,7 +135,7 @@
         self.finish()
     }
 
-    /// Starts all services and registers the routers, which start by an event.
+    /// Starts all services and adds the routers as processes that are started by an event.
     fn start_services(&mut self) -> Result<(), FleetTestError> {
         for (index, group) in self.script.groups.iter().enumerate() {
             for name in group.process_names() {
--- a/crates/fleet-test/src/runner/results.rs
+++ b/crates/fleet-test/src/runner/results.rs
@@ -11,12 +11,12 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// The time within which a link writes its last counters and ends.
-const STOP_LINK_WITHIN: Duration = Duration::from_secs(5);
+/// The time that a link may take to write its last counters and end.
+const LINK_STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Runner<'_> {
-    /// Waits for the operators' commands, ends the links and makes the report. All other processes end when the runner is
-    /// dropped.
+    /// Waits for the drain commands, stops the links and creates the report. All other processes are killed
+    /// when the runner is dropped.
     pub(super) fn finish(&mut self) -> Result<Report, FleetTestError> {
         let drain_commands = self.join_drain_commands();
         let crashed = self.crashed_processes();
@@ -35,7 +35,7 @@
         self.drain_commands.drain(..).map(JoinHandle::join).filter_map(Result::ok).collect()
     }
 
-    /// Names of the processes that ended by themselves.
+    /// Names of the processes that have ended although the script did not end them.
     fn crashed_processes(&mut self) -> Vec<String> {
         let mut crashed = Vec::new();
         for (name, managed) in &mut self.processes {
@@ -46,29 +46,32 @@
         crashed
     }
 
-    /// Stops the links, which write their last counters then, and reads what passed them. They end before the routers, so
-    /// that the counters contain no connection that the end of the run closes.
+    /// Stops the links, which then write their last counters, and reads all counters. Links stop before the
+    /// routers, so that the counters contain no traffic caused by the end of the run.
     fn stop_links(&mut self) -> Result<BTreeMap<String, Vec<Bucket>>, FleetTestError> {
         let links = self.script.groups.iter().filter(|group| matches!(group.kind, GroupKind::Link { .. }));
         let names: Vec<&String> = links.map(|group| &group.name).collect();
         for name in &names {
             let managed = self.processes.get_mut(*name);
             if let Some(process) = managed.and_then(|managed| managed.process.as_mut()) {
-                process.stop(STOP_LINK_WITHIN);
+                process.stop(LINK_STOP_TIMEOUT);
             }
         }
         let read = |name: &String| {
-            Ok((name.clone(), TrafficCounters::read(&self.counters_file(name)).context("a tally")?))
+            Ok((
+                name.clone(),
+                TrafficCounters::read(&self.counters_file(name)).context("link counters file")?,
+            ))
         };
         names.into_iter().map(read).collect()
     }
 }
 
-/// The results of all runs of one router; none for another process.
+/// The results of all runs of one router; empty for other processes.
 fn router_runs(name: &str, managed: &ManagedProcess, end_us: i64) -> Result<Vec<RouterRun>, FleetTestError> {
     let last = managed.runs.len().saturating_sub(1);
     let runs = managed.runs.iter().enumerate().map(|(index, run)| {
-        let log = fs::read_to_string(&run.log).context("a log")?;
+        let log = fs::read_to_string(&run.log).context("router log file")?;
         let mut result = router_run(name, run, &router_log::parse(&log));
         result.ended_us = run.ended_us.unwrap_or(end_us);
         result.killed = index < last || run.ended_us.is_some();
@@ -78,7 +81,7 @@
     runs.collect()
 }
 
-/// What the log of one run tells.
+/// The events in the log of one run.
 fn router_run(name: &str, run: &RouterProcessRun, log: &[LoggedEvent]) -> RouterRun {
     let mut result = RouterRun { name: name.into(), started_us: run.started_us, ..RouterRun::default() };
     for LoggedEvent { at_us, event } in log {
--- a/crates/fleet-test/src/script/mod.rs
+++ b/crates/fleet-test/src/script/mod.rs
@@ -1,71 +1,73 @@
-//! Scripts of fleet tests, as S-expressions: the processes to start, the links between them, the events, and the expectations.
+//! Scripts of fleet tests, as S-expressions: the processes to start, the links between them, the events, and
+//! the expectations.
 //!
-//! Every error in a script is found by [`Script::parse`], with file, line and form, before a process is started.
+//! Every error in a script is found by [`Script::parse`], with file, line and form, before a process is
+//! started.
 
 mod parser;
 
 use crate::link::LinkFaultKind;
 use serde::Serialize;
 
-/// What the processes of a group are.
+/// The kind of the processes of a group, with its settings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GroupKind {
-    /// The registry of workers: the test server.
+    /// The worker registry, as a test server.
     Registry {
-        /// Listed workers without a process.
+        /// The number of listed workers without a process.
         entries: usize,
-        /// Its limit of load; none for a registry without a limit.
+        /// The load limit; none for a registry without one.
         capacity: Option<RegistryCapacity>,
-        /// Its faults.
+        /// The scheduled faults.
         faults: Vec<TimedFault<RegistryFault>>,
     },
-    /// A link to a service that the script names before.
+    /// A link to a service, which the script must define earlier.
     Link {
-        /// The name of the service.
+        /// The name of a registry or link, or of one relay process.
         to: String,
-        /// Its faults.
+        /// The scheduled faults.
         faults: Vec<TimedFault<LinkFaultKind>>,
     },
     /// Relays of the worker list.
     Relays {
-        /// The name of the service that they watch.
+        /// The name of the registry or link through which they watch the list.
         service: String,
     },
     /// Test workers that register themselves.
     Workers {
-        /// The name of the service that they register with.
+        /// The name of the registry or link through which they register.
         service: String,
     },
-    /// Routers.
+    /// Routers, the processes under test.
     Routers(RouterGroup),
 }
 
 /// The settings of a group of routers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterGroup {
-    /// Names of the services that they watch, without relays.
+    /// Names of the registries or links that they watch directly.
     pub services: Vec<String>,
-    /// Names of relays, which are preferred to the services.
+    /// Names of relays or links to relays, which routers prefer to `services`.
     pub relays: Vec<String>,
-    /// Further forms of their settings file.
+    /// Additional forms of their settings file, as text.
     pub settings: String,
-    /// Further fields of its `members` form.
+    /// Additional fields of the `members` form of their settings file, as text.
     pub members: String,
-    /// The number of routers that their settings state.
+    /// The number of routers in their settings, which can differ from the number that run.
     pub stated_routers: usize,
-    /// Whether they store the worker list on disk.
+    /// Whether they store the worker list on disk and read it at a restart.
     pub stores_list: bool,
-    /// The start of all of them, in seconds of the test.
+    /// The time at which all of them start, in seconds of the test.
     pub start_s: f64,
 }
 
-/// The limit of load of a registry. Its JSON is part of the plan of the registry's process.
+/// The load limit of a registry. Its JSON is part of the plan of the registry's process.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct RegistryCapacity {
-    /// Requests per second.
+    /// Requests that are processed per second; above 0.
     #[serde(rename = "requests_per_s")]
     pub requests_per_second: f64,
-    /// Requests that may wait.
+    /// The largest number of requests that wait.
     pub queue: usize,
     /// Whether requests beyond the queue get no response instead of an error.
     #[serde(rename = "silent")]
@@ -75,42 +77,43 @@
 /// A fault of a registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistryFault {
-    /// Every connection is closed.
+    /// All connections are closed, and new ones are closed at once.
     Break,
-    /// No request gets a response.
+    /// Requests get no response.
     Stall,
-    /// Writes are lost.
+    /// Watches lose events without notice.
     Lose,
-    /// The history is compacted.
+    /// Once: the history is compacted up to the current revision.
     Compact,
-    /// A backup of a few changes ago is restored.
+    /// Once: a backup that lacks the last few revisions is restored.
     Restore,
 }
 
-/// A fault with its time.
+/// A fault with its start and duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedFault<Kind> {
-    /// Its start, in seconds of the test.
+    /// The start, in seconds of the test.
     pub at_s: f64,
-    /// Its duration, in seconds.
+    /// The duration, in seconds.
     pub duration_s: f64,
-    /// The fault.
+    /// The effect of the fault.
     pub kind: Kind,
 }
 
-/// Processes of one kind, named `NAME-0` and on; a single one (a registry, a link) is named `NAME`.
+/// Processes of one kind, named `NAME-0`, `NAME-1` and so on. A registry or link is a single process named
+/// `NAME`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
-    /// Its name.
+    /// Letters and digits; unique in the script.
     pub name: String,
-    /// The number of its processes.
+    /// The number of processes; 1 for a registry or link.
     pub count: usize,
-    /// What they are.
+    /// The kind of the processes.
     pub kind: GroupKind,
 }
 
 impl Group {
-    /// The names of its processes, in order.
+    /// The names of the processes, by index.
     pub(crate) fn process_names(&self) -> Vec<String> {
         match self.kind {
             GroupKind::Registry { .. } | GroupKind::Link { .. } => vec![self.name.clone(); self.count],
@@ -119,81 +122,81 @@
     }
 }
 
-/// A randomly drawn share of a group's processes.
+/// A random sample of a group's processes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupSample {
-    /// The group's name.
+    /// The name of the group.
     pub group: String,
-    /// The share, from 0 to 1.
+    /// The share of the processes, from 0 to 1.
     pub share: f64,
 }
 
 /// An operation on processes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScriptedEvent {
-    /// SIGKILL to a sample of a group.
+    /// Sends SIGKILL to a sample of a group.
     Kill(GroupSample),
-    /// SIGTERM to a sample of a group.
+    /// Sends SIGTERM to a sample of a group, and SIGKILL where that takes too long.
     Terminate(GroupSample),
-    /// SIGSTOP to a sample of a group.
+    /// Sends SIGSTOP to a sample of a group.
     Pause(GroupSample),
-    /// SIGCONT to the paused processes of a group.
+    /// Sends SIGCONT to the paused processes of a group.
     Resume(String),
-    /// Start of the processes of a group that do not run.
+    /// Starts the processes of a group that are not running.
     Start(String),
-    /// An operator's drain of a listed worker.
+    /// Drains a listed worker by the operator's command.
     Drain(String),
 }
 
 /// An event with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedEvent {
-    /// Its time, in seconds of the test.
+    /// The time of the event, in seconds of the test.
     pub at_s: f64,
-    /// The event.
+    /// The operation.
     pub event: ScriptedEvent,
 }
 
-/// An upper limit of what passes a link.
+/// An upper limit of the traffic on a link.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkLimit {
-    /// The link's name.
+    /// The name of the link.
     pub link: String,
-    /// The limit.
+    /// The limit, inclusive; its unit depends on the expectation.
     pub limit: f64,
-    /// The limit holds from this second of the test on.
+    /// The start of the period to which the limit applies, in seconds of the test.
     pub from_s: f64,
 }
 
-/// The expected results; what the script does not name is not checked.
+/// The expected results; a value that the script does not state is not checked.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Expectations {
-    /// Every router holds the worker list within this many seconds of its start.
+    /// Every router receives its first list from the registry within this many seconds of its start.
     pub listed_within_s: Option<f64>,
-    /// Every router that runs and holds a list receives each drain within this many milliseconds.
+    /// Every router that runs and has a list learns of each drain within this many milliseconds.
     pub drains_within_ms: Option<f64>,
-    /// Requests in any 200 ms.
+    /// Limits of requests in any 200 ms.
     pub peak_requests: Vec<LinkLimit>,
-    /// New connections in any 200 ms.
+    /// Limits of new connections in any 200 ms.
     pub peak_connections: Vec<LinkLimit>,
-    /// Mean requests per second.
+    /// Limits of the mean requests per second, from the start of the limit's period to the end of the test.
     pub mean_request_rates: Vec<LinkLimit>,
 }
 
-/// A script.
+/// A parsed script; see [`Script::parse`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Script {
-    /// Its name.
+    /// The title of the report.
     pub name: String,
-    /// Its duration, in seconds.
+    /// The duration of the test, in seconds.
     pub seconds: f64,
     /// The seed of all random draws.
     pub seed: u64,
-    /// The groups, in the order of their start.
+    /// The groups, in the order in which their services start.
     pub groups: Vec<Group>,
     /// The events, ordered by time.
     pub events: Vec<TimedEvent>,
-    /// The expected results.
+    /// The checks of the report.
     pub expectations: Expectations,
 }
 
--- a/crates/fleet-test/src/script/parser.rs
+++ b/crates/fleet-test/src/script/parser.rs
@@ -13,7 +13,7 @@
 const MAX_GROUP_SIZE: u64 = 2_000;
 /// The largest number of listed workers without a process.
 const MAX_REGISTRY_ENTRIES: u64 = 10_000;
-/// Requests that wait at a registry whose script states no queue.
+/// The queue length of a registry whose script states none.
 const DEFAULT_REGISTRY_QUEUE: usize = 100;
 /// The largest queue of a registry, and the largest number of routers that settings may state.
 const MAX_COUNT: u64 = 1_000_000;
@@ -52,17 +52,17 @@
     matches!(kind, GroupKind::Registry { .. } | GroupKind::Link { .. })
 }
 
-/// Checks that a group of a fitting kind stands before the form that refers to it.
+/// Checks that a reference names an earlier group of a suitable kind; returns the name.
 fn check_reference(
     form: &Form<'_>,
     name: String,
     groups: &[Group],
-    is_fitting: impl Fn(&GroupKind) -> bool,
+    is_suitable: impl Fn(&GroupKind) -> bool,
 ) -> FormResult<String> {
     match groups.iter().find(|group| group.name == name) {
-        Some(group) if is_fitting(&group.kind) => Ok(name),
-        Some(_) => Err(form.error(format!("{name} is of another kind"))),
-        None => Err(form.error(format!("{name} is not named before"))),
+        Some(group) if is_suitable(&group.kind) => Ok(name),
+        Some(_) => Err(form.error(format!("group {name} is of a kind that cannot be used here"))),
+        None => Err(form.error(format!("group {name} is not defined before this form"))),
     }
 }
 
@@ -75,18 +75,18 @@
 fn parse_references(
     form: &Form<'_>,
     groups: &[Group],
-    is_fitting: impl Fn(&GroupKind) -> bool,
+    is_suitable: impl Fn(&GroupKind) -> bool,
 ) -> FormResult<Vec<String>> {
-    form.texts()?.into_iter().map(|name| check_reference(form, name, groups, &is_fitting)).collect()
+    form.texts()?.into_iter().map(|name| check_reference(form, name, groups, &is_suitable)).collect()
 }
 
 fn parse_group(form: &Form<'_>, groups: &[Group]) -> FormResult<Group> {
     let (name, mut fields) = form.named_fields()?;
     if groups.iter().any(|group| group.name == name) {
-        return Err(form.error(format!("{name} is named twice")));
+        return Err(form.error(format!("group {name} is defined twice")));
     }
     if !name.chars().all(|character| character.is_ascii_alphanumeric()) || name.is_empty() {
-        return Err(form.error("a name is of letters and digits"));
+        return Err(form.error(format!("invalid group name {name:?}: expected letters and digits")));
     }
     let (count, kind) = match form.name() {
         "registry" => (1, parse_registry(&mut fields)?),
@@ -126,14 +126,14 @@
     let drops_overflow = fields.or("silent", false, Form::flag)?;
     fields.finish()?;
     if requests_per_second <= 0.0 {
-        return Err(form.error("a service that takes nothing has no capacity to state"));
+        return Err(form.error(format!("requests-per-second must be above 0, found {requests_per_second}")));
     }
     Ok(Some(RegistryCapacity { requests_per_second, queue, drops_overflow }))
 }
 
 fn parse_link(fields: &mut Fields<'_>, groups: &[Group]) -> FormResult<GroupKind> {
     let form = fields.need("to")?;
-    // A link may lead to a single relay of a group, by the name of its process.
+    // A link may forward to a single relay of a group, by the name of its process.
     let to = match form.text()?.rsplit_once('-') {
         Some((relays, index)) if index.parse::<usize>().is_ok() => {
             check_reference(&form, relays.to_string(), groups, |kind| {
@@ -186,7 +186,9 @@
     let target = fields.need("link")?;
     let name = check_reference(&target, target.text()?, groups, |k| matches!(k, GroupKind::Link { .. }))?;
     let kinds = fields.take_rest();
-    let [kind] = kinds.as_slice() else { return Err(form.error("expected one thing that goes wrong")) };
+    let [kind] = kinds.as_slice() else {
+        return Err(form.error(format!("expected exactly one fault, found {}", kinds.len())));
+    };
     let kind = parse_link_fault(kind)?;
     for group in groups.iter_mut().filter(|group| group.name == name) {
         if let GroupKind::Link { faults, .. } = &mut group.kind {
@@ -230,7 +232,7 @@
             fields.finish()?;
             Ok(LinkFaultKind::Slow { direction, bytes_per_s })
         }
-        other => Err(form.error(format!("({other} ...) does not go wrong with a link"))),
+        other => Err(form.error(format!("({other} ...) is not a fault of a link"))),
     }
 }
 
@@ -259,7 +261,9 @@
     let mut fields = form.fields()?;
     let at_s = fields.need("at-s")?.number()?;
     let kinds = fields.take_rest();
-    let [kind] = kinds.as_slice() else { return Err(form.error("expected one thing that happens")) };
+    let [kind] = kinds.as_slice() else {
+        return Err(form.error(format!("expected exactly one event, found {}", kinds.len())));
+    };
     if kind.name() == "drain" {
         return Ok(TimedEvent { at_s, event: ScriptedEvent::Drain(kind.text()?) });
     }
@@ -271,7 +275,7 @@
         "pause" => ScriptedEvent::Pause(parse_sample(kind, &mut fields, group)?),
         "go-on" => ScriptedEvent::Resume(group),
         "start" => ScriptedEvent::Start(group),
-        other => return Err(kind.error(format!("({other} ...) does not happen here"))),
+        other => return Err(kind.error(format!("({other} ...) is not an event"))),
     };
     fields.finish()?;
     Ok(TimedEvent { at_s, event })
@@ -280,7 +284,7 @@
 fn parse_sample(form: &Form<'_>, fields: &mut Fields<'_>, group: String) -> FormResult<GroupSample> {
     let share = fields.or("part", 1.0, Form::number)?;
     if !(0.0..=1.0).contains(&share) {
-        return Err(form.error("a part lies between 0 and 1"));
+        return Err(form.error(format!("part must be from 0 to 1, found {share}")));
     }
     Ok(GroupSample { group, share })
 }
--- a/crates/gateway/tests/fleet_test.rs
+++ b/crates/gateway/tests/fleet_test.rs
@@ -170,11 +170,14 @@
         &[],
     );
     assert_eq!(output.status.code(), Some(1), "{}", String::from_utf8_lossy(&output.stderr));
-    assert!(String::from_utf8_lossy(&output.stdout).contains("2 of 2 lives do not"));
+    assert!(String::from_utf8_lossy(&output.stdout).contains("2 of 2 router runs do not"));
     let broken = run_script("(name \"x\") (seconds 1)\n(registry \"kv\")\n(link \"net\" (to \"vk\"))", &[]);
     let words = String::from_utf8_lossy(&broken.stderr).into_owned();
     assert_eq!(broken.status.code(), Some(2));
-    assert!(words.contains("script.scm:3: (to") && words.contains("vk is not named before"), "{words}");
+    assert!(
+        words.contains("script.scm:3: (to") && words.contains("group vk is not defined before"),
+        "{words}"
+    );
 }
 
 #[test]
--- a/crates/test-servers/src/broker/mod.rs
+++ b/crates/test-servers/src/broker/mod.rs
@@ -1,5 +1,6 @@
-//! The test broker: MQTT 5 with sessions, shared subscriptions and redelivery, for one machine and small loads. Its faults are
-//! those that a bridge must tolerate: connections closed with messages in flight, discarded sessions, lost acknowledgements.
+//! The test broker: MQTT 5 with sessions, shared subscriptions and redelivery, for small loads on one
+//! machine. Its faults are those that a bridge must tolerate: connections closed with messages in flight,
+//! discarded sessions, lost acknowledgements.
 
 mod plan;
 mod session;
@@ -22,14 +23,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes that wait on one connection at most.
+/// The write buffer limit of a connection, in bytes.
 const MAX_BUFFERED: usize = 16 * 1024 * 1024;
-/// The longest wait for events, in microseconds.
+/// The longest wait of the event loop, in microseconds.
 const MAX_WAIT_US: i64 = 1_000_000;
 
 struct ClientConnection {
     mqtt: Connection<role::Server>,
-    /// The client identifier, once a CONNECT packet arrived.
+    /// The client identifier; none before the CONNECT packet.
     client: Option<String>,
 }
 
@@ -40,15 +41,15 @@
     filter: String,
 }
 
-/// A client that a message is delivered to.
+/// A client to which a message is delivered.
 #[derive(Clone)]
 struct Recipient {
     client: String,
-    /// The QoS of its subscription.
+    /// The QoS of the client's subscription.
     qos: Qos,
 }
 
-/// Acknowledgements that are ignored until a time.
+/// Clients whose acknowledgements are ignored until a time.
 struct IgnoredAcknowledgements {
     client_prefix: String,
     until_us: i64,
@@ -58,9 +59,9 @@
     reactor: Reactor,
     connections: HashMap<Id, ClientConnection>,
     sessions: BTreeMap<String, Session>,
-    /// The counters of the round-robin among the clients of shared subscriptions.
+    /// The number of messages delivered to each shared subscription, for round-robin selection of the client.
     round_robin: HashMap<SharedSubscription, usize>,
-    /// Ordered by time.
+    /// Pending faults, ordered by time.
     faults: Vec<BrokerFault>,
     ignored: Vec<IgnoredAcknowledgements>,
 }
@@ -68,7 +69,7 @@
 /// Runs a broker until SIGTERM; `ready` is called with the listening address.
 ///
 /// # Errors
-/// When its socket cannot be opened or its poller fails.
+/// When the socket cannot be opened or the poller fails.
 pub fn run_broker(plan: BrokerPlan, ready: impl FnOnce(SocketAddr)) -> io::Result<()> {
     let (reactor, address) = listening_reactor(plan.listen, MAX_BUFFERED, &[libc::SIGTERM])?;
     ready(address);
@@ -237,7 +238,7 @@
         self.deliver_queued(&client);
     }
 
-    /// Sends the messages in flight of a resumed session again.
+    /// Resends the messages in flight of a resumed session, marked as duplicates.
     fn redeliver(&mut self, connection: Id, client: &str) {
         let Some(session) = self.sessions.get(client) else { return };
         for (packet_id, message) in session.in_flight.clone() {
@@ -320,7 +321,8 @@
         recipients
     }
 
-    /// Selects a client of a shared subscription: round-robin, among the connected ones if there are any.
+    /// Selects a client of a shared subscription by round-robin, among the connected clients if there are
+    /// any.
     fn select_member(&mut self, subscription: SharedSubscription, members: Vec<Recipient>) -> Recipient {
         let is_connected = |member: &&Recipient| {
             self.sessions.get(&member.client).is_some_and(|session| session.connection.is_some())
--- a/crates/test-servers/src/broker/plan.rs
+++ b/crates/test-servers/src/broker/plan.rs
@@ -4,16 +4,16 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A fault with its time.
+/// A fault and its time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BrokerFault {
-    /// Microseconds of the Unix clock.
+    /// The time of the fault, in microseconds of the Unix clock.
     pub at_us: i64,
-    /// The fault.
+    /// The effect of the fault.
     pub kind: BrokerFaultKind,
 }
 
-/// The kinds of faults.
+/// The effect of a broker fault.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BrokerFaultKind {
@@ -22,13 +22,13 @@
         /// The prefix of the affected client identifiers.
         prefix: String,
     },
-    /// All connections are closed and all sessions discarded, as by a restart without a store.
+    /// All connections are closed and all sessions are discarded, as by a restart without persistence.
     Forget,
-    /// Acknowledgements are ignored, and the connections are closed at the end.
+    /// Acknowledgements are ignored; at the end of the fault the affected connections are closed.
     LoseAcknowledgements {
         /// The prefix of the affected client identifiers.
         prefix: String,
-        /// The duration, in microseconds.
+        /// The duration of the fault, in microseconds.
         for_us: i64,
     },
 }
@@ -37,9 +37,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct BrokerPlan {
-    /// The listening address; with port 0 the kernel chooses one.
+    /// The listening address; with port 0 the kernel selects one.
     pub listen: SocketAddr,
-    /// Its faults.
+    /// The scheduled faults, in any order.
     pub faults: Vec<BrokerFault>,
 }
 
--- a/crates/test-servers/src/broker/session.rs
+++ b/crates/test-servers/src/broker/session.rs
@@ -1,4 +1,4 @@
-//! Sessions of the test broker: subscriptions, queued messages and those in flight.
+//! Sessions of the test broker: subscriptions, queued messages and messages in flight.
 
 use mqtt_protocol_core::mqtt::packet::{v5_0, Packet, Property, Qos};
 use mqtt_protocol_core::mqtt::result_code::MqttError;
@@ -59,7 +59,7 @@
         Subscription { filter: filter.to_string(), group, qos }
     }
 
-    /// Whether a topic matches its filter (section 4.7 of MQTT 5); both must be well-formed.
+    /// Whether a topic matches the filter (section 4.7 of MQTT 5); both must be well-formed.
     pub(super) fn is_matching(&self, topic: &str) -> bool {
         let (mut filter_levels, mut topic_levels) = (self.filter.split('/'), topic.split('/'));
         loop {
@@ -77,18 +77,18 @@
 #[derive(Default)]
 pub(super) struct Session {
     pub(super) connection: Option<Id>,
-    /// Whether it remains after the connection is closed.
+    /// Whether the session remains after its connection is closed.
     pub(super) is_persistent: bool,
-    /// Messages in flight at most.
+    /// The largest number of messages in flight.
     pub(super) receive_maximum: usize,
     pub(super) subscriptions: Vec<Subscription>,
     pub(super) queue: VecDeque<Message>,
-    /// Messages that are sent and not acknowledged, by packet identifier.
+    /// Messages that were sent and not acknowledged, by packet identifier.
     pub(super) in_flight: BTreeMap<u16, Message>,
     last_packet_id: u16,
 }
 
-/// A message that is to be sent.
+/// A message to send to a connection.
 pub(super) struct Delivery {
     pub(super) connection: Id,
     pub(super) message: Message,
@@ -97,7 +97,7 @@
 }
 
 impl Session {
-    /// Replaces a subscription to the same filter and group.
+    /// Adds a subscription; replaces one with the same filter and group.
     pub(super) fn subscribe(&mut self, subscription: Subscription) {
         let is_other =
             |other: &Subscription| other.filter != subscription.filter || other.group != subscription.group;
@@ -105,7 +105,8 @@
         self.subscriptions.push(subscription);
     }
 
-    /// Takes the next message from the queue, if the client is connected and accepts more.
+    /// Takes the next message from the queue if the client is connected and its receive maximum is not
+    /// reached.
     pub(super) fn next_delivery(&mut self) -> Option<Delivery> {
         let connection = self.connection.filter(|_| self.in_flight.len() < self.receive_maximum)?;
         let message = self.queue.pop_front()?;
--- a/crates/test-servers/src/call_body.rs
+++ b/crates/test-servers/src/call_body.rs
@@ -1,16 +1,16 @@
 //! The payload of calls between test clients and test workers.
 
-/// The bytes of a payload that are read.
+/// The number of leading payload bytes that are parsed.
 const MAX_READ: usize = 256;
-/// A payload that states this much work, in microseconds, or more is ignored.
+/// The work that a payload may state, in microseconds, exclusive; other values are ignored.
 const MAX_WORK_US: i64 = 60_000_000;
 
-/// What a payload states: `call=NAME work-us=N`, both optional, then anything.
+/// The fields of a payload: `call=NAME work-us=N`, both optional, followed by arbitrary bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallBody {
-    /// The call's name in the trace.
+    /// The name of the call in the trace.
     pub call: Option<String>,
-    /// Microseconds of work at full capacity.
+    /// Work at full capacity, in microseconds.
     pub work_us: Option<i64>,
 }
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Formats a payload.
+    /// Formats a payload that [`CallBody::read`] parses.
     #[must_use]
     pub fn write(call: &str, work_us: i64) -> Vec<u8> {
         format!("call={call} work-us={work_us}").into_bytes()
--- a/crates/test-servers/src/client/mod.rs
+++ b/crates/test-servers/src/client/mod.rs
@@ -1,7 +1,7 @@
-//! Test clients: MQTT 5 connections to gateways that publish calls by a schedule and record the answers.
+//! Test clients: MQTT 5 connections to gateways that publish calls on a schedule and record the answers.
 //!
-//! The gateways must state no receive maximum (65,535): the protocol library subtracts publishes that it sends again on a
-//! resumed session from a count to which they were never added.
+//! Gateways must not state a receive maximum, which means the default of 65,535: when the protocol library
+//! resends publishes on a resumed session, it subtracts them from a count to which they were never added.
 
 mod packets;
 mod plan;
@@ -23,14 +23,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes that wait on one connection at most.
+/// The write buffer limit of a connection, in bytes.
 const MAX_BUFFERED: usize = 16 * 1024 * 1024;
-/// The time before a lost connection is opened again, in microseconds.
+/// The delay before a closed connection is opened again, in microseconds.
 const RECONNECT_US: i64 = 50_000;
 
 /// A connection to a gateway with its session.
 struct Client {
-    /// The index of its gateway.
+    /// The index of the gateway in the plan.
     gateway: usize,
     name: String,
     mqtt: Connection<role::Client>,
@@ -38,13 +38,13 @@
     /// Whether the gateway has accepted the connection.
     is_ready: bool,
     connect_at_us: i64,
-    /// Calls that are due and not published.
+    /// Calls that are due and not yet published.
     queue: VecDeque<Arrival>,
-    /// Calls that are published and not answered.
+    /// Names of the calls that are published and not answered.
     open_calls: BTreeSet<String>,
 }
 
-/// Drives the clients.
+/// Runs all test clients in the thread that calls [`Driver::poll`].
 pub struct Driver {
     reactor: Reactor,
     trace: TraceWriter,
@@ -89,7 +89,7 @@
         self.arrivals.is_empty() && self.clients.iter().all(is_idle)
     }
 
-    /// The results so far, by the calls' names.
+    /// The results so far, by call name.
     #[must_use]
     pub fn reports(&self) -> &BTreeMap<String, ClientReport> {
         &self.reports
@@ -101,12 +101,12 @@
         self.clients.iter().map(|client| client.open_calls.len()).sum()
     }
 
-    /// Sets the address of a gateway that was started again.
+    /// Sets the address of a restarted gateway, by its index in the plan.
     pub fn set_gateway_address(&mut self, gateway: usize, address: SocketAddr) {
         self.gateways[gateway].1 = address;
     }
 
-    /// Disconnects the clients of a gateway that was killed; no answer to their open calls is owed.
+    /// Disconnects the clients of a killed gateway; no answer to their open calls is expected.
     pub fn disconnect_gateway(&mut self, gateway: usize) {
         for index in 0..self.clients.len() {
             if self.clients[index].gateway == gateway {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Records a call that the library publishes again on a resumed session.
+    /// Records a call that the protocol library resends on a resumed session.
     fn record_retransmission(&mut self, index: usize, packet: &Packet) {
         let Some(call) = packets::retransmitted_call(packet) else { return };
         let Some(report) = self.reports.get(&call) else { return };
@@ -245,7 +245,8 @@
 
     fn handle_publish(&mut self, index: usize, publish: &v5_0::Publish) {
         let Answer { call, outcome, reason } = packets::answer(publish);
-        // The gateway sends an answer again if it did not receive our acknowledgement; that is no second answer.
+        // A gateway resends an answer whose acknowledgement it did not receive; that does not count as a
+        // second answer.
         let is_answered = self.reports.get(&call).is_some_and(|report| report.answer.is_some());
         if publish.dup() && is_answered {
             return;
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Marks the open calls of a client whose session is lost: no answer to them is owed.
+    /// Marks the open calls of a client whose session is lost; no answer to them is expected.
     fn abandon_open_calls(&mut self, index: usize) {
         for call in std::mem::take(&mut self.clients[index].open_calls) {
             self.trace.record(TraceEvent::Disconnected { call: call.clone() });
@@ -283,7 +284,7 @@
         client.connect_at_us = unix_micros() + RECONNECT_US;
     }
 
-    /// Publishes the queued calls of a client while the gateway accepts more.
+    /// Publishes queued calls of a client until the gateway's receive maximum is reached.
     fn publish_queued(&mut self, index: usize) {
         while self.clients[index].is_ready
             && self.clients[index].mqtt.get_receive_maximum_vacancy_for_send() != Some(0)
@@ -295,13 +296,12 @@
         }
     }
 
-    /// Publishes a call.
     fn publish(&mut self, index: usize, arrival: &Arrival) -> Result<(), NoPacketId> {
         let packet_id = match packets::quality_of_service(arrival) {
             Qos::AtMostOnce => None,
             _ => Some(self.clients[index].mqtt.acquire_packet_id().map_err(|_| NoPacketId)?),
         };
-        // An arrival that is no valid packet is skipped.
+        // An arrival that cannot be encoded as a valid packet is skipped.
         let Ok(packet) = packets::publish(&self.clients[index].name, arrival, packet_id) else {
             return Ok(());
         };
--- a/crates/test-servers/src/client/packets.rs
+++ b/crates/test-servers/src/client/packets.rs
@@ -8,12 +8,12 @@
 };
 use mqtt_protocol_core::mqtt::result_code::MqttError;
 
-/// The time for which a gateway keeps the session of a lost connection, in seconds.
+/// The session expiry interval that clients request, in seconds.
 const SESSION_EXPIRY_S: u32 = 60;
 /// The keep-alive interval of a connection, in seconds.
-const MAX_IDLE_S: u16 = 30;
+const KEEP_ALIVE_S: u16 = 30;
 
-/// An answer to a call.
+/// The answer to a call, from the properties of its PUBLISH packet.
 #[derive(Default)]
 pub(super) struct Answer {
     pub(super) call: String,
@@ -21,14 +21,14 @@
     pub(super) reason: Option<String>,
 }
 
-/// A CONNECT packet that resumes the client's session.
+/// A CONNECT packet that resumes the client's session if it exists.
 pub(super) fn connect(client: &str) -> Result<Packet, MqttError> {
     let properties = vec![SessionExpiryInterval::new(SESSION_EXPIRY_S)?.into()];
     let builder = v5_0::Connect::builder().client_id(client)?;
-    Ok(builder.clean_start(false).keep_alive(MAX_IDLE_S).props(properties).build()?.into())
+    Ok(builder.clean_start(false).keep_alive(KEEP_ALIVE_S).props(properties).build()?.into())
 }
 
-/// A PUBLISH packet of a call; `packet_id` is none with QoS 0.
+/// The PUBLISH packet of a call; `packet_id` is none with QoS 0.
 pub(super) fn publish(client: &str, arrival: &Arrival, packet_id: Option<u16>) -> Result<Packet, MqttError> {
     let mut properties: Vec<Property> = vec![
         ResponseTopic::new(format!("replies/{client}").as_str())?.into(),
@@ -57,7 +57,7 @@
     }
 }
 
-/// The name of the call that the client library sends again on a resumed session; none for any other packet.
+/// The name of a call that the protocol library resends on a resumed session; none for any other packet.
 pub(super) fn retransmitted_call(packet: &Packet) -> Option<String> {
     match packet {
         Packet::V5_0Publish(publish) if publish.dup() => publish.props().iter().find_map(correlation),
--- a/crates/test-servers/src/clock.rs
+++ b/crates/test-servers/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that all test servers, plans and traces share.
+//! The time base of all test servers, plans and traces.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/test-servers/src/kv/mod.rs
+++ b/crates/test-servers/src/kv/mod.rs
@@ -1,5 +1,5 @@
-//! The test registry: a key-value store with revisions, leases and watches that is served by the JSON mapping of etcd's API,
-//! with scripted faults.
+//! The test registry: a key-value store with revisions, leases and watches, served through the JSON mapping
+//! of etcd's API with scripted faults.
 
 mod plan;
 mod requests;
--- a/crates/test-servers/src/kv/plan.rs
+++ b/crates/test-servers/src/kv/plan.rs
@@ -1,43 +1,44 @@
-//! The plan of the test registry, passed to it as JSON. `serde` keeps the names of that JSON.
+//! The plan of the test registry, passed to it as JSON; `serde` attributes keep the JSON names.
 
 use crate::listen::ANY_PORT;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The kinds of faults.
+/// The effect of a registry fault.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KvFaultKind {
     /// All connections are closed, and new ones are closed at once.
     Break,
-    /// Connections and requests are accepted and get no response; watches get no events.
+    /// Connections are accepted, but requests get no response and watches get no events.
     Stall,
-    /// Each response of a watch is sent twice.
+    /// Each event response of a watch is sent twice.
     Duplicate,
-    /// Responses of watches are fragmented, and each line is sent in two chunks.
+    /// Watch responses have one event per fragment, and each line is sent in two chunks.
     Split,
     /// Watches lose events without notice.
     Lose,
     /// Once: the history is compacted up to the current revision.
     Compact,
-    /// Once: the store returns to an earlier revision, by this many, as another cluster.
+    /// Once: the store goes back by this many revisions and takes another cluster ID, as after the restore of
+    /// a backup.
     Restore(i64),
-    /// Once: the store returns to an earlier revision, by this many, as the same cluster.
+    /// Once: the store goes back by this many revisions and keeps its cluster ID.
     GoBack(i64),
-    /// Once: all tokens become invalid.
+    /// Once: all authentication tokens become invalid.
     ForgetTokens,
     /// Once: every second lease expires.
     ExpireHalf,
 }
 
-/// A fault with its time, in microseconds of the Unix clock.
+/// A fault and its period, in microseconds of the Unix clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvFault {
-    /// Its start.
+    /// The start of the fault.
     pub from_us: i64,
-    /// Its end, exclusive. Faults that occur once occur at their start.
+    /// The end of the fault, exclusive. Faults that occur once occur at their start.
     pub to_us: i64,
-    /// The fault.
+    /// The effect of the fault.
     pub kind: KvFaultKind,
 }
 
@@ -45,17 +46,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct KvPlan {
-    /// The listening address; with port 0 the kernel chooses one.
+    /// The listening address; with port 0 the kernel selects one.
     pub listen: SocketAddr,
     /// Name and password; none for a registry without authentication.
     pub login: Option<(String, String)>,
     /// The age at which history is compacted, in microseconds; 0 for never.
     pub compact_after_us: i64,
-    /// Its faults.
+    /// The scheduled faults.
     pub faults: Vec<KvFault>,
-    /// Keys and values that it holds from the start.
+    /// Initial keys and values.
     pub keys: Vec<(String, String)>,
-    /// Its limits of load; none for a registry without limits.
+    /// The load limits; none for a registry without limits.
     pub capacity: Option<Capacity>,
 }
 
@@ -72,24 +73,25 @@
     }
 }
 
-/// The limits of load of a registry with one core. Requests whose client has given up still use its time.
+/// The load limits of a registry, modelled as one core. Requests whose client has disconnected still use
+/// processing time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Capacity {
-    /// Unary requests and starts of watches per second.
+    /// Unary requests and watch starts that are processed per second.
     #[serde(rename = "requests_per_s")]
     pub requests_per_second: f64,
-    /// Written bytes per second; 0 for no limit.
+    /// Response bytes that are written per second; 0 for no limit.
     #[serde(rename = "bytes_per_s")]
     pub bytes_per_second: f64,
-    /// Requests that may wait.
+    /// The largest number of requests that wait.
     pub queue: usize,
     /// Whether requests beyond the queue get no response instead of a refusal.
     #[serde(rename = "silent")]
     pub drops_overflow: bool,
-    /// `Retry-After` of refusals, in seconds.
+    /// The `Retry-After` header of refusals, in seconds.
     pub retry_after_s: u32,
-    /// Connections at most; 0 for no limit.
+    /// The largest number of connections; 0 for no limit. Further connections are closed at once.
     pub connections: usize,
 }
 
--- a/crates/test-servers/src/kv/requests.rs
+++ b/crates/test-servers/src/kv/requests.rs
@@ -9,7 +9,7 @@
 use slatevalve_reactor::Id;
 use slatevalve_registry::wire::*;
 
-/// The code of gRPC for a request that cannot be parsed.
+/// The gRPC status code for a request that cannot be parsed.
 const INVALID_ARGUMENT: i64 = 3;
 
 impl Server {
--- a/crates/test-servers/src/kv/server.rs
+++ b/crates/test-servers/src/kv/server.rs
@@ -1,4 +1,4 @@
-//! The event loop of the test registry: connections, faults and the limits of load.
+//! The event loop of the test registry: connections, faults and load limits.
 
 use super::plan::{KvFaultKind, KvPlan};
 use super::store::KvStore;
@@ -14,13 +14,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes that wait on one connection at most; a watcher that reads more slowly is disconnected.
+/// The write buffer limit of a connection, in bytes; a watcher that exceeds it by reading too slowly is
+/// disconnected.
 const MAX_BUFFERED: usize = 32 * 1024 * 1024;
 /// The time between two checks of leases and faults.
 const TICK: Duration = Duration::from_millis(20);
-/// The same for a registry with limits of load.
+/// The same for a registry with load limits, whose queue is processed at each check.
 const LIMITED_TICK: Duration = Duration::from_millis(2);
-/// The smallest rate of requests that is distinguished from 0, per second.
+/// The lower bound of the request rate, per second; avoids a division by 0.
 const MIN_REQUESTS_PER_SECOND: f64 = 0.001;
 const CLUSTER_ID: i64 = 7;
 
@@ -42,9 +43,9 @@
     pub(super) peers: HashMap<Id, Peer>,
     /// For each fault of the plan that occurs once, whether it has occurred.
     has_occurred: Vec<bool>,
-    /// Used only with limits of load.
+    /// Empty without load limits.
     queue: VecDeque<QueuedRequest>,
-    /// With limits of load, the time at which the core is free again, in microseconds of the Unix clock.
+    /// With load limits, the time until which the modelled core is busy, in microseconds of the Unix clock.
     busy_until_us: i64,
 }
 
@@ -72,7 +73,7 @@
     let mut store = KvStore::new(CLUSTER_ID, plan.login.clone());
     for (key, value) in &plan.keys {
         let put = PutRequest { key: Bytes::of(key), value: Bytes::of(value), lease: 0 };
-        // A put fails only by its lease.
+        // A put can fail only because of its lease, and this one has none.
         let _ = store.put(unix_micros(), &put);
     }
     store
@@ -134,7 +135,8 @@
         true
     }
 
-    /// Restores an earlier revision; a restored member has been started again, so that all connections are closed.
+    /// Restores an earlier revision. All connections are closed, because restoring a backup restarts the
+    /// registry.
     fn restore(&mut self, by: i64, other_cluster: bool) {
         self.store.restore(self.store.revision().saturating_sub(by), other_cluster);
         self.close_all();
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Handles a request at once, or with limits of load queues or refuses it.
+    /// Handles a request at once without load limits; otherwise queues, refuses or drops it.
     fn admit(&mut self, queued: QueuedRequest) {
         let Some(capacity) = &self.plan.capacity else {
             return self.handle_request(queued.connection, &queued.request);
@@ -196,7 +198,8 @@
         }
     }
 
-    /// Handles the queued requests that the core had time for. A closed connection saves no time.
+    /// Handles the queued requests for which the core has had time. Requests of closed connections use time
+    /// too.
     fn process_queue(&mut self) {
         let now = unix_micros();
         self.busy_until_us = self.busy_until_us.max(now - LIMITED_TICK.as_micros() as i64);
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Writes a response; `headers` are further header lines.
+    /// Writes a response; `headers` are additional header lines.
     pub(super) fn write(&mut self, id: Id, status: u16, headers: &str, body: &[u8]) {
         let response = serve::answer(status, headers, body);
         let rate = self.plan.capacity.as_ref().map_or(0.0, |capacity| capacity.bytes_per_second);
--- a/crates/test-servers/src/kv/store.rs
+++ b/crates/test-servers/src/kv/store.rs
@@ -1,11 +1,11 @@
-//! The store of the test registry: keys with revisions, a history that can be compacted, leases, transactions and tokens. It
-//! does no I/O, and nothing survives a restart. Times are microseconds of the Unix clock.
+//! The store of the test registry: keys with revisions, a history that can be compacted, leases, transactions
+//! and tokens. It does no I/O and is not persistent. Times are microseconds of the Unix clock.
 
 use slatevalve_registry::serve::is_in_range;
 use slatevalve_registry::wire::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The code of gRPC for a failed login.
+/// The gRPC status code for a failed login.
 const INVALID_ARGUMENT: i64 = 3;
 const MEMBER_ID: i64 = 1;
 const FIRST_LEASE: i64 = 1_001;
@@ -13,7 +13,7 @@
 const COMPACTED: Refusal = (code::OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted");
 const LEASE_NOT_FOUND: Refusal = (code::NOT_FOUND, "etcdserver: requested lease not found");
 
-/// The refusal of a request: a code of gRPC and a message.
+/// The refusal of a request: a gRPC status code and a message.
 pub type Refusal = (i64, &'static str);
 
 type Keys = BTreeMap<Vec<u8>, KeyValue>;
@@ -31,7 +31,7 @@
     events: Vec<WatchEvent>,
 }
 
-/// The store.
+/// An in-memory model of the parts of etcd that the registry client uses.
 pub struct KvStore {
     cluster_id: i64,
     revision: i64,
@@ -57,7 +57,7 @@
 }
 
 impl KvStore {
-    /// An empty store; with a login, requests need a token.
+    /// Creates an empty store; with a login (name and password), requests need a token.
     #[must_use]
     pub fn new(cluster_id: i64, login: Option<(String, String)>) -> Self {
         KvStore {
@@ -75,13 +75,13 @@
         }
     }
 
-    /// The header of each response.
+    /// The header of responses at the current revision.
     #[must_use]
     pub fn header(&self) -> Header {
         Header { cluster_id: self.cluster_id, member_id: MEMBER_ID, revision: self.revision }
     }
 
-    /// The current revision.
+    /// The revision of the last change; 1 for an empty store.
     #[must_use]
     pub fn revision(&self) -> i64 {
         self.revision
@@ -101,7 +101,7 @@
     /// Issues a token.
     ///
     /// # Errors
-    /// When name or password are wrong, or the store has no login.
+    /// When the name or the password is wrong, or the store has no login.
     pub fn authenticate(&mut self, request: &AuthRequest) -> Result<AuthResponse, Refusal> {
         let is_valid =
             |(name, password): &(String, String)| *name == request.name && *password == request.password;
@@ -160,7 +160,7 @@
         keys
     }
 
-    /// Runs a change at the next revision; one without events does not use a revision.
+    /// Executes a change at the next revision; a change without events uses no revision.
     fn commit<T>(&mut self, now_us: i64, change: impl FnOnce(&mut Self, &mut Vec<WatchEvent>) -> T) -> T {
         let mut events = Vec::new();
         self.revision += 1;
@@ -225,10 +225,10 @@
         PlainResponse { header: self.header(), deleted, succeeded: false }
     }
 
-    /// Executes a transaction at one revision.
+    /// Executes a transaction at one revision; without effect if a compared key has changed.
     ///
     /// # Errors
-    /// When a lease in it does not exist; nothing of it is executed then.
+    /// When a lease of a put does not exist; then no operation is executed.
     pub fn transact(&mut self, now_us: i64, request: &TxnRequest) -> Result<PlainResponse, Refusal> {
         if !request.compare.iter().all(|compare| self.is_unchanged(compare)) {
             return Ok(PlainResponse { header: self.header(), ..PlainResponse::default() });
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Compacts the history before a time.
+    /// Compacts the history before a time, in microseconds of the Unix clock.
     pub fn compact_before(&mut self, before_us: i64) {
         let old = self.history.iter().take_while(|change| change.at_us < before_us);
         let newest = old.last().map(|change| change.revision);
@@ -288,7 +288,7 @@
     /// The changes of a range of keys from a revision on, by revision.
     ///
     /// # Errors
-    /// When the revision is compacted: the oldest revision that is not.
+    /// The oldest revision that is not compacted, when `from_revision` is compacted.
     pub fn changes(
         &self,
         from_revision: i64,
@@ -307,7 +307,7 @@
         Ok(selected.filter(|(_, events)| !events.is_empty()).collect())
     }
 
-    /// Grants a lease.
+    /// Grants a lease with a time to live of at least 1 s.
     pub fn grant(&mut self, now_us: i64, ttl_s: i64) -> LeaseResponse {
         let ttl = ttl_s.max(1);
         let ttl_us = ttl.saturating_mul(MICROS_PER_SECOND);
@@ -318,7 +318,7 @@
         LeaseResponse { header: self.header(), id, ttl }
     }
 
-    /// Renews a lease; the response has a time to live of 0 where the lease does not exist.
+    /// Renews a lease. The time to live in the response is 0 if the lease does not exist.
     pub fn renew_lease(&mut self, now_us: i64, id: i64) -> LeaseResponse {
         let ttl = match self.leases.get_mut(&id) {
             Some(lease) => {
@@ -330,7 +330,7 @@
         LeaseResponse { header: self.header(), id, ttl }
     }
 
-    /// Ends a lease and removes its keys; returns whether it existed.
+    /// Revokes a lease and removes its keys; returns whether the lease existed.
     pub fn revoke(&mut self, now_us: i64, id: i64) -> bool {
         let Some(lease) = self.leases.remove(&id) else { return false };
         self.commit(now_us, |store, events| {
@@ -341,7 +341,7 @@
         true
     }
 
-    /// Ends the leases whose time to live has passed.
+    /// Revokes the leases whose time to live has passed.
     pub fn expire(&mut self, now_us: i64) {
         let expired = self.leases.iter().filter(|(_, lease)| lease.expires_us <= now_us);
         let ids: Vec<i64> = expired.map(|(id, _)| *id).collect();
@@ -350,7 +350,7 @@
         }
     }
 
-    /// Ends every second lease.
+    /// Revokes every second lease.
     pub fn expire_half(&mut self, now_us: i64) {
         let ids: Vec<i64> = self.leases.keys().copied().step_by(2).collect();
         for id in ids {
@@ -358,8 +358,8 @@
         }
     }
 
-    /// Returns to an earlier revision as a restored backup does: without history, leases and tokens; with `other_cluster` as
-    /// another cluster.
+    /// Returns to an earlier revision, as the restore of a backup does: history, leases and tokens are lost.
+    /// `other_cluster` also changes the cluster ID.
     pub fn restore(&mut self, revision: i64, other_cluster: bool) {
         let revision = revision.clamp(self.compacted.max(1), self.revision);
         self.keys = self.keys_at(revision);
--- a/crates/test-servers/src/kv/watches.rs
+++ b/crates/test-servers/src/kv/watches.rs
@@ -9,10 +9,10 @@
 /// The number of events in one fragment of a response.
 const FRAGMENT_EVENTS: usize = 100;
 
-/// A watch of one connection.
+/// The watch of a connection.
 pub(super) struct Watch {
     create: WatchCreate,
-    /// The first revision that was not sent.
+    /// The first revision whose events were not sent yet.
     next_revision: i64,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Writes one line of a watch's response, as one chunk or by a fault as two.
+    /// Writes one line of a watch response as one chunk, or as two while a fault splits lines.
     fn write_line(&mut self, id: Id, response: WatchResponse) {
         let line = serve::watch_line(response);
         let first_length = if self.is_active(&KvFaultKind::Split) { line.len() / 2 } else { 0 };
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Sends the changes since the last call to all watches.
+    /// Sends the changes since the previous call to all watches.
     pub(super) fn send_watch_events(&mut self) {
         if self.is_active(&KvFaultKind::Stall) {
             return;
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,9 +1,10 @@
-//! Test servers: the programs that a gateway talks to, as small processes with scripted faults: a worker, an MQTT broker, a
+//! Test servers: the peers of a gateway as small processes with scripted faults: a worker, an MQTT broker, a
 //! key-value registry, an OCI registry, and clients.
 //!
-//! They make sure that the gateway is tested with peers that misbehave: each fault has a time of the clock. Workers and
-//! clients record their traffic as [`slatevalve_trace_checker::trace`] lines. None uses the gateway's code, except that
-//! workers and registries share its codecs. The command line, the demo, the chaos test and the fleet test start them.
+//! Faults are scheduled at absolute times, so that a test can combine faults of several peers. Workers and
+//! clients record their traffic as [`slatevalve_trace_checker::trace`] lines. No server uses the gateway's
+//! code, except that workers and registries share its codecs. The command line, the demo, the chaos test and
+//! the fleet test start them.
 #![forbid(unsafe_code)]
 
 mod broker;
--- a/crates/test-servers/src/listen.rs
+++ b/crates/test-servers/src/listen.rs
@@ -4,11 +4,11 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// An address of loopback whose port the kernel chooses.
+/// A loopback address whose port the kernel selects.
 pub(crate) const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Opens a reactor with a listener and handlers for the given signals; returns it with the listening address. At most
-/// `max_buffered` bytes wait on one connection.
+/// Opens a reactor with a listener and handlers for the given signals; returns it with the listening address.
+/// `max_buffered` limits the write buffer of a connection, in bytes.
 pub(crate) fn listening_reactor(
     listen: SocketAddr,
     max_buffered: usize,
--- a/crates/test-servers/src/registry/mod.rs
+++ b/crates/test-servers/src/registry/mod.rs
@@ -1,5 +1,5 @@
-//! The OCI registry: an event loop around [`slatevalve_oci::Registry`] with scripted faults. It also serves plug-ins from a
-//! folder to sites that have no registry of their own.
+//! The OCI registry: an event loop around [`slatevalve_oci::Registry`] with scripted faults. Sites without an
+//! OCI registry also use it to serve plug-ins from a folder.
 
 mod plan;
 
@@ -18,15 +18,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes of a request, which may be a part of a push, at most.
+/// The size limit of a request body, such as a chunk of a push, in bytes.
 const MAX_BODY: usize = 64 * 1024 * 1024;
-/// Bytes that wait on one connection, which may be a blob, at most.
+/// The write buffer limit of a connection, in bytes; a response may contain a whole blob.
 const MAX_BUFFERED: usize = 1024 * 1024 * 1024;
-/// Bytes that are added to an endless body whenever all bytes before were sent.
+/// The number of bytes that are added to an endless body whenever the write buffer is empty.
 const ENDLESS_PIECE: usize = 64 * 1024;
-/// Bytes of an endless body at most, so that it ends for a test that fails.
+/// The size limit of an endless body, in bytes, so that it ends even where the client fails to stop reading.
 const MAX_ENDLESS: usize = 256 * 1024 * 1024;
-/// The longest wait for events, in microseconds.
+/// The longest wait of the event loop, in microseconds.
 const MAX_WAIT_US: u64 = 1_000_000;
 /// The same while an endless body is sent.
 const ENDLESS_WAIT_US: u64 = 1_000;
@@ -36,23 +36,24 @@
 
 struct Peer {
     reader: MessageReader,
-    /// The bytes that an endless body still sends.
+    /// The remaining bytes of an endless body; 0 without one.
     endless_remaining: usize,
 }
 
 struct CountedFault {
     fault: RegistryFault,
-    /// The number of requests that it affected.
+    /// The number of requests that the fault has affected.
     count: u64,
 }
 
-/// A response that is sent later.
+/// A response that is sent at a later time.
 struct DelayedResponse {
     connection: Id,
     bytes: Vec<u8>,
 }
 
-/// The time of a delayed response, in microseconds of the Unix clock, and its number for the order at equal times.
+/// The time of a delayed response, in microseconds of the Unix clock, and its number for the order at equal
+/// times.
 type DueTime = (i64, u64);
 
 struct Server {
@@ -116,7 +117,7 @@
         Duration::from_micros(until_us.unwrap_or(longest_us).min(longest_us))
     }
 
-    /// Continues endless bodies on the connections that have sent all bytes before.
+    /// Continues endless bodies on the connections whose write buffer is empty.
     fn send_endless(&mut self) {
         for (id, peer) in self.peers.iter_mut().filter(|(_, peer)| peer.endless_remaining > 0) {
             if self.reactor.pending(*id) == 0 {
@@ -172,7 +173,7 @@
         Ok(())
     }
 
-    /// The fault that affects a request.
+    /// The first fault in the order of the plan that affects a request; counts the request for it.
     fn take_fault(&mut self, line: &str) -> Option<RegistryFaultKind> {
         let is_affecting = |counted: &&mut CountedFault| {
             let CountedFault { fault, count } = counted;
@@ -183,7 +184,7 @@
         Some(counted.fault.kind.clone())
     }
 
-    /// Writes a line of the trace, with the status of the response as it is without the fault.
+    /// Writes a trace line with the status that the response has without the fault.
     fn record(&mut self, line: &str, response: &[u8], is_faulty: bool) -> io::Result<()> {
         let Some(trace) = &mut self.trace else { return Ok(()) };
         let status = response.get(STATUS_POSITION).and_then(|digits| std::str::from_utf8(digits).ok());
--- a/crates/test-servers/src/registry/plan.rs
+++ b/crates/test-servers/src/registry/plan.rs
@@ -5,34 +5,34 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What happens to a response.
+/// The effect of a fault on the response to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RegistryFaultKind {
-    /// The connection is closed after this many bytes of it.
+    /// The connection is closed after this many bytes of the response.
     Cut(usize),
-    /// It is not sent.
+    /// The response is not sent.
     Stall,
-    /// One bit of its last byte is inverted.
+    /// One bit of the last byte of the response is inverted.
     Flip,
-    /// It is a body without an end.
+    /// The response has a body that does not end.
     Endless,
-    /// It is a redirect to this location.
+    /// The response is a redirect to this location.
     Redirect(String),
-    /// It has this status, and `Retry-After: 0`.
+    /// The response has this status and `Retry-After: 0`.
     Status(u16),
-    /// It is delayed by this many milliseconds.
+    /// The response is delayed by this many milliseconds.
     Late(u64),
 }
 
-/// A fault.
+/// A fault of the responses to certain requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegistryFault {
-    /// The fault affects requests whose `METHOD TARGET` contains this text.
+    /// A text that `METHOD TARGET` of the affected requests contains.
     pub on: String,
-    /// The number of affected requests; 0 for all.
+    /// The number of matching requests that are affected; 0 for all.
     pub times: u64,
-    /// What happens to the responses.
+    /// The effect of the fault.
     pub kind: RegistryFaultKind,
 }
 
@@ -40,19 +40,20 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RegistryPlan {
-    /// The listening address; with port 0 the kernel chooses one.
+    /// The listening address; with port 0 the kernel selects one.
     pub listen: SocketAddr,
-    /// The folder of its content.
+    /// The folder that stores blobs and manifests.
     pub folder: PathBuf,
     /// Name and password; none for a registry without authentication.
     pub user: Option<(String, String)>,
-    /// Whether it requires a token, which is issued for name and password.
+    /// Whether requests need a token, which is issued for name and password; otherwise they state name and
+    /// password.
     pub tokens: bool,
-    /// The token: a text that cannot be guessed.
+    /// The token that is issued; must be hard to guess.
     pub token: String,
-    /// Its faults.
+    /// The faults; the first that matches a request applies.
     pub faults: Vec<RegistryFault>,
-    /// The file for its trace: a JSON object a line for each request.
+    /// The trace file, with one JSON object a line for each request; none for no trace.
     pub trace: Option<PathBuf>,
 }
 
--- a/crates/test-servers/src/worker/calls.rs
+++ b/crates/test-servers/src/worker/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of a test worker: admission, completion and the response that the faults allow.
+//! The calls of a test worker: admission, completion, and the response with the active faults applied.
 
 use super::faults::FaultKind;
 use super::service::{Admission, Slowdown, SubmittedCall};
@@ -15,19 +15,19 @@
 const GARBAGE: &[u8] = b"\x00\xffnot HTTP at all\r\n\r\n";
 /// A response without the headers of the worker protocol.
 const PLAIN_503: &[u8] = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-/// The version of a function whose name states no digest.
+/// The version that is reported for a function whose name contains no digest.
 const UNVERSIONED: &str = "1";
-/// The prefix by which gateways mark keys that clients stated.
+/// The prefix of keys that a client stated, as opposed to keys that a gateway generated.
 const CLIENT_KEY_PREFIX: &str = "k:";
 
-/// A call that runs or waits.
+/// A running or waiting call.
 pub(super) struct AcceptedCall {
     pub(super) connection: Id,
     gateway: String,
     call: Call,
-    /// Its name in the trace.
+    /// The name of the call in the trace.
     name: String,
-    /// The queue depth of its function at its arrival.
+    /// The queue depth of the function at the arrival of the call.
     queue_depth: u64,
 }
 
@@ -81,7 +81,7 @@
         self.calls.insert(number, accepted);
     }
 
-    /// Replies that a call did not run and will not run.
+    /// Sends a reply that states that the call did not run and will not run.
     fn refuse(&mut self, refused: AcceptedCall, reply: &Reply) {
         let AcceptedCall { connection, gateway, call, name, .. } = refused;
         self.trace.record(TraceEvent::NeverRan { call: name, gateway, attempt: call.attempt });
@@ -89,7 +89,7 @@
         self.reply(connection, reply, Some(queue_depth));
     }
 
-    /// Completes a call: its effect happens, and its response is sent as the faults allow.
+    /// Completes a call: records its effect, then sends the response with the active faults applied.
     pub(super) fn complete_call(&mut self, number: u64) {
         let now = unix_micros();
         self.service.complete();
@@ -103,7 +103,8 @@
         self.respond(now, connection, served.encode(Some(report), Some(queue_depth)));
     }
 
-    /// The version of a function that runs here: the digest in its name, unless a fault corrupted the copy.
+    /// The version of the function that runs: the digest in its name, or a wrong digest while a fault
+    /// corrupts the copies.
     fn executed_version(&self, now: i64, function: &str) -> String {
         if self.faults.is_active(now, &FaultKind::CorruptCopies) {
             return format!("sha256:{}", "0".repeat(64));
@@ -111,6 +112,7 @@
         function.split_once('@').map_or(UNVERSIONED, |(_, digest)| digest).to_string()
     }
 
+    /// Sends a response. Of several active faults the first in the order below applies.
     fn respond(&mut self, now: i64, connection: Id, bytes: Vec<u8>) {
         if self.faults.occurs(now, &FaultKind::DieAfterAccept) {
             exit(CRASH_EXIT_CODE);
@@ -140,7 +142,7 @@
     }
 }
 
-/// A key as the client stated it.
+/// The key as the client stated it, without the gateway's prefix.
 fn client_key(key: &[u8]) -> String {
     let text = String::from_utf8_lossy(key).into_owned();
     text.strip_prefix(CLIENT_KEY_PREFIX).map(str::to_string).unwrap_or(text)
--- a/crates/test-servers/src/worker/faults.rs
+++ b/crates/test-servers/src/worker/faults.rs
@@ -1,23 +1,24 @@
-//! The faults of a test worker, each with its time.
+//! The scheduled faults of a test worker.
 
 use serde::{Deserialize, Serialize};
 
-/// A fault with its time, in microseconds of the Unix clock.
+/// A fault and its period, in microseconds of the Unix clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// Its start.
+    /// The start of the fault.
     pub from_us: i64,
-    /// Its end, exclusive. Faults that occur once occur at their start.
+    /// The end of the fault, exclusive. Faults that occur once occur at their start; of these only a pause
+    /// uses the end.
     pub to_us: i64,
-    /// The fault.
+    /// The effect of the fault.
     pub kind: FaultKind,
 }
 
-/// The kinds of faults.
+/// The effect of a worker fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Once: the process exits.
+    /// Once: the process exits, as after SIGKILL.
     Die,
     /// Once: the process exits after the next call has run, before the first byte of its response.
     DieAfterAccept,
@@ -34,32 +35,32 @@
         /// The delay, in microseconds.
         by_us: i64,
     },
-    /// A share of the calls runs, and their connections are closed without a response.
+    /// For a random share of the calls, the call runs and its connection is closed without a response.
     LoseAnswers {
-        /// The share, from 0 to 1.
+        /// The share of the calls, from 0 to 1.
         #[serde(rename = "part")]
         share: f64,
     },
     /// Work takes longer.
     Slow {
-        /// The factor.
+        /// The factor by which its duration is multiplied.
         factor: f64,
     },
     /// Once: the process pauses until the end of the fault.
     Pause,
-    /// Calls of one class are refused.
+    /// Calls of one class are refused without being run.
     RefuseClass {
-        /// The class.
+        /// The name of the class.
         class: String,
     },
-    /// Calls of one class fail.
+    /// Calls of one class are answered as failed without being run.
     FailClass {
-        /// The class.
+        /// The name of the class.
         class: String,
     },
     /// New connections are closed at once.
     RefuseConnections,
-    /// All calls are refused, as by a worker that drains.
+    /// All calls are refused, as a draining worker does.
     Drain,
     /// Once: all copies are unloaded and the worker begins a slow start.
     RestartCold,
@@ -67,14 +68,14 @@
     Flush,
     /// Loads take longer, as from a slow shared store.
     SlowLoads {
-        /// The factor.
+        /// The factor by which their duration is multiplied.
         factor: f64,
     },
-    /// The worker's copies have another content than their name states.
+    /// Loaded copies do not match the digest in the name of their function.
     CorruptCopies,
     /// Load reports are outdated.
     OldReports {
-        /// Their age, in microseconds.
+        /// The age of the reports, in microseconds.
         by_us: i64,
     },
 }
@@ -98,7 +99,7 @@
         Faults { schedule: faults.into_iter().map(scheduled).collect() }
     }
 
-    /// Selects a value from the kinds of the active faults; returns the first.
+    /// Applies `select` to the active faults in the order of the plan; returns the first value.
     fn find_active<T>(&self, now_us: i64, select: impl Fn(&FaultKind) -> Option<T>) -> Option<T> {
         let faults = self.schedule.iter().map(|scheduled| &scheduled.fault);
         let mut active = faults.filter(|fault| (fault.from_us..fault.to_us).contains(&now_us));
@@ -109,7 +110,7 @@
         self.find_active(now_us, |active| (active == kind).then_some(())).is_some()
     }
 
-    /// The factor by which work takes longer.
+    /// The factor by which work takes longer; 1 without a fault.
     pub(super) fn work_factor(&self, now_us: i64) -> f64 {
         let factor = self.find_active(now_us, |kind| match kind {
             FaultKind::Slow { factor } => Some(*factor),
@@ -118,7 +119,7 @@
         factor.unwrap_or(1.0)
     }
 
-    /// The factor by which loads take longer.
+    /// The factor by which loads take longer; 1 without a fault.
     pub(super) fn load_factor(&self, now_us: i64) -> f64 {
         let factor = self.find_active(now_us, |kind| match kind {
             FaultKind::SlowLoads { factor } => Some(*factor),
@@ -127,7 +128,7 @@
         factor.unwrap_or(1.0)
     }
 
-    /// The age of load reports, in microseconds.
+    /// The age of load reports, in microseconds; 0 without a fault.
     pub(super) fn report_age_us(&self, now_us: i64) -> i64 {
         let age_us = self.find_active(now_us, |kind| match kind {
             FaultKind::OldReports { by_us } => Some(*by_us),
@@ -180,17 +181,17 @@
         Some(&due.fault)
     }
 
-    /// Whether a fault that occurs once is due; true once for each.
+    /// Whether a fault that occurs once is due; returns true only once for each.
     pub(super) fn occurs(&mut self, now_us: i64, kind: &FaultKind) -> bool {
         self.take_due(now_us, kind).is_some()
     }
 
-    /// The duration of a pause that is due, in microseconds.
+    /// The remaining duration of a pause that is due, in microseconds; returned only once for each.
     pub(super) fn take_pause_us(&mut self, now_us: i64) -> Option<i64> {
         self.take_due(now_us, &FaultKind::Pause).map(|fault| (fault.to_us - now_us).max(0))
     }
 
-    /// The start of the next fault, at which the loop must wake up.
+    /// The start of the next fault, at which the event loop must wake up.
     pub(super) fn next_start_us(&self, now_us: i64) -> Option<i64> {
         let pending = self.schedule.iter().filter(|scheduled| !scheduled.has_occurred);
         pending.map(|scheduled| scheduled.fault.from_us).filter(|from_us| *from_us > now_us).min()
--- a/crates/test-servers/src/worker/mod.rs
+++ b/crates/test-servers/src/worker/mod.rs
@@ -34,27 +34,27 @@
 use std::time::Duration;
 use superseded::SupersededDocuments;
 
-/// Bytes that wait on one connection at most.
+/// The write buffer limit of a connection, in bytes.
 const MAX_BUFFERED: usize = 16 * 1024 * 1024;
-/// The longest wait for events, in microseconds.
+/// The longest wait of the event loop, in microseconds.
 const MAX_WAIT_US: i64 = 1_000_000;
-/// The number of load reports that are kept for outdated ones.
+/// The number of past load reports that are kept to simulate outdated reports.
 const MAX_REPORTS: usize = 10_000;
 /// The exit code after a scripted crash, as after SIGKILL.
 const CRASH_EXIT_CODE: i32 = 137;
 
-/// What is due at a time. Of events that are due at the same time, the order is that of the variants.
+/// A timer event. Events that are due at the same time are handled in the order of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerEvent {
-    /// A call completes.
+    /// The call with this number completes.
     Completed(u64),
-    /// Bytes are to be written to a connection.
+    /// The pending write with this number is due.
     Write(u64),
     /// A load ends; waiting calls may start.
     Loaded,
 }
 
-/// Bytes for a connection.
+/// Bytes that are written to a connection at a later time.
 struct PendingWrite {
     connection: Id,
     bytes: Vec<u8>,
@@ -73,21 +73,21 @@
     superseded: SupersededDocuments,
     random: Pcg64Mcg,
     connections: HashMap<Id, MessageReader>,
-    /// Running and waiting calls.
+    /// Running and waiting calls, by number.
     calls: BTreeMap<u64, AcceptedCall>,
     writes: HashMap<u64, PendingWrite>,
     timers: BTreeSet<(i64, TimerEvent)>,
     /// Load reports of the recent past, oldest first.
     reports: VecDeque<TimedReport>,
-    /// The last number of a call or a write.
+    /// The last assigned number; calls and pending writes share the sequence.
     last_number: u64,
     registration: Option<Registration>,
 }
 
-/// Runs a worker until SIGTERM or a fault ends it; `ready` is called with the listening address.
+/// Runs a worker until a signal or a fault ends it; `ready` is called with the listening address.
 ///
 /// # Errors
-/// When its socket or its trace cannot be opened, or its poller fails.
+/// When the socket or the trace cannot be opened, or the poller fails.
 pub fn run_worker(plan: WorkerPlan, ready: impl FnOnce(SocketAddr)) -> io::Result<()> {
     let signals = [libc::SIGTERM, libc::SIGUSR1];
     let (reactor, address) = listening_reactor(plan.listen, MAX_BUFFERED, &signals)?;
@@ -116,12 +116,12 @@
     worker.run()
 }
 
-fn start_event(plan: &ServicePlan, first: bool) -> TraceEvent {
+fn start_event(plan: &ServicePlan, is_first_start: bool) -> TraceEvent {
     TraceEvent::Started {
         start_capacity: plan.start_capacity,
         slow_start_us: plan.slow_start_us,
         concurrency: plan.concurrency as f64,
-        first,
+        first: is_first_start,
     }
 }
 
@@ -160,7 +160,7 @@
         Duration::from_micros(wait_us as u64)
     }
 
-    /// Handles an event; breaks at a signal that ends the worker.
+    /// Handles an event; breaks on a signal that ends the worker at once.
     fn handle_event(&mut self, now: i64, event: ReactorEvent) -> ControlFlow<()> {
         if let Some(registration) = &mut self.registration {
             if registration.handle_event(now, &mut self.reactor, &event) {
@@ -222,7 +222,8 @@
         }
     }
 
-    /// Cancels the waiting calls of a closed connection; running calls continue.
+    /// Cancels the waiting calls of a closed connection. Running calls continue, as their effect cannot be
+    /// undone.
     fn disconnect(&mut self, id: Id) {
         self.connections.remove(&id);
         let service = &mut self.service;
@@ -234,7 +235,7 @@
         let gateway = request.gateway.unwrap_or_default();
         match request.request {
             WorkerRequest::Infer(call) => self.handle_call(id, gateway, call),
-            // While calls get no response, other requests get none either.
+            // The fault applies to other requests too; for calls that ran, `respond` applies it.
             _ if self.faults.is_active(now, &FaultKind::Hang) => {}
             WorkerRequest::Ready => self.reply(id, &Reply::Ready, None),
             WorkerRequest::Count { function } => {
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Loads copies; the response is written when they are loaded.
+    /// Loads copies; the response is written at the end of the load.
     fn load(&mut self, id: Id, gateway: String, function: &str, copies: u32, now: i64) {
         self.trace.record(TraceEvent::LoadRequested { function: function.into(), copies, gateway });
         let load_factor = self.faults.load_factor(now);
@@ -267,7 +268,8 @@
         }
     }
 
-    /// The load report for the next response: the current one, or an outdated one by a fault.
+    /// Returns the load report for the next response: the current one, or an outdated one while a fault
+    /// requires it.
     fn load_report(&mut self) -> LoadReport {
         let now = unix_micros();
         let utilization = self.service.running() as f64 / self.service.plan().concurrency.max(1) as f64;
@@ -303,7 +305,7 @@
         self.timers.insert((at_us, TimerEvent::Write(number)));
     }
 
-    /// Handles the events that are due and starts waiting calls.
+    /// Handles the timer events that are due, then starts waiting calls.
     fn run_timers(&mut self) {
         let now = unix_micros();
         while let Some((_, event)) = self.timers.first().filter(|(at_us, _)| *at_us <= now).copied() {
--- a/crates/test-servers/src/worker/plan.rs
+++ b/crates/test-servers/src/worker/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a test worker, passed to it as JSON. `serde` keeps the names of that JSON.
+//! The plan of a test worker, passed to it as JSON; `serde` attributes keep the JSON names.
 
 use super::faults::Fault;
 use super::service::ServicePlan;
@@ -11,24 +11,25 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WorkerPlan {
-    /// Its name.
+    /// The name of the worker in the trace and in its registry key.
     pub name: String,
-    /// The listening address; with port 0 the kernel chooses one.
+    /// The listening address; with port 0 the kernel selects one.
     pub listen: SocketAddr,
-    /// Its capacity.
+    /// The capacity of the worker.
     pub service: ServicePlan,
-    /// Its faults.
+    /// The scheduled faults.
     pub faults: Vec<Fault>,
-    /// The file for its trace.
+    /// The file that the trace is appended to; none for no trace.
     pub trace: Option<PathBuf>,
     /// Whether it starts with a slow start and without loaded functions, as after a restart.
     #[serde(rename = "cold")]
     pub is_restart: bool,
-    /// The seed of its random faults.
+    /// The seed of random faults and of the delays of the registration.
     pub seed: u64,
-    /// Its registration; none for a worker that does not register itself.
+    /// The registration; none for a worker that does not register itself.
     pub register: Option<RegisterPlan>,
-    /// Calls sent by settings documents that were superseded for longer than this, in microseconds, are refused.
+    /// The time, in microseconds, after which calls by superseded settings documents are refused; none to
+    /// refuse none.
     #[serde(rename = "refuse_overtaken_us")]
     pub refuse_superseded_us: Option<i64>,
 }
@@ -49,20 +50,21 @@
     }
 }
 
-/// The registration of a worker. It drains on SIGUSR1; on SIGTERM it drains, completes its calls, revokes its lease and ends.
+/// The registration of a worker. On SIGUSR1 a registered worker drains; on SIGTERM it drains, completes its
+/// calls, revokes its lease and ends.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RegisterPlan {
     /// The addresses of the registry's members.
     pub endpoints: Vec<SocketAddr>,
-    /// The prefix of its key.
+    /// The prefix of all keys in the registry.
     pub prefix: String,
-    /// The time to live of its lease, in seconds.
+    /// The time to live of the lease, in seconds.
     pub ttl_s: i64,
-    /// Its zone.
+    /// The zone that is stated in the worker's record.
     pub zone: String,
-    /// Its cell.
+    /// The cell that is stated in the worker's record.
     pub cell: u64,
-    /// The longest time that it waits for the completion of its calls when it ends, in microseconds.
+    /// The longest time after SIGTERM that the worker waits for its calls to complete, in microseconds.
     pub leave_within_us: i64,
 }
 
--- a/crates/test-servers/src/worker/registration.rs
+++ b/crates/test-servers/src/worker/registration.rs
@@ -12,18 +12,18 @@
 use std::net::SocketAddr;
 
 /// The longest wait for the response to the revocation of the lease, in microseconds.
-const REVOKE_WITHIN_US: i64 = 1_000_000;
-/// The time after the drain during which an idle worker does not end, in microseconds: calls may be in transit while routers
-/// are notified of the drain.
+const REVOKE_TIMEOUT_US: i64 = 1_000_000;
+/// The minimum time from the drain to the end of an idle worker, in microseconds: routers that have not yet
+/// received the drain may still send calls.
 const DRAIN_GRACE_US: i64 = 500_000;
 const DRAIN_WITHIN_US: i64 = 12_000_000;
 const REQUEST_TIMEOUT_US: i64 = 1_000_000;
 
-/// The progress of the deregistration.
+/// The state of the deregistration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Deregistration {
     NotRequested,
-    /// Waits for the completion of the calls, until the deadline.
+    /// Waits for the calls to complete, until the deadline.
     Draining {
         deadline_us: i64,
     },
@@ -35,7 +35,7 @@
     Completed,
 }
 
-/// Whether a worker ends after its drain.
+/// Whether a worker deregisters and ends after its drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterDrain {
     Stay,
@@ -76,7 +76,8 @@
             seed: derive_seed(seed, name),
         };
         let mut link = Link::new(settings, plan.endpoints);
-        // The lease of a worker is short: with the poll schedule of one client among hundreds of routers it would expire.
+        // The lease of a worker is short: with the poll schedule of one client among hundreds of routers it
+        // would expire.
         link.client_mut().set_clients(1);
         Registration {
             link,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The time at which [`Registration::advance`] is due.
+    /// The time of the next call of [`Registration::advance`], in microseconds of the Unix clock.
     pub(super) fn next_wake(&self, now: i64) -> i64 {
         let deadline_us = match self.deregistration {
             Deregistration::NotRequested | Deregistration::Completed => i64::MAX,
@@ -107,12 +108,12 @@
         }
     }
 
-    /// Handles an event of the registry connection; returns whether it was one.
+    /// Handles an event; returns whether it belongs to the registry connection.
     pub(super) fn handle_event(&mut self, now: i64, reactor: &mut Reactor, event: &ReactorEvent) -> bool {
         self.link.handle_event(now, reactor, event)
     }
 
-    /// Publishes that the worker drains.
+    /// Publishes the draining state; with [`AfterDrain::Deregister`] starts the deregistration.
     pub(super) fn drain(&mut self, now: i64, after: AfterDrain) {
         self.record.state = MemberState::Draining;
         self.link.client_mut().announce(encode(&self.record));
@@ -122,7 +123,8 @@
         }
     }
 
-    /// Whether the worker is deregistered, or the deadline for that has passed.
+    /// Revokes the lease when that is due. Returns whether the worker is deregistered or the deadline for
+    /// that has passed.
     pub(super) fn is_deregistered(&mut self, now: i64, is_idle: bool) -> bool {
         match self.deregistration {
             Deregistration::NotRequested => false,
@@ -141,7 +143,7 @@
     fn revoke(&mut self, now: i64) {
         self.deregistration = match self.link.client_mut().leave() {
             Some(ticket) => {
-                Deregistration::Revoking { ticket, deadline_us: now.saturating_add(REVOKE_WITHIN_US) }
+                Deregistration::Revoking { ticket, deadline_us: now.saturating_add(REVOKE_TIMEOUT_US) }
             }
             None => Deregistration::Completed,
         };
--- a/crates/test-servers/src/worker/service.rs
+++ b/crates/test-servers/src/worker/service.rs
@@ -1,32 +1,32 @@
-//! The capacity of a test worker: concurrency, queue, loaded copies, loads, and the slow start after a restart. It does no I/O;
-//! times are microseconds of the Unix clock.
+//! The capacity of a test worker: concurrency, queue, loaded copies, loads, and the slow start after a
+//! restart. It does no I/O; times are microseconds of the Unix clock.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The capacity of a worker. `serde` keeps the names of the plan's JSON.
+/// The capacity of a worker; `serde` attributes keep the JSON names of the plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServicePlan {
-    /// Calls that run at a time at full capacity.
+    /// The number of calls that run at the same time.
     #[serde(rename = "lanes")]
     pub concurrency: usize,
-    /// Calls that may wait.
+    /// The largest number of waiting calls.
     pub queue: usize,
-    /// Copies that fit into memory.
+    /// The largest number of loaded copies, of all functions.
     pub copies: usize,
-    /// The duration of a load, in microseconds.
+    /// The duration of a load without faults, in microseconds.
     pub load_us: i64,
     /// The work of a call whose payload states none, in microseconds.
     pub work_us: i64,
-    /// Whether a call for a function that is not loaded loads it and waits, instead of a cache miss.
+    /// Whether a call for a function that is not loaded loads it and waits; otherwise the call is a miss.
     pub load_on_call: bool,
-    /// Share of the capacity at the begin of the slow start.
+    /// The share of the full capacity at the beginning of the slow start, from 0 to 1.
     pub start_capacity: f64,
-    /// The duration of the slow start, in microseconds.
+    /// The duration of the slow start after a restart, in microseconds; the capacity rises linearly.
     #[serde(rename = "warm_us")]
     pub slow_start_us: i64,
-    /// Functions that are loaded at the first start.
+    /// Functions that are loaded at the start, except after a restart.
     pub preloaded: Vec<String>,
 }
 
@@ -48,7 +48,7 @@
 
 /// A call that is submitted to the service.
 pub(super) struct SubmittedCall<'a> {
-    /// The caller's number of the call.
+    /// The number by which the caller identifies the call.
     pub(super) number: u64,
     pub(super) function: &'a str,
     /// Work at full capacity, in microseconds.
@@ -65,11 +65,11 @@
 /// The result of a submitted call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// It runs until this time.
+    /// The call runs until this time, in microseconds of the Unix clock.
     RunsUntil(i64),
-    /// It waits.
+    /// The call waits for capacity or for a load.
     Queued,
-    /// There is no room in the queue or in memory.
+    /// The queue or the memory is full.
     Full,
     /// The function is not loaded.
     Miss,
@@ -86,25 +86,25 @@
 #[derive(Clone, Copy, Debug)]
 struct Copies {
     count: u32,
-    /// The end of their load.
+    /// The time at which the load ends.
     ready_us: i64,
 }
 
 #[derive(Debug)]
 pub(super) struct Service {
     plan: ServicePlan,
-    /// The begin of the slow start; none for a worker without one.
+    /// The start of the slow start; none for a worker without one.
     slow_start_from_us: Option<i64>,
     running: usize,
     queue: VecDeque<QueuedCall>,
-    /// By function.
+    /// Loaded and loading copies, by function.
     copies: BTreeMap<String, Copies>,
     /// Functions whose load began since [`Service::take_fetched`].
     fetched: Vec<String>,
 }
 
 impl Service {
-    /// A service; after a restart it has a slow start and no loaded functions.
+    /// Creates a service; after a restart it begins with a slow start and without loaded functions.
     pub(super) fn new(plan: ServicePlan, now_us: i64, is_restart: bool) -> Self {
         let preloaded = if is_restart { Vec::new() } else { plan.preloaded.clone() };
         let copies = preloaded.into_iter().map(|function| (function, Copies { count: 1, ready_us: now_us }));
@@ -140,7 +140,7 @@
         self.plan.start_capacity + (1.0 - self.plan.start_capacity) * progress.clamp(0.0, 1.0)
     }
 
-    /// The number of loaded copies of a function.
+    /// The number of loaded copies of a function; 0 while they are loading.
     pub(super) fn loaded_copies(&self, function: &str, now_us: i64) -> u32 {
         self.copies.get(function).filter(|copies| copies.ready_us <= now_us).map_or(0, |copies| copies.count)
     }
@@ -159,7 +159,7 @@
         self.running
     }
 
-    /// Starts or queues a call.
+    /// Starts, queues or refuses a call.
     pub(super) fn submit(&mut self, call: &SubmittedCall, now_us: i64, slowdown: Slowdown) -> Admission {
         match self.copies.get(call.function) {
             Some(copies) if copies.ready_us <= now_us => {}
@@ -198,14 +198,15 @@
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Removes a waiting call; returns whether it was waiting.
+    /// Removes a call from the queue; returns whether it was queued.
     pub(super) fn cancel(&mut self, number: u64) -> bool {
         let before = self.queue.len();
         self.queue.retain(|call| call.number != number);
         before != self.queue.len()
     }
 
-    /// Starts the next waiting call whose function is loaded; returns its number and the time of its completion.
+    /// Starts the next waiting call whose function is loaded; returns its number and the time of its
+    /// completion.
     pub(super) fn start_next(&mut self, now_us: i64, work_factor: f64) -> Option<(u64, i64)> {
         if self.running >= self.plan.concurrency {
             return None;
@@ -216,7 +217,8 @@
         Some((call.number, self.completion_us(call.work_us, now_us, work_factor)))
     }
 
-    /// Loads copies of a function; returns the time at which they are loaded, or none where memory is full.
+    /// Loads copies of a function unless at least as many are present. Returns the time at which they are
+    /// loaded, or none where memory is full.
     pub(super) fn load(&mut self, function: &str, count: u32, now_us: i64, load_factor: f64) -> Option<i64> {
         if let Some(copies) = self.copies.get(function).filter(|copies| count <= copies.count) {
             return Some(copies.ready_us.max(now_us));
@@ -241,7 +243,7 @@
         self.copies.remove(function);
     }
 
-    /// The end of the next load in progress.
+    /// The time at which the next load in progress ends.
     pub(super) fn next_ready_us(&self, now_us: i64) -> Option<i64> {
         self.copies.values().map(|copies| copies.ready_us).filter(|ready_us| *ready_us > now_us).min()
     }
--- a/crates/test-servers/src/worker/superseded/mod.rs
+++ b/crates/test-servers/src/worker/superseded/mod.rs
@@ -1,17 +1,17 @@
-//! Detects calls that are sent by superseded settings documents, by the documents' numbers alone: documents are superseded
-//! by calls of which all documents have a higher number.
+//! Detects calls that are sent by superseded settings documents, from the document numbers alone: a call's
+//! documents are superseded once another call arrived whose documents all have higher numbers.
 
 use std::collections::BTreeMap;
 
-/// The number of documents that are tracked, the newest ones.
+/// The number of documents that are tracked; the oldest are dropped first.
 const MAX_TRACKED: usize = 16;
 
 /// Tracks the documents of calls.
 #[derive(Debug, Default)]
 pub(super) struct SupersededDocuments {
-    /// The time for which a document must have been superseded, in microseconds; none to refuse nothing.
+    /// The time after which calls by superseded documents are refused, in microseconds; none to refuse none.
     after_us: Option<i64>,
-    /// The oldest document of each call, with the time of the first such call.
+    /// The time of the first call by the oldest document of the call, in microseconds of the Unix clock.
     first_call_us: BTreeMap<u64, i64>,
 }
 
@@ -20,7 +20,7 @@
         SupersededDocuments { after_us, first_call_us: BTreeMap::new() }
     }
 
-    /// Records a call sent by these documents; returns whether it is to be refused.
+    /// Records a call and its document numbers; returns whether the call must be refused.
     pub(super) fn record(&mut self, now_us: i64, documents: &[u64]) -> bool {
         let (Some(after_us), Some(newest), Some(oldest)) =
             (self.after_us, documents.iter().max(), documents.iter().min())
