--- a/crates/gateway/tests/fleet_test.rs
+++ b/crates/gateway/tests/fleet_test.rs
@@ -172,11 +172,14 @@
         &[],
     );
     assert_eq!(output.status.code(), Some(1), "{}", String::from_utf8_lossy(&output.stderr));
-    assert!(String::from_utf8_lossy(&output.stdout).contains("2 of 2 lives do not"));
+    assert!(String::from_utf8_lossy(&output.stdout).contains("2 of 2 router runs do not"));
     let invalid = run_script("(name \"x\") (seconds 1)\n(registry \"kv\")\n(link \"net\" (to \"vk\"))", &[]);
     let error = String::from_utf8_lossy(&invalid.stderr).into_owned();
     assert_eq!(invalid.status.code(), Some(2));
-    assert!(error.contains("script.scm:3: (to") && error.contains("vk is not named before"), "{error}");
+    assert!(
+        error.contains("script.scm:3: (to") && error.contains("group vk is not defined before"),
+        "{error}"
+    );
 }
 
 #[test]
