--- a/crates/gateway/src/server/pool/timers.rs
+++ b/crates/gateway/src/server/pool/timers.rs
@@ -6,8 +6,8 @@
 use slatevalve::{Micros, Outcome};
 use slatevalve_reactor::{Id, Reactor};
 
-/// The subject of a timer. Timers are not removed when a deadline changes; an expired timer whose deadline is
-/// not reached is ignored.
+/// The subject of a timer. Timers are not removed when a deadline changes; a timer that fires while its
+/// subject has no deadline or a later one is ignored.
 #[derive(Clone, Copy)]
 pub(super) enum Timer {
     /// The connect or idle timeout of a connection.
--- a/crates/platform/src/changes/timeouts.rs
+++ b/crates/platform/src/changes/timeouts.rs
@@ -1,8 +1,8 @@
 //! Timeouts of a poll of the change log, which adapt to a slow log.
 //!
-//! A poll that is aborted too soon is queued again behind all others in the log, and may never be answered.
-//! The timeouts are doubled whenever one expires, and halved again when an answer arrives well before its
-//! timeout.
+//! A connection attempt or poll that is aborted too soon starts again at the end of the log's queue, and may
+//! never be served. The timeouts are doubled whenever one expires, and halved again when an answer arrives
+//! well before its timeout.
 
 use slatevalve::Micros;
 
--- a/crates/platform/src/front/connection.rs
+++ b/crates/platform/src/front/connection.rs
@@ -42,9 +42,10 @@
     pub interrupted_since: Option<Micros>,
 }
 
-/// The order in which idle connections are evicted, lowest first. Connections that never sent a message come
-/// before the others, and among these the longest idle one. Connections younger than [`NEW_CONNECTION_AGE`]
-/// come after all older ones, and the connection that exceeded the limit comes last.
+/// The order in which idle connections are evicted, lowest first. Connections that never sent a complete
+/// message come before those that did; within each group, the longest idle one comes first. Connections
+/// younger than [`NEW_CONNECTION_AGE`] come after all older ones, and the connection that exceeded the limit
+/// comes last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     exceeds_limit: bool,
--- a/crates/reactor/src/reactor/connections.rs
+++ b/crates/reactor/src/reactor/connections.rs
@@ -42,9 +42,9 @@
         self.registry.register(Source::Connection(Connection::opening(socket)), Event::all)
     }
 
-    /// Buffers bytes, which are written at the beginning of the next poll; all messages buffered by then take
-    /// one system call. A connection whose buffer would exceed the limit or whose write fails is closed, and
-    /// that poll reports it. Unknown ids are ignored.
+    /// Buffers bytes, which are written at the beginning of the next poll: one write of many buffered
+    /// messages costs little more than the write of a single one. A connection whose buffer would exceed the
+    /// limit or whose write fails is closed, and that poll reports it. Unknown ids are ignored.
     pub fn write(&mut self, id: Id, bytes: &[u8]) {
         let max_buffered = self.max_buffered;
         let Some(connection) = self.registry.connection_mut(id) else { return };
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -91,7 +91,7 @@
     pub load_quota_share: f64,
     /// Memory of each kind of worker, in MB.
     pub kind_memory_mb: Vec<f64>,
-    /// Score cost of holding all memory idle for a day.
+    /// Cost of holding all memory idle for a day, in the operators' score.
     pub memory_price: f64,
 }
 
@@ -212,7 +212,8 @@
     pub limits: Limits,
     /// Parameters of the site's rules.
     pub rules: Rules,
-    /// Score cost of one probe or load request per request.
+    /// Cost of one probe or load request in the operators' score, as a fraction of a request's value. Probes
+    /// are reduced while their observed gain is below it.
     pub probe_price: f64,
 }
 
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -10,7 +10,8 @@
 
 /// Delay between a load request and the call that follows it, so that the call does not overtake it.
 const SEND_AFTER_LOAD_REQUEST: Micros = Micros(4_000);
-/// A request is refused if the delay at the best worker exceeds its tolerated delay by this factor.
+/// A request is refused if even the queue delay at the best worker exceeds its tolerated delay by this
+/// factor.
 const QUEUE_DELAY_TOLERANCE_FACTOR: f64 = 1.6;
 
 /// One attempt of a request at a worker.
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -44,7 +44,8 @@
     pub(super) last_success: Micros,
     /// Mean ratio of its latency to the service time of the functions called.
     pub(super) latency_ratio: f64,
-    /// Load that the ring assigns to it, in units of a mean worker's load; kept while workers warm up.
+    /// Load that the ring assigns to it, in units of a mean worker's load; computed only while some worker
+    /// warms up, otherwise 0.
     pub(super) offered_load: f64,
     /// When a response of any kind was last received from it.
     pub(super) last_contact: Option<Micros>,
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -143,8 +143,8 @@
         self.refresh_weights();
     }
 
-    /// Restarts timers after a pause of the process, so that no worker counts as unresponsive because of the
-    /// pause.
+    /// Restarts the timing of ticks and probes after a pause of the process and records when it ended, so
+    /// that neither missing responses nor latencies that include the pause count against the workers.
     fn resume(&mut self) {
         self.resumed_at = self.now;
         self.next_tick = Some(self.now);
--- a/src/balancer/probing.rs
+++ b/src/balancer/probing.rs
@@ -13,8 +13,8 @@
 pub(super) const PROBE_WAIT: Micros = Micros(10_000);
 /// Time without a probe response after which a request is refused, in latency objectives.
 pub(super) const PROBE_SILENCE_OBJECTIVES: f64 = 0.1;
-/// A request with less time left than this is not delayed by a probe: twice the wait for a probe and the
-/// following tick.
+/// A request with no more time left than this is not delayed by a probe: twice the sum of the wait for a
+/// probe and the tick that follows it.
 const PROBE_DEADLINE_MARGIN: Micros = multiplied(after(TICK_INTERVAL, PROBE_WAIT), 2);
 /// Maximum number of probes that one request waits for.
 const PROBES_PER_REQUEST_MAX: usize = 4;
