--- a/crates/config-versioning/src/coordinator.rs
+++ b/crates/config-versioning/src/coordinator.rs
@@ -1,8 +1,10 @@
 //! The rollout coordinator: takes a change from prepared to committed.
 //!
-//! Invariant: a change is committed only once every router with a valid lease has acknowledged the prepared
-//! state, or its active settings do not contradict the prepared document. Each decision is based on one
-//! snapshot of the registry, and the resulting transaction compares every revision that it relied on.
+//! Invariant: a change is committed only once every router that may still apply its active settings has
+//! acknowledged the prepared state, or has active settings that do not contradict the prepared document. A
+//! router may apply them until its lease has expired, and beyond that under [`LeaseExpiryPolicy::GoOn`]. Each
+//! decision is based on one snapshot of the registry, and the resulting transaction compares every revision
+//! that it relied on.
 //! Coordinators share no state and may stop at any step; if several run at once, the registry accepts the
 //! transaction of one of them. Commands run a coordinator, and routers run one when no command does.
 
--- a/crates/gateway/src/commands/settings/output.rs
+++ b/crates/gateway/src/commands/settings/output.rs
@@ -53,7 +53,7 @@
         self.acks.iter().map(|ack| ack.name.as_str()).collect()
     }
 
-    /// Prints them on standard error, with a progress bar on a terminal.
+    /// Prints the awaited routers on standard error, with a progress bar on a terminal.
     pub(super) fn print(&self) {
         let routers = self.routers.max(self.acks.len()).max(1);
         let acknowledged = routers - self.acks.len();
--- a/crates/gateway/src/server/admin.rs
+++ b/crates/gateway/src/server/admin.rs
@@ -20,7 +20,7 @@
 /// Whether a reply ends its command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReplyKind {
-    /// More lines follow; a command in progress is not yet complete.
+    /// A command in progress stays in progress: the line reports its progress, or an error in the input.
     Progress,
     /// The last line of the command; the connection may send the next one.
     Final,
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -30,8 +30,9 @@
         }
     }
 
-    /// Disconnects the clients, deregisters and sends buffered bytes, for at most [`FLUSH_TIMEOUT`]. All
-    /// calls must have been answered.
+    /// Disconnects the clients and releases the lease. Then sends buffered bytes and waits for the registry
+    /// to confirm the release and the deregistration, for at most [`FLUSH_TIMEOUT`]. All calls must have been
+    /// answered.
     ///
     /// # Errors
     /// If the poller fails.
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,5 +1,5 @@
 //! Settings documents in a registry, published by several processes: concurrent publishers, routers whose
-//! confirmation is outstanding, and a driver that is killed.
+//! acknowledgement is awaited, and a driver that is killed.
 
 mod support;
 
@@ -159,8 +159,8 @@
     assert!(routers
         .iter()
         .all(|r| r.active_documents() == [2] && r.send_permission() == SendPermission::All));
-    // A rollback publishes the previous document under a new number and waits for all confirmations; until it
-    // is committed, a second rollback withdraws it.
+    // A rollback publishes the previous document under a new number and waits for all acknowledgements; until
+    // it is committed, a second rollback withdraws it.
     let rollback = fleet.settings(&["rollback", "--wait-s", "0"]);
     assert_eq!(rollback.0, Some(3));
     assert_eq!(fleet.settings(&["rollback"]).1, json!({"withdrawn": true}));
--- a/crates/relay/src/entries.rs
+++ b/crates/relay/src/entries.rs
@@ -10,7 +10,8 @@
 /// A newly granted lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantedLease {
-    /// The id, unique among all relays with different names.
+    /// The id. Relays with different names grant different ids; a restarted relay begins with the same ids
+    /// again.
     pub id: i64,
     /// The granted time to live in seconds, which may differ from the requested one.
     pub ttl_s: i64,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -4,8 +4,10 @@
 //!
 //! Invariants:
 //!
-//! - A router never receives an earlier state than it already received, even from another relay. A watch from
-//!   a revision that the relay has not reached waits briefly and is then rejected.
+//! - A router never continues from an earlier state than it already received, even at another relay. A watch
+//!   from a revision that the relay has not reached waits briefly and is then rejected. A list has the
+//!   relay's own revision; the router's client discards an outdated one while another endpoint may be more
+//!   recent.
 //! - A stale cache is not served. A relay that has lost the registry rejects all requests and ends its
 //!   watches, so that its routers change to another endpoint.
 //! - No drain is lost. A change that cannot be sent as an event in order ends all watches, and the routers
