--- a/crates/fleet-test/src/link/plan.rs
+++ b/crates/fleet-test/src/link/plan.rs
@@ -95,7 +95,7 @@
     /// The scheduled faults; faults that overlap combine.
     #[serde(default)]
     pub faults: Vec<LinkFault>,
-    /// The output file of the [`TrafficCounters`](crate::TrafficCounters); none to count nothing.
+    /// The output file of the [`TrafficCounters`](crate::TrafficCounters); none to write no file.
     #[serde(default, rename = "tally")]
     pub counters: Option<PathBuf>,
     /// The seed of the random jitter.
--- a/crates/gateway/src/chaos_test/report/mod.rs
+++ b/crates/gateway/src/chaos_test/report/mod.rs
@@ -37,7 +37,7 @@
     pub unanswered: u64,
     /// Non-idempotent calls that ran more than once.
     pub ran_twice: u64,
-    /// Gateways that at the end did not stop on request without an error.
+    /// Gateways that at the end did not stop in time on request, or stopped with an error.
     #[serde(rename = "stopped_badly")]
     pub unclean_stops: u64,
     /// All violations, ordered by time.
@@ -45,7 +45,8 @@
     /// Total priority weight of all calls.
     #[serde(rename = "worth_asked")]
     pub requested_weight: f64,
-    /// Total priority weight of served calls; those beyond the latency objective count with the late value.
+    /// Total priority weight of served calls. Those answered after the latency objective count with the late
+    /// value, those answered after the budget not at all.
     #[serde(rename = "worth_in_time")]
     pub weight_in_time: f64,
     /// Statistics of the calls that were published in the script's window, if it has one.
@@ -70,7 +71,8 @@
 pub struct WindowReport {
     /// Total priority weight of all calls.
     pub requested_weight: f64,
-    /// Total priority weight of served calls; those beyond the latency objective count with the late value.
+    /// Total priority weight of served calls. Those answered after the latency objective count with the late
+    /// value, those answered after the budget not at all.
     pub weight_in_time: f64,
     /// 99th percentile of the latency of served calls, in microseconds.
     pub p99_us: u64,
--- a/crates/gateway/src/chaos_test/runner/mod.rs
+++ b/crates/gateway/src/chaos_test/runner/mod.rs
@@ -43,7 +43,7 @@
     pub(super) terms: Terms,
     /// Period with separate statistics in the report.
     pub(super) window: Option<ClockWindow>,
-    /// Number of gateways that did not stop on request without an error.
+    /// Number of gateways that did not stop in time on request, or stopped with an error.
     pub(super) unclean_stops: usize,
 }
 
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Stops all gateways; returns how many did not stop on request without an error.
+    /// Stops all gateways; returns how many did not stop within [`STOP_TIMEOUT`] or stopped with an error.
     fn stop_gateways(&mut self) -> usize {
         let mut unclean_stops = 0;
         for process in self.gateways.iter_mut().filter_map(|gateway| gateway.process.as_mut()) {
--- a/crates/http/src/decoder.rs
+++ b/crates/http/src/decoder.rs
@@ -123,7 +123,8 @@
         loop {
             let (state, length) = (self.state, self.buffer.len());
             if self.step(out)? == Progress::Complete {
-                // Without pipelining, the peer sends no further message before this one is answered.
+                // Without pipelining, the peer sends nothing after a request until it is answered, and
+                // nothing after a response until the next request.
                 return if self.buffer.is_empty() { Ok(()) } else { Err(MessageError::Trailing) };
             }
             // A step without progress needs more bytes.
--- a/crates/mqtt/src/rejection.rs
+++ b/crates/mqtt/src/rejection.rs
@@ -3,7 +3,8 @@
 use mqtt_protocol_core::mqtt::result_code::{PubackReasonCode, PubrecReasonCode};
 use std::fmt;
 
-/// Why a publish is rejected by its acknowledgement: an answer has no valid topic, or no call to refer to.
+/// Why a publish is rejected by its acknowledgement instead of an answer: there is no valid topic for an
+/// answer, or the publish does not result in a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// No route matches the topic.
--- a/crates/oci/src/pull/download.rs
+++ b/crates/oci/src/pull/download.rs
@@ -8,8 +8,8 @@
 
 /// A failed attempt counts as progress if it received at least 1/16 of the bytes that it requested.
 const PROGRESS_FRACTION: u64 = 16;
-/// The pull fails when a blob is corrupt for this many times. The first time may be due to a corrupt part
-/// that an earlier process stored.
+/// The pull fails when a blob is corrupt this many times. The first time may be due to a corrupt part that an
+/// earlier process stored; the second time the registry is at fault.
 const MAX_CORRUPTIONS: u32 = 2;
 
 /// A blob that is being downloaded.
--- a/crates/oci/src/server/manifests.rs
+++ b/crates/oci/src/server/manifests.rs
@@ -152,7 +152,7 @@
     Ok(())
 }
 
-/// The descriptors of a manifest's layers and config.
+/// The descriptors of a manifest's layers, followed by that of its config.
 pub(super) fn referenced_blobs(image: &ImageManifest) -> impl Iterator<Item = &Descriptor> {
     image.layers().iter().chain([image.config()])
 }
--- a/crates/test-servers/src/worker/mod.rs
+++ b/crates/test-servers/src/worker/mod.rs
@@ -222,8 +222,7 @@
         }
     }
 
-    /// Cancels the waiting calls of a closed connection. Running calls continue, as their effect cannot be
-    /// undone.
+    /// Cancels the waiting calls of a closed connection. Running calls continue, and their effects happen.
     fn disconnect(&mut self, id: Id) {
         self.connections.remove(&id);
         let service = &mut self.service;
--- a/crates/test-servers/src/worker/superseded/mod.rs
+++ b/crates/test-servers/src/worker/superseded/mod.rs
@@ -11,7 +11,7 @@
 pub(super) struct SupersededDocuments {
     /// The time after which calls by superseded documents are refused, in microseconds; none to refuse none.
     after_us: Option<i64>,
-    /// The time of the first call by the oldest document of the call, in microseconds of the Unix clock.
+    /// By the lowest document number of a call: the time of the first such call, in microseconds.
     first_call_us: BTreeMap<u64, i64>,
 }
 
