--- a/crates/config-versioning/src/document.rs
+++ b/crates/config-versioning/src/document.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// A reference to a document. The digest tells documents apart that got the same number, for example after
+/// A reference to a document. The digest distinguishes documents that got the same number, for example after
 /// the registry was restored from a backup.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DocumentVersion {
--- a/crates/engine/src/duplicates.rs
+++ b/crates/engine/src/duplicates.rs
@@ -1,10 +1,10 @@
 //! The duplicate table: which idempotency keys were used, and how their calls ended.
 //!
 //! It prevents a second run of calls with side effects. A key is unknown, running, completed with a stored
-//! answer, or forgotten (the answer was dropped, but the key still counts as used). A key becomes unknown
-//! again when it expires, or by [`DuplicateTable::release`], which the engine calls only if every attempt is
-//! proven never to have run. The table is bounded in keys and in bytes of results: the oldest results are
-//! evicted, keys never are. A full table accepts no further key.
+//! answer, or expired (the answer was dropped, but the key still counts as used). A key becomes unknown
+//! again when an expired key is removed, or by [`DuplicateTable::release`], which the engine calls only if
+//! every attempt is proven never to have run. The table is bounded in keys and in bytes of results: the
+//! oldest results are evicted, keys never are. A full table accepts no further key.
 
 use crate::answer::{Answer, Reason, Verdict};
 use sha2::{Digest, Sha256};
@@ -51,11 +51,11 @@
 /// Limits of the duplicate table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateLimits {
-    /// Maximum number of keys, counting running, completed and forgotten ones.
+    /// Maximum number of keys, counting running, completed and expired ones.
     pub keys: usize,
     /// Maximum total size in bytes of all stored results.
     pub result_bytes: usize,
-    /// How long a forgotten key still counts as used, as a multiple of the retention time of its class.
+    /// How long an expired key still counts as used, as a multiple of the retention time of its class.
     pub forgotten_for: u32,
 }
 
@@ -75,7 +75,7 @@
     /// The call ended with this answer.
     Completed(Answer),
     /// The key was used; the answer is no longer stored.
-    Forgotten,
+    Expired,
     /// The key was used for another function or payload.
     Mismatch,
 }
@@ -84,7 +84,7 @@
 enum EntryState {
     Running(RequestId),
     Completed(Answer),
-    Forgotten,
+    Expired,
 }
 
 #[derive(Debug)]
@@ -126,7 +126,7 @@
             EntryState::Completed(answer) if now < entry.expires_at => {
                 KeyStatus::Completed(Answer { recorded: true, ..answer.clone() })
             }
-            EntryState::Completed(_) | EntryState::Forgotten => KeyStatus::Forgotten,
+            EntryState::Completed(_) | EntryState::Expired => KeyStatus::Expired,
         }
     }
 
@@ -176,8 +176,8 @@
         self.entries.remove(&key);
     }
 
-    /// Expires the state of a key if that is due at `now`: a completed key becomes forgotten, a forgotten one
-    /// is removed. Returns the time at which the next call of this function is due.
+    /// Expires the state of a key if that is due at `now`: a completed key becomes expired, and an
+    /// expired one is removed. Returns the time at which the next call of this function is due.
     pub(crate) fn expire(&mut self, now: Micros, key: KeyDigest) -> Option<Micros> {
         let retention_multiple = i64::from(self.limits.forgotten_for);
         let entry = self.entries.get_mut(&key).filter(|entry| entry.expires_at <= now)?;
@@ -190,7 +190,7 @@
                 self.forget_answer(key);
                 Some(expires_at)
             }
-            EntryState::Forgotten => {
+            EntryState::Expired => {
                 self.entries.remove(&key);
                 None
             }
@@ -200,7 +200,7 @@
     fn forget_answer(&mut self, key: KeyDigest) {
         self.evict_result(key);
         if let Some(entry) = self.entries.get_mut(&key) {
-            entry.state = EntryState::Forgotten;
+            entry.state = EntryState::Expired;
         }
         // Answers may expire in another order than they were stored, so keys without a result are removed
         // from the queue only when they reach its front.
--- a/crates/engine/src/duplicates/tests.rs
+++ b/crates/engine/src/duplicates/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_key_is_running_then_completed_then_forgotten_then_unknown() {
+fn a_key_is_running_then_completed_then_expired_then_unknown() {
     let (mut duplicates, (digest, fingerprint)) = (table(100), key(1));
     assert_eq!(duplicates.lookup(Micros(0), digest, fingerprint), KeyStatus::Unknown);
     duplicates.insert_running(digest, fingerprint, RequestId(5), Micros(10));
@@ -29,11 +29,11 @@
     );
     assert_eq!(
         duplicates.lookup(Micros(30), digest, fingerprint),
-        KeyStatus::Forgotten,
+        KeyStatus::Expired,
         "an expired answer must not be returned, even before its timer fires"
     );
     assert_eq!(duplicates.expire(Micros(30), digest), Some(Micros(50)));
-    assert_eq!(duplicates.lookup(Micros(49), digest, fingerprint), KeyStatus::Forgotten);
+    assert_eq!(duplicates.lookup(Micros(49), digest, fingerprint), KeyStatus::Expired);
     assert_eq!(duplicates.expire(Micros(50), digest), None);
     assert_eq!(
         (duplicates.lookup(Micros(50), digest, fingerprint), duplicates.len(), duplicates.result_bytes),
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -116,7 +116,7 @@
         match self.keys.lookup(self.now, key.digest, key.fingerprint) {
             KeyStatus::Running(id) => Ok(DuplicateDecision::Join(id)),
             KeyStatus::Completed(answer) => Ok(DuplicateDecision::Replay(answer)),
-            KeyStatus::Forgotten => Err(Reason::UnknownRepeat),
+            KeyStatus::Expired => Err(Reason::UnknownRepeat),
             KeyStatus::Mismatch if rules.has_side_effects => Err(Reason::KeyReused),
             // Clients may reuse their correlation data after a restart; without side effects that does no
             // harm.
@@ -131,7 +131,7 @@
         repeat: Repeat,
         rules: ClassRules,
     ) -> Result<DuplicateDecision, Reason> {
-        if rules.has_side_effects && self.may_have_been_forgotten(repeat, rules.retention) {
+        if rules.has_side_effects && self.may_have_been_accepted_before(repeat, rules.retention) {
             return Err(Reason::UnknownRepeat);
         }
         match (self.keys.is_full(), rules.has_side_effects) {
@@ -152,7 +152,7 @@
 
     /// Whether a marked repeat with an unknown key may have been accepted before: so long ago that its key
     /// was removed from the table, or by a previous process of this gateway.
-    fn may_have_been_forgotten(&self, repeat: Repeat, retention: Micros) -> bool {
+    fn may_have_been_accepted_before(&self, repeat: Repeat, retention: Micros) -> bool {
         match repeat {
             Repeat::Unmarked => false,
             Repeat::Marked { covered_since: None } => true,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! It guarantees that every accepted call gets exactly one final answer, whatever the balancer, the workers
 //! or the clients do, and that a used idempotency key never starts a second run, whether its call is running,
-//! answered or forgotten. The front ends submit [`Call`]s and receive [`Answer`]s; the event loop executes
+//! answered or expired. The front ends submit [`Call`]s and receive [`Answer`]s; the event loop executes
 //! the [`Output`]s and reports the results. The balancer ([`slatevalve::Balancer`]) decides where a call
 //! runs, and whether it is retried or refused for lack of capacity; the engine passes every event to it once
 //! and executes every action.
--- a/crates/gateway/benches/drains.rs
+++ b/crates/gateway/benches/drains.rs
@@ -1,5 +1,6 @@
-//! The time from a drain's entry in the registry to the last request at the worker, as seen at the workers' sockets, over 300
-//! drains: without calls, at 500 calls a second, and that within a flood of other changes.
+//! The time from a drain's entry in the registry to the last request at the worker, as seen at the workers'
+//! sockets, over 300 drains: without calls, at 500 calls a second, and at 500 calls a second during a flood
+//! of other changes.
 //! `cargo bench -p slatevalve-gateway --bench drains`
 
 use hdrhistogram::Histogram;
@@ -154,7 +155,7 @@
     start(&["worker", "--plan", &serde_json::to_string(&plan).unwrap()], Stdio::inherit())
 }
 
-/// Starts a gateway and waits until it knows all workers.
+/// Starts a gateway and waits until it has listed all workers.
 fn start_gateway(directory: &Path, log: &Path, registry: SocketAddr) -> Process {
     let site = format!(
         "(gateway (name \"g\")) (mqtt (listen \"127.0.0.1:0\")) (rules (drain-grace-ms 250)) \
@@ -190,7 +191,7 @@
     drains
 }
 
-/// Sends calls until told to stop.
+/// Sends calls until `stop` is set.
 fn spawn_calls(gateway: SocketAddr, stop: Arc<AtomicBool>) -> JoinHandle<Calls> {
     let start_us = unix_micros() + 200_000;
     let seconds = (ROUNDS as i64 + 8) * (DRAIN_TIME + PAUSE).as_millis() as i64 / 1_000 + 4;
@@ -220,7 +221,7 @@
     })
 }
 
-/// Changes other members until told to stop; returns the number of changes.
+/// Changes other members until `stop` is set; returns the number of changes.
 fn spawn_flood(registry: SocketAddr, stop: Arc<AtomicBool>) -> JoinHandle<u64> {
     std::thread::spawn(move || {
         let (mut writer, mut changes) = (Writer::new(registry), 0);
--- a/crates/gateway/benches/plugins.rs
+++ b/crates/gateway/benches/plugins.rs
@@ -1,5 +1,5 @@
-//! What a gateway's start costs with 10,000 blobs in its folder of plug-ins, beside reading and hashing the same files
-//! and nothing else. `cargo bench -p slatevalve-gateway --bench plugins`
+//! Startup time of a gateway with 10,000 blobs in its plug-in folder, compared with only reading and hashing
+//! the same files. `cargo bench -p slatevalve-gateway --bench plugins`
 
 use criterion::{Criterion, Throughput};
 use slatevalve_gateway::plugins::folder::{verify, PluginFolder};
@@ -7,9 +7,10 @@
 use std::path::Path;
 
 const VERSIONS: usize = 5_000;
-const LAYER: usize = 16 * 1024;
+const LAYER_BYTES: usize = 16 * 1024;
 
-/// Fills a folder with versions of one layer each, past the syncs that a push makes; gives the bytes in it.
+/// Fills a folder with versions of one layer each, without the syncs of a push; returns the number of bytes
+/// written.
 fn fill(path: &Path) -> u64 {
     let mut folder = PluginFolder::open(path).unwrap();
     let mut bytes = 0;
@@ -21,7 +22,7 @@
     };
     let mut versions = Vec::new();
     for n in 0..VERSIONS {
-        let mut layer = vec![7; LAYER];
+        let mut layer = vec![7; LAYER_BYTES];
         layer[..8].copy_from_slice(&n.to_le_bytes());
         let manifest = Manifest {
             name: format!("fare-{}", n % 100),
@@ -33,7 +34,7 @@
             memory_mb: 0.0,
             load_ms: 0.0,
             engine: None,
-            layers: vec![LayerRef { digest: write(&layer), size: LAYER as u64 }],
+            layers: vec![LayerRef { digest: write(&layer), size: LAYER_BYTES as u64 }],
         };
         let digest = write(&serde_json::to_vec(&manifest).unwrap());
         versions.push((manifest, digest));
--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -1,9 +1,11 @@
-//! The gateway compared with a baseline: a bare relay on the same event loop, with the same client bytes, the same requests
-//! and responses and the same test workers, in one run and in turn. `cargo bench -p slatevalve-gateway`
+//! The gateway compared with a baseline: a bare relay on the same event loop, with the same client bytes, the
+//! same requests and responses and the same test workers, alternating within one run.
+//! `cargo bench -p slatevalve-gateway`
 //!
-//! Printed for each number of calls in flight: calls a second, the times at the client, and the processor time of the one
-//! thread for a call, which gives the calls a second that one core could serve. (Where threads wake each other for every
-//! message, as on small virtual machines, the client limits the calls a second.) The times are comparable within a run only.
+//! Printed for each number of calls in flight: calls a second, the latency at the client, and the CPU time
+//! per call of the server's thread, which gives the calls a second that one core could serve. (Where threads
+//! wake each other for every message, as on small virtual machines, the client limits the calls a second.)
+//! Times are comparable only within a run.
 
 use hdrhistogram::Histogram;
 use mqtt_protocol_core::mqtt::packet::*;
@@ -89,7 +91,8 @@
     rustix::thread::gettid().as_raw_nonzero().get()
 }
 
-/// Returns the processor time of a thread in seconds, user and system (`/proc/[pid]/task/[tid]/stat`, fields 14 and 15).
+/// Returns the CPU time of a thread in seconds, user and system (`/proc/[pid]/task/[tid]/stat`, fields 14
+/// and 15).
 fn cpu_seconds(thread: i32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/self/task/{thread}/stat")).unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or_default();
@@ -121,7 +124,8 @@
     receive.recv().unwrap()
 }
 
-/// Starts the baseline: each publish of the known length becomes one request, each response of the known length one answer.
+/// Starts the baseline: each publish of the known length becomes one request, each response of the known
+/// length one answer.
 fn relay(workers: &[SocketAddr], publish_length: usize) -> Server {
     let (workers, (send, receive)) = (workers.to_vec(), mpsc::channel());
     thread::spawn(move || {
@@ -267,8 +271,8 @@
             let now = Instant::now();
             while bytes_in >= answer_length {
                 bytes_in -= answer_length;
-                // Answers may arrive in another order than their calls were sent. That does not change the mean, and the
-                // quantiles of the histogram only little.
+                // Answers may arrive in another order than their calls were sent. That does not change the
+                // mean, and the quantiles of the histogram only little.
                 let Some(sent) = client.sent.pop_front() else { panic!("more answers than calls") };
                 if now > warm_until {
                     cpu_before.get_or_insert_with(|| cpu_seconds(server.thread));
--- a/crates/gateway/benches/settings.rs
+++ b/crates/gateway/benches/settings.rs
@@ -1,7 +1,8 @@
-//! From the publishing of a document to all gateways acting by it, and what a change brings at the registry, by the number of
-//! gateways; without faults, and with one gateway in ten standing still. `cargo bench -p slatevalve-gateway --bench settings`
+//! The time from publishing a document until all gateways use it, and the registry traffic of a change, by
+//! the number of gateways; without faults, and with one gateway in ten stopped (SIGSTOP).
+//! `cargo bench -p slatevalve-gateway --bench settings`
 //!
-//! Everything is on this machine: gateways start with one core each in mind, and many share it here.
+//! All processes share one machine, although a gateway is designed to have a core of its own.
 
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
@@ -76,7 +77,7 @@
     let _ = to.shutdown(std::net::Shutdown::Both);
 }
 
-/// Which way a connection's bytes go.
+/// Direction in which a connection's bytes are forwarded.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
     ToRegistry,
@@ -122,21 +123,25 @@
     serde_json::from_slice::<RangeResponse>(&bytes).unwrap().kvs
 }
 
-/// How many gateways act by a document alone.
-fn acting(registry: SocketAddr, number: u64) -> usize {
+/// Returns how many gateways use this document and no other.
+fn gateways_using(registry: SocketAddr, number: u64) -> usize {
     let is_lease = |entry: &KeyValue| entry.key.0.starts_with(b"/slatevalve/agreement/rights/");
     let leases = entries(registry).into_iter().filter(is_lease);
     let leases = leases.filter_map(|entry| serde_json::from_slice::<Value>(&entry.value.0).ok());
-    let acts_alone = |lease: &Value| {
+    let uses_only_it = |lease: &Value| {
         lease["stance"]["prepared"].is_null() && lease["stance"]["committed"]["number"] == number
     };
-    leases.filter(acts_alone).count()
+    leases.filter(uses_only_it).count()
 }
 
 fn wait_for(registry: SocketAddr, number: u64, gateways: usize) {
     let began = Instant::now();
-    while acting(registry, number) < gateways {
-        assert!(began.elapsed() < TIMEOUT, "{} of {gateways} act by {number}", acting(registry, number));
+    while gateways_using(registry, number) < gateways {
+        assert!(
+            began.elapsed() < TIMEOUT,
+            "{} of {gateways} act by {number}",
+            gateways_using(registry, number)
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -164,7 +169,7 @@
     assert!(command.stdout(Stdio::null()).stderr(Stdio::null()).status().unwrap().success());
 }
 
-/// A registry, the proxy before it, and gateways that act by its documents.
+/// A registry, the proxy before it, and gateways that use its documents.
 struct Fleet {
     gateways: Vec<Process>,
     registry: Process,
@@ -175,7 +180,7 @@
 }
 
 impl Fleet {
-    /// A fleet in which all act by the first document.
+    /// Starts a fleet in which all gateways use the first document.
     fn start(gateways: usize) -> Self {
         let directory = tempfile::tempdir().unwrap();
         let registry = start(&["kv"]);
@@ -187,7 +192,7 @@
         Fleet { gateways, registry, counts, directory, number: 1 }
     }
 
-    /// Measures changes while so many gateways are stopped, and prints a row.
+    /// Measures changes while `stopped` gateways are stopped, and prints a row.
     fn measure(&mut self, stopped: usize) {
         let mut times = Histogram::<u64>::new(3).unwrap();
         let (mut requests, mut bytes) = (0, 0);
--- a/crates/gateway/scripts/ageing.scm
+++ b/crates/gateway/scripts/ageing.scm
@@ -1,4 +1,4 @@
-; Three workers grow slower and slower and then die, one after the other.
+; Three workers become increasingly slow and then crash, one after the other.
 (name "ageing")
 (seconds 12)
 (gateways 2)
--- a/crates/gateway/scripts/answer_lost.scm
+++ b/crates/gateway/scripts/answer_lost.scm
@@ -1,4 +1,4 @@
-; Calls run and their answers are lost, on three workers, for a part or all of the calls.
+; Calls run but their answers are lost, on three workers, for some or all of the calls.
 (name "answer_lost")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/balancer_crash.scm
+++ b/crates/gateway/scripts/balancer_crash.scm
@@ -1,4 +1,4 @@
-; A gateway is killed and started anew, knowing nothing; the other goes on.
+; A gateway is killed and restarted without state; the other continues.
 (name "balancer_crash")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/balancer_stall.scm
+++ b/crates/gateway/scripts/balancer_stall.scm
@@ -1,4 +1,4 @@
-; A gateway stands still for a second and finds everything at once, a drain among it.
+; A gateway is stopped for a second and then receives all pending events at once, including a drain.
 (name "balancer_stall")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/burst.scm
+++ b/crates/gateway/scripts/burst.scm
@@ -1,4 +1,4 @@
-; For two seconds eight times as many calls come as usual, more than the fleet can do.
+; For two seconds, eight times the usual number of calls arrive, which exceeds the capacity of the fleet.
 (name "burst")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/class_fail.scm
+++ b/crates/gateway/scripts/class_fail.scm
@@ -1,4 +1,4 @@
-; One class fails on some workers and is turned away unseen on others; the rest is served.
+; One class fails on some workers and is refused without a run on others; the other classes are served.
 (name "class_fail")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/crash.scm
+++ b/crates/gateway/scripts/crash.scm
@@ -1,4 +1,4 @@
-; Workers die at once and come back cold; one dies with a call accepted, one with an answer half written.
+; Workers crash abruptly and restart cold; one crashes after it accepted a call, one in the middle of an answer.
 (name "crash")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/deploy.scm
+++ b/crates/gateway/scripts/deploy.scm
@@ -1,4 +1,4 @@
-; A rolling restart of 95% of the workers: told to drain, stopped, started anew and cold.
+; A rolling restart of 95% of the workers: each drains, stops and restarts cold.
 (name "deploy")
 (seconds 12)
 (gateways 2)
--- a/crates/gateway/scripts/flush.scm
+++ b/crates/gateway/scripts/flush.scm
@@ -1,4 +1,4 @@
-; All copies are gone at once, on half of the workers and then on all.
+; All loaded copies are dropped at once, on half of the workers and then on all.
 (name "flush")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/hang.scm
+++ b/crates/gateway/scripts/hang.scm
@@ -1,4 +1,5 @@
-; Two workers take calls and never answer; one of them answers bytes that are no HTTP, another bare 503s.
+; Two workers accept calls and never answer; then one of them answers with
+; bytes that are not HTTP, and another worker with bare 503s.
 (name "hang")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/origin_slow.scm
+++ b/crates/gateway/scripts/origin_slow.scm
@@ -1,4 +1,4 @@
-; Loads take eight times as long, as the shared store is slow, while workers restart cold.
+; Loads take eight times as long because the shared store is slow, while workers restart cold.
 (name "origin_slow")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/pauses.scm
+++ b/crates/gateway/scripts/pauses.scm
@@ -1,4 +1,4 @@
-; Workers stand still for up to a second, one after the other.
+; Workers are paused for up to a second, one after the other.
 (name "pauses")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/plugin_move.scm
+++ b/crates/gateway/scripts/plugin_move.scm
@@ -1,4 +1,5 @@
-; Every plug-in moves to its second version at once, in parts and with copies ahead; one worker has corrupt copies.
+; All plug-ins move to their second version at once, in steps and with copies loaded in advance; one
+; worker has corrupt copies.
 (name "plugin_move")
 (seconds 16)
 (gateways 2)
--- a/crates/gateway/scripts/plugin_still.scm
+++ b/crates/gateway/scripts/plugin_still.scm
@@ -1,4 +1,4 @@
-; The same day without a move.
+; The baseline of plugin_move: the same load and fault without a move.
 (name "plugin_still")
 (seconds 16)
 (gateways 2)
--- a/crates/gateway/scripts/plugin_switch.scm
+++ b/crates/gateway/scripts/plugin_switch.scm
@@ -1,4 +1,4 @@
-; The same move as a plain switch.
+; The same move as in plugin_move, as a plain switch.
 (name "plugin_switch")
 (seconds 16)
 (gateways 2)
--- a/crates/gateway/scripts/reconnects.scm
+++ b/crates/gateway/scripts/reconnects.scm
@@ -1,4 +1,4 @@
-; Client connections drop with calls open, every third and then all; sessions are resumed.
+; Client connections drop while calls are open, first every third and then all; sessions are resumed.
 (name "reconnects")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/report_late.scm
+++ b/crates/gateway/scripts/report_late.scm
@@ -1,4 +1,4 @@
-; All load reports are three seconds old, while two workers are slow.
+; All load reports are three seconds old while two workers are slow.
 (name "report_late")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/retry_abuse.scm
+++ b/crates/gateway/scripts/retry_abuse.scm
@@ -1,4 +1,4 @@
-; A fifth of the calls is published four times, while two workers are slow.
+; A fifth of the calls are published four times while two workers are slow.
 (name "retry_abuse")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/scan.scm
+++ b/crates/gateway/scripts/scan.scm
@@ -1,4 +1,4 @@
-; A tenth of the calls are for functions that nobody asks for again, and memory is short.
+; A tenth of the calls are for functions that are never called again, and memory is scarce.
 (name "scan")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/short.scm
+++ b/crates/gateway/scripts/short.scm
@@ -1,5 +1,5 @@
-; A short day for CI: a crash, a slow worker, lost answers, a drain and dropped connections. Slack and grace are wide, so
-; that a busy machine does not look like a broken rule.
+; A short run for CI: a crash, a slow worker, lost answers, a drain and dropped connections. Slack and grace are large so
+; that delays of a busy machine are not reported as violations.
 (name "short")
 (seconds 4)
 (gateways 1)
--- a/crates/gateway/scripts/slow.scm
+++ b/crates/gateway/scripts/slow.scm
@@ -1,4 +1,4 @@
-; A third of the workers take six times as long for a while.
+; A third of the workers take six times as long for four seconds.
 (name "slow")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/tenant_burst.scm
+++ b/crates/gateway/scripts/tenant_burst.scm
@@ -1,4 +1,4 @@
-; One tenant sends eight times what all send together; the others keep their share.
+; One tenant sends eight times the usual total load; the other tenants keep their share.
 (name "tenant_burst")
 (seconds 9)
 (gateways 2)
--- a/crates/gateway/scripts/users-night.scm
+++ b/crates/gateway/scripts/users-night.scm
@@ -1,4 +1,5 @@
-; The users' night: one worker stalls, one slows, one dies, one loses answers, then a rolling restart of 95%.
+; The users' scenario: one worker stalls, one slows down, one crashes, one loses answers, then
+; 95% of the workers are restarted in turn.
 (name "users-night")
 (seconds 24)
 (gateways 2)
--- a/crates/gateway/src/plugins/folder.rs
+++ b/crates/gateway/src/plugins/folder.rs
@@ -247,7 +247,7 @@
             Ok(content) if content.len() as u64 == layer.size => {}
             Ok(content) => {
                 let (found, expected) = (content.len(), layer.size);
-                let message = format!("layer {}: size is {found} bytes, not {expected}", layer.digest);
+                let message = format!("layer {}: {found} bytes, not {expected}", layer.digest);
                 return Err(FolderError::Layer(message));
             }
             Err(e) => return Err(FolderError::Layer(format!("layer {}: {e}", layer.digest))),
--- a/crates/gateway/src/plugins/link.rs
+++ b/crates/gateway/src/plugins/link.rs
@@ -32,7 +32,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LinkError::Job(e) => e.fmt(f),
-            LinkError::Loop(e) => write!(f, "the event loop of the registry connection failed: {e}"),
+            LinkError::Loop(e) => write!(f, "event loop of the registry connection failed: {e}"),
             LinkError::Stopped => {
                 f.write_str("stopped; received content is kept, and the next attempt resumes after it")
             }
--- a/crates/gateway/src/server/error.rs
+++ b/crates/gateway/src/server/error.rs
@@ -30,7 +30,7 @@
             GatewayError::Admin(path, e) => write!(f, "cannot open the admin socket {}: {e}", path.display()),
             GatewayError::Record(path, e) => write!(f, "{}: {e}", path.display()),
             GatewayError::Plugins(e) => write!(f, "plug-ins: {e}"),
-            GatewayError::Loop(e) => write!(f, "the event loop failed: {e}"),
+            GatewayError::Loop(e) => write!(f, "event loop failed: {e}"),
         }
     }
 }
--- a/crates/gateway/src/server/members.rs
+++ b/crates/gateway/src/server/members.rs
@@ -76,9 +76,9 @@
 
     /// Converts a worker's record; returns `None` if another worker has the same id, which is derived from
     /// the name.
-    fn worker_line(&mut self, name: &str, record: &WorkerRecord) -> Option<ListedWorker> {
-        let mut line = ListedWorker::from_record(name, record, &mut self.site.name_tables, &self.clock);
-        let worker = line.entry.id;
+    fn listed_worker(&mut self, name: &str, record: &WorkerRecord) -> Option<ListedWorker> {
+        let mut listed = ListedWorker::from_record(name, record, &mut self.site.name_tables, &self.clock);
+        let worker = listed.entry.id;
         let known = self.names.entry(worker).or_insert_with(|| name.into());
         if known != name {
             warn!(
@@ -88,21 +88,21 @@
             );
             return None;
         }
-        if let (Some(reported), Some(converted)) = (record.up_since_unix_ms, line.entry.up_since) {
+        if let (Some(reported), Some(converted)) = (record.up_since_unix_ms, listed.entry.up_since) {
             let start = self.start_times.resolve(self.clock.now(), worker, reported, converted);
-            line.entry.up_since = Some(start);
+            listed.entry.up_since = Some(start);
         }
-        Some(line)
+        Some(listed)
     }
 
     fn apply_list(&mut self, scope: Scope, workers: &BTreeMap<String, WorkerRecord>) {
         self.names.retain(|_, name| workers.contains_key(name));
         let names = &self.names;
         self.start_times.retain(|worker| names.contains_key(worker));
-        let lines: Vec<ListedWorker> =
-            workers.iter().filter_map(|(name, record)| self.worker_line(name, record)).collect();
-        info!(workers = lines.len(), ?scope, "the list of workers");
-        self.apply_worker_list(scope, &lines);
+        let listed: Vec<ListedWorker> =
+            workers.iter().filter_map(|(name, record)| self.listed_worker(name, record)).collect();
+        info!(workers = listed.len(), ?scope, "the list of workers");
+        self.apply_worker_list(scope, &listed);
     }
 
     /// Applies changed workers, and cancels the unsent requests to workers that drain, were removed or have a
@@ -112,11 +112,11 @@
         for (name, record) in changes {
             match record {
                 Some(record) => {
-                    let Some(line) = self.worker_line(&name, &record) else { continue };
-                    if self.list_worker(&name, &line) {
-                        to_cancel.push(line.entry.id);
+                    let Some(listed) = self.listed_worker(&name, &record) else { continue };
+                    if self.list_worker(&name, &listed) {
+                        to_cancel.push(listed.entry.id);
                     }
-                    entries.push(line.entry);
+                    entries.push(listed.entry);
                 }
                 None => {
                     let Some(removed) = self.unlist_worker(&name) else { continue };
--- a/crates/gateway/src/settings/workers.rs
+++ b/crates/gateway/src/settings/workers.rs
@@ -91,7 +91,7 @@
     let kind = fields.or("kind", "default".to_string(), Form::text)?;
     let weight = fields.or("weight", 1.0, Form::number)?;
     if weight <= 0.0 || weight > MAX_WEIGHT {
-        return Err(form.error("weight must be above 0 and at most 1,000,000"));
+        return Err(form.error("weight must be greater than 0 and at most 1,000,000"));
     }
     let entry = WorkerEntry {
         id: worker_id(&name),
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -53,7 +53,7 @@
         rows.as_array().unwrap().iter().filter_map(row).collect()
     }
 
-    /// Names of the workers known to a gateway that records its membership events in `news.jsonl`.
+    /// Names of the workers in the list of a gateway that records its membership events in `news.jsonl`.
     fn recorded_workers(&self) -> BTreeSet<String> {
         let text = std::fs::read_to_string(self.path("news.jsonl")).unwrap_or_default();
         let mut known = BTreeSet::new();
--- a/crates/gateway/tests/platform/test_servers/fleet_worker.rs
+++ b/crates/gateway/tests/platform/test_servers/fleet_worker.rs
@@ -138,19 +138,19 @@
             if reader.read_line(&mut line).ok()? == 0 {
                 return None;
             }
-            let words: Vec<&str> = line.trim_end().split(' ').collect();
-            let body = match words[0] {
-                "exec" => read_body(&mut reader, words[3])?,
+            let tokens: Vec<&str> = line.trim_end().split(' ').collect();
+            let body = match tokens[0] {
+                "exec" => read_body(&mut reader, tokens[3])?,
                 _ => Vec::new(),
             };
             let at = Instant::now();
             while self.state.is_hanging.load(Ordering::SeqCst) {
                 thread::sleep(Duration::from_millis(5));
             }
-            match words[0] {
-                "exec" => self.execute(at, words[1], words[2], &body, &mut stream)?,
-                "ensure" => self.load(at, words[1], words[2], &mut stream)?,
-                "load" | "health" => self.report(words[1], &mut stream)?,
+            match tokens[0] {
+                "exec" => self.execute(at, tokens[1], tokens[2], &body, &mut stream)?,
+                "ensure" => self.load(at, tokens[1], tokens[2], &mut stream)?,
+                "load" | "health" => self.report(tokens[1], &mut stream)?,
                 "drop" | "release" => {}
                 other => panic!("the worker received an unknown command {other:?}"),
             }
--- a/crates/gateway/tests/platform/test_servers/worker.rs
+++ b/crates/gateway/tests/platform/test_servers/worker.rs
@@ -82,15 +82,16 @@
         let mut reader = BufReader::new(stream);
         let mut line = String::new();
         while reader.read_line(&mut line).ok()? > 0 {
-            let words: Vec<String> = line.trim_end().split(' ').map(String::from).collect();
+            let tokens: Vec<String> = line.trim_end().split(' ').map(String::from).collect();
             line.clear();
-            match words[0].as_str() {
+            match tokens[0].as_str() {
                 "exec" => {
-                    let mut body = vec![0; words[3].parse::<usize>().ok()? + 2];
+                    let mut body = vec![0; tokens[3].parse::<usize>().ok()? + 2];
                     reader.read_exact(&mut body).ok()?;
                     assert_eq!(body.split_off(body.len() - 2), b"\r\n");
-                    let loaded = self.loaded.lock().unwrap().contains(&function_of(&words[2]));
-                    let call = ReceivedCall { id: words[1].clone(), fields: words[2].clone(), body, loaded };
+                    let loaded = self.loaded.lock().unwrap().contains(&function_of(&tokens[2]));
+                    let call =
+                        ReceivedCall { id: tokens[1].clone(), fields: tokens[2].clone(), body, loaded };
                     let number = {
                         let mut all = self.received.lock().unwrap();
                         all.push(call.clone());
@@ -125,13 +126,13 @@
                     }
                 }
                 "load" | "health" => {
-                    let ready = format!("{} READY report=queue:0 0\r\n\r\n", words[1]);
+                    let ready = format!("{} READY report=queue:0 0\r\n\r\n", tokens[1]);
                     writer.lock().unwrap().write_all(ready.as_bytes()).ok()?;
                 }
                 "ensure" => {
                     *self.load_requests.lock().unwrap() += 1;
-                    self.loaded.lock().unwrap().insert(function_of(&words[2]));
-                    let loaded = format!("{} ACK copies=1 0\r\n\r\n", words[1]);
+                    self.loaded.lock().unwrap().insert(function_of(&tokens[2]));
+                    let loaded = format!("{} ACK copies=1 0\r\n\r\n", tokens[1]);
                     writer.lock().unwrap().write_all(loaded.as_bytes()).ok()?;
                 }
                 "drop" | "release" => {}
--- a/crates/gateway/tests/plugins.rs
+++ b/crates/gateway/tests/plugins.rs
@@ -108,8 +108,8 @@
     .into_iter()
     .enumerate()
     {
-        let heard = client.call(topic, n as u16 + 1, None, &format!("q{n}"));
-        assert_eq!((heard.outcome.as_str(), heard.ran.as_ref()), ("served", Some(digest)), "{topic}");
+        let answer = client.call(topic, n as u16 + 1, None, &format!("q{n}"));
+        assert_eq!((answer.outcome.as_str(), answer.ran.as_ref()), ("served", Some(digest)), "{topic}");
     }
     let unknown = client.call("quote/fare@3", 9, None, "q9");
     assert!(unknown.outcome == "refused" && unknown.reason.unwrap().contains("no such plug-in"));
@@ -138,11 +138,11 @@
         client.is_quiet(5);
     }
     for _ in 0..sent {
-        let heard = client.answer_or(|| gateway.log());
-        assert_eq!(heard.outcome, "served", "{heard:?}");
-        assert!(digests.contains(heard.ran.as_ref().unwrap()));
+        let answer = client.answer_or(|| gateway.log());
+        assert_eq!(answer.outcome, "served", "{answer:?}");
+        assert!(digests.contains(answer.ran.as_ref().unwrap()));
         assert!(
-            heard.payload.ends_with(heard.ran.as_ref().unwrap()),
+            answer.payload.ends_with(answer.ran.as_ref().unwrap()),
             "the version that ran is not the one that the answer names"
         );
     }
@@ -214,14 +214,14 @@
     let gateway = Gateway::start(&folder.site(""), &list);
     let mut client = Client::connect(gateway.address(), "a", false);
     for n in 0..20 {
-        let heard = client.call("quote/fare", n + 1, None, &format!("q{n}"));
-        assert_eq!((heard.outcome.as_str(), heard.ran), ("served", Some(digest.clone())));
+        let answer = client.call("quote/fare", n + 1, None, &format!("q{n}"));
+        assert_eq!((answer.outcome.as_str(), answer.ran), ("served", Some(digest.clone())));
     }
     for n in 0..10 {
         let before = corrupt.calls() + good.calls();
-        let heard = client.call("charge/card", n + 30, Some(&format!("k{n}")), "c");
+        let answer = client.call("charge/card", n + 30, Some(&format!("k{n}")), "c");
         assert_eq!(corrupt.calls() + good.calls() - before, 1, "a charge was not sent exactly once");
-        assert!(heard.outcome == "failed" || heard.payload.starts_with("card@"), "{heard:?}");
+        assert!(answer.outcome == "failed" || answer.payload.starts_with("card@"), "{answer:?}");
     }
     assert!(corrupt.calls() == 0 || gateway.log().contains("a worker ran other content"));
 }
@@ -235,8 +235,8 @@
     let worker = correct_worker();
     let gateway = Gateway::start(&folder.site(""), &[("w", worker.address, "")]);
     let mut client = Client::connect(gateway.address(), "a", false);
-    let heard = client.call("quote/fare", 1, None, "q1");
-    assert!(heard.outcome == "refused" && heard.reason.unwrap().contains("quarantine"));
+    let answer = client.call("quote/fare", 1, None, "q1");
+    assert!(answer.outcome == "refused" && answer.reason.unwrap().contains("quarantine"));
     assert_eq!(worker.calls_and_loads(), 0, "a call or load of the quarantined version reached a worker");
     assert!(folder.command(&["alias", "fare", "current", "1"]).unwrap_err().contains("quarantine"));
     folder.push("fare", "1", "quote");
--- a/crates/gateway/tests/stored_forms.rs
+++ b/crates/gateway/tests/stored_forms.rs
@@ -58,7 +58,7 @@
   (max-packet 1048562) (session-expiry-s 3663) (keep-alive-s 64) (back-off-ms 165) (longest-back-off-ms 10066) (connect-timeout-ms 5067))
 "#;
 
-/// `DIR` stands for a directory that contains the password file.
+/// `DIR` is a placeholder for a directory that contains the password file.
 const PLUGINS: &str = r#"
 (plugins (folder "DIR/plugins") (unlisted yes) (plain-switch no) (admin "DIR/admin.sock") (scrub-mb-per-s 7.5)
   (rollout (orders-at-once 71) (first-part 0.72) (step-ms 73) (judged-after 74) (more-failures 0.75) (more-late 0.76) (give-up-ms 77))
--- a/crates/oci/src/push.rs
+++ b/crates/oci/src/push.rs
@@ -336,7 +336,7 @@
 
     fn attempt_failed(&mut self, now_us: i64, failure: AttemptFailure) -> Result<(), PushError> {
         self.exchange.attempt_failed(now_us, failure)?;
-        // Only the registry knows how much of the chunk arrived.
+        // How much of the chunk arrived is known only from the registry's response.
         if matches!(self.step, UploadStep::SendChunk(_)) {
             self.step = UploadStep::QueryOffset;
             if let Some(request) = self.request() {
--- a/crates/platform/src/message/response.rs
+++ b/crates/platform/src/message/response.rs
@@ -44,7 +44,7 @@
     out
 }
 
-/// Encodes an error response. `code` tells clients what happened: `Throttled` for a refused call, `Broken`
+/// Encodes an error response. `code` identifies the kind of error: `Throttled` for a refused call, `Broken`
 /// for a failed one, `Unusable` for an invalid request.
 #[must_use]
 pub fn error(number: u32, code: &str) -> Vec<u8> {
--- a/crates/reactor/src/reactor/listeners.rs
+++ b/crates/reactor/src/reactor/listeners.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Accepts all connections in a listener's queue and appends their events to `out`. The result tells
+    /// Accepts all connections in a listener's queue and appends their events to `out`. The result indicates
     /// whether accepting failed, in which case the queue may still contain connections.
     pub fn accept_all(&mut self, listener: Id, out: &mut Vec<ReactorEvent>) -> AcceptQueue {
         for _ in 0..LISTEN_BACKLOG as usize / ACCEPTS_PER_POLL {
--- a/crates/relay/src/run/mod.rs
+++ b/crates/relay/src/run/mod.rs
@@ -37,7 +37,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             RelayError::Listen(address, error) => write!(f, "cannot listen on {address}: {error}"),
-            RelayError::Loop(error) => write!(f, "the event loop failed: {error}"),
+            RelayError::Loop(error) => write!(f, "event loop failed: {error}"),
         }
     }
 }
--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -58,8 +58,8 @@
     pub cell: CellId,
     /// Whether the worker accepts new work.
     pub state: WorkerState,
-    /// Capacity relative to other workers, interpreted as [`Settings::weights`](super::Settings::weights)
-    /// says.
+    /// Capacity relative to other workers, interpreted according to
+    /// [`Settings::weights`](super::Settings::weights).
     pub weight: f64,
     /// When the process last started; `None` if that is long ago and the worker counts as warm.
     pub up_since: Option<Micros>,
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether the worker list says that it accepts new work.
+    /// Whether the worker accepts new work according to the worker list.
     pub(super) fn is_ready(&self) -> bool {
         self.entry.state == WorkerState::Ready
     }
--- a/tests/routers.rs
+++ b/tests/routers.rs
@@ -253,7 +253,7 @@
 }
 
 /// What happens to a call of a class that is refused behind long queues, and after how many milliseconds. The
-/// probe of the first of two workers is answered after `silent_ms`; `had_contact` says whether the workers
+/// probe of the first of two workers is answered after `silent_ms`; `had_contact` is whether the workers
 /// were probed before.
 fn outcomes_behind_slow_probes(had_contact: bool, silent_ms: i64) -> Vec<(i64, &'static str)> {
     let class = |latency_objective| Class {
