--- a/crates/fleet-test/src/process.rs
+++ b/crates/fleet-test/src/process.rs
@@ -54,7 +54,7 @@
     /// Waits for the ready line, which states the listening address.
     ///
     /// # Errors
-    /// When the first line does not arrive within [`READY_TIMEOUT`] or is not a ready line.
+    /// When the first line does not arrive within `READY_TIMEOUT` or is not a ready line.
     pub fn wait_ready(&mut self) -> io::Result<()> {
         let remaining = READY_TIMEOUT.saturating_sub(self.started.elapsed());
         let line = self.first_line.recv_timeout(remaining).map_err(|_| {
